--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -54,6 +54,12 @@
     assert done.returncode == 1 and "1 failed" in done.stdout
 
 
+@pytest.mark.parametrize("plays, code", [("2 of 3", 0), ("3 of 3", 1), ("0 of 0", 1)])
+def test_a_listed_test_may_pass_only_where_it_failed_in_some_of_its_plays(tmp_path, plays, code):
+    line = f"tests/test_it.py::test_green | pytest -k green | seen in {plays} plays: no answer | issue 39"
+    assert run(tmp_path, [RED, SOME, line]).returncode == code
+
+
 @pytest.mark.parametrize(
     "lines, said",
     [
