--- a/lupinmill/rules.py
+++ b/lupinmill/rules.py
@@ -2,6 +2,7 @@
 Pure: no I/O, no clock, no state outside the instance. Types are in `terms.py`, reasons in `docs/design.md`.
 Parts, in the order a submission meets them: `Desk` (takes, holds, picks, retries, answers), `Endpoint` (one
 actor each), `Roster` (the list). They talk by notes, which one loop delivers (`Mail.run`)."""
+
 from __future__ import annotations
 
 from collections import deque
@@ -12,8 +13,28 @@
 
 from lupinmill import terms as t
 from lupinmill.workings import (
-    THIN, Answer, Aside, AskDue, Chance, Flight, Gauge, GiveUp, Lane, Mail, Part, Plea, ProbeDue, RetryDue,
-    Ring, Seat, Sent, Silent, Standing, Sweep, Usual, mixed,
+    THIN,
+    Answer,
+    Aside,
+    AskDue,
+    Chance,
+    Flight,
+    Gauge,
+    GiveUp,
+    Lane,
+    Mail,
+    Part,
+    Plea,
+    ProbeDue,
+    RetryDue,
+    Ring,
+    Seat,
+    Sent,
+    Silent,
+    Standing,
+    Sweep,
+    Usual,
+    mixed,
 )
 
 MS, SECOND = 1_000, 1_000_000
@@ -724,7 +745,6 @@
         load = sum(busy) / len(busy) if busy else 1.0
         self.usual = Usual(took, self.crowding, pace, failed, answered, told, load)
 
-
     def measure_warm(self, cold: list[Seat], span: int) -> None:
         """What a warm endpoint handles: from here follows what a cold one may be sent."""
         still = [seat.size for seat in cold if seat.counts() and self.warmth(seat.says) < 1]
@@ -758,10 +778,22 @@
 
     def tell(self) -> None:
         open_ = self.mode != "aside" and self.entry.state is t.State.READY
-        self.mail.post(self.desk, Standing(
-            self.entry.endpoint, open_, self.mode == "trial", self.crowded, self.share, self.pace, self.told,
-            self.told_at, self.busy, self.cold_since, self.entry,
-        ))
+        self.mail.post(
+            self.desk,
+            Standing(
+                self.entry.endpoint,
+                open_,
+                self.mode == "trial",
+                self.crowded,
+                self.share,
+                self.pace,
+                self.told,
+                self.told_at,
+                self.busy,
+                self.cold_since,
+                self.entry,
+            ),
+        )
 
     def listed(self, note: t.Listing) -> None:
         entry, fresh = note, note.started and self.mail.now - note.started < self.desk.allow.cold_time
