--- a/lupinmill/benchlink/codec.py
+++ b/lupinmill/benchlink/codec.py
@@ -10,16 +10,16 @@
 from lupinmill.protocol.settings import Fields
 
 HOW = {
-    "S": t.How.HANDLED,
-    "E": t.How.ERROR,
-    "F": t.How.REFUSED,
-    "T": t.How.TIMED_OUT,
-    "C": t.How.UNCONNECTED,
-    "R": t.How.RESET,
-    "X": t.How.CALLED_OFF,
-    "N": t.How.UNSENT,
+    "S": t.Outcome.HANDLED,
+    "E": t.Outcome.ERROR,
+    "F": t.Outcome.REFUSED,
+    "T": t.Outcome.TIMED_OUT,
+    "C": t.Outcome.UNCONNECTED,
+    "R": t.Outcome.RESET,
+    "X": t.Outcome.CALLED_OFF,
+    "N": t.Outcome.UNSENT,
 }
-STATES = {"1": t.State.READY, "2": t.State.DRAINING, "0": t.State.GONE}
+STATES = {"1": t.EndpointStatus.READY, "2": t.EndpointStatus.DRAINING, "0": t.EndpointStatus.GONE}
 LIST_KINDS = {"1": t.ListKind.FULL, "2": t.ListKind.CACHED, "3": t.ListKind.FAILED, "4": t.ListKind.CHANGES}
 
 
@@ -51,8 +51,8 @@
     return [REPORT.get(name) for name in names.split(",")] if names else []
 
 
-def listing(f: Fields) -> t.Listing:
-    return t.Listing(
+def listing(f: Fields) -> t.ListEntry:
+    return t.ListEntry(
         endpoint=f["endpoint"],
         state=STATES[f["readiness"]],
         zone=f.get("az", ""),
@@ -63,58 +63,64 @@
     )
 
 
-def load(text: str | None, report: list[tuple[str, float] | None]) -> t.Load | None:
+def load(text: str | None, report: list[tuple[str, float] | None]) -> t.LoadReport | None:
     if not text:
         return None
-    found = t.Load()
+    found = t.LoadReport()
     for entry, value in zip(report, text.split(",")):
         if entry and value not in ("", "-"):
             setattr(found, entry[0], float(value) * entry[1])
     return found
 
 
-def arrived(f: Fields, _: Any) -> t.Arrived:
+def arrived(f: Fields, _: Any) -> t.RequestArrived:
     repeated = f.get("retry") == "1"
     due, key = micros(f["due-s"]), f.get("name-key", "")
-    return t.Arrived(f["handle"], f["profile"], due, f.get("tenant", ""), repeated, key=key)
+    return t.RequestArrived(f["handle"], f["profile"], due, f.get("tenant", ""), repeated, key=key)
 
 
-def ended(f: Fields, report: Any) -> t.Ended:
+def ended(f: Fields, report: Any) -> t.AttemptEnded:
     closed = f.get("closed") == "1"
     took = micros(f.get("spent-s", "0"))
-    return t.Ended(f["handle"], int(f["try"]), HOW[f["how"]], took, closed, load(f.get("stats"), report))
+    return t.AttemptEnded(
+        f["handle"], int(f["try"]), HOW[f["how"]], took, closed, load(f.get("stats"), report)
+    )
 
 
-def probed(f: Fields, report: Any) -> t.Probed:
-    return t.Probed(f["endpoint"], HOW[f["how"]], micros(f.get("spent-s", "0")), load(f.get("stats"), report))
+def probed(f: Fields, report: Any) -> t.ProbeEnded:
+    return t.ProbeEnded(
+        f["endpoint"], HOW[f["how"]], micros(f.get("spent-s", "0")), load(f.get("stats"), report)
+    )
 
 
-EVENTS: dict[str, Callable[[Fields, Any], t.Note]] = {
+EVENTS: dict[str, Callable[[Fields, Any], t.Event]] = {
     "JOB_IN": arrived,
     "VERDICT": ended,
     "PROBE_RESULT": probed,
-    "WAKE": lambda f, _: t.Woke(int(f["ref"])),
-    "VANISHED": lambda f, _: t.Withdrawn(f["handle"]),
-    "ESTABLISHED": lambda f, _: t.Started(f["handle"], int(f["try"])),
+    "WAKE": lambda f, _: t.TimerFired(int(f["ref"])),
+    "VANISHED": lambda f, _: t.RequestCancelled(f["handle"]),
+    "ESTABLISHED": lambda f, _: t.ResponseStarted(f["handle"], int(f["try"])),
 }
 
 
-def deny(o: t.Deny) -> str:
-    advice = f" come-back-s={seconds(o.come_back)}" if o.come_back else ""
-    return f"BUSY handle={o.submission}{advice}"
+def deny(o: t.RejectRequest) -> str:
+    advice = f" come-back-s={seconds(o.retry_after)}" if o.retry_after else ""
+    return f"BUSY handle={o.request}{advice}"
 
 
 ORDERS: dict[type, Callable[[Any], str]] = {
-    t.Launch: lambda o: f"ROUTE handle={o.submission} endpoint={o.endpoint} abandon-at-s={seconds(o.until)}",
-    t.CallOff: lambda o: f"ABANDON handle={o.submission} try={o.launch}",
-    t.Deny: deny,
-    t.BreakOff: lambda o: f"FAIL handle={o.submission}",
-    t.WakeMe: lambda o: f"NOTIFY_ME due-at-s={seconds(o.at)} ref={o.ref}",
-    t.Probe: lambda o: f"PING endpoint={o.endpoint}",
-    t.Watch: lambda o: "TAIL want=1",
-    t.Log: lambda o: "REMARK body-text=" + o.text.replace("\n", " "),
+    t.StartAttempt: lambda o: (
+        f"ROUTE handle={o.request} endpoint={o.endpoint} abandon-at-s={seconds(o.until)}"
+    ),
+    t.CancelAttempt: lambda o: f"ABANDON handle={o.request} try={o.attempt}",
+    t.RejectRequest: deny,
+    t.AbortResponse: lambda o: f"FAIL handle={o.request}",
+    t.SetTimer: lambda o: f"NOTIFY_ME due-at-s={seconds(o.at)} ref={o.ref}",
+    t.StartProbe: lambda o: f"PING endpoint={o.endpoint}",
+    t.StartWatch: lambda o: "TAIL want=1",
+    t.WriteLog: lambda o: "REMARK body-text=" + o.text.replace("\n", " "),
 }
 
 
-def order_line(order: t.Order) -> str:
-    return ORDERS[type(order)](order)
+def order_line(command: t.Command) -> str:
+    return ORDERS[type(command)](command)
--- a/lupinmill/benchlink/host.py
+++ b/lupinmill/benchlink/host.py
@@ -30,15 +30,15 @@
 class Batch:
     now: int
     current: str = ""
-    notes: dict[str, list[t.Note]] = field(default_factory=dict)  # in the order instances were first named
+    events: dict[str, list[t.Event]] = field(default_factory=dict)  # in the order instances were first named
     rows_due: int = 0
 
 
 class Host:
     def __init__(self) -> None:
         self.instances: dict[str, Hosted] = {}
-        self.rosters: dict[str, list[t.Listing]] = {}
-        self.filling: list[t.Listing] = []
+        self.rosters: dict[str, list[t.ListEntry]] = {}
+        self.filling: list[t.ListEntry] = []
 
     def read(self, batch: Batch, line: str) -> None:
         name, f = codec.split(line)
@@ -54,7 +54,7 @@
             batch.rows_due = int(f["hosts"])
         elif name == "ENLIST":
             self.instances[batch.current] = Hosted(Sidecar(settings.deployment(f)), codec.report_fields(f))
-            batch.notes[batch.current] = []
+            batch.events[batch.current] = []
         else:
             self.read_event(batch, name, f)
 
@@ -64,28 +64,28 @@
             raise Malformed(f"{name} for the unknown instance {batch.current[:60]!r}")
         if name == "RETIRE":
             del self.instances[batch.current]
-            batch.notes.pop(batch.current, None)
+            batch.events.pop(batch.current, None)
             return
         if name == "UPDATE":
             kind = codec.LIST_KINDS[f["mode"]]
             entries = [] if kind is t.ListKind.FAILED else self.rosters[f["roster-id"]]
-            note: t.Note = t.Listed(kind, entries)
+            event: t.Event = t.ListReceived(kind, entries)
         elif name in codec.EVENTS:
-            note = codec.EVENTS[name](f, hosted.report)
+            event = codec.EVENTS[name](f, hosted.report)
         else:
             return  # messages of later wires are skipped, like unknown keys
-        batch.notes.setdefault(batch.current, []).append(note)
+        batch.events.setdefault(batch.current, []).append(event)
 
     def reply(self, batch: Batch) -> str:
         lines = []
-        for instance, notes in batch.notes.items():
+        for instance, events in batch.events.items():
             try:
-                orders = self.instances[instance].sidecar.step(batch.now, notes)
+                commands = self.instances[instance].sidecar.step(batch.now, events)
             except Exception as error:
                 raise ModuleFailed(instance, f"{type(error).__name__}: {error}") from error
-            if orders:
+            if commands:
                 lines.append(f"AS sidecar-id={instance}")
-                lines.extend(map(codec.order_line, orders))
+                lines.extend(map(codec.order_line, commands))
         lines.append("DONE\n")
         return "\n".join(lines)
 
--- a/lupinmill/discovery/driver.py
+++ b/lupinmill/discovery/driver.py
@@ -37,7 +37,7 @@
     again = max(LEAST_AGAIN, min(AGAIN, GRACE_PART * deployment.grace / MICROSECONDS))
     return Timing(
         wait_of(deployment.instances),
-        None if deployment.must_ask else again,
+        None if deployment.poll_discovery else again,
         deployment.instances > LARGE_FLEET,
     )
 
@@ -51,7 +51,7 @@
     def __init__(
         self, address: str, deployment: t.Deployment, directory: Directory, store: Store, log: Log
     ) -> None:
-        self.pushed = not deployment.must_ask
+        self.pushed = not deployment.poll_discovery
         self.directory, self.store, self.log = directory, store, log
         self.watcher = Watcher(
             address, timing_of(deployment), lambda least, most: random.uniform(least, most)
@@ -79,7 +79,7 @@
         self.steady = False
         self.changed.set()
 
-    def watch(self, _: t.Watch) -> None:
+    def watch(self, _: t.StartWatch) -> None:
         """The module wants the list to be watched."""
         self.watcher.asked(anyio.current_time())
         self.changed.set()
--- a/lupinmill/handover/papers.py
+++ b/lupinmill/handover/papers.py
@@ -13,7 +13,7 @@
 from lupinmill.protocol.http import Garbled
 
 Table = dict[str, Any]
-STATUS = {t.State.READY: "SERVING", t.State.DRAINING: "DRAINING"}
+STATUS = {t.EndpointStatus.READY: "SERVING", t.EndpointStatus.DRAINING: "DRAINING"}
 
 
 class BadPapers(Exception):
@@ -28,7 +28,7 @@
     repeats: int  # launches beyond a submission's first that it has made so far
 
 
-def write_list(listed: dict[str, t.Listing], addresses: dict[str, str], index: int | None) -> Table:
+def write_list(listed: dict[str, t.ListEntry], addresses: dict[str, str], index: int | None) -> Table:
     """The whole list, as discovery would tell it."""
     rows = [
         {
--- a/lupinmill/lab/commons.py
+++ b/lupinmill/lab/commons.py
@@ -180,7 +180,7 @@
             sidecars = self.count.step(self.commons.run.timeline.now, together, len(self.present()))
         assert self.tally is not None
         self.seat.tell(
-            t.Common(sidecars, order.plan, brakes, self.tally.listed(self.seat.module), order.until)
+            t.FleetState(sidecars, order.plan, brakes, self.tally.listed(self.seat.module), order.until)
         )
 
 
@@ -309,7 +309,7 @@
                 # Alone: out of a zone where it finds nothing open, to the others alike.
                 way = dict.fromkeys(others, 1 / len(others)) if self.mode == "alone" and others else {}
                 plan[w.name] = ({seat.zone: 1.0}, way)
-        seat.tell(t.Common(0, plan, {}, {}, now + COUNTS))
+        seat.tell(t.FleetState(0, plan, {}, {}, now + COUNTS))
         self.run.timeline.after(SECOND // 4 if self.mode == "sight" else SECOND, self.look, seat, life)
 
     def see(self) -> None:
--- a/lupinmill/lab/endpoint.py
+++ b/lupinmill/lab/endpoint.py
@@ -69,7 +69,7 @@
     workload: str
     work: float  # seconds on a yardstick core, all of it that this endpoint does
     due: int
-    reply: Callable[[t.How, t.Load | None], None]
+    reply: Callable[[t.Outcome, t.LoadReport | None], None]
     calls: int = 0
     parts: list[float] = field(default_factory=list)  # still to do, between the calls
     state: str = "new"  # waiting, running, calling, over
@@ -108,7 +108,7 @@
         self.pressure: deque[tuple[int, float, bool]] = deque()
         self.pressed = 0.0
         self.busy_time, self.service, self.handled = 0.0, 0.0, 0
-        self.reports: deque[tuple[int, t.Load]] = deque()
+        self.reports: deque[tuple[int, t.LoadReport]] = deque()
         self.report_late, self.told_busy, self.told_handled = 0.0, 0.0, 0
         self.jammed, self.idle_since, self.jam_ends, self.jam_busy = False, 0, 0, 0.0
         self.jam_held: deque[int] = deque(maxlen=20)
@@ -203,16 +203,16 @@
             return  # nothing answers
         self.press(job.work, informed)
         if self.fallen:
-            return job.reply(t.How.REFUSED, None)
+            return job.reply(t.Outcome.REFUSED, None)
         s = self.shape
         if self.draining or len(self.held) >= s.slots and len(self.waiting) >= s.queue:
-            return job.reply(t.How.REFUSED, self.report())
+            return job.reply(t.Outcome.REFUSED, self.report())
         if self.resetting and self.chance.random() < self.resetting:
             self.referee.accepted(self, job, True)
-            return job.reply(t.How.RESET, None)
+            return job.reply(t.Outcome.RESET, None)
         if self.failing and self.chance.random() < self.failing:
             self.referee.accepted(self, job, True)
-            return job.reply(t.How.ERROR, self.report())
+            return job.reply(t.Outcome.ERROR, self.report())
         self.referee.accepted(self, job, False)
         now, window = self.timeline.now, self.referee.window(job.workload)
         if window and job.key:
@@ -270,7 +270,7 @@
         job.call = None
         if not good:
             self.give_back(job)
-            return job.reply(t.How.ERROR, self.report())
+            return job.reply(t.Outcome.ERROR, self.report())
         self.advance()
         self.run_part(job)
         self.settle()
@@ -282,11 +282,11 @@
         self.referee.ran(self, job)
         s = self.shape
         if s.error_rate and self.chance.random() < s.error_rate:
-            job.reply(t.How.ERROR, self.report())
+            job.reply(t.Outcome.ERROR, self.report())
         elif self.spoiling and self.chance.random() < self.spoiling:
-            job.reply(t.How.SPOILT, None)
+            job.reply(t.Outcome.SPOILT, None)
         else:
-            job.reply(t.How.HANDLED, self.report())
+            job.reply(t.Outcome.HANDLED, self.report())
 
     def give_back(self, job: Job) -> None:
         """The slot, in the one place; the next in the queue gets it."""
@@ -296,7 +296,7 @@
             following = self.waiting.popleft()
             if self.shape.drops_expired and following.due <= self.timeline.now:
                 following.state = "over"
-                following.reply(t.How.REFUSED, self.report())
+                following.reply(t.Outcome.REFUSED, self.report())
             else:
                 self.start(following)
 
@@ -336,30 +336,30 @@
             "service": max(0.0, self.service * noise) * 1e6,
             "rate": max(0.0, rate * noise),
         }
-        self.reports.append((now, t.Load(**{name: figures[name] for name in s.report_fields})))
+        self.reports.append((now, t.LoadReport(**{name: figures[name] for name in s.report_fields})))
         while len(self.reports) > 64:
             self.reports.popleft()
         self.timeline.after(s.report_s * SECOND, self.refresh, epoch)
 
-    def report(self) -> t.Load | None:
+    def report(self) -> t.LoadReport | None:
         """What an answer may carry."""
         return self.latest() if self.shape.report_how == "answers" else None
 
-    def latest(self) -> t.Load | None:
+    def latest(self) -> t.LoadReport | None:
         before = self.timeline.now - int((self.shape.report_delay_s + self.report_late) * SECOND)
         while len(self.reports) > 1 and self.reports[1][0] <= before:
             self.reports.popleft()
         return self.reports[0][1] if self.reports and self.reports[0][0] <= before else None
 
-    def probe(self) -> tuple[t.How, t.Load | None] | None:
+    def probe(self) -> tuple[t.Outcome, t.LoadReport | None] | None:
         """A shallow one: answered beside the queue. None where nothing answers."""
         if self.silent or not self.alive or self.paused:
             return None
         self.press(self.shape.probe_work, True)
         self.cost(self.shape.probe_work)
         if self.draining or self.fallen:
-            return t.How.REFUSED, None
-        return t.How.HANDLED, None if self.shape.report_how == "none" else self.latest()
+            return t.Outcome.REFUSED, None
+        return t.Outcome.HANDLED, None if self.shape.report_how == "none" else self.latest()
 
     def cost(self, work: float) -> None:
         """Work beside requests, taken from all that run."""
@@ -496,7 +496,7 @@
             if job.call is not None:
                 self.hang_up(job.call)  # its sidecar goes with it
             if not silently:
-                job.reply(t.How.RESET, None)
+                job.reply(t.Outcome.RESET, None)
 
     def come_back(self) -> None:
         """A new process, cold."""
--- a/lupinmill/lab/hand_world.py
+++ b/lupinmill/lab/hand_world.py
@@ -75,7 +75,7 @@
 
 
 class World:
-    def __init__(self, repeat: t.Repeat, first_refused: bool, plant: str = "") -> None:
+    def __init__(self, repeat: t.RepeatPolicy, first_refused: bool, plant: str = "") -> None:
         self.repeat, self.first_refused, self.plant = repeat, first_refused, plant
         self.now = 1_000 * MS
         self.keepers = {name: Keeper(self.now, LONGEST, 100, 10**6, knows=True) for name in KEEPERS}
@@ -101,7 +101,9 @@
 
     def play(self, schedule: tuple[Departure, ...]) -> None:
         due = {departure.at: departure for departure in schedule}
-        work = Work(KEY, "bid", self.repeat, WINDOW if self.repeat is t.Repeat.DEDUPLICATED else 0, digest=7)
+        work = Work(
+            KEY, "bid", self.repeat, WINDOW if self.repeat is t.RepeatPolicy.DEDUPLICATED else 0, digest=7
+        )
         self.work = work
         self.tell("o", Take(work, "e1", GROUPS["e1"]))
         for number in range(MOST_EVENTS):
@@ -259,9 +261,9 @@
 
     def broken(self) -> list[str]:
         found = []
-        if self.repeat is t.Repeat.UNREPEATABLE and len(self.effects) > 1:
+        if self.repeat is t.RepeatPolicy.UNREPEATABLE and len(self.effects) > 1:
             found.append(f"ran {len(self.effects)} times")
-        if self.repeat is t.Repeat.DEDUPLICATED:
+        if self.repeat is t.RepeatPolicy.DEDUPLICATED:
             groups = {effect.intent.group for effect in self.effects}
             if len(groups) > 1:
                 found.append(f"its effect came about in {len(groups)} groups")
@@ -284,10 +286,10 @@
 
 
 WORLDS = [
-    (t.Repeat.UNREPEATABLE, False),
-    (t.Repeat.UNREPEATABLE, True),
-    (t.Repeat.DEDUPLICATED, False),
-    (t.Repeat.DEDUPLICATED, True),
+    (t.RepeatPolicy.UNREPEATABLE, False),
+    (t.RepeatPolicy.UNREPEATABLE, True),
+    (t.RepeatPolicy.DEDUPLICATED, False),
+    (t.RepeatPolicy.DEDUPLICATED, True),
 ]
 
 
--- a/lupinmill/lab/policies.py
+++ b/lupinmill/lab/policies.py
@@ -21,7 +21,7 @@
     due: int
     endpoints: list[str] = field(default_factory=list)
     sent: list[int] = field(default_factory=list)
-    ended: list[t.How | None] = field(default_factory=list)
+    ended: list[t.Outcome | None] = field(default_factory=list)
     done: bool = False
 
 
@@ -31,52 +31,56 @@
     def __init__(self, d: t.Deployment) -> None:
         self.d, self.chance = d, Chance(d.seed)
         self.workloads = {w.name: w for w in d.workloads}
-        self.entries: dict[str, t.Listing] = {}
+        self.entries: dict[str, t.ListEntry] = {}
         self.ready: list[str] = []
         self.flying: dict[str, int] = {}
         self.open: dict[str, Open] = {}
         self.turn = self.chance.upto(1000)
-        self.orders: list[t.Order] = []
+        self.commands: list[t.Command] = []
         self.now, self.ask_at = 0, 0
 
     def choose(self, names: list[str]) -> str:
         raise NotImplementedError
 
-    def step(self, now: int, notes: list[t.Note]) -> list[t.Order]:
-        self.now, self.orders = now, []
-        for note in notes:
-            if isinstance(note, t.Listed):
-                self.listed(note)
-            elif isinstance(note, t.Arrived):
-                workload = self.workloads.get(note.workload) or t.Workload(note.workload, 0, note.due - now)
-                self.open[note.submission] = Open(workload, note.due)
-                self.launch(note.submission)
-            elif isinstance(note, t.Ended):
-                self.ended(note)
-            elif isinstance(note, t.Withdrawn) and note.submission in self.open:
-                self.open[note.submission].done = True
-                self.forget(note.submission)
+    def step(self, now: int, events: list[t.Event]) -> list[t.Command]:
+        self.now, self.commands = now, []
+        for event in events:
+            if isinstance(event, t.ListReceived):
+                self.listed(event)
+            elif isinstance(event, t.RequestArrived):
+                workload = self.workloads.get(event.workload) or t.Workload(
+                    event.workload, 0, event.due - now
+                )
+                self.open[event.request] = Open(workload, event.due)
+                self.launch(event.request)
+            elif isinstance(event, t.AttemptEnded):
+                self.ended(event)
+            elif isinstance(event, t.RequestCancelled) and event.request in self.open:
+                self.open[event.request].done = True
+                self.forget(event.request)
         if self.ask_at and now >= self.ask_at:
             self.ask_at = 0
-            self.orders.append(t.Watch())
-        return self.orders
+            self.commands.append(t.StartWatch())
+        return self.commands
 
-    def listed(self, note: t.Listed) -> None:
-        if note.kind is t.ListKind.FAILED:
+    def listed(self, event: t.ListReceived) -> None:
+        if event.kind is t.ListKind.FAILED:
             return self.ask_later(ASK_AGAIN + self.chance.upto(ASK_AGAIN))
-        if note.kind is t.ListKind.CACHED and self.d.must_ask:
+        if event.kind is t.ListKind.CACHED and self.d.poll_discovery:
             self.ask_later(1 + self.chance.upto(ASK_AGAIN))
-        if note.kind is not t.ListKind.CHANGES:
+        if event.kind is not t.ListKind.CHANGES:
             self.entries = {}
-        for entry in note.entries:
+        for entry in event.entries:
             self.entries[entry.endpoint] = entry
-            if entry.state is t.State.GONE:
+            if entry.state is t.EndpointStatus.GONE:
                 del self.entries[entry.endpoint]
-        self.ready = sorted(name for name, entry in self.entries.items() if entry.state is t.State.READY)
+        self.ready = sorted(
+            name for name, entry in self.entries.items() if entry.state is t.EndpointStatus.READY
+        )
 
     def ask_later(self, span: int) -> None:
         self.ask_at = self.now + span
-        self.orders.append(t.WakeMe(self.ask_at, 2))
+        self.commands.append(t.SetTimer(self.ask_at, 2))
 
     def maybe(self, s: Open) -> list[int]:
         """Numbers of the launches that may have run."""
@@ -87,19 +91,19 @@
         ran = self.maybe(s)
         names = [name for name in self.ready if name not in s.endpoints] or self.ready
         names = [name for name in names if self.warm_enough(name)] or names
-        if not ran or s.workload.repeat is t.Repeat.IDEMPOTENT:
+        if not ran or s.workload.repeat is t.RepeatPolicy.IDEMPOTENT:
             return names
         if (
-            s.workload.repeat is t.Repeat.UNREPEATABLE
+            s.workload.repeat is t.RepeatPolicy.UNREPEATABLE
             or self.now > s.sent[ran[0]] + s.workload.window - MARGIN
         ):
             return []
         first = self.entries.get(s.endpoints[ran[0]])
-        if s.workload.group is t.Group.ALL:
+        if s.workload.group is t.DeduplicationScope.ALL:
             return names
         if first is None:
             return []
-        by_zone = s.workload.group is t.Group.ZONE
+        by_zone = s.workload.group is t.DeduplicationScope.ZONE
         return [
             name
             for name in names
@@ -118,7 +122,7 @@
     def launch(self, name: str) -> None:
         s = self.open[name]
         names = (
-            self.allowed(s) if self.now < s.due - MARGIN and len(s.endpoints) < self.d.most_launches else []
+            self.allowed(s) if self.now < s.due - MARGIN and len(s.endpoints) < self.d.max_attempts else []
         )
         if not names:
             return self.answer(name)
@@ -127,7 +131,7 @@
         s.sent.append(self.now)
         s.ended.append(None)
         self.flying[endpoint] = self.flying.get(endpoint, 0) + 1
-        self.orders.append(t.Launch(name, endpoint, s.due - MARGIN))
+        self.commands.append(t.StartAttempt(name, endpoint, s.due - MARGIN))
 
     def answer(self, name: str) -> None:
         s = self.open[name]
@@ -135,27 +139,29 @@
             s.done = True
             w = s.workload
             safe = (
-                w.repeat is t.Repeat.IDEMPOTENT
-                or w.repeat is t.Repeat.DEDUPLICATED
-                and w.group is t.Group.ALL
+                w.repeat is t.RepeatPolicy.IDEMPOTENT
+                or w.repeat is t.RepeatPolicy.DEDUPLICATED
+                and w.group is t.DeduplicationScope.ALL
+            )
+            self.commands.append(
+                t.RejectRequest(name) if safe or not self.maybe(s) else t.AbortResponse(name)
             )
-            self.orders.append(t.Deny(name) if safe or not self.maybe(s) else t.BreakOff(name))
         self.forget(name)
 
-    def ended(self, note: t.Ended) -> None:
-        s = self.open.get(note.submission)
-        if s is None or note.launch >= len(s.ended) or s.ended[note.launch] is not None:
+    def ended(self, event: t.AttemptEnded) -> None:
+        s = self.open.get(event.request)
+        if s is None or event.attempt >= len(s.ended) or s.ended[event.attempt] is not None:
             return
-        s.ended[note.launch] = note.how
-        self.flying[s.endpoints[note.launch]] -= 1
-        s.done = s.done or note.closed or note.how is t.How.HANDLED
+        s.ended[event.attempt] = event.outcome
+        self.flying[s.endpoints[event.attempt]] -= 1
+        s.done = s.done or event.closed or event.outcome is t.Outcome.HANDLED
         if s.done:
-            return self.forget(note.submission)
+            return self.forget(event.request)
         # The front alone launches anew, as the design wants it of every policy that it is compared with.
-        if self.d.tier == 0 and note.how is not t.How.TIMED_OUT:
-            self.launch(note.submission)
+        if self.d.tier == 0 and event.outcome is not t.Outcome.TIMED_OUT:
+            self.launch(event.request)
         else:
-            self.answer(note.submission)
+            self.answer(event.request)
 
     def forget(self, name: str) -> None:
         s = self.open[name]
--- a/lupinmill/lab/referee.py
+++ b/lupinmill/lab/referee.py
@@ -87,7 +87,7 @@
 
     def window(self, workload: str) -> int:
         found = self.workloads.get(workload)
-        return found.window if found is not None and found.repeat is t.Repeat.DEDUPLICATED else 0
+        return found.window if found is not None and found.repeat is t.RepeatPolicy.DEDUPLICATED else 0
 
     # Clients.
 
@@ -111,7 +111,11 @@
 
     def judge_denial(self, record: Record) -> None:
         w = record.workload
-        safe = w.repeat is t.Repeat.IDEMPOTENT or w.repeat is t.Repeat.DEDUPLICATED and w.group is t.Group.ALL
+        safe = (
+            w.repeat is t.RepeatPolicy.IDEMPOTENT
+            or w.repeat is t.RepeatPolicy.DEDUPLICATED
+            and w.group is t.DeduplicationScope.ALL
+        )
         if not safe and any(launch.ran for launch in record.launches):
             self.breaks(2, record.submission, "denied, but a launch of it has run or may run")
 
@@ -155,10 +159,10 @@
         w, earlier = record.workload, [old for old in record.launches if old.ran]
         if not self.copies and any(old.out for old in record.launches):
             self.breaks(2, record.submission, "two launches out together where copies are forbidden")
-        if not earlier or w.repeat is t.Repeat.IDEMPOTENT:
+        if not earlier or w.repeat is t.RepeatPolicy.IDEMPOTENT:
             return
         first = earlier[0]
-        if w.repeat is t.Repeat.UNREPEATABLE:
+        if w.repeat is t.RepeatPolicy.UNREPEATABLE:
             self.breaks(
                 2, record.submission, f"launched at {launch.endpoint}, may have run at {first.endpoint}"
             )
@@ -170,9 +174,9 @@
             )
 
     def same_group(self, w: t.Workload, cell: int, zone: str, other_cell: int, other_zone: str) -> bool:
-        if w.group is t.Group.ALL:
+        if w.group is t.DeduplicationScope.ALL:
             return True
-        return zone == other_zone if w.group is t.Group.ZONE else cell == other_cell
+        return zone == other_zone if w.group is t.DeduplicationScope.ZONE else cell == other_cell
 
     def accepted(self, endpoint: Any, job: Any, ran: bool) -> None:
         """The endpoint took it: from now on it has run or may run."""
@@ -201,12 +205,12 @@
         self.memory[(self.memory_group(endpoint), key)] = until
 
     def memory_group(self, endpoint: Any) -> str:
-        groups = {w.group for w in self.workloads.values() if w.repeat is t.Repeat.DEDUPLICATED}
-        if t.Group.CELL in groups:
+        groups = {w.group for w in self.workloads.values() if w.repeat is t.RepeatPolicy.DEDUPLICATED}
+        if t.DeduplicationScope.CELL in groups:
             return f"{endpoint.shape.tier}/{endpoint.shape.zone}/{endpoint.shape.cell}"
         return (
             f"{endpoint.shape.tier}/{endpoint.shape.zone}"
-            if t.Group.ZONE in groups
+            if t.DeduplicationScope.ZONE in groups
             else f"{endpoint.shape.tier}"
         )
 
--- a/lupinmill/lab/registry.py
+++ b/lupinmill/lab/registry.py
@@ -22,7 +22,7 @@
     zone: str
     kind: str
     cell: int
-    state: t.State
+    state: t.EndpointStatus
     started: int  # microseconds of the timeline; 0: long ago
 
 
@@ -66,7 +66,7 @@
         if self.turns.get(entry.name) != turn:
             return
         self.turns.pop(entry.name)
-        if entry.state is t.State.GONE:
+        if entry.state is t.EndpointStatus.GONE:
             if self.entries.pop(entry.name, None) is None:
                 return
         else:
@@ -102,9 +102,9 @@
         self.down = self.silent = False
 
 
-def listing(entry: Entry) -> t.Listing:
-    return t.Listing(entry.name, entry.state, entry.zone, entry.kind, str(entry.cell), entry.started)
+def listing(entry: Entry) -> t.ListEntry:
+    return t.ListEntry(entry.name, entry.state, entry.zone, entry.kind, str(entry.cell), entry.started)
 
 
 def gone(entry: Entry) -> Entry:
-    return replace(entry, state=t.State.GONE)
+    return replace(entry, state=t.EndpointStatus.GONE)
--- a/lupinmill/lab/replay.py
+++ b/lupinmill/lab/replay.py
@@ -28,17 +28,17 @@
         raise BadResult("only runs in virtual time can be replayed; sockets have no such steps")
     read = scenario.check(found.scenario, "the result's scenario")
 
-    def trace(number: int, seat: VirtualSidecar, notes: list[t.Note], orders: list[t.Order]) -> None:
+    def trace(number: int, seat: VirtualSidecar, events: list[t.Event], commands: list[t.Command]) -> None:
         wanted = step is not None and abs(number - step) <= around
-        if submission and any(names(one, submission) for one in (*notes, *orders)):
+        if submission and any(names(one, submission) for one in (*events, *commands)):
             wanted = True
         if wanted:
             at = (seat.run.timeline.now - EPOCH) / SECOND
             tell(f"step {number}  {at:.6f} s  {seat.name}")
-            for note in notes:
-                tell(f"    note   {note}")
-            for order in orders:
-                tell(f"    order  {order}")
+            for event in events:
+                tell(f"    note   {event}")
+            for command in commands:
+                tell(f"    order  {command}")
 
     run = VirtualRun(read, found.seed, found.policy, trace)
     last = len(found.digests)
@@ -57,4 +57,4 @@
 
 
 def names(one: Any, submission: str) -> bool:
-    return getattr(one, "submission", None) == submission
+    return getattr(one, "request", None) == submission
--- a/lupinmill/lab/scale/loopback.py
+++ b/lupinmill/lab/scale/loopback.py
@@ -105,7 +105,7 @@
         deployment = protocol_settings.deployment(protocol_settings.flatten(SETTINGS))
         told = operators_file.told(file, name)
         self.engine = Engine(deployment, Clock(), self.log)
-        for kind in (t.Watch, t.WakeMe):
+        for kind in (t.StartWatch, t.SetTimer):
             self.engine.carriers[kind] = lambda order: None
         self.driver = Driver(told, file.site, operators_file.bind(file, name), None, self.log)
         map_ = operators_file.zone_map(file.zones, {w.name: w.value for w in deployment.workloads})
--- a/lupinmill/lab/scale/returns.py
+++ b/lupinmill/lab/scale/returns.py
@@ -59,7 +59,10 @@
         async with anyio.create_task_group() as group:
             for _ in range(count):
                 deployment = t.Deployment(
-                    seed=chance.getrandbits(62), instances=count, must_ask=asked, ask_within=10 * SECOND
+                    seed=chance.getrandbits(62),
+                    instances=count,
+                    poll_discovery=asked,
+                    poll_interval=10 * SECOND,
                 )
                 seat = Seat(loop, deployment, heard)
                 seat.discovery = discovery.Discovery("d:1", deployment, seat, None, lambda *_, **__: None)
@@ -100,7 +103,7 @@
     async def begin(seat: Seat, after: float) -> None:
         await anyio.sleep(after)  # a quiet fleet's watches have long drifted apart
         if seat.sidecar is not None:
-            seat.discovery.watch(t.Watch())
+            seat.discovery.watch(t.StartWatch())
         await seat.discovery.run()
 
     seats: list[Seat] = []
--- a/lupinmill/lab/scale/returns_stand.py
+++ b/lupinmill/lab/scale/returns_stand.py
@@ -160,27 +160,27 @@
         self, loop: VirtualLoop, deployment: t.Deployment, heard: Callable[[Seat, int], None]
     ) -> None:
         self.loop, self.heard = loop, heard
-        self.states, self.index = {"e0": t.State.READY}, 7
-        self.sidecar = Sidecar(deployment) if deployment.must_ask else None
+        self.states, self.index = {"e0": t.EndpointStatus.READY}, 7
+        self.sidecar = Sidecar(deployment) if deployment.poll_discovery else None
         self.discovery: discovery.Discovery | None = None
 
     def update(self, known: Known, kind: t.ListKind) -> None:
         self.index = known.index
         self.heard(self, known.index)
-        self.tell(t.Listed(kind, []))
+        self.tell(t.ListReceived(kind, []))
 
     def failed(self) -> None:
-        self.tell(t.Listed(t.ListKind.FAILED, []))
+        self.tell(t.ListReceived(t.ListKind.FAILED, []))
 
-    def tell(self, note: t.Note) -> None:
+    def tell(self, event: t.Event) -> None:
         """Where lists are pushed the module has no say in it."""
         if self.sidecar is None:
             return
-        for order in self.sidecar.step(round(self.loop.time() * SECOND), [note]):
-            if isinstance(order, t.WakeMe):
-                self.loop.call_at(order.at / SECOND, self.tell, t.Woke(order.ref))
-            elif isinstance(order, t.Watch) and self.discovery is not None:
-                self.discovery.watch(order)
+        for command in self.sidecar.step(round(self.loop.time() * SECOND), [event]):
+            if isinstance(command, t.SetTimer):
+                self.loop.call_at(command.at / SECOND, self.tell, t.TimerFired(command.ref))
+            elif isinstance(command, t.StartWatch) and self.discovery is not None:
+                self.discovery.watch(command)
 
 
 @contextmanager
--- a/lupinmill/lab/sockets/front.py
+++ b/lupinmill/lab/sockets/front.py
@@ -35,7 +35,7 @@
             self.timeline.after(span, ended, request_id, Outcome.UNREACHABLE, 0)
             return
         process = wish.sidecar = run.fronts[at]
-        keyed = request_class.terms.repeat is not t.Repeat.IDEMPOTENT
+        keyed = request_class.terms.repeat is not t.RepeatPolicy.IDEMPOTENT
         self.world.referee.taken(now, request_id, request_class.name, due, True)
         sent = SentRequest(request_class.name, wish.work, wish.name if keyed else "", process.name)
         run.requests.remember(request_id, sent)
--- a/lupinmill/lab/sockets/requests.py
+++ b/lupinmill/lab/sockets/requests.py
@@ -101,7 +101,7 @@
 ) -> Request:
     """A request by the platform's protocol; `left`: seconds until its deadline."""
     kind = request_class.name.encode()
-    idempotent = request_class.terms.repeat is t.Repeat.IDEMPOTENT
+    idempotent = request_class.terms.repeat is t.RepeatPolicy.IDEMPOTENT
     headers = [
         (b"Host", b"site"),
         (b"Req-Id", request_id.encode()),
--- a/lupinmill/lab/stands.py
+++ b/lupinmill/lab/stands.py
@@ -23,11 +23,15 @@
 BACKLOG = 512
 LARGEST_WAIT_MS = 60_000
 WATCH = re.compile(rb"index=(\d{1,18})(?:&wait=(\d{1,9}))?")
-STATUS = {t.State.READY: "SERVING", t.State.DRAINING: "DRAINING", t.State.GONE: "DELETED"}
+STATUS = {
+    t.EndpointStatus.READY: "SERVING",
+    t.EndpointStatus.DRAINING: "DRAINING",
+    t.EndpointStatus.GONE: "DELETED",
+}
 SPOILT = b"HTTP/1.1 200 OK\r\nContent-Length: 9 or so\r\n\r\n"
 
 
-def report_text(load: t.Load | None) -> str:
+def report_text(load: t.LoadReport | None) -> str:
     """`queue=2,util=0.61`, for those figures that there are."""
     if load is None:
         return ""
@@ -202,7 +206,7 @@
         except ValueError:
             left = 0.0
 
-        def reply(how: t.How, load: t.Load | None) -> None:
+        def reply(how: t.Outcome, load: t.LoadReport | None) -> None:
             served.job = None
             if served.record is not None:
                 served.record.out = False
@@ -220,18 +224,18 @@
             return  # nothing answers
         how, load = got
         body = report_text(load).encode() if whole else b"ok"
-        served.answer(Answer(200 if how is t.How.HANDLED else 503, [], body))
+        served.answer(Answer(200 if how is t.Outcome.HANDLED else 503, [], body))
 
-    def reply(self, served: Served, name: str, how: t.How, load: t.Load | None) -> None:
+    def reply(self, served: Served, name: str, how: t.Outcome, load: t.LoadReport | None) -> None:
         text = report_text(load)
         headers = [(b"Srv-Load", text.encode())] if text else []
-        if how is t.How.HANDLED:
+        if how is t.Outcome.HANDLED:
             served.answer(Answer(200, headers, orjson.dumps({"for": name, "by": self.endpoint.shape.name})))
-        elif how is t.How.REFUSED:
+        elif how is t.Outcome.REFUSED:
             served.answer(Answer(503, [*headers, (b"Srv-Declined", b"1")], b"declined"))
-        elif how is t.How.ERROR:
+        elif how is t.Outcome.ERROR:
             served.answer(Answer(500, headers, b"error"))
-        elif how is t.How.SPOILT:
+        elif how is t.Outcome.SPOILT:
             served.spoil()
         else:
             served.reset()
@@ -298,7 +302,7 @@
                 if name not in named:
                     referee.heard(now, self.sidecar, name, True)
         for entry in entries:
-            referee.heard(now, self.sidecar, entry.name, entry.state is not t.State.READY)
+            referee.heard(now, self.sidecar, entry.name, entry.state is not t.EndpointStatus.READY)
         rows = [self.run.row(entry, self.sidecar) for entry in entries]
         body = {"index": self.registry.index, "snapshot": whole, "endpoints": rows}
         served.answer(Answer(200, [(b"Content-Type", b"application/json")], orjson.dumps(body)))
--- a/lupinmill/lab/virtual/attempts.py
+++ b/lupinmill/lab/virtual/attempts.py
@@ -16,8 +16,12 @@
 if TYPE_CHECKING:
     from lupinmill.lab.virtual.sidecar import VirtualSidecar
 
-KEEPS_CONNECTION = (t.How.HANDLED, t.How.ERROR, t.How.REFUSED)  # after these it can carry another request
-NO_CONNECTION = (t.How.UNCONNECTED, t.How.UNSENT)  # after these there is none
+KEEPS_CONNECTION = (
+    t.Outcome.HANDLED,
+    t.Outcome.ERROR,
+    t.Outcome.REFUSED,
+)  # after these it can carry another request
+NO_CONNECTION = (t.Outcome.UNCONNECTED, t.Outcome.UNSENT)  # after these there is none
 
 
 class Attempts:
@@ -36,14 +40,14 @@
 
     # Beginning.
 
-    def start(self, command: t.Launch) -> None:
+    def start(self, command: t.StartAttempt) -> None:
         """Sends a request to an endpoint."""
         sidecar, now = self.sidecar, self.timeline.now
-        request = sidecar.requests.get(command.submission)
+        request = sidecar.requests.get(command.request)
         endpoint = self.world.by_endpoint.get(command.endpoint)
         if request is None or endpoint is None or request.end_known:
             text = f"a launch of what is not open, to {command.endpoint}"
-            self.world.referee.breaks(1, command.submission, text)
+            self.world.referee.breaks(1, command.request, text)
             return
         second = self.run.measure.at(now)
         second.launches += 1
@@ -51,10 +55,10 @@
         attempt = Attempt(len(request.attempts), endpoint, endpoint.epoch, now)
         request.attempts.append(attempt)
         if request.closed:  # it ended in the very batch that the module is answering
-            return self.outcome(request, attempt, t.How.UNSENT, None)
+            return self.outcome(request, attempt, t.Outcome.UNSENT, None)
         attempt.record = self.world.referee.sent(now, request.name, endpoint, sidecar.name)
         until = min(command.until or request.due, request.due)
-        attempt.deadline = self.timeline.at(until, self.outcome, request, attempt, t.How.TIMED_OUT, None)
+        attempt.deadline = self.timeline.at(until, self.outcome, request, attempt, t.Outcome.TIMED_OUT, None)
         self.send(request, attempt)
 
     def send(self, request: Request, attempt: Attempt) -> None:
@@ -67,10 +71,10 @@
         cut = self.cut_from(endpoint)
         if endpoint.silent or not endpoint.alive or cut:
             span = endpoint.shape.connect_limit_s * SECOND if endpoint.silent or cut else 2 * way
-            timeline.after(span, self.outcome, request, attempt, t.How.UNCONNECTED, None)
+            timeline.after(span, self.outcome, request, attempt, t.Outcome.UNCONNECTED, None)
             return
         if not endpoint.connect():
-            timeline.after(2 * way, self.outcome, request, attempt, t.How.UNCONNECTED, None)
+            timeline.after(2 * way, self.outcome, request, attempt, t.Outcome.UNCONNECTED, None)
             return
         attempt.new_connection = True
         span = (1 + 2 * endpoint.shape.round_trips) * way
@@ -88,7 +92,7 @@
             return  # what is lost behind a cut is a time-out
         if attempt.epoch != endpoint.epoch or not endpoint.alive:
             if not endpoint.silent:
-                self.timeline.after(network.delay(), self.outcome, request, attempt, t.How.RESET, None)
+                self.timeline.after(network.delay(), self.outcome, request, attempt, t.Outcome.RESET, None)
             return
         calls, reply = self.run.inner.calls_of(sidecar.tier), partial(self.reply, request, attempt, life)
         name, key, request_class = request.name, request.key, request.request_class
@@ -96,7 +100,9 @@
         job = attempt.job = Job(name, key, request_class, work, request.due, reply, calls=calls)
         endpoint.receive(job, sidecar.directory.informed(endpoint))
 
-    def reply(self, request: Request, attempt: Attempt, life: int, how: t.How, load: t.Load | None) -> None:
+    def reply(
+        self, request: Request, attempt: Attempt, life: int, how: t.Outcome, load: t.LoadReport | None
+    ) -> None:
         """The endpoint's answer, on its way back."""
         network, here, there = self.world.network, self.sidecar.zone, attempt.endpoint.shape.zone
         if life == self.sidecar.life and not network.blocked(there, here):
@@ -104,20 +110,20 @@
 
     # Ending.
 
-    def outcome(self, request: Request, attempt: Attempt, how: t.How, load: t.Load | None) -> None:
+    def outcome(self, request: Request, attempt: Attempt, how: t.Outcome, load: t.LoadReport | None) -> None:
         """An attempt has ended, for its sidecar; later outcomes of the same attempt are nothing."""
         sidecar = self.sidecar
         if attempt.over or not sidecar.alive:
             return
         self.end_attempt(attempt, how)
-        if how is t.How.HANDLED and not request.closed:
+        if how is t.Outcome.HANDLED and not request.closed:
             sidecar.close(request)
             request.answer(Outcome.SUCCEEDED, 0)
         took = self.timeline.now - attempt.sent
-        sidecar.tell(t.Ended(request.name, attempt.number, how, took, request.closed, load))
+        sidecar.tell(t.AttemptEnded(request.name, attempt.number, how, took, request.closed, load))
         sidecar.forget_if_over(request)
 
-    def end_attempt(self, attempt: Attempt, how: t.How = t.How.RESET) -> None:
+    def end_attempt(self, attempt: Attempt, how: t.Outcome = t.Outcome.RESET) -> None:
         """The one place where an attempt's connection and record are given back."""
         attempt.over = True
         if attempt.deadline is not None:
@@ -136,17 +142,17 @@
         if attempt.epoch == attempt.endpoint.epoch and attempt.job is not None:
             attempt.endpoint.cancel(attempt.job)
 
-    def cancel(self, command: t.CallOff) -> None:
+    def cancel(self, command: t.CancelAttempt) -> None:
         """The module cancels one attempt."""
-        request = self.sidecar.requests.get(command.submission)
-        if request is not None and command.launch < len(request.attempts):
-            attempt = request.attempts[command.launch]
+        request = self.sidecar.requests.get(command.request)
+        if request is not None and command.attempt < len(request.attempts):
+            attempt = request.attempts[command.attempt]
             sent_whole = attempt.job is not None or not attempt.new_connection
-            self.outcome(request, attempt, t.How.CALLED_OFF if sent_whole else t.How.UNSENT, None)
+            self.outcome(request, attempt, t.Outcome.CALLED_OFF if sent_whole else t.Outcome.UNSENT, None)
 
     # Probes.
 
-    def probe(self, command: t.Probe) -> None:
+    def probe(self, command: t.StartProbe) -> None:
         """Asks an endpoint how it is."""
         endpoint = self.world.by_endpoint[command.endpoint]
         self.run.measure.at(self.timeline.now).probes += 1
@@ -157,12 +163,14 @@
         """The endpoint's answer, on its way back; where there is none, the time-out."""
         cut = self.cut_from(endpoint)
         got = endpoint.probe() if not cut else None
-        how, load = got or (t.How.UNCONNECTED, None)
+        how, load = got or (t.Outcome.UNCONNECTED, None)
         waits = got is None and (endpoint.silent or endpoint.paused or cut)
         span = endpoint.shape.connect_limit_s * SECOND if waits else way
         self.timeline.after(span, self.probed, endpoint, sent, how, load, life)
 
-    def probed(self, endpoint: Endpoint, sent: int, how: t.How, load: t.Load | None, life: int) -> None:
+    def probed(
+        self, endpoint: Endpoint, sent: int, how: t.Outcome, load: t.LoadReport | None, life: int
+    ) -> None:
         """What came of a probe, for the module."""
         if life == self.sidecar.life and self.sidecar.alive:
-            self.sidecar.tell(t.Probed(endpoint.shape.name, how, self.timeline.now - sent, load))
+            self.sidecar.tell(t.ProbeEnded(endpoint.shape.name, how, self.timeline.now - sent, load))
--- a/lupinmill/lab/virtual/discovery.py
+++ b/lupinmill/lab/virtual/discovery.py
@@ -32,7 +32,9 @@
         """With the list as it is, the first time; later with the one that the sidecar knew."""
         if not self.known:
             self.known, self.index = dict(self.registry.entries), self.registry.index
-        self.sidecar.tell(t.Listed(t.ListKind.CACHED, [listing(entry) for entry in self.known.values()]))
+        self.sidecar.tell(
+            t.ListReceived(t.ListKind.CACHED, [listing(entry) for entry in self.known.values()])
+        )
         if self.pushed:
             self.subscribe(True)
 
@@ -85,12 +87,12 @@
                 referee.heard(now, name, gone, True)
                 del self.known[gone]
         for entry in entries:
-            referee.heard(now, name, entry.name, entry.state is not t.State.READY)
-            if entry.state is t.State.GONE:
+            referee.heard(now, name, entry.name, entry.state is not t.EndpointStatus.READY)
+            if entry.state is t.EndpointStatus.GONE:
                 self.known.pop(entry.name, None)
             else:
                 self.known[entry.name] = entry
-        self.sidecar.tell(t.Listed(kind, [listing(entry) for entry in entries]))
+        self.sidecar.tell(t.ListReceived(kind, [listing(entry) for entry in entries]))
 
     def watch_broke(self) -> None:
         """Discovery went down; a silent one is noticed when a call hears not even that there is no news."""
@@ -105,7 +107,7 @@
         if self.pushed:
             self.subscribe_again(life)
         else:
-            self.sidecar.tell(t.Listed(t.ListKind.FAILED, []))
+            self.sidecar.tell(t.ListReceived(t.ListKind.FAILED, []))
 
 
 class DiscoveryCalls:
--- a/lupinmill/lab/virtual/front.py
+++ b/lupinmill/lab/virtual/front.py
@@ -57,7 +57,7 @@
         if not sidecar.alive or sidecar.life != life:
             clients.ended(request_id, Outcome.UNREACHABLE, 0)
             return
-        keyed = wish.workload.terms.repeat is not t.Repeat.IDEMPOTENT
+        keyed = wish.workload.terms.repeat is not t.RepeatPolicy.IDEMPOTENT
         key, answer = wish.name if keyed else "", partial(self.answer, request_id)
         sidecar.accept(
             Request(request_id, key, wish.workload.name, wish.work, due, answer), wish.tenant, repeated, True
--- a/lupinmill/lab/virtual/run.py
+++ b/lupinmill/lab/virtual/run.py
@@ -26,7 +26,7 @@
 SETTLED = 8 * SECOND  # how long a run goes on after its last arrival
 MOST_NOTES = 2000
 
-Trace = Callable[[int, VirtualSidecar, list[t.Note], list[t.Order]], None]
+Trace = Callable[[int, VirtualSidecar, list[t.Event], list[t.Command]], None]
 
 
 class VirtualRun:
@@ -112,7 +112,7 @@
         entry.cap = sum(caps) / len(caps) if caps else 0.0
 
     def watch_step(
-        self, sidecar: VirtualSidecar, now: int, events: list[t.Note], commands: list[t.Order]
+        self, sidecar: VirtualSidecar, now: int, events: list[t.Event], commands: list[t.Command]
     ) -> None:
         """Each step of each module, for the checksum by which runs are compared."""
         self.steps += 1
--- a/lupinmill/lab/virtual/sidecar.py
+++ b/lupinmill/lab/virtual/sidecar.py
@@ -23,7 +23,7 @@
         self.run, self.name, self.tier, self.zone, self.position = run, name, tier, zone, position
         self.alive, self.lag, self.life = False, 0, 0
         self.module: Any = None
-        self.inbox: list[t.Note] = []
+        self.inbox: list[t.Event] = []
         self.stepping = False
         self.requests: dict[str, Request] = {}
         self.unreported: dict[str, Request] = {}  # those whose end the module hears of in its next step
@@ -31,14 +31,14 @@
         self.attempts = Attempts(self)
         self.directory = Directory(self)
         self.handlers: dict[type, Callable[[Any], None]] = {
-            t.Launch: self.attempts.start,
-            t.CallOff: self.attempts.cancel,
-            t.Probe: self.attempts.probe,
-            t.Deny: self.reject,
-            t.BreakOff: self.fail,
-            t.WakeMe: self.wake_at,
-            t.Watch: self.watch,
-            t.Log: self.log,
+            t.StartAttempt: self.attempts.start,
+            t.CancelAttempt: self.attempts.cancel,
+            t.StartProbe: self.attempts.probe,
+            t.RejectRequest: self.reject,
+            t.AbortResponse: self.fail,
+            t.SetTimer: self.wake_at,
+            t.StartWatch: self.watch,
+            t.WriteLog: self.log,
         }
 
     # Life.
@@ -75,7 +75,7 @@
 
     # Events in, commands out.
 
-    def tell(self, event: t.Note) -> None:
+    def tell(self, event: t.Event) -> None:
         """An event for the module's next step, which is set if it is not yet."""
         self.inbox.append(event)
         if not self.stepping:
@@ -109,14 +109,14 @@
         now = self.run.timeline.now
         self.run.world.referee.taken(now, request.name, request.request_class, request.due, front)
         self.requests[request.name] = request
-        self.tell(t.Arrived(request.name, request.request_class, request.due, tenant, repeated))
+        self.tell(t.RequestArrived(request.name, request.request_class, request.due, tenant, repeated))
 
     def cancel(self, name: str) -> None:
         """Whoever asked has gone away."""
         request = self.requests.get(name)
         if request is not None and not request.closed:
             self.close(request)
-            self.tell(t.Withdrawn(name))
+            self.tell(t.RequestCancelled(name))
 
     def close(self, request: Request) -> None:
         """Ended by something other than the module, which hears of it in its next step."""
@@ -141,27 +141,27 @@
 
     # Commands that meet no endpoint.
 
-    def reject(self, command: t.Deny) -> None:
+    def reject(self, command: t.RejectRequest) -> None:
         """The request is turned away."""
-        self.finish(command.submission, Outcome.REJECTED, command.come_back)
+        self.finish(command.request, Outcome.REJECTED, command.retry_after)
 
-    def fail(self, command: t.BreakOff) -> None:
+    def fail(self, command: t.AbortResponse) -> None:
         """The request is given up; it may have run."""
-        self.finish(command.submission, Outcome.FAILED, 0)
+        self.finish(command.request, Outcome.FAILED, 0)
 
-    def wake_at(self, command: t.WakeMe) -> None:
+    def wake_at(self, command: t.SetTimer) -> None:
         """The module wants a step at that time."""
         self.run.timeline.at(command.at, self.woken, command.ref, self.life)
 
     def woken(self, ref: int, life: int) -> None:
         """That time has come."""
         if life == self.life and self.alive:
-            self.tell(t.Woke(ref))
+            self.tell(t.TimerFired(ref))
 
-    def watch(self, _: t.Watch) -> None:
+    def watch(self, _: t.StartWatch) -> None:
         """The module asks discovery for changes."""
         self.run.calls[self.tier].call(self)
 
-    def log(self, command: t.Log) -> None:
+    def log(self, command: t.WriteLog) -> None:
         """A line for the result."""
         self.run.note(self, command.text)
--- a/lupinmill/lab/world/request_class.py
+++ b/lupinmill/lab/world/request_class.py
@@ -60,8 +60,8 @@
         int(one.hard_limit_s * SECOND),
         one.value,
         one.overdue,
-        t.Repeat(one.repeat),
-        t.Group(one.group),
+        t.RepeatPolicy(one.repeat),
+        t.DeduplicationScope(one.group),
         int(one.window_s * SECOND) if one.repeat == "deduplicated" else 0,
     )
     return RequestClass(
--- a/lupinmill/lab/world/site.py
+++ b/lupinmill/lab/world/site.py
@@ -159,7 +159,7 @@
         chance = chance_for(self.seed, "endpoint", shape.name)
         endpoint = Endpoint(shape, self.timeline, chance, self.referee, started)
         self.by_endpoint[shape.name] = endpoint
-        entry = Entry(shape.name, shape.zone, shape.kind, shape.cell, t.State.READY, started)
+        entry = Entry(shape.name, shape.zone, shape.kind, shape.cell, t.EndpointStatus.READY, started)
         self.entries[shape.name] = entry
         registry = self.registries[shape.tier]
         if listed:
@@ -186,14 +186,16 @@
         if self.driver is not None:
             self.driver.endpoint_started(endpoint)
         shape = endpoint.shape
-        entry = Entry(shape.name, shape.zone, shape.kind, shape.cell, t.State.READY, self.timeline.now)
+        entry = Entry(
+            shape.name, shape.zone, shape.kind, shape.cell, t.EndpointStatus.READY, self.timeline.now
+        )
         self.entries[shape.name] = entry
         self.registries[shape.tier].learn(entry, "add")
 
     def drain(self, endpoint: Endpoint) -> None:
         """The list says that it drains; it still takes what comes."""
         name = endpoint.shape.name
-        self.entries[name] = replace(self.entries[name], state=t.State.DRAINING)
+        self.entries[name] = replace(self.entries[name], state=t.EndpointStatus.DRAINING)
         self.registries[endpoint.shape.tier].learn(self.entries[name], "drain")
 
     def succeed(self, endpoint: Endpoint) -> None:
--- a/lupinmill/program/common.py
+++ b/lupinmill/program/common.py
@@ -43,7 +43,7 @@
             if sidecars != self.count:
                 self.log("mode", text=f"{sidecars} sidecars share the endpoints, {self.count} before")
                 self.count = sidecars
-        found = t.Common(until=now + COUNTS)
+        found = t.FleetState(until=now + COUNTS)
         if self.zoning is not None:
             self.zoning.look()
             found = self.zoning.common(now)
--- a/lupinmill/program/in_force.py
+++ b/lupinmill/program/in_force.py
@@ -33,11 +33,11 @@
 # key; beside these what `operators_file.fixed` names.
 FIXED = (
     ("tier", "tier"),
-    ("must_ask", "discovery"),
+    ("poll_discovery", "discovery"),
     ("grace", "invariants.stop-sending-within-s"),
     ("round", "round-s"),
     ("reports_asked", "load-report.how"),
-    ("beside", "family"),
+    ("sidecar_per_client", "family"),
     ("zone", "locality"),
     ("gone_binds", "invariants.dropped-stay-open"),
     ("few_connections", "limits.streams-per-conn or settings.prices.connection"),
@@ -206,7 +206,7 @@
     def deploy(self, d: t.Deployment) -> None:
         program, desk = self.program, self.program.engine.sidecar.desk
         before = desk.allow
-        program.engine.tell(t.Deployed(d))
+        program.engine.tell(t.DeploymentChanged(d))
         if desk.allow is before:
             raise RuntimeError("the module did not take it")  # its own line is in the log
         advice = d.longest_advice // 2 if d.advice_allowed else 0
--- a/lupinmill/program/operators_file.py
+++ b/lupinmill/program/operators_file.py
@@ -311,7 +311,7 @@
         told(file, name)
     if file.zones is not None:
         zone_map(file.zones, {w.name: w.value for w in deployment.workloads})
-        if deployment.beside:
+        if deployment.sidecar_per_client:
             raise BadFile("zones: settings.family is mesh, where zones pull by their own price")
     if file.config is not None:
         if not name or not all(map(good_place, (name, *place(file, name, deployment.zone)))):
--- a/lupinmill/program/sidecar.py
+++ b/lupinmill/program/sidecar.py
@@ -107,7 +107,7 @@
         self.admit = Admit(self.book, self.directory, workloads, self.standing)
         self.office = Office(self.standing, self.directory, self.engine, log)
         self.discovery = Discovery(told.discovery, told.deployment, self.directory, self.store, log)
-        self.engine.carriers[t.Watch] = self.discovery.watch
+        self.engine.carriers[t.StartWatch] = self.discovery.watch
         self.office.discovery = self.discovery.show
         self.handover = Handover(told.directory, told.name, told.listen, log)
         self.repeats_before = 0  # launches again of the process before this one, when it told what it knew
@@ -426,9 +426,9 @@
             learned.recall(self.engine.sidecar, taken.learned, self.engine.clock.now())
         except Exception as error:
             self.log("handover_refused", **defect(error))
-        self.engine.tell(t.Woke(1))
+        self.engine.tell(t.TimerFired(1))
         self.descriptors.elsewhere, self.repeats_before = taken.held, taken.repeats
-        self.discovery.watch(t.Watch())  # at once: what it tells from now on binds this process
+        self.discovery.watch(t.StartWatch())  # at once: what it tells from now on binds this process
 
     def hand_over(self, listener: Listener, take_in: TakeIn, group: TaskGroup) -> None:
         """What an upgrade does to the parts of this program, on either side of it."""
@@ -500,7 +500,7 @@
             descriptors.elsewhere = int(told.get("held", 0))
             self.book.elsewhere = {str(name) for name in told.get("ids", ())}
             flying = {str(name): int(count) for name, count in dict(told.get("flying", {})).items()}
-            self.engine.tell(t.Elsewhere(flying, max(0, now_repeats - repeats)))
+            self.engine.tell(t.PredecessorLoad(flying, max(0, now_repeats - repeats)))
             repeats = now_repeats
 
         handover.state, handover.still, handover.listening = state, still, lambda: listener.sock
--- a/lupinmill/protocol/lists.py
+++ b/lupinmill/protocol/lists.py
@@ -23,7 +23,11 @@
 from lupinmill.protocol.http import Answer, Garbled, Request
 
 LARGEST_LIST = 4 * 1024 * 1024
-STATES = {"SERVING": t.State.READY, "DRAINING": t.State.DRAINING, "DELETED": t.State.GONE}
+STATES = {
+    "SERVING": t.EndpointStatus.READY,
+    "DRAINING": t.EndpointStatus.DRAINING,
+    "DELETED": t.EndpointStatus.GONE,
+}
 LATEST_START = 10**14  # milliseconds of Unix time: what lies behind it is no time
 MOST_REFUSED = 8  # rows that are told of one by one
 LONGEST_REASON = 160  # characters
@@ -36,7 +40,7 @@
 
     index: int
     whole: bool
-    entries: list[t.Listing]
+    entries: list[t.ListEntry]
     addresses: dict[str, str]
     refused: list[str] = field(default_factory=list)  # a reason for each row that can't be used as it is
     unnamed: int = 0  # of them, those that name no endpoint
@@ -87,12 +91,12 @@
     return max(0, milliseconds) * 1000
 
 
-def listing(row: dict[str, Any]) -> t.Listing:
+def listing(row: dict[str, Any]) -> t.ListEntry:
     """Raises one of UNREADABLE."""
     status = row.get("status")
     if not isinstance(status, str) or status not in STATES:
         raise ValueError(f"status: {status!r} is none of {', '.join(STATES)}")
-    return t.Listing(
+    return t.ListEntry(
         endpoint=name_of(row),
         state=STATES[status],
         zone=text(row.get("zone")),
@@ -144,11 +148,11 @@
         return
     try:
         entry = listing(row)
-        if entry.state is t.State.READY or row.get("address") is not None:
+        if entry.state is t.EndpointStatus.READY or row.get("address") is not None:
             found.addresses[name] = address_of(row)
     except UNREADABLE as error:
         refuse(found, f"{name}: {error}")
-        entry = t.Listing(name, t.State.DRAINING, text(row.get("zone")), text(row.get("type")))
+        entry = t.ListEntry(name, t.EndpointStatus.DRAINING, text(row.get("zone")), text(row.get("type")))
     found.entries.append(entry)
 
 
--- a/lupinmill/protocol/reports.py
+++ b/lupinmill/protocol/reports.py
@@ -28,10 +28,10 @@
 FIGURE = re.compile(r"[0-9]{1,7}(\.[0-9]{0,20})?([eE]-[0-9]{1,2})?")  # `float` reads more
 
 
-def load(pairs: list[tuple[str, str]]) -> t.Load | None:
+def load(pairs: list[tuple[str, str]]) -> t.LoadReport | None:
     """Figures that don't come stay None; None where there are none at all, or where one can't be read: the
     others came the same way, and an absurd one would steer the pick and its means."""
-    found, any_ = t.Load(), False
+    found, any_ = t.LoadReport(), False
     for name, text in pairs:
         if (entry := REPORT.get(ON_SOCKETS.get(name, name))) is None:
             continue
@@ -42,7 +42,7 @@
     return found if any_ else None
 
 
-def read(text: str | None) -> t.Load | None:
+def read(text: str | None) -> t.LoadReport | None:
     """`queue=2,util=0.61`, or the same as a JSON object."""
     if not text:
         return None
--- a/lupinmill/protocol/settings.py
+++ b/lupinmill/protocol/settings.py
@@ -13,8 +13,8 @@
 
 Fields = dict[str, str]
 
-REPEATS = {"repeatable": t.Repeat.IDEMPOTENT, "by_key": t.Repeat.DEDUPLICATED}
-GROUPS = {"all": t.Group.ALL, "zone": t.Group.ZONE}
+REPEATS = {"repeatable": t.RepeatPolicy.IDEMPOTENT, "by_key": t.RepeatPolicy.DEDUPLICATED}
+GROUPS = {"all": t.DeduplicationScope.ALL, "zone": t.DeduplicationScope.ZONE}
 COMMA = "\x1f"  # stands for a comma within a name, where lists are joined by commas
 LARGEST = 1e12  # of any number: beyond it there is no figure of a deployment
 
@@ -102,8 +102,8 @@
         hard_limit=s.micros("hard-limit-s"),
         value=s.number("value", 1.0),
         overdue_value=s.number("overdue-value"),
-        repeat=REPEATS.get(s.text("repeat"), t.Repeat.UNREPEATABLE),
-        group=GROUPS.get(s.text("group"), t.Group.CELL),
+        repeat=REPEATS.get(s.text("repeat"), t.RepeatPolicy.UNREPEATABLE),
+        group=GROUPS.get(s.text("group"), t.DeduplicationScope.CELL),
         window=s.micros("window-s"),
         zones=s.names("confined-to"),
         kinds=s.names("bound-to"),
@@ -122,21 +122,21 @@
         beyond_share_value=s.number("beyond-share-value", 1.0),
         pooled_weight=s.number("blend.whole") + s.number("blend.worst-window"),
         evenness_weight=s.number("blend.worst-class") + s.number("blend.kept-promises"),
-        must_ask=s.text("discovery") == "ask",
-        ask_within=s.micros("invariants.ask-within-s", 10.0),
+        poll_discovery=s.text("discovery") == "ask",
+        poll_interval=s.micros("invariants.ask-within-s", 10.0),
         grace=s.micros("invariants.stop-sending-within-s", 0.5),
         cold_share=min(1.0, s.number("invariants.cold-share", 1.0)),
         cold_time=s.micros("invariants.cold-s"),
         overload_time=s.micros("invariants.fall-s", 1.0),
         round=s.micros("round-s", 0.001),
-        most_launches=int(s.number("limits.most-launches", 1)),
-        copies_allowed=not beside and s.flag("limits.may-duplicate"),
+        max_attempts=int(s.number("limits.most-launches", 1)),
+        hedging_allowed=not beside and s.flag("limits.may-duplicate"),
         cancel_allowed=s.flag("limits.cancel"),
         probes_allowed=not beside and s.flag("limits.probes"),
         reports_asked=not beside and s.text("load-report.how", "off") == "on_probe",
         advice_allowed=s.flag("limits.retry-after"),
         longest_advice=s.micros("limits.max-retry-after-s"),
-        beside=beside,
+        sidecar_per_client=beside,
         zone=s.text("locality"),
         gone_binds=not s.flag("invariants.dropped-stay-open"),
         uneven=beside or s.number("prices.cross-zone") > 0 or len(s.names("kinds")) > 1,
--- a/lupinmill/protocol/submission.py
+++ b/lupinmill/protocol/submission.py
@@ -98,12 +98,12 @@
     return Request(request.method, request.target, headers, request.body)
 
 
-def outcome(answer: Answer) -> t.How:
+def outcome(answer: Answer) -> t.Outcome:
     if answer.status == 200:
-        return t.How.HANDLED
+        return t.Outcome.HANDLED
     if answer.status in (503, 504) and answer.header(DECLINED) == "1":
-        return t.How.REFUSED
-    return t.How.REJECTED if answer.status in REJECTED else t.How.ERROR
+        return t.Outcome.REFUSED
+    return t.Outcome.REJECTED if answer.status in REJECTED else t.Outcome.ERROR
 
 
 def passed_on(answer: Answer) -> Answer:
@@ -121,7 +121,7 @@
     return plain(502, "broken off\n")
 
 
-def load_report(answer: Answer) -> t.Load | None:
+def load_report(answer: Answer) -> t.LoadReport | None:
     return reports.read(answer.header(LOAD))
 
 
@@ -129,6 +129,12 @@
     return Request(b"GET", STATUS if reported else HEALTH, [(b"Host", b"endpoint")])
 
 
-def probed(answer: Answer) -> tuple[t.How, t.Load | None]:
-    how = t.How.HANDLED if answer.status == 200 else t.How.REFUSED if answer.status == 503 else t.How.ERROR
+def probed(answer: Answer) -> tuple[t.Outcome, t.LoadReport | None]:
+    how = (
+        t.Outcome.HANDLED
+        if answer.status == 200
+        else t.Outcome.REFUSED
+        if answer.status == 503
+        else t.Outcome.ERROR
+    )
     return how, reports.read(answer.body.decode("latin-1")) or load_report(answer)
--- a/lupinmill/routing/book.py
+++ b/lupinmill/routing/book.py
@@ -71,7 +71,9 @@
         whole = journey.body is None or journey.body.whole
         name, again = asked.submission, asked.repeated
         self.engine.tell(
-            t.Arrived(name, asked.workload, journey.due, asked.tenant, again, whole, asked.key, asked.keyed)
+            t.RequestArrived(
+                name, asked.workload, journey.due, asked.tenant, again, whole, asked.key, asked.keyed
+            )
         )
 
     def whole(self, journey: Journey, due: int, begin_by: int) -> None:
@@ -81,10 +83,10 @@
         for launch in journey.launches:
             if launch.out:
                 launch.deadline.move(clock + (due - now) / 1_000_000)
-        self.engine.tell(t.Whole(journey.asked.submission, due))
+        self.engine.tell(t.RequestBodyReceived(journey.asked.submission, due))
 
     def begin_stream(
-        self, journey: Journey, launch: Launch, answer: Answer, stream: Stream, load: t.Load | None
+        self, journey: Journey, launch: Launch, answer: Answer, stream: Stream, load: t.LoadReport | None
     ) -> None:
         """A large answer passes on as it comes: nothing of ours ends it any more."""
         launch.deadline.move(math.inf)
@@ -92,7 +94,7 @@
         self.settle(journey, answer)
         # To the module it is over: the endpoint has done its work, what it still writes takes none of its
         # places.
-        self.tell_ended(journey, launch, t.How.HANDLED, load)
+        self.tell_ended(journey, launch, t.Outcome.HANDLED, load)
         launch.told = True
 
     def is_open(self, name: str) -> bool:
@@ -122,27 +124,32 @@
     def withdraw(self, journey: Journey) -> None:
         """Its client has gone away, or its answer came from no decision."""
         if self.settle(journey, None):
-            self.engine.tell(t.Withdrawn(journey.asked.submission))
+            self.engine.tell(t.RequestCancelled(journey.asked.submission))
 
-    def after_failure(self, note: Any) -> None:
+    def after_failure(self, event: Any) -> None:
         """The module failed on this note, and may never decide about its submission: where no launch is out
         that may still bring an answer, it gets its final one now."""
-        about = getattr(note, "submission", "")  # its name; in the module's own notes what it knows of it
+        about = getattr(event, "request", "")  # its name; in the module's own notes what it knows of it
         journey = self.journeys.get(getattr(about, "name", about))
         if journey is not None and not any(launch.out for launch in journey.launches):
             self.answer_for_module(journey)
-        if isinstance(note, t.Ended) and note.how is not t.How.CALLED_OFF:
+        if isinstance(event, t.AttemptEnded) and event.outcome is not t.Outcome.CALLED_OFF:
             # Once more, as what tells nothing of the endpoint: or its place there would be taken for good.
-            self.engine.tell(replace(note, how=t.How.CALLED_OFF, load=None))
+            self.engine.tell(replace(event, outcome=t.Outcome.CALLED_OFF, load=None))
 
     def answer_for_module(self, journey: Journey) -> None:
         """A final answer that comes from no decision."""
         if self.settle(journey, broken_off()):
             self.engine.log("backstop", submission=journey.asked.submission)
-            self.engine.tell(t.Withdrawn(journey.asked.submission))
+            self.engine.tell(t.RequestCancelled(journey.asked.submission))
 
     def ended(
-        self, journey: Journey, launch: Launch, how: t.How, answer: Answer | None, load: t.Load | None
+        self,
+        journey: Journey,
+        launch: Launch,
+        how: t.Outcome,
+        answer: Answer | None,
+        load: t.LoadReport | None,
     ) -> None:
         if not launch.out:
             return
@@ -156,13 +163,13 @@
         finally:
             self.close(journey)
 
-    def tell_ended(self, journey: Journey, launch: Launch, how: t.How, load: t.Load | None) -> None:
+    def tell_ended(self, journey: Journey, launch: Launch, how: t.Outcome, load: t.LoadReport | None) -> None:
         # From its last byte on: until then it was this loop and the connection that took their time.
         began = launch.sent or launch.at
         name, took = journey.asked.submission, self.engine.clock.now() - began - launch.waited
         took = max(took, LEAST)
         last = journey.body is not None and not (journey.body.anew() and self.left(journey) > 0)
-        self.engine.tell(t.Ended(name, launch.number, how, took, journey.settled, load, last))
+        self.engine.tell(t.AttemptEnded(name, launch.number, how, took, journey.settled, load, last))
 
     def left(self, journey: Journey) -> int:
         """Microseconds that its client still waits, at the least: what an attempt that begins now is told."""
--- a/lupinmill/routing/directory.py
+++ b/lupinmill/routing/directory.py
@@ -18,7 +18,7 @@
     def __init__(self, engine: Engine, pool: Pool, out: Container[str] = ()) -> None:
         self.engine, self.pool = engine, pool
         self.out = out  # by hand; whose set it is changes it before `by_hand` is called
-        self.states: dict[str, t.State] = {}
+        self.states: dict[str, t.EndpointStatus] = {}
         self.addresses: dict[str, str] = {}
         self.index: int | None = None
         self.starts = Starts(wall_clock.SHARED)
@@ -35,7 +35,7 @@
         states = dict(self.states) if kind is t.ListKind.CHANGES else {}
         for entry in entries:
             states[entry.endpoint] = entry.state
-        states = {name: state for name, state in states.items() if state is not t.State.GONE}
+        states = {name: state for name, state in states.items() if state is not t.EndpointStatus.GONE}
         told = known.addresses
         addresses = {name: told.get(name, self.addresses.get(name)) for name in states}
         moved = [name for name, address in self.addresses.items() if addresses.get(name) != address]
@@ -44,28 +44,28 @@
         self.starts.keep(states.keys())
         for name in moved:
             self.pool.drop(name)
-        self.engine.tell(t.Listed(kind, entries))
+        self.engine.tell(t.ListReceived(kind, entries))
 
-    def after_failure(self, note: object) -> None:
+    def after_failure(self, event: object) -> None:
         """The module may hold a part of a list: changes since then would never make up for the rest."""
-        if isinstance(note, t.Listed):
+        if isinstance(event, t.ListReceived):
             self.index = None
 
     def by_hand(self, name: str, out: bool) -> None:
         """Launches on their way look at the set itself; connections that are kept would outlast a restart."""
         self.pool.drop(name)
-        self.engine.tell(t.ByHand(name, out))
+        self.engine.tell(t.OperatorOverride(name, out))
 
     def failed(self) -> None:
-        self.engine.tell(t.Listed(t.ListKind.FAILED, []))
+        self.engine.tell(t.ListReceived(t.ListKind.FAILED, []))
 
     def listens(self, name: str, address: str) -> bool:
         return self.addresses.get(name) == address and name not in self.out
 
     def takes(self, name: str) -> bool:
-        return self.states.get(name) is t.State.READY and name not in self.out
+        return self.states.get(name) is t.EndpointStatus.READY and name not in self.out
 
     def empty(self) -> bool:
         """No endpoint is there; those out by hand are, for this: it is by operators' will that none
         serves."""
-        return not any(state is t.State.READY for state in self.states.values())
+        return not any(state is t.EndpointStatus.READY for state in self.states.values())
--- a/lupinmill/routing/engine.py
+++ b/lupinmill/routing/engine.py
@@ -47,7 +47,7 @@
 
     def __init__(self, deployment: t.Deployment, clock: Clock, log: Log) -> None:
         self.sidecar, self.clock, self.log = Sidecar(deployment), clock, log
-        self.notes: deque[t.Note] = deque()
+        self.events: deque[t.Event] = deque()
         self.stepping = False
         self.wake_at: int | None = None  # as the module asked
         # After a failure. Apart from `wake_at`: the module counts on that one and would not ask for it again.
@@ -58,37 +58,39 @@
         self.held_since: int | None = None  # alarms that are due wait for what lies unread
         self.rearmed = anyio.Event()
         self.carriers: dict[type, Callable[[Any], None]] = {
-            t.WakeMe: self.wake_me,
-            t.Log: lambda order: log("mode", text=order.text),
+            t.SetTimer: self.wake_me,
+            t.WriteLog: lambda command: log("mode", text=command.text),
         }
 
-    def tell(self, note: t.Note) -> None:
+    def tell(self, event: t.Event) -> None:
         """Notes that arise while orders are carried out wait for the next step."""
-        self.notes.append(note)
+        self.events.append(event)
         if self.stepping:
             return
         self.stepping = True
         try:
-            while self.notes:
-                self.step(self.notes.popleft())
+            while self.events:
+                self.step(self.events.popleft())
         finally:
             self.stepping = False
 
-    def step(self, note: t.Note) -> None:
+    def step(self, event: t.Event) -> None:
         """One failure must cost one note's submission at most, never the program. Hence one note a step: of a
         batch, those behind the one that fails would be lost. What was ordered before the failure holds."""
         failed: Any = None
         now = self.clock.now()
         try:
-            orders = self.sidecar.step(now, [note], self.may_ring(now))
+            commands = self.sidecar.step(now, [event], self.may_ring(now))
         except Exception as error:
             # The module may say which note it was: of an alarm that came due in this step, another's.
-            about = getattr(error, "about", note)
-            failed = about if hasattr(about, "submission") else note
-            self.log("module_failed", note=type(note).__name__, **defect(error))
-            orders, self.sidecar.mail.orders = self.sidecar.mail.orders, []
-        for order in orders:
-            self.carry_out(order)
+            about = getattr(error, "about", event)
+            failed = about if hasattr(about, "request") else event
+            self.log(
+                "module_failed", note=t.LOGGED_NAMES.get(type(event), type(event).__name__), **defect(error)
+            )
+            commands, self.sidecar.mail.commands = self.sidecar.mail.commands, []
+        for command in commands:
+            self.carry_out(command)
         if failed is not None:
             self.after_failure(failed)
         else:
@@ -104,13 +106,17 @@
             self.held_since = now
         return now - self.held_since > HELD_MOST
 
-    def carry_out(self, order: t.Order) -> None:
+    def carry_out(self, command: t.Command) -> None:
         try:
-            self.carriers[type(order)](order)
+            self.carriers[type(command)](command)
         except Exception as error:
-            self.log("order_failed", order=type(order).__name__, **defect(error))
+            self.log(
+                "order_failed",
+                order=t.LOGGED_NAMES.get(type(command), type(command).__name__),
+                **defect(error),
+            )
 
-    def after_failure(self, note: Any) -> None:
+    def after_failure(self, event: Any) -> None:
         """The step may have left notes undelivered and alarms due: it goes on soon. Whoever owns what the
         note was about brings that to its end."""
         self.go_on_at = self.clock.now() + self.go_on
@@ -118,12 +124,12 @@
         self.rearmed.set()
         for hear in self.failed:
             try:
-                hear(note)
+                hear(event)
             except Exception as error:
                 self.log("task_failed", task="after_failure", **defect(error))
 
-    def wake_me(self, order: t.WakeMe) -> None:
-        self.wake_at = order.at
+    def wake_me(self, command: t.SetTimer) -> None:
+        self.wake_at = command.at
         self.rearmed.set()
 
     def next_wake(self) -> int | None:
@@ -153,4 +159,4 @@
             self.go_on_at = None
         if self.wake_at is not None and self.wake_at <= now:
             self.wake_at = None
-        self.tell(t.Woke(1))
+        self.tell(t.TimerFired(1))
--- a/lupinmill/routing/route.py
+++ b/lupinmill/routing/route.py
@@ -18,52 +18,52 @@
         self.engine, self.log = engine, engine.log
         self.clock, self.book, self.send, self.group = engine.clock, book, send, group
         engine.carriers |= {
-            t.Launch: self.launch,
-            t.CallOff: self.call_off,
-            t.Deny: self.deny,
-            t.BreakOff: self.break_off,
-            t.Probe: self.probe,
+            t.StartAttempt: self.launch,
+            t.CancelAttempt: self.call_off,
+            t.RejectRequest: self.deny,
+            t.AbortResponse: self.break_off,
+            t.StartProbe: self.probe,
         }
 
-    def launch(self, order: t.Launch) -> None:
-        journey = self.book.journeys.get(order.submission)
+    def launch(self, command: t.StartAttempt) -> None:
+        journey = self.book.journeys.get(command.request)
         if journey is None:
-            return self.unknown(order)
+            return self.unknown(command)
         now = self.clock.now()
-        deadline = Deadline(anyio.current_time() + (order.until - now) / 1_000_000)
-        launch = Launch(order.endpoint, len(journey.launches), now, deadline)
+        deadline = Deadline(anyio.current_time() + (command.until - now) / 1_000_000)
+        launch = Launch(command.endpoint, len(journey.launches), now, deadline)
         self.book.unlaunched -= not journey.launches
         self.book.repeats += bool(journey.launches)
         journey.launches.append(launch)
         try:
             self.group.start_soon(self.send.launch, journey, launch)
         except BaseException:
-            self.book.ended(journey, launch, t.How.UNSENT, None, None)
+            self.book.ended(journey, launch, t.Outcome.UNSENT, None, None)
             raise
 
-    def unknown(self, order: t.Launch) -> None:
+    def unknown(self, command: t.StartAttempt) -> None:
         """A submission that is over here, which the module still has open: only after a failure of its own.
         Nothing is sent; told so, it frees the places that it counts at endpoints and forgets the submission.
         None of its launches can be out, or it would be known."""
-        self.log("order_failed", order="Launch", error=f"{order.submission} is not open")
+        self.log("order_failed", order="Launch", error=f"{command.request} is not open")
         for number in range(self.engine.sidecar.desk.allow.most_launches):
-            self.engine.tell(t.Ended(order.submission, number, t.How.UNSENT, LEAST, True))
+            self.engine.tell(t.AttemptEnded(command.request, number, t.Outcome.UNSENT, LEAST, True))
 
-    def call_off(self, order: t.CallOff) -> None:
+    def call_off(self, command: t.CancelAttempt) -> None:
         """Giving up closes the connection: the scope's end does."""
-        journey = self.book.journeys.get(order.submission)
+        journey = self.book.journeys.get(command.request)
         if journey is not None:
-            launch = journey.launches[order.launch]
+            launch = journey.launches[command.attempt]
             launch.called_off = True
             launch.deadline.scope.cancel()
 
-    def deny(self, order: t.Deny) -> None:
-        if journey := self.book.journeys.get(order.submission):
-            self.book.settle(journey, submission.denied(order.come_back))
+    def deny(self, command: t.RejectRequest) -> None:
+        if journey := self.book.journeys.get(command.request):
+            self.book.settle(journey, submission.denied(command.retry_after))
 
-    def break_off(self, order: t.BreakOff) -> None:
-        if journey := self.book.journeys.get(order.submission):
+    def break_off(self, command: t.AbortResponse) -> None:
+        if journey := self.book.journeys.get(command.request):
             self.book.settle(journey, submission.broken_off())
 
-    def probe(self, order: t.Probe) -> None:
-        self.group.start_soon(self.send.probe, order.endpoint)
+    def probe(self, command: t.StartProbe) -> None:
+        self.group.start_soon(self.send.probe, command.endpoint)
--- a/lupinmill/routing/send.py
+++ b/lupinmill/routing/send.py
@@ -37,9 +37,9 @@
 class Result:
     """What a launch came to. `final`: the answer that goes to the client."""
 
-    how: t.How | None = None
+    how: t.Outcome | None = None
     final: Answer | None = None
-    load: t.Load | None = None
+    load: t.LoadReport | None = None
 
 
 class Send:
@@ -57,7 +57,7 @@
             self.log("task_failed", task="launch", **defect(error))
         finally:
             if result.how is None:
-                result.how = t.How.RESET if launch.written else t.How.UNSENT
+                result.how = t.Outcome.RESET if launch.written else t.Outcome.UNSENT
             self.end(journey, launch, result)
 
     def end(self, journey: Journey, launch: Launch, result: Result) -> None:
@@ -76,26 +76,26 @@
                 result.load = submission.load_report(answer)
                 self.judge(journey, launch, answer, result)
             if result.how is None and launch.written:
-                result.how = t.How.CALLED_OFF if launch.called_off else t.How.TIMED_OUT
+                result.how = t.Outcome.CALLED_OFF if launch.called_off else t.Outcome.TIMED_OUT
         except Unconnected:
-            result.how = t.How.UNCONNECTED
+            result.how = t.Outcome.UNCONNECTED
         except Early:
-            result.how = t.How.SPOILT  # an endpoint that speaks so may have run it
+            result.how = t.Outcome.SPOILT  # an endpoint that speaks so may have run it
         except Garbled:
-            result.how = t.How.SPOILT if launch.written else t.How.UNSENT
+            result.how = t.Outcome.SPOILT if launch.written else t.Outcome.UNSENT
         except OSError:
-            result.how = t.How.RESET if launch.written else t.How.UNCONNECTED
+            result.how = t.Outcome.RESET if launch.written else t.Outcome.UNCONNECTED
         except (Unsent, NoDescriptor):
-            result.how = t.How.UNSENT
+            result.how = t.Outcome.UNSENT
 
     def judge(self, journey: Journey, launch: Launch, answer: Answer, result: Result) -> None:
         result.how = submission.outcome(answer)
         if journey.stream is not None and journey.stream.launch is launch:
             result.how = journey.stream.how
-        elif result.how is t.How.ERROR and not launch.written:
-            result.how = t.How.REFUSED  # it came before the last byte did: nothing ran
+        elif result.how is t.Outcome.ERROR and not launch.written:
+            result.how = t.Outcome.REFUSED  # it came before the last byte did: nothing ran
         # Launched anew, what is rejected would burn retries, and count against endpoints.
-        elif result.how in (t.How.HANDLED, t.How.REJECTED):
+        elif result.how in (t.Outcome.HANDLED, t.Outcome.REJECTED):
             result.final = submission.passed_on(answer)
 
     async def attempt(self, journey: Journey, launch: Launch) -> Answer:
@@ -239,22 +239,22 @@
 
     async def probe(self, endpoint: str) -> None:
         clock = self.book.engine.clock
-        began, how, load = clock.now(), t.How.TIMED_OUT, None
+        began, how, load = clock.now(), t.Outcome.TIMED_OUT, None
         deadline = Deadline(anyio.current_time() + 2 * self.pool.time_out)
         try:
             with deadline.scope:
                 answer = await self.exchange(endpoint, submission.probe(self.reported), deadline)
                 how, load = submission.probed(answer)
         except Unconnected:
-            how = t.How.UNCONNECTED
+            how = t.Outcome.UNCONNECTED
         except (OSError, Garbled):
-            how = t.How.RESET
+            how = t.Outcome.RESET
         except NoDescriptor:
-            how = t.How.UNSENT
+            how = t.Outcome.UNSENT
         except Exception as error:
             self.log("task_failed", task="probe", **defect(error))
         try:
-            self.book.engine.tell(t.Probed(endpoint, how, clock.now() - began, load))
+            self.book.engine.tell(t.ProbeEnded(endpoint, how, clock.now() - began, load))
         except Exception as error:
             self.log("task_failed", task="probe", **defect(error))
 
--- a/lupinmill/routing/starts.py
+++ b/lupinmill/routing/starts.py
@@ -21,7 +21,7 @@
         self.wall_clock = wall_clock
         self.read: dict[str, tuple[int, int]] = {}  # as told and as understood, microseconds of Unix time
 
-    def understand(self, entry: t.Listing, now: int) -> t.Listing:
+    def understand(self, entry: t.ListEntry, now: int) -> t.ListEntry:
         """`now`: microseconds of this process's time, which is never set. A start that was told before is
         understood as it was then, or each step of the clock would look like a restart."""
         told, understood = self.read.get(entry.endpoint, (-1, 0))
--- a/lupinmill/routing/stream.py
+++ b/lupinmill/routing/stream.py
@@ -21,26 +21,26 @@
     def __init__(self, connection: Connection, side: ClientSide, launch: object) -> None:
         self.connection, self.side, self.launch = connection, side, launch
         self.done = anyio.Event()
-        self.how = t.How.CALLED_OFF  # unless told otherwise: its client's task was ended
+        self.how = t.Outcome.CALLED_OFF  # unless told otherwise: its client's task was ended
 
     async def next(self) -> bytes:
         """The next part, none at the end."""
         try:
             while not (data := self.side.take()):
                 if self.side.over:
-                    self.how = t.How.HANDLED
+                    self.how = t.Outcome.HANDLED
                     return b""
                 with anyio.fail_after(LULL):
                     self.side.feed(await self.connection.receive())
             return data
         except Garbled as error:
-            self.how = t.How.SPOILT
+            self.how = t.Outcome.SPOILT
             raise Broken(str(error)) from error
         except TimeoutError as error:
-            self.how = t.How.SPOILT
+            self.how = t.Outcome.SPOILT
             raise Broken("it stopped in the middle") from error
         except OSError as error:
-            self.how = t.How.RESET
+            self.how = t.Outcome.RESET
             raise Broken(str(error)) from error
 
     def finish(self) -> None:
--- a/lupinmill/rules.py
+++ b/lupinmill/rules.py
@@ -98,22 +98,22 @@
 class Allowances:  # the derived figures that the desk decides by
     def __init__(self, d: t.Deployment) -> None:
         self.front, self.margin, self.warm_keys = d.tier == 0, 2 * d.round, d.warm_keys
-        self.workloads, self.most_launches = {w.name: w for w in d.workloads}, d.most_launches
-        self.copies, self.cancel, self.beyond = d.copies_allowed, d.cancel_allowed, d.beyond_share_value
+        self.workloads, self.most_launches = {w.name: w for w in d.workloads}, d.max_attempts
+        self.copies, self.cancel, self.beyond = d.hedging_allowed, d.cancel_allowed, d.beyond_share_value
         self.probes, self.reports = d.probes_allowed, d.probes_allowed and d.reports_asked
         self.advice = d.longest_advice if d.advice_allowed else 0
         self.cold_share, self.cold_time, self.gone_binds = d.cold_share, max(1, d.cold_time), d.gone_binds
         self.overload_time, self.sized = max(1, d.overload_time), not d.weights_live
-        self.uneven, self.beside, self.few = d.uneven, d.beside, d.few_connections
+        self.uneven, self.beside, self.few = d.uneven, d.sidecar_per_client, d.few_connections
         self.told = self.sharers = max(1, d.instances)
-        self.ask_span = max(SECOND, min(d.ask_within, 10 * SECOND)) * 2 // 5 if d.must_ask else 0
+        self.ask_span = max(SECOND, min(d.poll_interval, 10 * SECOND)) * 2 // 5 if d.poll_discovery else 0
         self.share_out(self.told)
         # The more the goal pools all workloads, the more value counts against evenness.
         weight = d.pooled_weight + d.evenness_weight
         self.greed = d.pooled_weight / weight if weight else 1.0
         whole = sum(q.quota_per_s for q in d.tenants) or 1.0
         self.quotas = {q.name: q.quota_per_s / whole for q in d.tenants} if self.front else {}
-        self.crowded, self.roomy = BESIDE_MARKS if d.beside else (CROWDED, ROOMY)
+        self.crowded, self.roomy = BESIDE_MARKS if d.sidecar_per_client else (CROWDED, ROOMY)
         self.crossing, self.told_speed, self.zone = d.crossing_price, d.weights_tell_speed, d.zone
 
     def share_out(self, sidecars: int) -> float:
@@ -141,7 +141,10 @@
         self.told: deque[Seat] = deque(maxlen=TOLD_KEPT)  # the last that reported their load
         self.usual, self.sweeping, self.swept, self.luck, self.redraw = Usual(), False, 0, 0.0, 0
         self.lanes: dict[tuple[str, bool, bool, str], Lane] = {}
-        self.common, self.open_in = t.Common(), {}  # held in common with other sidecars; ready ones by zone
+        self.common, self.open_in = (
+            t.FleetState(),
+            {},
+        )  # held in common with other sidecars; ready ones by zone
         self.bound: list[Submission] = []  # held, but some group of endpoints alone will do
         self.waiting, self.shedding, self.crowding = 0, False, 1.0
         self.turned_back, self.answers = False, 0  # since the last look
@@ -162,30 +165,32 @@
         self.sent_by = {name: Ring(10, SECOND // 2) for name in allow.quotas}
         self.failed, self.answered = Ring(6, SECOND // 2), Ring(6, SECOND // 2)
 
-    def take(self, note: Any) -> None:
-        super().take(note)
+    def take(self, event: Any) -> None:
+        super().take(event)
         if self.waiting:
             self.dispatch()
 
     # A submission arrives.
 
-    def arrive(self, note: t.Arrived) -> None:
+    def arrive(self, event: t.RequestArrived) -> None:
         now, allow = self.mail.now, self.allow
-        if note.submission in self.open:
+        if event.request in self.open:
             return  # told twice
-        w = allow.workloads.get(note.workload) or t.Workload(note.workload, note.due - now, note.due - now)
+        w = allow.workloads.get(event.workload) or t.Workload(
+            event.workload, event.due - now, event.due - now
+        )
         self.came.add(now)
         self.idle += max(0, now - self.came_at - allow.overload_time) if self.came_at >= 0 else 0
         self.came_at, self.first = now, now if self.came_at < 0 else self.first
-        if not note.keyed and w.repeat is t.Repeat.DEDUPLICATED:
-            w = replace(w, repeat=t.Repeat.UNREPEATABLE)  # no endpoint would drop its repeats
-        self.taken.add(now, not note.repeated)
-        end = min(note.due, now + self.contract(w, note.due, note.repeated))
+        if not event.keyed and w.repeat is t.RepeatPolicy.DEDUPLICATED:
+            w = replace(w, repeat=t.RepeatPolicy.UNREPEATABLE)  # no endpoint would drop its repeats
+        self.taken.add(now, not event.repeated)
+        end = min(event.due, now + self.contract(w, event.due, event.repeated))
         zone = self.sent_to(w)
-        lane = self.lane_of(w, self.beyond_share(note.tenant), note.repeated, zone)
-        s = Submission(note.submission, w, note.due, end, now, lane, allow, zone=zone)
-        s.whole, s.repeated = note.whole, note.repeated
-        s.mark = crc32(note.key.encode()) if allow.warm_keys and note.key else 0
+        lane = self.lane_of(w, self.beyond_share(event.tenant), event.repeated, zone)
+        s = Submission(event.request, w, event.due, end, now, lane, allow, zone=zone)
+        s.whole, s.repeated = event.whole, event.repeated
+        s.mark = crc32(event.key.encode()) if allow.warm_keys and event.key else 0
         self.open[s.name] = s
         if not self.ready and allow.beside:
             self.balance(1.0)
@@ -200,11 +205,11 @@
         own = w.contract // 2 if repeated else w.contract  # that client has been waiting for a while already
         return own if self.allow.front else due - self.mail.now
 
-    def complete(self, note: t.Whole) -> None:
-        s, now = self.open.get(note.submission), self.mail.now
+    def complete(self, event: t.RequestBodyReceived) -> None:
+        s, now = self.open.get(event.request), self.mail.now
         if s is None or s.whole:  # endpoints begin with the last byte: until then it kept none busy
             return
-        s.whole, s.due, s.arrived = True, note.due, now
+        s.whole, s.due, s.arrived = True, event.due, now
         s.contract_end = min(s.due, now + self.contract(s.workload, s.due, s.repeated))
         self.mail.alarm(self.end_of(s), self, GiveUp(s, True))
         for flight in (flight for flight in s.flights if flight.out):
@@ -232,10 +237,12 @@
             self.busy.pop(seat.name, None)
         self.shelve(seat)
 
-    def elsewhere(self, note: t.Elsewhere) -> None:  # or both processes of an upgrade would fill every cap
-        self.retried.add(self.mail.now, note.retried)
+    def elsewhere(
+        self, event: t.PredecessorLoad
+    ) -> None:  # or both processes of an upgrade would fill every cap
+        self.retried.add(self.mail.now, event.retried)
         for seat in list(self.seats.values()):
-            if more := note.flying.get(seat.name, 0) - seat.elsewhere:
+            if more := event.in_flight.get(seat.name, 0) - seat.elsewhere:
                 seat.elsewhere += more
                 self.fly(seat, more)
             if more and not seat.flying:
@@ -248,13 +255,13 @@
         part, sent = self.came.total(self.mail.now) * self.allow.quotas[tenant], ring.total(self.mail.now)
         return part < sent and self.chance.draw() > part / sent
 
-    def agree(self, note: t.Common) -> None:
+    def agree(self, event: t.FleetState) -> None:
         """What sidecars hold in common, until the next word or its end: then all is as told at the start."""
-        if note.until or self.mail.now >= self.common.until:
-            self.cap = min(float(CAP_TOP), self.cap * self.allow.share_out(note.sidecars))
-            self.common = note
-        if note.until:
-            self.mail.alarm(note.until, self, t.Common())
+        if event.until or self.mail.now >= self.common.until:
+            self.cap = min(float(CAP_TOP), self.cap * self.allow.share_out(event.sidecars))
+            self.common = event
+        if event.until:
+            self.mail.alarm(event.until, self, t.FleetState())
 
     def sent_to(self, w: t.Workload) -> str:
         """By the plan; where nothing is open there, by its way out. Placement goes before."""
@@ -279,9 +286,9 @@
             worth *= SECOND / max(1, w.contract)  # what takes longer costs more of the endpoints' time
         return worth * (0.7 if repeated else 1.0)
 
-    def deploy(self, note: t.Deployed) -> None:
+    def deploy(self, event: t.DeploymentChanged) -> None:
         """For what comes from now on; work in hand keeps its terms, what was learned stays."""
-        before, self.allow, in_hand = self.allow, Allowances(note.deployment), self.open.values()
+        before, self.allow, in_hand = self.allow, Allowances(event.deployment), self.open.values()
         self.allow.sharers, known = before.sharers, self.allow.workloads
         self.cap = min(float(CAP_TOP), self.cap * self.allow.share_out(self.common.sidecars))
         self.sent_by = {name: self.sent_by.get(name) or Ring(10, SECOND // 2) for name in self.allow.quotas}
@@ -305,7 +312,7 @@
         s.held = True
         self.waiting += 1
         w = s.workload
-        if w.zones or w.kinds or s.first_run() is not None and w.repeat is t.Repeat.DEDUPLICATED:
+        if w.zones or w.kinds or s.first_run() is not None and w.repeat is t.RepeatPolicy.DEDUPLICATED:
             self.bound.append(s)
         else:
             s.lane.line.append(s)
@@ -358,16 +365,20 @@
         first = s.first_run()
         if first is None or s.out() and not s.allow.copies:
             return first is None
-        if s.workload.repeat is t.Repeat.DEDUPLICATED:
+        if s.workload.repeat is t.RepeatPolicy.DEDUPLICATED:
             return self.mail.now < first.sent + s.workload.window - s.allow.margin
-        return s.workload.repeat is t.Repeat.IDEMPOTENT
+        return s.workload.repeat is t.RepeatPolicy.IDEMPOTENT
 
     def group_allows(self, s: Submission, seat: Seat) -> bool:
         first, group = s.first_run(), s.workload.group
-        if first is None or s.workload.repeat is not t.Repeat.DEDUPLICATED or group is t.Group.ALL:
+        if (
+            first is None
+            or s.workload.repeat is not t.RepeatPolicy.DEDUPLICATED
+            or group is t.DeduplicationScope.ALL
+        ):
             return True
         entries = first.seat.says.entry, seat.says.entry
-        old, new = (entry.zone if group is t.Group.ZONE else entry.cell for entry in entries)
+        old, new = (entry.zone if group is t.DeduplicationScope.ZONE else entry.cell for entry in entries)
         return bool(new) and new == old
 
     def room(self) -> int:
@@ -433,7 +444,7 @@
             seat = shelf[self.chance.upto(len(shelf) - 1)]
             stale = seat not in self.told or self.mail.now - seat.says.told_at > TOLD_AGE // 4
             if stale and seat.says.cold_since is None:  # a cold one decides no tie, and has no work to spare
-                self.mail.orders.append(t.Probe(seat.name))
+                self.mail.commands.append(t.StartProbe(seat.name))
 
     def may_take(self, seat: Seat, s: Submission, tried: list[Seat]) -> bool:
         if seat.flying and (seat.says.trial or seat.flying >= self.cap * self.scale * seat.says.share):
@@ -503,7 +514,7 @@
         s.flights.append(Flight(seat, now))
         seat.coming += 1
         s.retrying = False
-        self.mail.orders.append(t.Launch(s.name, seat.name, s.due))
+        self.mail.commands.append(t.StartAttempt(s.name, seat.name, s.due))
         if s.whole:
             self.count_in(s.flights[-1])
         self.ask_around()
@@ -514,41 +525,50 @@
 
     # Outcomes, and what follows from them.
 
-    def end(self, note: t.Ended) -> None:
-        s = self.open.get(note.submission)
-        if s is None or not 0 <= note.launch < len(s.flights) or not s.flights[note.launch].out:
+    def end(self, event: t.AttemptEnded) -> None:
+        s = self.open.get(event.request)
+        if s is None or not 0 <= event.attempt < len(s.flights) or not s.flights[event.attempt].out:
             return
-        flight, now = s.flights[note.launch], self.mail.now
+        flight, now = s.flights[event.attempt], self.mail.now
         if not flight.counted:
             self.count_in(flight)  # it ended before its submission was whole
-        flight.out, flight.never_ran, seat = False, note.how in t.NEVER_RAN, flight.seat
-        s.spent = s.spent or note.last
+        flight.out, flight.never_ran, seat = False, event.outcome in t.NEVER_RAN, flight.seat
+        s.spent = s.spent or event.last
         self.fly(seat, -1)
         gauge = self.gauge(s.workload)
-        if note.how is t.How.HANDLED:
+        if event.outcome is t.Outcome.HANDLED:
             self.answers += 1
             self.handled += self.warmth(seat.says) == 1
             self.proved.add(now, self.warmth(seat.says) < 1)
-            gauge.add(now, max(1, note.took))
+            gauge.add(now, max(1, event.duration))
         # What we call off at the hard limit is a time-out of its endpoint, or only quick answers would tell.
-        how = t.How.TIMED_OUT if flight.overdue else note.how
-        overtaken = s.done and not flight.overdue or how in (t.How.CALLED_OFF, t.How.UNSENT, t.How.REJECTED)
+        how = t.Outcome.TIMED_OUT if flight.overdue else event.outcome
+        overtaken = (
+            s.done
+            and not flight.overdue
+            or how in (t.Outcome.CALLED_OFF, t.Outcome.UNSENT, t.Outcome.REJECTED)
+        )
         warm = self.warmth(seat.says) if self.allow.uneven else 1.0  # or cold ones make growth look crowded
-        pace = note.took * warm / max(1.0, gauge.uncrowded)
-        if how in (t.How.HANDLED, t.How.TIMED_OUT):
+        pace = event.duration * warm / max(1.0, gauge.uncrowded)
+        if how in (t.Outcome.HANDLED, t.Outcome.TIMED_OUT):
             gain = max(0.03, 1 / (8 + self.answered.total(now) / 3))  # over about a second's, at least eight
             gauge.pace += 0.1 * (min(pace, 8.0) - gauge.pace)
             if gauge.pace > DRAGS * min(other.pace for other in self.gauges.values()):
                 pace = self.crowding  # slow at all endpoints while other workloads are not: it is no load
             self.crowding += gain * (min(pace, 8.0) - self.crowding)
         self.answered.add(now, not overtaken)
-        self.failed.add(now, not overtaken and how is not t.How.HANDLED)
+        self.failed.add(now, not overtaken and how is not t.Outcome.HANDLED)
         if self.allow.uneven:
-            pace = self.against_kind(seat, min(pace, 8.0), gauge.uncrowded * (note.how is t.How.HANDLED))
+            pace = self.against_kind(
+                seat, min(pace, 8.0), gauge.uncrowded * (event.outcome is t.Outcome.HANDLED)
+            )
         self.mail.post(self.endpoints[seat.name], Answer(how, pace, overtaken, self.usual))
-        if note.closed or note.how is t.How.HANDLED:
+        if event.closed or event.outcome is t.Outcome.HANDLED:
             self.close(s)
-        s.refusals, s.spoilt = s.refusals + (note.how is t.How.REFUSED), note.how is t.How.SPOILT
+        s.refusals, s.spoilt = (
+            s.refusals + (event.outcome is t.Outcome.REFUSED),
+            event.outcome is t.Outcome.SPOILT,
+        )
         if s.done and not s.out():
             self.open.pop(s.name, None)
         elif not s.done and not s.out() and not s.retrying and not self.plan_retry(s):
@@ -569,27 +589,27 @@
         self.mail.alarm(now + self.chance.upto(max(0, ceiling)), self, RetryDue(s))
         return True
 
-    def retry_due(self, note: RetryDue) -> None:
-        s = note.submission
+    def retry_due(self, event: RetryDue) -> None:
+        s = event.request
         if s.retrying:
             self.hold(s)
             self.dispatch()
         if s.held:
             self.mail.alarm(max(self.patience(s), self.mail.now), self, GiveUp(s, False))
 
-    def silent(self, note: Silent) -> None:  # second copies for what hangs there
+    def silent(self, event: Silent) -> None:  # second copies for what hangs there
         for s in list(self.open.values()):
-            there = any(flight.out and flight.seat.name == note.name for flight in s.flights)
+            there = any(flight.out and flight.seat.name == event.name for flight in s.flights)
             if there and s.out() == 1 and not s.retrying:
                 self.plan_retry(s)
 
-    def give_up(self, note: GiveUp) -> None:
-        s = note.submission
-        if s.done or s.streaming or not (note.final or s.held):
+    def give_up(self, event: GiveUp) -> None:
+        s = event.request
+        if s.done or s.streaming or not (event.final or s.held):
             return
-        if note.final and self.mail.now < s.due - s.allow.margin:
-            return self.mail.alarm(self.end_of(s), self, note)
-        if not note.final and s.out():
+        if event.final and self.mail.now < s.due - s.allow.margin:
+            return self.mail.alarm(self.end_of(s), self, event)
+        if not event.final and s.out():
             self.unhold(s)  # a copy still waits for an answer
             s.retrying = False
             return
@@ -598,12 +618,16 @@
         self.finish(s)
 
     def may_deny(self, s: Submission) -> bool:  # rule 2: a denial says that trying again is safe
-        all_drop = s.workload.repeat is t.Repeat.DEDUPLICATED and s.workload.group is t.Group.ALL
-        return all_drop or s.workload.repeat is t.Repeat.IDEMPOTENT or s.first_run() is None
+        all_drop = (
+            s.workload.repeat is t.RepeatPolicy.DEDUPLICATED and s.workload.group is t.DeduplicationScope.ALL
+        )
+        return all_drop or s.workload.repeat is t.RepeatPolicy.IDEMPOTENT or s.first_run() is None
 
     def finish(self, s: Submission) -> None:  # advice is jittered, lest the denied return as a wave
         advice = self.allow.advice // 2 + self.chance.upto(self.allow.advice // 2)
-        self.mail.orders.append(t.Deny(s.name, advice) if self.may_deny(s) else t.BreakOff(s.name))
+        self.mail.commands.append(
+            t.RejectRequest(s.name, advice) if self.may_deny(s) else t.AbortResponse(s.name)
+        )
         self.close(s)
 
     def close(self, s: Submission) -> None:
@@ -612,37 +636,39 @@
         self.unhold(s)
         s.done, s.retrying = True, False
         called_off = (number for number, flight in enumerate(s.flights) if flight.out and s.allow.cancel)
-        self.mail.orders += [t.CallOff(s.name, number) for number in called_off]
+        self.mail.commands += [t.CancelAttempt(s.name, number) for number in called_off]
         if not s.out():
             self.open.pop(s.name, None)
 
-    def withdraw(self, note: t.Withdrawn) -> None:
-        if note.submission in self.open:
-            self.close(self.open[note.submission])
+    def withdraw(self, event: t.RequestCancelled) -> None:
+        if event.request in self.open:
+            self.close(self.open[event.request])
 
-    def start(self, note: t.Started) -> None:
-        if s := self.open.get(note.submission):
+    def start(self, event: t.ResponseStarted) -> None:
+        if s := self.open.get(event.request):
             s.streaming = True
 
-    def seat(self, note: Standing) -> None:
-        if note.name not in self.endpoints:
+    def seat(self, event: Standing) -> None:
+        if event.name not in self.endpoints:
             return
-        if note.name in self.seats:
-            self.count(self.seats[note.name], -1)
-        seat = self.seats.get(note.name)
+        if event.name in self.seats:
+            self.count(self.seats[event.name], -1)
+        seat = self.seats.get(event.name)
         if seat is None:
-            seat = self.seats[note.name] = Seat(note.name, note, mark=crc32(note.name.encode()))
-            seat.pull, seat.used = note.entry.weight, not self.allow.few
-            seat.lot = 0.0 if seat.used else -log(self.chance.draw() or 0.5) / sqrt(note.entry.weight)
-        if note.cold_since is not None and (note is seat.says or note.cold_since != seat.says.cold_since):
+            seat = self.seats[event.name] = Seat(event.name, event, mark=crc32(event.name.encode()))
+            seat.pull, seat.used = event.entry.weight, not self.allow.few
+            seat.lot = 0.0 if seat.used else -log(self.chance.draw() or 0.5) / sqrt(event.entry.weight)
+        if event.cold_since is not None and (event is seat.says or event.cold_since != seat.says.cold_since):
             seat.credit, seat.credited = self.chance.draw(), self.mail.now - self.idle
-        seat.says, seat.size = note, note.entry.weight if self.allow.sized else 1.0
-        if note.told is not None and note.told_at == self.mail.now and seat not in self.told:
+        seat.says, seat.size = event, event.entry.weight if self.allow.sized else 1.0
+        if event.told is not None and event.told_at == self.mail.now and seat not in self.told:
             self.told.append(seat)
         self.count(seat, 1)
         self.shelve(seat)
-        if self.endpoints[note.name].entry.state is t.State.GONE and not (seat.flying or seat.coming):
-            del self.seats[note.name], self.endpoints[note.name]  # or memory grows with all there ever were
+        if self.endpoints[event.name].entry.state is t.EndpointStatus.GONE and not (
+            seat.flying or seat.coming
+        ):
+            del self.seats[event.name], self.endpoints[event.name]  # or memory grows with all there ever were
             self.told = deque((one for one in self.told if one is not seat), TOLD_KEPT)
 
     def count(self, seat: Seat, sign: int) -> None:
@@ -695,7 +721,7 @@
             self.sweeping = True
             self.mail.alarm(self.mail.now + SWEEP, self, Sweep())
 
-    def sweep(self, note: Sweep) -> None:
+    def sweep(self, event: Sweep) -> None:
         """Looks over what is out, and learns the cap from all answers: those of one endpoint are few."""
         allow, self.sweeping = self.allow, False
         if self.pace_over(self.allow.crowded):
@@ -755,14 +781,14 @@
         self.handled, self.looked = 0, self.mail.now
         if cold and not self.each:
             used = [seat for seat in self.seats.values() if seat.used]
-            self.size = sum([seat.size for seat in used if seat.says.entry.state is t.State.READY])
+            self.size = sum([seat.size for seat in used if seat.says.entry.state is t.EndpointStatus.READY])
             self.able = sum([self.warmth(seat.says) * seat.size for seat in cold if seat.counts()])
 
 
 class Endpoint(Part):
     """Judges one endpoint: its share of the cap, and whether it is ready, set aside or on trial."""
 
-    def __init__(self, mail: Mail, desk: Desk, roster: Roster, chance: Chance, entry: t.Listing) -> None:
+    def __init__(self, mail: Mail, desk: Desk, roster: Roster, chance: Chance, entry: t.ListEntry) -> None:
         super().__init__()
         self.mail, self.desk, self.roster, self.chance, self.entry = mail, desk, roster, chance, entry
         self.usual, self.share = Usual(), 1.0  # what is usual in the fleet; its part of the common cap
@@ -777,7 +803,7 @@
         self.cold_since: int | None = None
 
     def tell(self) -> None:
-        open_ = self.mode != "aside" and self.entry.state is t.State.READY
+        open_ = self.mode != "aside" and self.entry.state is t.EndpointStatus.READY
         self.mail.post(
             self.desk,
             Standing(
@@ -795,30 +821,30 @@
             ),
         )
 
-    def listed(self, note: t.Listing) -> None:
-        entry, fresh = note, note.started and self.mail.now - note.started < self.desk.allow.cold_time
+    def listed(self, event: t.ListEntry) -> None:
+        entry, fresh = event, event.started and self.mail.now - event.started < self.desk.allow.cold_time
         fresh = fresh and (entry.started != self.entry.started or self.heard == 0)
         if fresh:  # by another machine's clock it may be to come: then it would stay cold past its time
             self.cold_since = min(entry.started, self.mail.now)
-        returned, self.entry = self.entry.state is not entry.state is t.State.READY, entry
-        if self.mode == "aside" and fresh and entry.state is t.State.READY:
+        returned, self.entry = self.entry.state is not entry.state is t.EndpointStatus.READY, entry
+        if self.mode == "aside" and fresh and entry.state is t.EndpointStatus.READY:
             return self.on_trial()  # it runs, by the list: probes of all sidecars would be its whole budget
         if self.mode == "aside" and returned:
             self.schedule_probe(0)  # not to be probed so far: no need to sit out the rest
         self.tell()
 
-    def sent(self, note: Sent) -> None:
+    def sent(self, event: Sent) -> None:
         self.heard, self.flying = self.heard if self.flying else self.mail.now, self.flying + 1
 
-    def answer(self, note: Answer) -> None:
-        self.flying, self.usual = self.flying - 1, note.usual
-        if not note.overtaken:
+    def answer(self, event: Answer) -> None:
+        self.flying, self.usual = self.flying - 1, event.usual
+        if not event.overtaken:
             self.answered.add(self.mail.now)
-            self.heard = self.heard if note.how is t.How.TIMED_OUT else self.mail.now
-            if note.how is t.How.HANDLED:
-                self.handled(note.pace)
+            self.heard = self.heard if event.how is t.Outcome.TIMED_OUT else self.mail.now
+            if event.how is t.Outcome.HANDLED:
+                self.handled(event.pace)
             else:
-                self.failure(note.how)
+                self.failure(event.how)
             self.judge()
         self.tell()
 
@@ -830,12 +856,12 @@
         if self.mode == "trial" and self.answers >= 3:
             self.end_trial()
 
-    def failure(self, how: t.How) -> None:
+    def failure(self, how: t.Outcome) -> None:
         quiet = self.mail.now - self.heard
         self.failed.add(self.mail.now)
-        if how in (t.How.UNCONNECTED, t.How.RESET):
+        if how in (t.Outcome.UNCONNECTED, t.Outcome.RESET):
             # One connection not made is enough: the probe that follows soon is cheaper than another launch.
-            self.broken += 2 if how is t.How.UNCONNECTED else 1
+            self.broken += 2 if how is t.Outcome.UNCONNECTED else 1
             if self.broken >= 2:
                 self.plead("connections break", True)
         else:
@@ -847,7 +873,7 @@
         if self.mode == "trial":
             self.plead("failed its trial", True)
 
-    def report(self, load: t.Load) -> None:  # how long one more takes by its own word, if it says so
+    def report(self, load: t.LoadReport) -> None:  # how long one more takes by its own word, if it says so
         if load.queued is not None:
             self.told, self.told_at = load.queued + 1, self.mail.now
         self.busy = 1.0 if load.busy is None else load.busy
@@ -875,19 +901,19 @@
             self.mode = "ready"
             self.mail.log(f"{self.entry.endpoint} ready again: 3 answers, pace {self.pace:.1f}")
 
-    def ease(self, how: t.How) -> None:
+    def ease(self, how: t.Outcome) -> None:
         """Lowers its share, once per few answers; not for quick errors of all, which tell of no load."""
-        load = how not in (t.How.ERROR, t.How.SPOILT) or self.usual.crowding > ROOMY
+        load = how not in (t.Outcome.ERROR, t.Outcome.SPOILT) or self.usual.crowding > ROOMY
         if load and self.mail.now - self.eased >= SWEEP:
             self.eased, self.share = self.mail.now, max(0.1, self.share * 0.7)
 
-    def look(self, note: Usual) -> None:  # launches are out there, or it stands behind: is that still right?
-        self.usual = note
-        if self.mode == "aside" or self.entry.state is t.State.GONE:
+    def look(self, event: Usual) -> None:  # launches are out there, or it stands behind: is that still right?
+        self.usual = event
+        if self.mode == "aside" or self.entry.state is t.EndpointStatus.GONE:
             return
         quiet = self.mail.now - self.heard
-        if self.flying and quiet > (SILENCE + LONELY / self.flying) * note.took + SWEEP:
-            self.plead(f"silent {quiet // MS} ms, usual {note.took // MS} ms", False)
+        if self.flying and quiet > (SILENCE + LONELY / self.flying) * event.took + SWEEP:
+            self.plead(f"silent {quiet // MS} ms, usual {event.took // MS} ms", False)
         self.judge()
         self.tell()
 
@@ -895,13 +921,13 @@
         if self.mode != "aside":
             self.mail.post(self.roster, Plea(self.entry.endpoint, why, hard))
 
-    def aside(self, note: Aside) -> None:
+    def aside(self, event: Aside) -> None:
         if self.mode == "aside":
             return
         self.rest = min(REST_MAX, self.rest * 2) if self.mode == "trial" else REST
         self.mode, self.good_probes, self.blip = "aside", 0, self.mode == "ready" and self.broken >= 2
-        self.mail.log(f"{self.entry.endpoint} set aside: {note.why}")
-        if self.flying and note.why.startswith("silent"):
+        self.mail.log(f"{self.entry.endpoint} set aside: {event.why}")
+        if self.flying and event.why.startswith("silent"):
             self.mail.post(self.desk, Silent(self.entry.endpoint))
         rest = self.rest - self.chance.upto(self.rest // 4)
         self.schedule_probe(SECOND // 10 if self.broken >= 2 and self.desk.allow.probes else rest)
@@ -911,23 +937,23 @@
         self.turn += 1
         self.mail.alarm(self.mail.now + delay, self, ProbeDue(self.turn))
 
-    def probe_due(self, note: ProbeDue) -> None:
-        if note.turn != self.turn or self.mode != "aside" or self.entry.state is not t.State.READY:
+    def probe_due(self, event: ProbeDue) -> None:
+        if event.turn != self.turn or self.mode != "aside" or self.entry.state is not t.EndpointStatus.READY:
             return
         if self.desk.allow.probes:
-            self.mail.orders.append(t.Probe(self.entry.endpoint))
+            self.mail.commands.append(t.StartProbe(self.entry.endpoint))
         else:
             self.back()
 
-    def probed(self, note: t.Probed) -> None:
-        if note.load is not None:
-            self.report(note.load)
+    def probed(self, event: t.ProbeEnded) -> None:
+        if event.load is not None:
+            self.report(event.load)
         if self.mode != "aside":
-            if note.how is t.How.UNCONNECTED:
-                self.failure(note.how)
+            if event.outcome is t.Outcome.UNCONNECTED:
+                self.failure(event.outcome)
             self.judge()
             return self.tell()
-        good = note.how is t.How.HANDLED
+        good = event.outcome is t.Outcome.HANDLED
         self.good_probes, self.blip = self.good_probes + 1 if good else 0, self.blip and good
         if self.good_probes >= 2:
             self.back()
@@ -956,70 +982,72 @@
         super().__init__()
         self.mail, self.desk, self.chance, self.asks = mail, desk, chance, 0
         self.endpoints = desk.endpoints
-        self.listed: dict[str, t.Listing] = {}
+        self.listed: dict[str, t.ListEntry] = {}
         self.out: set[str] = set()  # by hand
         self.dropped: set[str] = set()  # listed as gone, undrained: where that does not bind they serve on
 
-    def update(self, note: t.Listed) -> None:
-        longest, failed = self.desk.allow.ask_span, note.kind is t.ListKind.FAILED
+    def update(self, event: t.ListReceived) -> None:
+        longest, failed = self.desk.allow.ask_span, event.kind is t.ListKind.FAILED
         self.asks = self.asks + 1 if failed else 0  # overloaded, or the watch broke: later each time
         base = min(SECOND, self.desk.allow.told * ASK_APART) << min(self.asks, 4)
-        span = min(longest, ASK_AGAIN, base) if failed else longest * (note.kind is t.ListKind.CACHED)
+        span = min(longest, ASK_AGAIN, base) if failed else longest * (event.kind is t.ListKind.CACHED)
         if span:  # jittered, or spread
             self.mail.alarm(self.mail.now + failed * span // 4 + self.chance.upto(span), self, AskDue())
         if failed:
             return
-        if note.kind is not t.ListKind.CHANGES:
-            named = {entry.endpoint for entry in note.entries}
+        if event.kind is not t.ListKind.CHANGES:
+            named = {entry.endpoint for entry in event.entries}
             for entry in [entry for name, entry in self.listed.items() if name not in named]:
-                self.tell(replace(entry, state=t.State.GONE))
-        for entry in sorted(note.entries, key=lambda entry: entry.state is t.State.READY):
+                self.tell(replace(entry, state=t.EndpointStatus.GONE))
+        for entry in sorted(event.entries, key=lambda entry: entry.state is t.EndpointStatus.READY):
             self.tell(entry)  # those that leave first: what is held goes out as soon as a new one is there
 
-    def tell(self, entry: t.Listing) -> None:
+    def tell(self, entry: t.ListEntry) -> None:
         name, was = entry.endpoint, self.listed.get(entry.endpoint)
         if not 0 < entry.weight < inf:
             entry = replace(entry, weight=1.0)  # it can't be a size
         self.dropped.discard(name)
-        gone = entry.state is t.State.GONE and was is not None and was.state is t.State.READY
+        gone = (
+            entry.state is t.EndpointStatus.GONE and was is not None and was.state is t.EndpointStatus.READY
+        )
         if gone and not self.desk.allow.gone_binds and self.endpoints[name].mode != "aside":
             return self.dropped.add(name)  # the list may be wrong: believed once the endpoint fails as well
         if name not in self.endpoints:
             self.endpoints[name] = Endpoint(self.mail, self.desk, self, self.chance, entry)
-        if entry.state is t.State.GONE:
+        if entry.state is t.EndpointStatus.GONE:
             self.listed.pop(name, None)
         else:
             self.listed[name] = entry
-        if name in self.out and entry.state is t.State.READY:
-            entry = replace(entry, state=t.State.DRAINING)
+        if name in self.out and entry.state is t.EndpointStatus.READY:
+            entry = replace(entry, state=t.EndpointStatus.DRAINING)
         self.mail.post(self.endpoints[name], entry)
 
-    def by_hand(self, note: t.ByHand) -> None:
+    def by_hand(self, event: t.OperatorOverride) -> None:
         """Rules 3 and 4 hold as for a drain and a start that the list told, which is followed underneath."""
-        if note.out == (note.endpoint in self.out):
+        if event.out == (event.endpoint in self.out):
             return
-        (self.out.add if note.out else self.out.discard)(note.endpoint)
-        entry = self.listed.get(note.endpoint)
+        (self.out.add if event.out else self.out.discard)(event.endpoint)
+        entry = self.listed.get(event.endpoint)
         if entry is not None:
-            self.tell(entry if note.out else replace(entry, started=max(entry.started, self.mail.now)))
-        self.mail.log(f"{note.endpoint} {'out' if note.out else 'back'} by hand")
+            self.tell(entry if event.out else replace(entry, started=max(entry.started, self.mail.now)))
+        self.mail.log(f"{event.endpoint} {'out' if event.out else 'back'} by hand")
 
-    def ask(self, note: AskDue) -> None:
-        self.mail.orders.append(t.Watch())
+    def ask(self, event: AskDue) -> None:
+        self.mail.commands.append(t.StartWatch())
 
-    def probed(self, note: t.Probed) -> None:
-        if note.endpoint in self.endpoints:
-            self.mail.post(self.endpoints[note.endpoint], note)
+    def probed(self, event: t.ProbeEnded) -> None:
+        if event.endpoint in self.endpoints:
+            self.mail.post(self.endpoints[event.endpoint], event)
 
-    def plea(self, note: Plea) -> None:
+    def plea(self, event: Plea) -> None:
         """Never all at once on thin evidence: what all endpoints share is not one endpoint's fault."""
-        if note.name in self.dropped:
-            self.endpoints[note.name].mode = "aside"
-            return self.tell(replace(self.listed[note.name], state=t.State.GONE))
+        if event.name in self.dropped:
+            self.endpoints[event.name].mode = "aside"
+            return self.tell(replace(self.listed[event.name], state=t.EndpointStatus.GONE))
         aside = sum(self.endpoints[name].mode == "aside" for name in self.listed)
         most = max(1, ASIDE_SHARE * len(self.listed))
-        if len(self.listed) - aside > 1 and note.name in self.listed and (note.hard or aside + 1 <= most):
-            self.mail.post(self.endpoints[note.name], Aside(note.why))
+        if len(self.listed) - aside > 1 and event.name in self.listed and (event.hard or aside + 1 <= most):
+            self.mail.post(self.endpoints[event.name], Aside(event.why))
 
 
 class Sidecar:
@@ -1031,19 +1059,24 @@
         self.roster = Roster(self.mail, self.desk, chance)
         self.armed: int | None = None
 
-    def step(self, now: int, notes: list[t.Note], ring: bool = True) -> list[t.Order]:
+    def step(self, now: int, events: list[t.Event], ring: bool = True) -> list[t.Command]:
         """Without `ring`, alarms that are due wait for a later step. An exception over one note costs that
         note: it is raised when the rest is done, with all orders, the next wake-up too, in `mail.orders`."""
         mail = self.mail
-        mail.now, mail.orders = now, []
-        for note in (note for note in notes if not isinstance(note, t.Woke)):
-            mail.post(self.roster if isinstance(note, t.Listed | t.Probed | t.ByHand) else self.desk, note)
+        mail.now, mail.commands = now, []
+        for event in (event for event in events if not isinstance(event, t.TimerFired)):
+            mail.post(
+                self.roster
+                if isinstance(event, t.ListReceived | t.ProbeEnded | t.OperatorOverride)
+                else self.desk,
+                event,
+            )
             mail.run()
         at = mail.ring() if ring else None
         if at is not None and (self.armed is None or self.armed <= now or at < self.armed or mail.defects):
             self.armed = max(now + 1, at)
-            mail.orders.append(t.WakeMe(self.armed, 1))
+            mail.commands.append(t.SetTimer(self.armed, 1))
         if mail.defects:
             first, mail.defects = mail.defects[0], []
             raise first
-        return mail.orders
+        return mail.commands
--- a/lupinmill/takeover/record.py
+++ b/lupinmill/takeover/record.py
@@ -51,7 +51,7 @@
 
     key: str
     workload: str
-    repeat: t.Repeat
+    repeat: t.RepeatPolicy
     window: int = 0  # microseconds in which a group drops repeats
     group_all: bool = False
     digest: int = 0  # of the body: the same key with another one is another's
@@ -112,10 +112,10 @@
     late = left <= margin
     if not ran:
         return Onward(Next.DENIED if late else Next.ANYWHERE)
-    if work.repeat is t.Repeat.IDEMPOTENT:
+    if work.repeat is t.RepeatPolicy.IDEMPOTENT:
         return Onward(Next.DENIED if late else Next.ANYWHERE)
     groups = {one.group for one in ran}
-    if work.repeat is t.Repeat.DEDUPLICATED and len(groups) == 1 and "" not in groups:
+    if work.repeat is t.RepeatPolicy.DEDUPLICATED and len(groups) == 1 and "" not in groups:
         if not late and oldest + margin < work.window:
             return Onward(Next.IN_GROUP, ran[0].group)
         if work.group_all:
--- a/lupinmill/terms.py
+++ b/lupinmill/terms.py
@@ -10,7 +10,7 @@
 from enum import Enum
 
 
-class Repeat(Enum):
+class RepeatPolicy(Enum):
     """What a workload allows once a launch may have run."""
 
     IDEMPOTENT = "idempotent"
@@ -18,7 +18,7 @@
     UNREPEATABLE = "unrepeatable"
 
 
-class Group(Enum):
+class DeduplicationScope(Enum):
     """Which endpoints drop each other's repeats of a deduplicated submission."""
 
     ALL = "all"
@@ -26,7 +26,7 @@
     CELL = "cell"
 
 
-class How(Enum):
+class Outcome(Enum):
     """How one launch or probe ended."""
 
     HANDLED = "handled"
@@ -41,10 +41,10 @@
     UNSENT = "unsent"  # never ran
 
 
-NEVER_RAN = (How.REFUSED, How.UNCONNECTED, How.UNSENT)
+NEVER_RAN = (Outcome.REFUSED, Outcome.UNCONNECTED, Outcome.UNSENT)
 
 
-class State(Enum):
+class EndpointStatus(Enum):
     READY = "ready"
     DRAINING = "draining"
     GONE = "gone"
@@ -64,13 +64,13 @@
     hard_limit: int
     value: float = 1.0
     overdue_value: float = 0.0
-    repeat: Repeat = Repeat.UNREPEATABLE
-    group: Group = Group.CELL
+    repeat: RepeatPolicy = RepeatPolicy.UNREPEATABLE
+    group: DeduplicationScope = DeduplicationScope.CELL
     window: int = 0
     zones: tuple[str, ...] = ()  # where any, only endpoints in these are open to it, ...
     kinds: tuple[str, ...] = ()  # ... and only those of these kinds
 
-    def open_at(self, entry: Listing) -> bool:
+    def open_at(self, entry: ListEntry) -> bool:
         return (not self.zones or entry.zone in self.zones) and (not self.kinds or entry.kind in self.kinds)
 
 
@@ -92,21 +92,21 @@
     beyond_share_value: float = 1.0
     pooled_weight: float = 1.0  # how much of the goal sums over workloads, ...
     evenness_weight: float = 0.0  # ... and how much looks at the worst-served one
-    must_ask: bool = False
-    ask_within: int = 0
+    poll_discovery: bool = False
+    poll_interval: int = 0
     grace: int = 500_000  # for which launches may still go to an endpoint that drains or is gone
     cold_share: float = 1.0
     cold_time: int = 0
     overload_time: int = 1_000_000  # a cold endpoint falls over from what it is sent within so long
     round: int = 1000
-    most_launches: int = 1
-    copies_allowed: bool = False
+    max_attempts: int = 1
+    hedging_allowed: bool = False
     cancel_allowed: bool = False
     probes_allowed: bool = False
     reports_asked: bool = False  # load reports come with probes alone
     advice_allowed: bool = False
     longest_advice: int = 0
-    beside: bool = False  # each client process has a sidecar of its own
+    sidecar_per_client: bool = False  # each client process has a sidecar of its own
     zone: str = ""  # where this sidecar is
     gone_binds: bool = True  # else an endpoint that the list drops undrained may still be sent to
     uneven: bool = False  # endpoints differ in kind, or in what it costs to reach them
@@ -118,7 +118,7 @@
 
 
 @dataclass(slots=True)
-class Load:
+class LoadReport:
     """A load report; figures that did not come are None."""
 
     queued: float | None = None
@@ -129,9 +129,9 @@
 
 
 @dataclass(slots=True)
-class Listing:
+class ListEntry:
     endpoint: str
-    state: State
+    state: EndpointStatus
     zone: str = ""
     kind: str = ""
     cell: str = ""
@@ -143,70 +143,70 @@
 
 
 @dataclass(slots=True)
-class Listed:
+class ListReceived:
     kind: ListKind
-    entries: list[Listing]
+    entries: list[ListEntry]
 
 
 @dataclass(slots=True)
-class Arrived:
-    submission: str
+class RequestArrived:
+    request: str
     workload: str
     due: int
     tenant: str = ""
     repeated: bool = False
-    whole: bool = True  # else it is still coming: `due` is a guess until `Whole`
+    whole: bool = True  # else it is still coming: `due` is a guess until `RequestBodyReceived`
     key: str = ""  # what it is about
     keyed: bool = True  # else nothing would drop its repeats, whatever its workload says
 
 
 @dataclass(slots=True)
-class Whole:
+class RequestBodyReceived:
     """The last byte of a submission has come that arrived before; from here its time counts."""
 
-    submission: str
+    request: str
     due: int
 
 
 @dataclass(slots=True)
-class Started:
+class ResponseStarted:
     """A streamed answer has begun; the submission belongs to its client now."""
 
-    submission: str
-    launch: int
+    request: str
+    attempt: int
 
 
 @dataclass(slots=True)
-class Ended:
-    submission: str
-    launch: int
-    how: How
-    took: int
+class AttemptEnded:
+    request: str
+    attempt: int
+    outcome: Outcome
+    duration: int
     closed: bool = False
-    load: Load | None = None
+    load: LoadReport | None = None
     last: bool = False  # no other launch can be made: part of what it would send is not kept
 
 
 @dataclass(slots=True)
-class Withdrawn:
-    submission: str
+class RequestCancelled:
+    request: str
 
 
 @dataclass(slots=True)
-class Woke:
+class TimerFired:
     ref: int
 
 
 @dataclass(slots=True)
-class Probed:
+class ProbeEnded:
     endpoint: str
-    how: How
-    took: int
-    load: Load | None = None
+    outcome: Outcome
+    duration: int
+    load: LoadReport | None = None
 
 
 @dataclass(slots=True)
-class ByHand:
+class OperatorOverride:
     """Operators take an endpoint out, whatever lists say meanwhile, or put it back: then it was restarted."""
 
     endpoint: str
@@ -214,11 +214,11 @@
 
 
 @dataclass(slots=True)
-class Elsewhere:
+class PredecessorLoad:
     """What an older process of this sidecar still has out, until it has ended: one set of caps and one budget
     of retries hold for both."""
 
-    flying: dict[str, int]  # launches at each endpoint
+    in_flight: dict[str, int]  # launches at each endpoint
     retried: int = 0  # since it was last told
 
 
@@ -226,7 +226,7 @@
 
 
 @dataclass(slots=True)
-class Common:
+class FleetState:
     """What sidecars that know each other hold in common. Each one replaces the one before it, whole; without
     a next one it is taken back at `until`."""
 
@@ -238,74 +238,107 @@
 
 
 @dataclass(slots=True)
-class Deployed:
+class DeploymentChanged:
     """Another deployment, whole, for all that arrives from now on. What the first one said of tier, family,
     place, lists and seed holds on."""
 
     deployment: Deployment
 
 
-Note = (
-    Listed
-    | Arrived
-    | Started
-    | Ended
-    | Withdrawn
-    | Woke
-    | Probed
-    | ByHand
-    | Whole
-    | Elsewhere
-    | Common
-    | Deployed
+Event = (
+    ListReceived
+    | RequestArrived
+    | ResponseStarted
+    | AttemptEnded
+    | RequestCancelled
+    | TimerFired
+    | ProbeEnded
+    | OperatorOverride
+    | RequestBodyReceived
+    | PredecessorLoad
+    | FleetState
+    | DeploymentChanged
 )
 
 # --- orders -------------------------------------------------------------------------------------
 
 
 @dataclass(slots=True)
-class Launch:
-    submission: str
+class StartAttempt:
+    request: str
     endpoint: str
     until: int
 
 
 @dataclass(slots=True)
-class CallOff:
-    submission: str
-    launch: int
+class CancelAttempt:
+    request: str
+    attempt: int
 
 
 @dataclass(slots=True)
-class Deny:
-    submission: str
-    come_back: int = 0
+class RejectRequest:
+    request: str
+    retry_after: int = 0
 
 
 @dataclass(slots=True)
-class BreakOff:
-    submission: str
+class AbortResponse:
+    request: str
 
 
 @dataclass(slots=True)
-class WakeMe:
+class SetTimer:
     at: int
     ref: int
 
 
 @dataclass(slots=True)
-class Probe:
+class StartProbe:
     endpoint: str
 
 
 @dataclass(slots=True)
-class Watch:
+class StartWatch:
     pass
 
 
 @dataclass(slots=True)
-class Log:
+class WriteLog:
     text: str
 
 
-Order = Launch | CallOff | Deny | BreakOff | WakeMe | Probe | Watch | Log
+Command = (
+    StartAttempt
+    | CancelAttempt
+    | RejectRequest
+    | AbortResponse
+    | SetTimer
+    | StartProbe
+    | StartWatch
+    | WriteLog
+)
+
+# The names of events and commands in log lines, which dashboards and operators' tools match.
+LOGGED_NAMES: dict[type, str] = {
+    ListReceived: "Listed",
+    RequestArrived: "Arrived",
+    RequestBodyReceived: "Whole",
+    ResponseStarted: "Started",
+    AttemptEnded: "Ended",
+    RequestCancelled: "Withdrawn",
+    TimerFired: "Woke",
+    ProbeEnded: "Probed",
+    OperatorOverride: "ByHand",
+    PredecessorLoad: "Elsewhere",
+    FleetState: "Common",
+    DeploymentChanged: "Deployed",
+    StartAttempt: "Launch",
+    CancelAttempt: "CallOff",
+    RejectRequest: "Deny",
+    AbortResponse: "BreakOff",
+    SetTimer: "WakeMe",
+    StartProbe: "Probe",
+    StartWatch: "Watch",
+    WriteLog: "Log",
+}
--- a/lupinmill/workings.py
+++ b/lupinmill/workings.py
@@ -88,7 +88,7 @@
 
 
 class Part:
-    """An actor: its inbox, and what it does about each type of note: the method whose one argument is `note`
+    """An actor: its inbox, and what it does about each type of note: the method whose one argument is `event`
     of just that type."""
 
     def __init__(self) -> None:
@@ -97,15 +97,15 @@
             kind: getattr(self, name) for kind, name in handlers(type(self))
         }
 
-    def take(self, note: Any) -> None:
-        self.handlers[type(note)](note)
+    def take(self, event: Any) -> None:
+        self.handlers[type(event)](event)
 
 
 @cache
 def handlers(part: type) -> tuple[tuple[type, str], ...]:
     found: dict[type, str] = {}
     for name, method in vars(part).items():
-        kind = get_type_hints(method).get("note", Any) if callable(method) else Any
+        kind = get_type_hints(method).get("event", Any) if callable(method) else Any
         if kind is not Any:
             assert kind not in found, f"{part.__name__}: {found[kind]} and {name} take {kind.__name__}"
             found[kind] = name
@@ -117,49 +117,49 @@
 
     def __init__(self) -> None:
         self.now = 0
-        self.orders: list[t.Order] = []
+        self.commands: list[t.Command] = []
         self.defects: list[Exception] = []  # what the parts raised over single notes
         self.waiting: deque[Any] = deque()
         self.alarms: list[tuple[int, int, Any, Any]] = []
         self.serial = 0
 
-    def post(self, part: Any, note: Any) -> None:
+    def post(self, part: Any, event: Any) -> None:
         if not part.inbox:
             self.waiting.append(part)
-        part.inbox.append(note)
+        part.inbox.append(event)
 
-    def alarm(self, at: int, part: Any, note: Any) -> None:
+    def alarm(self, at: int, part: Any, event: Any) -> None:
         self.serial += 1
-        heappush(self.alarms, (at, self.serial, part, note))
+        heappush(self.alarms, (at, self.serial, part, event))
 
     def run(self) -> None:
         while self.waiting:
             part = self.waiting.popleft()
             inbox, part.inbox = part.inbox, []
-            for note in inbox:
+            for event in inbox:
                 try:
-                    part.take(note)
+                    part.take(event)
                 except Exception as error:  # costs that note alone: what is queued, ordered and pending stays
-                    error.about = note
+                    error.about = event
                     self.defects.append(error)
 
     def ring(self) -> int | None:
         """Alarms after all news of the same moment: what is due must not go to an endpoint that just left.
         Returns when the next is due, None where there is none."""
         while self.alarms and self.alarms[0][0] <= self.now:
-            _, _, part, note = heappop(self.alarms)
-            self.post(part, note)
+            _, _, part, event = heappop(self.alarms)
+            self.post(part, event)
         self.run()
         return self.next_alarm()
 
     def next_alarm(self) -> int | None:
         """When to be woken; alarms of what has ended meanwhile wake nobody."""
-        while self.alarms and isinstance(self.alarms[0][3], GiveUp) and self.alarms[0][3].submission.done:
+        while self.alarms and isinstance(self.alarms[0][3], GiveUp) and self.alarms[0][3].request.done:
             heappop(self.alarms)
         return self.alarms[0][0] if self.alarms else None
 
     def log(self, text: str) -> None:
-        self.orders.append(t.Log(text))
+        self.commands.append(t.WriteLog(text))
 
 
 @dataclass(slots=True)
@@ -174,7 +174,7 @@
     told_at: int
     busy: float
     cold_since: int | None
-    entry: t.Listing
+    entry: t.ListEntry
 
 
 @dataclass(slots=True)
@@ -195,7 +195,7 @@
 
 @dataclass(slots=True)
 class Answer:  # desk -> endpoint; pace is the time taken as a multiple of the uncrowded time
-    how: t.How
+    how: t.Outcome
     pace: float
     overtaken: bool  # ended by us or by its client, not by the endpoint
     usual: Usual
@@ -235,13 +235,13 @@
 
 @dataclass(slots=True)
 class GiveUp:
-    submission: Submission
+    request: Submission
     final: bool
 
 
 @dataclass(slots=True)
 class RetryDue:
-    submission: Submission
+    request: Submission
 
 
 @dataclass(slots=True)
--- a/lupinmill/zones/driver.py
+++ b/lupinmill/zones/driver.py
@@ -100,15 +100,15 @@
         elif (answer := self.waiting.pop(order.serial, None)) is not None:
             answer(order.done, order.text)
 
-    def common(self, now: int) -> t.Common:
+    def common(self, now: int) -> t.FleetState:
         """For the module: plan by workload, brakes by endpoint, and until when they count."""
         if self.found is None:
-            return t.Common(until=now + 1)
+            return t.FleetState(until=now + 1)
         marks = self.found.brakes
         names = self.engine.sidecar.desk.seats if marks else ()
         brakes = {name: marks[mark_of(name)] for name in names if mark_of(name) in marks}
         listed = self.tally.listed(self.engine.sidecar)
-        return t.Common(0, self.found.plan, brakes, listed, max(now + 1, self.found.until))
+        return t.FleetState(0, self.found.plan, brakes, listed, max(now + 1, self.found.until))
 
     # Operators.
 
--- a/lupinmill/zones/tally.py
+++ b/lupinmill/zones/tally.py
@@ -17,19 +17,19 @@
 BUCKETS, WIDTH = 6, int(SPAN * SECOND) // 6
 SHORT = 0.02  # part of own traffic that was denied: a zone that denies has little more room than it used
 MOST_SHORT = 1.05
-FAILED = (t.How.ERROR, t.How.SPOILT, t.How.TIMED_OUT, t.How.UNCONNECTED, t.How.RESET)
+FAILED = (t.Outcome.ERROR, t.Outcome.SPOILT, t.Outcome.TIMED_OUT, t.Outcome.UNCONNECTED, t.Outcome.RESET)
 
 
 def watch(sidecar: Sidecar, tally: Tally) -> None:
     """Puts the tally around the module's step."""
     step = sidecar.step
 
-    def watched(now: int, notes: list[t.Note], ring: bool = True) -> list[t.Order]:
-        for note in notes:
-            tally.before(now, note, sidecar)
-        orders = step(now, notes, ring)
-        tally.after(now, orders, sidecar)
-        return orders
+    def watched(now: int, events: list[t.Event], ring: bool = True) -> list[t.Command]:
+        for event in events:
+            tally.before(now, event, sidecar)
+        commands = step(now, events, ring)
+        tally.after(now, commands, sidecar)
+        return commands
 
     sidecar.step = watched  # type: ignore[method-assign]
 
@@ -57,39 +57,39 @@
 
     # What passes.
 
-    def before(self, now: int, note: t.Note, sidecar: Sidecar) -> None:
+    def before(self, now: int, event: t.Event, sidecar: Sidecar) -> None:
         """A note on its way to the module."""
-        if isinstance(note, t.Arrived):
+        if isinstance(event, t.RequestArrived):
             self.all.add(now)
-            ring = self.came.get(note.workload)
+            ring = self.came.get(event.workload)
             if ring is not None:
                 ring.add(now)
-        elif isinstance(note, t.Ended):
-            s = sidecar.desk.open.get(note.submission)
-            if s is None or note.launch >= len(s.flights) or not s.flights[note.launch].out:
+        elif isinstance(event, t.AttemptEnded):
+            s = sidecar.desk.open.get(event.request)
+            if s is None or event.attempt >= len(s.flights) or not s.flights[event.attempt].out:
                 return
-            counts = self.zones.get(s.flights[note.launch].seat.says.entry.zone)
+            counts = self.zones.get(s.flights[event.attempt].seat.says.entry.zone)
             if counts is not None:
                 gauge = sidecar.desk.gauges.get(s.workload.name)
-                self.ended(now, counts, note, gauge.uncrowded if gauge is not None else 0.0)
+                self.ended(now, counts, event, gauge.uncrowded if gauge is not None else 0.0)
 
-    def ended(self, now: int, counts: Counts, note: t.Ended, uncrowded: float) -> None:
-        if note.how is t.How.HANDLED:
+    def ended(self, now: int, counts: Counts, event: t.AttemptEnded, uncrowded: float) -> None:
+        if event.outcome is t.Outcome.HANDLED:
             counts.tried.add(now)
             counts.handled.add(now)
-            counts.paces.add(now, min(8.0, note.took / uncrowded) if uncrowded > 0 else 1.0)
-        elif note.how in FAILED:
+            counts.paces.add(now, min(8.0, event.duration / uncrowded) if uncrowded > 0 else 1.0)
+        elif event.outcome in FAILED:
             counts.tried.add(now)
             counts.failed.add(now)
-        elif note.how is t.How.REFUSED:
+        elif event.outcome is t.Outcome.REFUSED:
             counts.tried.add(now)
             counts.refused.add(now)
 
-    def after(self, now: int, orders: list[t.Order], sidecar: Sidecar) -> None:
+    def after(self, now: int, commands: list[t.Command], sidecar: Sidecar) -> None:
         """The module's answer."""
-        for order in orders:
-            if isinstance(order, t.Launch):
-                seat, s = sidecar.desk.seats.get(order.endpoint), sidecar.desk.open.get(order.submission)
+        for command in commands:
+            if isinstance(command, t.StartAttempt):
+                seat, s = sidecar.desk.seats.get(command.endpoint), sidecar.desk.open.get(command.request)
                 if seat is None or s is None:
                     continue
                 counts = self.crossed.get(s.workload.name)
@@ -97,8 +97,8 @@
                     counts[0] += seat.says.entry.zone != self.home
                     counts[1] += 1
                 if seat.says.cold_since is not None and len(self.cold) < MOST_COLD:
-                    self.cold.setdefault(order.endpoint, Ring(BUCKETS, WIDTH)).add(now)
-            elif isinstance(order, t.Deny):
+                    self.cold.setdefault(command.endpoint, Ring(BUCKETS, WIDTH)).add(now)
+            elif isinstance(command, t.RejectRequest):
                 self.denied.add(now)
 
     # What it tells.
@@ -141,7 +141,7 @@
         """Endpoints that the list names as ready, by zone."""
         found: dict[str, int] = {}
         for entry in sidecar.roster.listed.values():
-            if entry.state is t.State.READY:
+            if entry.state is t.EndpointStatus.READY:
                 found[entry.zone] = found.get(entry.zone, 0) + 1
         return found
 
--- a/tests/bed.py
+++ b/tests/bed.py
@@ -18,11 +18,15 @@
 from lupinmill.protocol.http import LARGEST_BODY, Answer, ClientSide, Garbled, ServerSide
 from lupinmill.rules import SECOND, Sidecar
 
-NEVER = {t.How.REFUSED, t.How.UNCONNECTED, t.How.UNSENT}
-IDEM = t.Workload("view", SECOND, 2 * SECOND, 1.0, 0.2, t.Repeat.IDEMPOTENT)
-KEYED = t.Workload("bid", SECOND, 3 * SECOND, 4.0, 0.2, t.Repeat.DEDUPLICATED, t.Group.CELL, 2 * SECOND)
-KEYED_ALL = t.Workload("save", SECOND, 3 * SECOND, 3.0, 0.0, t.Repeat.DEDUPLICATED, t.Group.ALL, SECOND)
-ONCE = t.Workload("issue", SECOND, 3 * SECOND, 2.0, 0.0, t.Repeat.UNREPEATABLE)
+NEVER = {t.Outcome.REFUSED, t.Outcome.UNCONNECTED, t.Outcome.UNSENT}
+IDEM = t.Workload("view", SECOND, 2 * SECOND, 1.0, 0.2, t.RepeatPolicy.IDEMPOTENT)
+KEYED = t.Workload(
+    "bid", SECOND, 3 * SECOND, 4.0, 0.2, t.RepeatPolicy.DEDUPLICATED, t.DeduplicationScope.CELL, 2 * SECOND
+)
+KEYED_ALL = t.Workload(
+    "save", SECOND, 3 * SECOND, 3.0, 0.0, t.RepeatPolicy.DEDUPLICATED, t.DeduplicationScope.ALL, SECOND
+)
+ONCE = t.Workload("issue", SECOND, 3 * SECOND, 2.0, 0.0, t.RepeatPolicy.UNREPEATABLE)
 
 
 def deployment(**changes) -> t.Deployment:
@@ -33,16 +37,16 @@
         cold_share=0.3,
         cold_time=5 * SECOND,
         round=5000,
-        most_launches=4,
-        copies_allowed=True,
+        max_attempts=4,
+        hedging_allowed=True,
         cancel_allowed=True,
         probes_allowed=True,
     )
     return t.Deployment(**(usual | changes))
 
 
-def listing(number: int, state: t.State = t.State.READY, started: int = 0) -> t.Listing:
-    return t.Listing(f"e{number}", state, "z", "k", str(number % 2), started)
+def listing(number: int, state: t.EndpointStatus = t.EndpointStatus.READY, started: int = 0) -> t.ListEntry:
+    return t.ListEntry(f"e{number}", state, "z", "k", str(number % 2), started)
 
 
 class Bed:
@@ -52,118 +56,124 @@
         self.d, self.now, self.serial = d, 100 * SECOND, 0
         self.sidecar = Sidecar(d)
         self.workloads = {w.name: w for w in d.workloads}
-        self.owed: dict[str, t.Arrived] = {}
+        self.owed: dict[str, t.RequestArrived] = {}
         self.flights: dict[str, list[dict]] = {}  # of submissions, also after their end
-        self.answers: dict[str, t.Order] = {}
+        self.answers: dict[str, t.Command] = {}
         self.closed: dict[str, str] = {}
         self.coming: set[str] = set()  # submissions whose last byte has not come
-        self.state: dict[str, t.State] = {}
+        self.state: dict[str, t.EndpointStatus] = {}
         self.cells: dict[str, str] = {}
         self.wakes: list[int] = []
         self.logs: list[str] = []
         self.probes: list[str] = []
         self.watches: list[int] = []
-        self.step(t.Listed(t.ListKind.CACHED, [listing(i) for i in range(endpoints)]))
+        self.step(t.ListReceived(t.ListKind.CACHED, [listing(i) for i in range(endpoints)]))
 
-    def step(self, *notes: t.Note, after: int = 0) -> list[t.Order]:
+    def step(self, *events: t.Event, after: int = 0) -> list[t.Command]:
         self.now += after
-        for note in notes:
-            self.book(note)
-        orders = self.sidecar.step(self.now, list(notes))
-        for order in orders:
-            self.check(order)
+        for event in events:
+            self.book(event)
+        commands = self.sidecar.step(self.now, list(events))
+        for command in commands:
+            self.check(command)
         for name, arrived in self.owed.items():
             assert self.now <= arrived.due + 20_000, f"{name} was not answered before its hard limit"
-        return orders
+        return commands
 
-    def run(self, span: int, stride: int = 5000) -> list[t.Order]:
-        orders = []
+    def run(self, span: int, stride: int = 5000) -> list[t.Command]:
+        commands = []
         for _ in range(span // stride):
-            due = [t.Woke(1) for at in self.wakes if at <= self.now + stride]
+            due = [t.TimerFired(1) for at in self.wakes if at <= self.now + stride]
             self.wakes = [at for at in self.wakes if at > self.now + stride]
             if due:
-                orders += self.step(*due, after=stride)
+                commands += self.step(*due, after=stride)
             else:
                 self.now += stride
-        return orders
+        return commands
 
     def arrive(self, workload: t.Workload, span: int | None = None, tenant: str = "") -> str:
         self.serial += 1
         name = f"s{self.serial}"
-        self.step(t.Arrived(name, workload.name, self.now + (span or workload.hard_limit), tenant))
+        self.step(t.RequestArrived(name, workload.name, self.now + (span or workload.hard_limit), tenant))
         return name
 
-    def end(self, name: str, launch: int, how: t.How, load: t.Load | None = None, **more) -> list[t.Order]:
+    def end(
+        self, name: str, launch: int, how: t.Outcome, load: t.LoadReport | None = None, **more
+    ) -> list[t.Command]:
         flight = self.flights[name][launch]
-        handled = how is t.How.HANDLED
+        handled = how is t.Outcome.HANDLED
         took = self.now - flight["sent"]
         closed = handled or name not in self.owed
-        return self.step(t.Ended(name, launch, how, took, closed, load), **more)
+        return self.step(t.AttemptEnded(name, launch, how, took, closed, load), **more)
 
     def out(self, name: str) -> list[int]:
         return [i for i, f in enumerate(self.flights.get(name, [])) if f["how"] is None]
 
-    def book(self, note: t.Note) -> None:
-        if isinstance(note, t.Arrived):
-            self.owed[note.submission] = note
-            self.flights[note.submission] = []
-            if not note.whole:
-                self.coming.add(note.submission)
-        elif isinstance(note, t.Whole):
-            if note.submission in self.owed:
-                self.owed[note.submission].due = note.due
-            self.coming.discard(note.submission)
-        elif isinstance(note, t.Ended):
-            self.flights[note.submission][note.launch]["how"] = note.how
-            if note.how is t.How.HANDLED and self.owed.pop(note.submission, None):
-                self.closed[note.submission] = "handled"
-        elif isinstance(note, t.Withdrawn):
-            if self.owed.pop(note.submission, None):
-                self.closed[note.submission] = "withdrawn"
-        elif isinstance(note, t.Listed):
-            for entry in note.entries:
+    def book(self, event: t.Event) -> None:
+        if isinstance(event, t.RequestArrived):
+            self.owed[event.request] = event
+            self.flights[event.request] = []
+            if not event.whole:
+                self.coming.add(event.request)
+        elif isinstance(event, t.RequestBodyReceived):
+            if event.request in self.owed:
+                self.owed[event.request].due = event.due
+            self.coming.discard(event.request)
+        elif isinstance(event, t.AttemptEnded):
+            self.flights[event.request][event.attempt]["how"] = event.outcome
+            if event.outcome is t.Outcome.HANDLED and self.owed.pop(event.request, None):
+                self.closed[event.request] = "handled"
+        elif isinstance(event, t.RequestCancelled):
+            if self.owed.pop(event.request, None):
+                self.closed[event.request] = "withdrawn"
+        elif isinstance(event, t.ListReceived):
+            for entry in event.entries:
                 self.state[entry.endpoint], self.cells[entry.endpoint] = entry.state, entry.cell
 
-    def check(self, order: t.Order) -> None:
-        if isinstance(order, t.Launch):
-            self.check_launch(order)
-        elif isinstance(order, (t.Deny, t.BreakOff)):
-            name = order.submission
+    def check(self, command: t.Command) -> None:
+        if isinstance(command, t.StartAttempt):
+            self.check_launch(command)
+        elif isinstance(command, (t.RejectRequest, t.AbortResponse)):
+            name = command.request
             assert name in self.owed, f"{name} was answered twice or never taken"
             w = self.workloads[self.owed.pop(name).workload]
-            self.closed[name] = "denied" if isinstance(order, t.Deny) else "broken off"
-            if isinstance(order, t.Deny) and not (w.repeat is t.Repeat.IDEMPOTENT or w.group is t.Group.ALL):
+            self.closed[name] = "denied" if isinstance(command, t.RejectRequest) else "broken off"
+            if isinstance(command, t.RejectRequest) and not (
+                w.repeat is t.RepeatPolicy.IDEMPOTENT or w.group is t.DeduplicationScope.ALL
+            ):
                 assert not self.maybe(name), f"{name} may have run and was denied"
-        elif isinstance(order, t.WakeMe):
-            assert order.at > self.now
-            self.wakes.append(order.at)
-        elif isinstance(order, t.Log):
-            self.logs.append(order.text)
-        elif isinstance(order, t.Probe):
-            self.probes.append(order.endpoint)
-        elif isinstance(order, t.Watch):
+        elif isinstance(command, t.SetTimer):
+            assert command.at > self.now
+            self.wakes.append(command.at)
+        elif isinstance(command, t.WriteLog):
+            self.logs.append(command.text)
+        elif isinstance(command, t.StartProbe):
+            self.probes.append(command.endpoint)
+        elif isinstance(command, t.StartWatch):
             self.watches.append(self.now)
-        elif isinstance(order, t.CallOff):
-            assert order.launch < len(self.flights[order.submission])
+        elif isinstance(command, t.CancelAttempt):
+            assert command.attempt < len(self.flights[command.request])
 
     def maybe(self, name: str) -> list[dict]:
         return [f for f in self.flights[name] if f["how"] not in NEVER]
 
-    def check_launch(self, order: t.Launch) -> None:
-        name = order.submission
+    def check_launch(self, command: t.StartAttempt) -> None:
+        name = command.request
         assert name in self.owed, f"{name} was launched after its end"
-        assert self.state[order.endpoint] is t.State.READY, f"{order.endpoint} is not to be sent anything"
+        assert (
+            self.state[command.endpoint] is t.EndpointStatus.READY
+        ), f"{command.endpoint} is not to be sent anything"
         w, earlier = self.workloads[self.owed[name].workload], self.maybe(name)
-        if earlier and w.repeat is t.Repeat.UNREPEATABLE:
+        if earlier and w.repeat is t.RepeatPolicy.UNREPEATABLE:
             raise AssertionError(f"{name} may run twice")
-        if earlier and w.repeat is t.Repeat.DEDUPLICATED:
+        if earlier and w.repeat is t.RepeatPolicy.DEDUPLICATED:
             assert self.now < earlier[0]["sent"] + w.window, f"{name} was sent again after its window"
-            if w.group is t.Group.CELL:
-                assert self.cells[order.endpoint] == self.cells[earlier[0]["endpoint"]], "outside its group"
-        if not self.d.copies_allowed:
+            if w.group is t.DeduplicationScope.CELL:
+                assert self.cells[command.endpoint] == self.cells[earlier[0]["endpoint"]], "outside its group"
+        if not self.d.hedging_allowed:
             assert not self.out(name), f"{name} has two launches out"
-        assert len(self.flights[name]) < self.d.most_launches
-        self.flights[name].append({"endpoint": order.endpoint, "sent": self.now, "how": None})
+        assert len(self.flights[name]) < self.d.max_attempts
+        self.flights[name].append({"endpoint": command.endpoint, "sent": self.now, "how": None})
 
 
 # --- the network: loopback stand-ins for endpoints and discovery around a whole program -----------------
@@ -310,7 +320,7 @@
         self.stands, self.discovery = [Stand(act) for act in acts], DiscoveryStand()
         self.sockets, self.known, self.more = sockets, known, more
         self.operator = self.more.pop("operator", False)
-        self.notes, self.logs = [], []
+        self.events, self.logs = [], []
 
     async def start(self, group) -> None:
         for stand in (*self.stands, self.discovery):
@@ -345,11 +355,11 @@
         told = understand(self.table, {})
         self.program = Program(told, lambda event, **f: self.logs.append((event, f)), lambda: told)
         tell = self.program.engine.tell
-        self.program.engine.tell = lambda note: (self.notes.append(note), tell(note))
+        self.program.engine.tell = lambda event: (self.events.append(event), tell(event))
         self.address = await group.start(self.program.run)
 
-    def ended(self) -> list[t.How]:
-        return [note.how for note in self.notes if isinstance(note, t.Ended)]
+    def ended(self) -> list[t.Outcome]:
+        return [event.outcome for event in self.events if isinstance(event, t.AttemptEnded)]
 
     async def ask(self, data: bytes, gone_after: float | None = None) -> Answer | None:
         """One exchange on a connection of its own; None where it ended without a whole answer."""
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -164,29 +164,29 @@
         assert (await net.ask(wanted("s1", "issue", "0.3"))).status == 503
 
     net = on_network(check, fine, operator=True)
-    assert net.ended() == [t.How.UNSENT] and not seen(net, "s1")
+    assert net.ended() == [t.Outcome.UNSENT] and not seen(net, "s1")
 
 
 def test_the_module_sends_nothing_to_what_is_out_and_counts_it_as_cold_afterwards():
     bed = Bed(deployment(cold_share=0.1), 2)
-    bed.state["e0"] = t.State.DRAINING  # what the bed's rules go by
-    bed.step(t.ByHand("e0", True))
-    bed.step(t.ByHand("e0", True))
+    bed.state["e0"] = t.EndpointStatus.DRAINING  # what the bed's rules go by
+    bed.step(t.OperatorOverride("e0", True))
+    bed.step(t.OperatorOverride("e0", True))
     for _ in range(30):
         bed.arrive(bed.workloads["view"])
         for name in list(bed.owed):
             for launch in bed.out(name):
-                bed.end(name, launch, t.How.HANDLED, after=2_000)
-    bed.sidecar.step(bed.now, [t.Listed(t.ListKind.FULL, [listing(0), listing(1)])])
+                bed.end(name, launch, t.Outcome.HANDLED, after=2_000)
+    bed.sidecar.step(bed.now, [t.ListReceived(t.ListKind.FULL, [listing(0), listing(1)])])
     for _ in range(10):
         name = bed.arrive(bed.workloads["view"])
-        bed.end(name, 0, t.How.HANDLED, after=2_000)
-    bed.state["e0"] = t.State.READY
-    bed.step(t.ByHand("e0", False))
+        bed.end(name, 0, t.Outcome.HANDLED, after=2_000)
+    bed.state["e0"] = t.EndpointStatus.READY
+    bed.step(t.OperatorOverride("e0", False))
     assert bed.sidecar.desk.seats["e0"].says.cold_since == bed.now
     for _ in range(300):
         name = bed.arrive(bed.workloads["view"])
-        bed.end(name, 0, t.How.HANDLED, after=5_000)
+        bed.end(name, 0, t.Outcome.HANDLED, after=5_000)
     sent = [f["endpoint"] for flights in bed.flights.values() for f in flights]
     assert "e0" not in sent[:40] and 0 < sent[-300:].count("e0") < 150
 
@@ -196,14 +196,14 @@
     for _ in range(2):
         name = bed.arrive(bed.workloads["view"])
         at = bed.flights[name][0]["endpoint"]
-        bed.end(name, 0, t.How.UNCONNECTED)
-    bed.step(t.ByHand(at, True))
-    bed.state[at] = t.State.DRAINING
+        bed.end(name, 0, t.Outcome.UNCONNECTED)
+    bed.step(t.OperatorOverride(at, True))
+    bed.state[at] = t.EndpointStatus.DRAINING
     bed.probes.clear()
     bed.run(4 * SECOND)
     assert at not in bed.probes
-    bed.step(t.ByHand(at, False))
-    bed.state[at] = t.State.READY
+    bed.step(t.OperatorOverride(at, False))
+    bed.state[at] = t.EndpointStatus.READY
     bed.run(SECOND // 2)
     # As what the list says has started: probes of all sidecars would be the whole of its budget.
     assert at not in bed.probes and f"{at} on trial" in bed.logs
@@ -211,7 +211,7 @@
         name = bed.arrive(bed.workloads["view"])
         bed.run(20_000)
         for number in bed.out(name):
-            bed.end(name, number, t.How.HANDLED)
+            bed.end(name, number, t.Outcome.HANDLED)
     assert f"{at} ready again: 3 answers, pace" in " ".join(bed.logs)
 
 
--- a/tests/test_beside.py
+++ b/tests/test_beside.py
@@ -14,17 +14,17 @@
 
 
 def beside(**changes) -> t.Deployment:
-    alone = dict(beside=True, uneven=True, instances=250, zone="z")
-    usual = alone | dict(copies_allowed=False, probes_allowed=False)
+    alone = dict(sidecar_per_client=True, uneven=True, instances=250, zone="z")
+    usual = alone | dict(hedging_allowed=False, probes_allowed=False)
     return deployment(**(usual | changes))
 
 
-def fleet(bed: Bed, *entries: t.Listing) -> None:
-    bed.step(t.Listed(t.ListKind.FULL, list(entries)))
+def fleet(bed: Bed, *entries: t.ListEntry) -> None:
+    bed.step(t.ListReceived(t.ListKind.FULL, list(entries)))
 
 
-def entry(name: str, zone: str = "z", kind: str = "k", weight: float = 1.0, started: int = 0) -> t.Listing:
-    return t.Listing(name, t.State.READY, zone, kind, "0", started, weight)
+def entry(name: str, zone: str = "z", kind: str = "k", weight: float = 1.0, started: int = 0) -> t.ListEntry:
+    return t.ListEntry(name, t.EndpointStatus.READY, zone, kind, "0", started, weight)
 
 
 def serve(
@@ -36,14 +36,14 @@
         if at < count:
             bed.serial += 1
             name = f"s{bed.serial}"
-            bed.step(t.Arrived(name, IDEM.name, bed.now + IDEM.hard_limit, tenant(at), key=key(at)))
+            bed.step(t.RequestArrived(name, IDEM.name, bed.now + IDEM.hard_limit, tenant(at), key=key(at)))
             out.append(name)
         bed.run(apart)
         for name in list(out):
             for launch in bed.out(name):
                 flight = bed.flights[name][launch]
                 if bed.now - flight["sent"] >= took(flight["endpoint"]):
-                    bed.end(name, launch, t.How.HANDLED)
+                    bed.end(name, launch, t.Outcome.HANDLED)
             if name not in bed.owed:
                 out.remove(name)
                 picks += [flight["endpoint"] for flight in bed.flights[name]]
@@ -71,7 +71,7 @@
         name = bed.arrive(IDEM)
         for launch in bed.out(name):
             if bed.flights[name][launch]["endpoint"] in used:
-                bed.end(name, launch, t.How.UNCONNECTED)
+                bed.end(name, launch, t.Outcome.UNCONNECTED)
     assert set(serve(bed, 20, 200 * MS)) - used
 
 
@@ -127,7 +127,7 @@
     serve(bed, 50, 50 * MS)
     name = bed.arrive(IDEM)
     gone = bed.flights[name][0]["endpoint"]
-    bed.end(name, 0, t.How.UNCONNECTED)
+    bed.end(name, 0, t.Outcome.UNCONNECTED)
     assert gone not in serve(bed, 40, 50 * MS)
 
 
@@ -154,7 +154,7 @@
     bed = Bed(beside(cold_share=0.2, cold_time=20 * SECOND), endpoints=4)
     serve(bed, 200, 20 * MS)
     new = [entry(f"new{at}", started=bed.now) for at in range(4)]
-    bed.step(t.Listed(t.ListKind.CHANGES, new))
+    bed.step(t.ListReceived(t.ListKind.CHANGES, new))
     picks = serve(bed, 300, 20 * MS, lambda name: (200 if name.startswith("new") else 50) * MS)
     assert bed.sidecar.desk.crowding < 1.6
     assert 10 < sum(name.startswith("new") for name in picks) < 150
@@ -166,19 +166,19 @@
     bed = Bed(beside(few_connections=few, advice_allowed=True, longest_advice=SECOND), endpoints=2)
     came, waits = {}, []
     for _ in range(600):
-        orders = []
+        commands = []
         step = bed.step
-        bed.step = lambda *notes, _orders=orders, _step=step, **more: (
-            _orders.extend(found := _step(*notes, **more)) or found
+        bed.step = lambda *events, _orders=commands, _step=step, **more: (
+            _orders.extend(found := _step(*events, **more)) or found
         )
         came[bed.arrive(IDEM)] = bed.now
         bed.run(5 * MS)
         del bed.step
-        for order in orders:
-            if isinstance(order, t.Deny):
-                assert order.come_back >= SECOND // 2
-            if isinstance(order, t.Deny) and not bed.flights[order.submission]:
-                waits.append(bed.now - came[order.submission])
+        for command in commands:
+            if isinstance(command, t.RejectRequest):
+                assert command.retry_after >= SECOND // 2
+            if isinstance(command, t.RejectRequest) and not bed.flights[command.request]:
+                waits.append(bed.now - came[command.request])
     assert len(waits) > 300 and max(waits) < IDEM.contract
 
 
--- a/tests/test_clients_answers.py
+++ b/tests/test_clients_answers.py
@@ -123,10 +123,10 @@
     async def check(net: Net):
         tell = net.program.engine.tell
 
-        def broken(note):
-            if isinstance(note, t.Arrived) and note.submission == "s1":
+        def broken(event):
+            if isinstance(event, t.RequestArrived) and event.request == "s1":
                 raise RuntimeError("a defect")
-            tell(note)
+            tell(event)
 
         net.program.engine.tell = broken
         assert (await net.ask(wanted("s1"))).status == 502
@@ -162,7 +162,7 @@
     monkeypatch.setattr(take_in, "WHOLE", 0.1)
 
     async def check(net: Net):
-        net.program.engine.sidecar.desk.handlers[t.Arrived] = defective
+        net.program.engine.sidecar.desk.handlers[t.RequestArrived] = defective
         net.program.shelf.limit = 0
         async with await connect(net) as stream:
             await stream.send(wanted("s1", deadline="0.3", body=b"x" * 200_000)[:-1000])
--- a/tests/test_clients_door.py
+++ b/tests/test_clients_door.py
@@ -98,7 +98,7 @@
         assert gate.held == 0 and gate.inside == 0
 
     net = on_network(check, fine)
-    assert not [note for note in net.notes if isinstance(note, t.Arrived)]
+    assert not [event for event in net.events if isinstance(event, t.RequestArrived)]
 
 
 def test_a_denial_that_was_written_in_part_is_followed_by_nothing(monkeypatch):
@@ -122,7 +122,7 @@
             assert got.strip(b"x") == b""
 
     net = on_network(check, fine)
-    assert not seen(net, "s1") and not [note for note in net.notes if isinstance(note, t.Arrived)]
+    assert not seen(net, "s1") and not [event for event in net.events if isinstance(event, t.RequestArrived)]
 
 
 def test_a_request_that_is_held_when_the_program_ends_gets_an_answer():
--- a/tests/test_clients_end.py
+++ b/tests/test_clients_end.py
@@ -64,7 +64,7 @@
         await all_quiet(net)
 
     net = on_network(check, fine, net_of=Unlisted)
-    assert net.ended() == [t.How.UNSENT] and not seen(net, "s1")
+    assert net.ended() == [t.Outcome.UNSENT] and not seen(net, "s1")
 
 
 @pytest.mark.parametrize("end", ["close", "half-close", "reset"])
@@ -183,7 +183,7 @@
         await until(lambda: client.closed)
 
     net = on_network(check, fine)
-    assert not [note for note in net.notes if isinstance(note, t.Arrived)]
+    assert not [event for event in net.events if isinstance(event, t.RequestArrived)]
     assert not seen(net, "s2") and not seen(net, "s3")
 
 
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -24,7 +24,9 @@
     SECOND,
 )  # cold share and time, overload factor, fall time
 POOL = dict(cold_share=SHARE, cold_time=TIME)
-BESIDE = POOL | dict(beside=True, uneven=True, copies_allowed=False, probes_allowed=False, zone="z")
+BESIDE = POOL | dict(
+    sidecar_per_client=True, uneven=True, hedging_allowed=False, probes_allowed=False, zone="z"
+)
 FEW = BESIDE | dict(few_connections=True)
 
 
@@ -87,13 +89,13 @@
             self.now, _, do, args = heapq.heappop(self.events)
             do(*args)
 
-    def tell(self, kind: t.ListKind, *names: str, state: t.State = t.State.READY) -> None:
+    def tell(self, kind: t.ListKind, *names: str, state: t.EndpointStatus = t.EndpointStatus.READY) -> None:
         for one in range(len(self.sidecars)):
-            self.step(one, t.Listed(kind, [self.row(name, state) for name in names]))
+            self.step(one, t.ListReceived(kind, [self.row(name, state) for name in names]))
 
-    def row(self, name: str, state: t.State) -> t.Listing:
+    def row(self, name: str, state: t.EndpointStatus) -> t.ListEntry:
         server = self.servers[name]
-        return t.Listing(name, state, "z", "k", "0", server.born or 0, server.cores / self.cores)
+        return t.ListEntry(name, state, "z", "k", "0", server.born or 0, server.cores / self.cores)
 
     def arrive(self) -> None:
         (one,) = self.rng.choices(range(len(self.sidecars)), self.weights)
@@ -104,46 +106,46 @@
     def ask(self, one: int) -> None:
         self.serial += 1
         self.asked.append(self.now)
-        self.step(one, t.Arrived(f"s{self.serial}", IDEM.name, self.now + IDEM.hard_limit))
+        self.step(one, t.RequestArrived(f"s{self.serial}", IDEM.name, self.now + IDEM.hard_limit))
 
-    def step(self, one: int, *notes: t.Note) -> None:
-        for order in self.sidecars[one].step(self.now, list(notes)):
-            if isinstance(order, t.Launch):
-                self.launch(one, order)
-            elif isinstance(order, t.Deny):
+    def step(self, one: int, *events: t.Event) -> None:
+        for command in self.sidecars[one].step(self.now, list(events)):
+            if isinstance(command, t.StartAttempt):
+                self.launch(one, command)
+            elif isinstance(command, t.RejectRequest):
                 self.denied.append(self.now)
-            elif isinstance(order, t.WakeMe):
-                self.at(order.at, self.step, one, t.Woke(1))
-            elif isinstance(order, t.Probe):
-                how = t.How.UNCONNECTED if self.servers[order.endpoint].away else t.How.HANDLED
-                self.probes[order.endpoint] = self.probes.get(order.endpoint, 0) + 1
+            elif isinstance(command, t.SetTimer):
+                self.at(command.at, self.step, one, t.TimerFired(1))
+            elif isinstance(command, t.StartProbe):
+                how = t.Outcome.UNCONNECTED if self.servers[command.endpoint].away else t.Outcome.HANDLED
+                self.probes[command.endpoint] = self.probes.get(command.endpoint, 0) + 1
                 if self.count_probes:
-                    self.servers[order.endpoint].came.append(self.now)
+                    self.servers[command.endpoint].came.append(self.now)
                 self.at(
                     self.now + MS,
                     self.step,
                     one,
-                    t.Probed(
-                        order.endpoint,
+                    t.ProbeEnded(
+                        command.endpoint,
                         how,
                         MS,
-                        self.load(order.endpoint) if self.told[0].reports_asked else None,
+                        self.load(command.endpoint) if self.told[0].reports_asked else None,
                     ),
                 )
-            elif isinstance(order, t.CallOff):
-                self.at(self.now, self.end, (one, order.submission, order.launch), t.How.CALLED_OFF)
+            elif isinstance(command, t.CancelAttempt):
+                self.at(self.now, self.end, (one, command.request, command.attempt), t.Outcome.CALLED_OFF)
 
-    def load(self, name: str) -> t.Load:
+    def load(self, name: str) -> t.LoadReport:
         server = self.servers[name]
-        return t.Load(queued=len(server.queue) + server.busy, busy=server.busy / server.cores)
+        return t.LoadReport(queued=len(server.queue) + server.busy, busy=server.busy / server.cores)
 
-    def launch(self, one: int, order: t.Launch) -> None:
-        number = self.launches[one, order.submission] = self.launches.get((one, order.submission), -1) + 1
-        key, server = (one, order.submission, number), self.servers[order.endpoint]
+    def launch(self, one: int, command: t.StartAttempt) -> None:
+        number = self.launches[one, command.request] = self.launches.get((one, command.request), -1) + 1
+        key, server = (one, command.request, number), self.servers[command.endpoint]
         self.out[key] = server, self.now
         server.came.append(self.now)
         if server.away or len(server.queue) >= 8 * server.cores:
-            how = t.How.UNCONNECTED if server.away else t.How.REFUSED
+            how = t.Outcome.UNCONNECTED if server.away else t.Outcome.REFUSED
             self.at(self.now + MS, self.end, key, how)
         else:
             server.queue.append(key)
@@ -162,21 +164,23 @@
             server.busy -= 1
             if key in self.out:
                 self.handled.append(self.now)
-            self.end(key, t.How.HANDLED)
+            self.end(key, t.Outcome.HANDLED)
             self.work(server)
 
-    def end(self, key: tuple, how: t.How) -> None:
+    def end(self, key: tuple, how: t.Outcome) -> None:
         if key in self.out:
             server, sent = self.out.pop(key)
             server.queue = [one for one in server.queue if one != key]
-            self.step(key[0], t.Ended(key[1], key[2], how, max(1, self.now - sent), how is t.How.HANDLED))
+            self.step(
+                key[0], t.AttemptEnded(key[1], key[2], how, max(1, self.now - sent), how is t.Outcome.HANDLED)
+            )
 
     def die(self, *names: str) -> None:
         for name in names:
             server = self.servers[name]
             server.away, server.life, server.busy, server.queue = True, server.life + 1, 0, []
             for key in [key for key, (there, _) in self.out.items() if there is server]:
-                self.end(key, t.How.RESET)
+                self.end(key, t.Outcome.RESET)
 
     def start(self, *names: str) -> None:
         """Cold, and every sidecar is told at once."""
@@ -234,7 +238,7 @@
     fleet.at(fleet.begin + FAULT - SECOND // 2, fleet.die, *gone)
     fleet.at(
         fleet.begin + FAULT - SECOND // 2 + 1,
-        lambda: fleet.tell(t.ListKind.CHANGES, *gone, state=t.State.GONE),
+        lambda: fleet.tell(t.ListKind.CHANGES, *gone, state=t.EndpointStatus.GONE),
     )
     joins(fleet)
 
--- a/tests/test_common.py
+++ b/tests/test_common.py
@@ -17,9 +17,11 @@
 def bed_of(per_zone: int = 2, workloads=(IDEM, KEYED), **changes) -> Bed:
     bed = Bed(deployment(workloads=list(workloads), **changes), 0)
     entries = [
-        t.Listing(f"{zone}{n}", t.State.READY, zone, "k", zone) for zone in ZONES for n in range(per_zone)
+        t.ListEntry(f"{zone}{n}", t.EndpointStatus.READY, zone, "k", zone)
+        for zone in ZONES
+        for n in range(per_zone)
     ]
-    bed.step(t.Listed(t.ListKind.FULL, entries))
+    bed.step(t.ListReceived(t.ListKind.FULL, entries))
     return bed
 
 
@@ -28,7 +30,7 @@
 
 
 def agree(bed: Bed, until: int = 10 * SECOND, **common) -> None:
-    bed.step(t.Common(until=bed.now + until, **common))
+    bed.step(t.FleetState(until=bed.now + until, **common))
 
 
 def zones_of(bed: Bed, names: list[str]) -> list[str]:
@@ -41,7 +43,7 @@
         names.append(bed.arrive(workload))
         bed.now += 10 * MS
         for launch in bed.out(names[-1]):
-            bed.end(names[-1], launch, t.How.HANDLED)
+            bed.end(names[-1], launch, t.Outcome.HANDLED)
     return names
 
 
@@ -74,8 +76,8 @@
 
 
 def drain(bed: Bed, zone: str) -> None:
-    entries = [t.Listing(f"{zone}{n}", t.State.DRAINING, zone, "k", zone) for n in range(2)]
-    bed.step(t.Listed(t.ListKind.CHANGES, entries))
+    entries = [t.ListEntry(f"{zone}{n}", t.EndpointStatus.DRAINING, zone, "k", zone) for n in range(2)]
+    bed.step(t.ListReceived(t.ListKind.CHANGES, entries))
 
 
 def test_a_zone_with_nothing_open_is_left_by_its_way_out_and_the_rest_is_denied_at_once():
@@ -95,7 +97,7 @@
     agree(bed, plan=plan({"a": 1.0}))
     one_by_one(bed, 60)
     name = bed.arrive(IDEM)
-    bed.end(name, 0, t.How.UNCONNECTED)
+    bed.end(name, 0, t.Outcome.UNCONNECTED)
     bed.run(100 * MS)
     assert [flight["endpoint"][0] for flight in bed.flights[name]][0] == "a"
     assert len(bed.flights[name]) == 2 and bed.flights[name][1]["endpoint"][0] in "bc"
@@ -118,15 +120,17 @@
     full = [bed.arrive(IDEM) for _ in range(CAP_START)]
     view, bid = bed.arrive(IDEM), bed.arrive(KEYED)
     bed.now += 20 * MS
-    bed.end(full[0], 0, t.How.HANDLED)
+    bed.end(full[0], 0, t.Outcome.HANDLED)
     assert bed.flights[bid] and not bed.flights[view]
 
 
 @pytest.mark.parametrize("bound", [{"zones": ("c",)}, {"kinds": ("rare",)}])
 def test_placement_goes_before_any_plan(bound):
-    star = t.Workload("star", SECOND, 2 * SECOND, repeat=t.Repeat.IDEMPOTENT, **bound)
+    star = t.Workload("star", SECOND, 2 * SECOND, repeat=t.RepeatPolicy.IDEMPOTENT, **bound)
     bed = bed_of(workloads=(IDEM, star))
-    bed.step(t.Listed(t.ListKind.CHANGES, [t.Listing("c9", t.State.READY, "c", "rare", "c")]))
+    bed.step(
+        t.ListReceived(t.ListKind.CHANGES, [t.ListEntry("c9", t.EndpointStatus.READY, "c", "rare", "c")])
+    )
     agree(bed, plan=plan({"a": 1.0}, {"b": 1.0}, ("view", "star")))
     found = zones_of(bed, one_by_one(bed, 30, star))
     assert set(found) == {"c"}
@@ -138,7 +142,7 @@
     one_by_one(bed, 60)
     name = bed.arrive(KEYED)
     drain(bed, "b")
-    bed.end(name, 0, t.How.RESET)
+    bed.end(name, 0, t.Outcome.RESET)
     bed.run(SECOND)
     assert {flight["endpoint"][0] for flight in bed.flights[name]} == {"a"}
 
@@ -147,7 +151,11 @@
     def sent(brakes: dict) -> int:
         bed = bed_of(per_zone=1, instances=1)
         warm = one_by_one(bed, 100)
-        bed.step(t.Listed(t.ListKind.CHANGES, [t.Listing("a9", t.State.READY, "a", "k", "a", bed.now)]))
+        bed.step(
+            t.ListReceived(
+                t.ListKind.CHANGES, [t.ListEntry("a9", t.EndpointStatus.READY, "a", "k", "a", bed.now)]
+            )
+        )
         agree(bed, brakes=brakes)
         names = one_by_one(bed, 200)
         assert warm
@@ -164,18 +172,18 @@
     sidecar = Sidecar(deployment(instances=4))
     start = sidecar.desk.cap
     assert start == FLEET_START / 4
-    sidecar.step(SECOND, [t.Common(sidecars=2, until=9 * SECOND)])
+    sidecar.step(SECOND, [t.FleetState(sidecars=2, until=9 * SECOND)])
     assert sidecar.desk.cap == 2 * start and sidecar.desk.allow.cap_start == CAP_START
-    sidecar.step(2 * SECOND, [t.Common(sidecars=8, until=9 * SECOND)])
+    sidecar.step(2 * SECOND, [t.FleetState(sidecars=8, until=9 * SECOND)])
     assert sidecar.desk.cap == start / 2
-    sidecar.step(9 * SECOND, [t.Woke(1)])
+    sidecar.step(9 * SECOND, [t.TimerFired(1)])
     assert sidecar.desk.cap == start and sidecar.desk.allow.sharers == 4
 
 
 def test_the_next_process_of_an_upgrade_learns_the_cap_as_among_those_told():
     """Guards against a cap that is scaled by the live count twice."""
     old, new = Sidecar(deployment(instances=4)), Sidecar(deployment(instances=4))
-    old.step(SECOND, [t.Common(sidecars=2, until=9 * SECOND)])
+    old.step(SECOND, [t.FleetState(sidecars=2, until=9 * SECOND)])
     learned.recall(new, learned.learned(old), SECOND)
     assert new.desk.cap == FLEET_START / 4
 
--- a/tests/test_config_overlay.py
+++ b/tests/test_config_overlay.py
@@ -33,7 +33,7 @@
     assert found["limits"] == base["limits"] | {"most-launches": 7, "cancel": False, "retry-after": None}
     assert found["instances"] == 9 and base == settings()
     d = protocol_settings.deployment(protocol_settings.flatten(found))
-    assert (d.most_launches, d.cancel_allowed, d.advice_allowed, d.instances) == (7, False, False, 9)
+    assert (d.max_attempts, d.cancel_allowed, d.advice_allowed, d.instances) == (7, False, False, 9)
 
 
 def test_workloads_change_row_by_row_by_name_or_whole():
--- a/tests/test_config_sidecar.py
+++ b/tests/test_config_sidecar.py
@@ -103,7 +103,7 @@
         self.table["operator"] = "127.0.0.1:0"
         self.program = Program(self.told(), lambda event, **f: self.logs.append((event, f)), self.told)
         tell = self.program.engine.tell
-        self.program.engine.tell = lambda note: (self.notes.append(note), tell(note))
+        self.program.engine.tell = lambda event: (self.events.append(event), tell(event))
         self.address = await group.start(self.program.run)
 
     def version(self) -> int:
@@ -156,7 +156,9 @@
         denied = await net.ask(wanted("s2", "bid"))
         assert denied.status == 503 and denied.header(b"retry-after") == "0.250"
         assert (await net.ask(wanted("s3", "view"))).status == 200
-        assert not any(isinstance(note, t.Arrived) and note.workload == "bid" for note in net.notes)
+        assert not any(
+            isinstance(event, t.RequestArrived) and event.workload == "bid" for event in net.events
+        )
         assert program.pool.time_out == 0.7 and program.pool.fresh == 11.0 * 0.8
         assert program.take_in.advice == 250_000
         assert program.door.workloads == {"view", "issue", "quick"} == program.admit.workloads
@@ -190,8 +192,8 @@
             group.start_soon(ask, "new")
             await until(lambda: "new" in net.program.engine.sidecar.desk.open)
             newer = net.program.engine.sidecar.desk.open["new"]
-            assert open_.workload.repeat is t.Repeat.IDEMPOTENT and open_.workload.contract == 500_000
-            assert newer.workload.repeat is t.Repeat.UNREPEATABLE and newer.workload.contract == 200_000
+            assert open_.workload.repeat is t.RepeatPolicy.IDEMPOTENT and open_.workload.contract == 500_000
+            assert newer.workload.repeat is t.RepeatPolicy.UNREPEATABLE and newer.workload.contract == 200_000
         assert times["old"][0] in (502, 503) and times["new"][0] == 502
 
     network(check, always("silent"))
@@ -201,9 +203,9 @@
     async def check(net):
         net.relay.push({FLEET: {"instances": 3}})
         await net.in_force({FLEET: {"instances": 4, "limits": {"most-launches": 2}}})
-        assert net.program.told.deployment.instances == 4 and net.program.told.deployment.most_launches == 2
-        deployed = [note.deployment for note in net.notes if isinstance(note, t.Deployed)]
-        assert {(d.instances, d.most_launches) for d in deployed} <= {(3, 4), (4, 2)}
+        assert net.program.told.deployment.instances == 4 and net.program.told.deployment.max_attempts == 2
+        deployed = [event.deployment for event in net.events if isinstance(event, t.DeploymentChanged)]
+        assert {(d.instances, d.max_attempts) for d in deployed} <= {(3, 4), (4, 2)}
 
     network(check, fine)
 
@@ -288,7 +290,7 @@
 def test_a_start_goes_by_the_kept_version_before_any_relay_answers(tmp_path):
     async def check(net):
         assert (await net.ask(wanted("s1", "quick"))).status == 200
-        assert net.program.told.deployment.most_launches == 3
+        assert net.program.told.deployment.max_attempts == 3
         shown = await net.shown()
         assert (shown["version"], shown["source"], shown["scopes"]) == (7, "kept file", SCOPES)
         assert (shown["mark"], shown["kept"], shown["heard"]) == ("mark", 7, 7)
@@ -398,7 +400,7 @@
             await group.start(net.relay.run, port)
             await until(lambda: net.version() == 6)
             assert net.program.told.deployment.instances == 5
-            assert net.program.told.deployment.most_launches == 3
+            assert net.program.told.deployment.max_attempts == 3
             group.cancel_scope.cancel()
 
     network(check, fine)
