--- a/tests/test_config_terms.py
+++ b/tests/test_config_terms.py
@@ -26,29 +26,29 @@
         self.newest, self.terms = d, {}
         super().__init__(d, endpoints)
 
-    def book(self, note: t.Note) -> None:
-        if isinstance(note, t.Deployed):
-            self.newest = note.deployment
-        elif isinstance(note, t.Arrived):
-            self.terms[note.submission] = self.newest
-        super().book(note)
-
-    def check(self, order: t.Order) -> None:
-        name = getattr(order, "submission", None)
+    def book(self, event: t.Event) -> None:
+        if isinstance(event, t.DeploymentChanged):
+            self.newest = event.deployment
+        elif isinstance(event, t.RequestArrived):
+            self.terms[event.request] = self.newest
+        super().book(event)
+
+    def check(self, command: t.Command) -> None:
+        name = getattr(command, "request", None)
         if name is not None:
             self.d = self.terms[name]
             self.workloads = {w.name: w for w in self.d.workloads}
-        if isinstance(order, t.CallOff):
+        if isinstance(command, t.CancelAttempt):
             assert self.d.cancel_allowed, f"{name}: called off, which its terms forbid"
-        super().check(order)
+        super().check(command)
 
-    def end(self, name: str, launch: int, how: t.How, load=None, after: int = 0) -> list[t.Order]:
+    def end(self, name: str, launch: int, how: t.Outcome, load=None, after: int = 0) -> list[t.Command]:
         self.now += after  # it took so long
         return super().end(name, launch, how, load)
 
     def deploy(self, **changes) -> t.Deployment:
         d = deployment(**changes)
-        self.step(t.Deployed(d), after=1)
+        self.step(t.DeploymentChanged(d), after=1)
         return d
 
 
@@ -60,10 +60,10 @@
     """Handled ones, so that retries have a budget."""
     for _ in range(count):
         name = bed.arrive(IDEM)
-        bed.end(name, 0, t.How.HANDLED, after=20_000)
+        bed.end(name, 0, t.Outcome.HANDLED, after=20_000)
 
 
-def waits_for_a_retry(bed: Bed, workload: t.Workload, how: t.How) -> str:
+def waits_for_a_retry(bed: Bed, workload: t.Workload, how: t.Outcome) -> str:
     name = bed.arrive(workload)
     bed.end(name, 0, how, after=10_000)
     assert bed.sidecar.desk.open[name].retrying and not bed.out(name)
@@ -73,28 +73,28 @@
 def test_what_waits_for_a_retry_while_its_workload_becomes_unrepeatable_is_launched_by_its_own_terms():
     bed = Live(deployment())
     busy(bed)
-    name = waits_for_a_retry(bed, IDEM, t.How.ERROR)
-    bed.deploy(workloads=[as_(IDEM, repeat=t.Repeat.UNREPEATABLE), KEYED, ONCE])
+    name = waits_for_a_retry(bed, IDEM, t.Outcome.ERROR)
+    bed.deploy(workloads=[as_(IDEM, repeat=t.RepeatPolicy.UNREPEATABLE), KEYED, ONCE])
     bed.run(SECOND)
     assert len(bed.flights[name]) >= 2
     new = bed.arrive(IDEM)
-    bed.end(new, 0, t.How.ERROR, after=10_000)
+    bed.end(new, 0, t.Outcome.ERROR, after=10_000)
     assert bed.closed[new] == "broken off" and len(bed.flights[new]) == 1
 
 
 def test_what_waits_for_a_retry_while_its_workload_becomes_repeatable_never_runs_twice():
     bed = Live(deployment())
     busy(bed)
-    name = waits_for_a_retry(bed, ONCE, t.How.REFUSED)  # it never ran: it may be launched again
-    bed.deploy(workloads=[IDEM, KEYED, as_(ONCE, repeat=t.Repeat.IDEMPOTENT)])
+    name = waits_for_a_retry(bed, ONCE, t.Outcome.REFUSED)  # it never ran: it may be launched again
+    bed.deploy(workloads=[IDEM, KEYED, as_(ONCE, repeat=t.RepeatPolicy.IDEMPOTENT)])
     bed.run(SECOND)
     assert len(bed.flights[name]) == 2
-    bed.end(name, 1, t.How.ERROR, after=10_000)  # now it may have run, and by its own terms that is all
+    bed.end(name, 1, t.Outcome.ERROR, after=10_000)  # now it may have run, and by its own terms that is all
     assert bed.closed[name] == "broken off"
     bed.run(2 * SECOND)
     assert len(bed.flights[name]) == 2
-    new = bed.arrive(as_(ONCE, repeat=t.Repeat.IDEMPOTENT))
-    bed.end(new, 0, t.How.ERROR, after=10_000)
+    new = bed.arrive(as_(ONCE, repeat=t.RepeatPolicy.IDEMPOTENT))
+    bed.end(new, 0, t.Outcome.ERROR, after=10_000)
     bed.run(SECOND)
     assert len(bed.flights[new]) >= 2
 
@@ -102,23 +102,23 @@
 def test_a_window_and_a_group_stay_those_under_which_a_keyed_one_was_taken():
     bed = Live(deployment())
     busy(bed)
-    name = waits_for_a_retry(bed, KEYED, t.How.RESET)
-    bed.deploy(workloads=[IDEM, as_(KEYED, window=1, group=t.Group.ALL), ONCE])
+    name = waits_for_a_retry(bed, KEYED, t.Outcome.RESET)
+    bed.deploy(workloads=[IDEM, as_(KEYED, window=1, group=t.DeduplicationScope.ALL), ONCE])
     bed.run(SECOND)
     assert len(bed.flights[name]) >= 2, "its own window was open"
-    wide = as_(KEYED, window=60 * SECOND, group=t.Group.ALL)
+    wide = as_(KEYED, window=60 * SECOND, group=t.DeduplicationScope.ALL)
     bed.deploy(workloads=[IDEM, wide, ONCE])
     bed.run(3 * SECOND)
     assert name in bed.closed
 
 
 def test_most_launches_and_copies_stay_those_under_which_it_was_taken():
-    bed = Live(deployment(most_launches=2))
+    bed = Live(deployment(max_attempts=2))
     busy(bed)
-    name = waits_for_a_retry(bed, IDEM, t.How.ERROR)
-    bed.deploy(most_launches=9, cancel_allowed=False)
+    name = waits_for_a_retry(bed, IDEM, t.Outcome.ERROR)
+    bed.deploy(max_attempts=9, cancel_allowed=False)
     bed.run(SECOND)
-    bed.end(name, 1, t.How.ERROR, after=10_000)
+    bed.end(name, 1, t.Outcome.ERROR, after=10_000)
     bed.run(SECOND)
     assert len(bed.flights[name]) == 2 and bed.closed[name] == "denied"
     late = bed.arrive(IDEM)  # called off at its end by the terms in force before, not by these
@@ -134,7 +134,7 @@
     assert set(bed.sidecar.desk.allow.workloads) == {"issue"}
     for name in held:
         if name not in bed.closed and bed.out(name):
-            bed.end(name, 0, t.How.HANDLED, after=5_000)
+            bed.end(name, 0, t.Outcome.HANDLED, after=5_000)
     bed.run(3 * SECOND)
     assert all(name in bed.closed for name in held)
     assert sum(bed.closed[name] == "handled" for name in held) >= 8
@@ -158,9 +158,9 @@
     view = next(lane for key, lane in desk.lanes.items() if key[0] == "view")
     assert view is lanes["view", False, False, ""]
     launched = [
-        order.submission
-        for order in bed.end(held[0], 0, t.How.HANDLED, after=5_000)
-        if isinstance(order, t.Launch)
+        command.request
+        for command in bed.end(held[0], 0, t.Outcome.HANDLED, after=5_000)
+        if isinstance(command, t.StartAttempt)
     ]
     assert launched and all(bed.sidecar.desk.open[name].workload.name == "view" for name in launched)
 
@@ -172,7 +172,7 @@
     cap = desk.cap
     bed.deploy(instances=8)
     assert desk.cap == cap / 4 and desk.allow.sharers == 8 and desk.allow.told == 8
-    bed.step(t.Common(sidecars=4, until=bed.now + SECOND), after=1)
+    bed.step(t.FleetState(sidecars=4, until=bed.now + SECOND), after=1)
     assert desk.cap == cap / 2
     bed.deploy(instances=16)  # the live count goes before it while it counts
     assert desk.cap == cap / 2 and desk.allow.sharers == 4 and desk.allow.told == 16
@@ -184,30 +184,32 @@
     """Two sidecars fed alike, one of which is told its own deployment again and again."""
 
     def play(again: bool) -> list:
-        sidecar, rng, now, orders = Sidecar(deployment()), random.Random(5), 100 * SECOND, []
-        orders += sidecar.step(now, [t.Listed(t.ListKind.CACHED, [listing(i) for i in range(3)])])
+        sidecar, rng, now, commands = Sidecar(deployment()), random.Random(5), 100 * SECOND, []
+        commands += sidecar.step(now, [t.ListReceived(t.ListKind.CACHED, [listing(i) for i in range(3)])])
         out = []
         for at in range(1500):
             now += rng.randrange(20_000)
-            told = [t.Deployed(deployment())] if again and at % 7 == 0 else []
-            arrived = t.Arrived(f"s{at}", rng.choice(("view", "bid", "issue")), now + 2 * SECOND)
-            new = sidecar.step(now, [t.Woke(1), *told, arrived])
+            told = [t.DeploymentChanged(deployment())] if again and at % 7 == 0 else []
+            arrived = t.RequestArrived(f"s{at}", rng.choice(("view", "bid", "issue")), now + 2 * SECOND)
+            new = sidecar.step(now, [t.TimerFired(1), *told, arrived])
             if out and rng.random() < 0.8:
                 name, number = out.pop(rng.randrange(len(out)))
-                how = rng.choice((t.How.HANDLED, t.How.HANDLED, t.How.ERROR, t.How.REFUSED))
-                new += sidecar.step(now, [t.Ended(name, number, how, 30_000, how is t.How.HANDLED)])
-            launched = [one.submission for one in orders if isinstance(one, t.Launch)]
-            for order in new:
-                if isinstance(order, t.Launch):
-                    out.append((order.submission, launched.count(order.submission)))
-                    launched.append(order.submission)
-            orders += [one for one in new if not isinstance(one, t.WakeMe)]
-        return [repr(one) for one in orders]
+                how = rng.choice((t.Outcome.HANDLED, t.Outcome.HANDLED, t.Outcome.ERROR, t.Outcome.REFUSED))
+                new += sidecar.step(
+                    now, [t.AttemptEnded(name, number, how, 30_000, how is t.Outcome.HANDLED)]
+                )
+            launched = [one.request for one in commands if isinstance(one, t.StartAttempt)]
+            for command in new:
+                if isinstance(command, t.StartAttempt):
+                    out.append((command.request, launched.count(command.request)))
+                    launched.append(command.request)
+            commands += [one for one in new if not isinstance(one, t.SetTimer)]
+        return [repr(one) for one in commands]
 
     assert play(True) == play(False)
 
 
-REPEATS = st.sampled_from(list(t.Repeat))
+REPEATS = st.sampled_from(list(t.RepeatPolicy))
 WORKLOADS = st.builds(
     t.Workload,
     name=st.just(""),
@@ -216,7 +218,7 @@
     value=st.floats(0, 9),
     overdue_value=st.floats(0, 1),
     repeat=REPEATS,
-    group=st.sampled_from(list(t.Group)),
+    group=st.sampled_from(list(t.DeduplicationScope)),
     window=st.integers(0, 3 * SECOND),
 )
 DEPLOYMENTS = st.builds(
@@ -228,8 +230,8 @@
     st.fixed_dictionaries(
         {
             "instances": st.integers(1, 40),
-            "most_launches": st.integers(1, 5),
-            "copies_allowed": st.booleans(),
+            "max_attempts": st.integers(1, 5),
+            "hedging_allowed": st.booleans(),
             "cancel_allowed": st.booleans(),
             "probes_allowed": st.booleans(),
             "cold_time": st.integers(0, SECOND),
@@ -242,15 +244,15 @@
 )
 HOWS = st.sampled_from(
     [
-        t.How.HANDLED,
-        t.How.HANDLED,
-        t.How.HANDLED,
-        t.How.ERROR,
-        t.How.REFUSED,
-        t.How.RESET,
-        t.How.UNCONNECTED,
-        t.How.SPOILT,
-        t.How.TIMED_OUT,
+        t.Outcome.HANDLED,
+        t.Outcome.HANDLED,
+        t.Outcome.HANDLED,
+        t.Outcome.ERROR,
+        t.Outcome.REFUSED,
+        t.Outcome.RESET,
+        t.Outcome.UNCONNECTED,
+        t.Outcome.SPOILT,
+        t.Outcome.TIMED_OUT,
     ]
 )
 STEPS = st.lists(
@@ -274,10 +276,10 @@
     for _ in range(15):  # a budget for retries
         name = bed.arrive(busy_)
         if bed.out(name):
-            bed.end(name, 0, t.How.HANDLED, after=2_000)
+            bed.end(name, 0, t.Outcome.HANDLED, after=2_000)
     for what, value in steps:
         if what == "deploy":
-            bed.step(t.Deployed(value), after=1)
+            bed.step(t.DeploymentChanged(value), after=1)
         elif what == "arrive":
             bed.arrive(bed.newest.workloads[value % len(bed.newest.workloads)], tenant="xyz"[value % 3])
         elif what == "end":
@@ -288,13 +290,13 @@
         elif what == "run":
             bed.run(value * 5_000)
         else:
-            state = t.State.READY if value[1] else t.State.DRAINING
-            bed.step(t.Listed(t.ListKind.CHANGES, [listing(value[0], state)]), after=1)
+            state = t.EndpointStatus.READY if value[1] else t.EndpointStatus.DRAINING
+            bed.step(t.ListReceived(t.ListKind.CHANGES, [listing(value[0], state)]), after=1)
     bed.run(5 * SECOND)
     assert not bed.owed, "each is answered once, before its own hard limit"
     for name in list(bed.flights):
         for at in bed.out(name):
-            bed.end(name, at, t.How.CALLED_OFF)
+            bed.end(name, at, t.Outcome.CALLED_OFF)
     bed.run(SECOND)
     desk = bed.sidecar.desk
     assert not desk.open and not desk.waiting and not desk.flying
@@ -312,7 +314,7 @@
         workloads = [in_force.replace(row, name=f"w{next(names)}") for _ in range(rng.randrange(1, 6))]
         tenants = [t.Tenant(f"t{next(names)}", 1.0)]
         d = deployment(workloads=workloads, tenants=tenants, instances=rng.randrange(1, 5))
-        bed.step(t.Deployed(d), after=1_000)
+        bed.step(t.DeploymentChanged(d), after=1_000)
         gate.deploy(d)
         admit.deploy({w.name for w in workloads}, 0)
         for w in workloads:
@@ -321,14 +323,14 @@
             if gate.offer(bed.now, offer) is Fate.HELD:
                 gate.forget(offer)
             if bed.out(name):
-                bed.end(name, 0, t.How.HANDLED, after=5_000)
+                bed.end(name, 0, t.Outcome.HANDLED, after=5_000)
         gate.release(bed.now)
         if at % 500 == 499:
             bed.run(5 * SECOND)
             for name in list(bed.flights):
                 for number in bed.out(name):
-                    bed.end(name, number, t.How.CALLED_OFF)
-            bed.step(t.Deployed(d))
+                    bed.end(name, number, t.Outcome.CALLED_OFF)
+            bed.step(t.DeploymentChanged(d))
             gate.deploy(d)
             for book in (bed.flights, bed.terms, bed.closed, bed.answers, bed.logs, bed.wakes, bed.probes):
                 book.clear()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -24,11 +24,13 @@
 
 
 async def arrived(net: Net, name: str) -> None:
-    await until(lambda: any(isinstance(note, t.Arrived) and note.submission == name for note in net.notes))
+    await until(
+        lambda: any(isinstance(event, t.RequestArrived) and event.request == name for event in net.events)
+    )
 
 
 async def withdrawn(net: Net) -> None:
-    await until(lambda: any(isinstance(note, t.Withdrawn) for note in net.notes))
+    await until(lambda: any(isinstance(event, t.RequestCancelled) for event in net.events))
 
 
 # What waits in vain is denied at once: only long contracts let it wait.
@@ -151,7 +153,7 @@
         assert gate.inside == 0 and gate.held == 0
 
     net = on_network(check, fine)
-    assert not any(isinstance(note, t.Arrived) and note.submission == "s1" for note in net.notes)
+    assert not any(isinstance(event, t.RequestArrived) and event.request == "s1" for event in net.events)
     assert not seen(net, "s1")
 
 
@@ -176,7 +178,7 @@
         assert gate.inside == 0
 
     net = on_network(check, fine)
-    assert not any(isinstance(note, t.Arrived) for note in net.notes)
+    assert not any(isinstance(event, t.RequestArrived) for event in net.events)
 
 
 def test_a_launch_in_the_pass_in_which_the_client_left_is_not_written(monkeypatch):
@@ -198,7 +200,7 @@
         await all_quiet(net)
 
     net = on_network(check, fine, net_of=Unlisted)
-    assert net.ended() == [t.How.UNSENT] and not seen(net, "s1")
+    assert net.ended() == [t.Outcome.UNSENT] and not seen(net, "s1")
 
 
 def by_age_or_lag_alone_never(monkeypatch):
@@ -377,7 +379,7 @@
         await all_quiet(net)
 
     net = on_network(check, fine, net_of=Unlisted)
-    assert net.ended() == [t.How.UNSENT] and net.stands[0].open == 0
+    assert net.ended() == [t.Outcome.UNSENT] and net.stands[0].open == 0
 
 
 @pytest.mark.parametrize("held_by", ["a retry delay", "a full endpoint", "a connection that comes up late"])
--- a/tests/test_crossings_endpoints.py
+++ b/tests/test_crossings_endpoints.py
@@ -62,7 +62,7 @@
         await all_quiet(net)
 
     net = on_network(check, fine, endpoint=endpoint, limits=NO_PROBES)
-    assert net.ended()[kept:] == [t.How.RESET]
+    assert net.ended()[kept:] == [t.Outcome.RESET]
     assert len([one for one in came if b"Req-Id: s1" in one]) == 1
 
 
@@ -104,7 +104,7 @@
         await all_quiet(net)
 
     net = on_network(check, fine, endpoint=endpoint, limits=NO_PROBES)
-    assert cut and set(net.ended()[kept:]) <= {t.How.UNCONNECTED, t.How.HANDLED, t.How.UNSENT}
+    assert cut and set(net.ended()[kept:]) <= {t.Outcome.UNCONNECTED, t.Outcome.HANDLED, t.Outcome.UNSENT}
 
 
 @pytest.mark.parametrize("head", [b"X-Pad: " + b"p" * 40_000 + b"\r\n", b"X-Pad: p\r\n" * 4_000])
@@ -121,7 +121,7 @@
         await all_quiet(net)
 
     net = on_network(check, fine, endpoint=endpoint, limits=NO_PROBES)
-    assert net.ended() == [t.How.SPOILT]
+    assert net.ended() == [t.Outcome.SPOILT]
 
 
 def test_an_answer_in_drops_is_given_up_before_the_hard_limit_and_leaves_nothing():
@@ -143,7 +143,7 @@
         await all_quiet(net)
 
     net = on_network(check, fine, endpoint=endpoint, limits=NO_PROBES)
-    assert net.ended() == [t.How.CALLED_OFF] or net.ended() == [t.How.TIMED_OUT]
+    assert net.ended() == [t.Outcome.CALLED_OFF] or net.ended() == [t.Outcome.TIMED_OUT]
 
 
 # --- outcomes that meet in one pass ---------------------------------------------------------------------
@@ -181,24 +181,24 @@
 
             for move in moves:
                 if move == "answered":
-                    book.ended(journey, launch, t.How.HANDLED, Answer(200), None)
+                    book.ended(journey, launch, t.Outcome.HANDLED, Answer(200), None)
                 elif move == "called off":
-                    route.call_off(t.CallOff("s1", 0))
+                    route.call_off(t.CancelAttempt("s1", 0))
                 elif move == "timed out":
-                    book.ended(journey, launch, t.How.TIMED_OUT, None, None)
+                    book.ended(journey, launch, t.Outcome.TIMED_OUT, None, None)
                 elif move == "denied":
-                    route.deny(t.Deny("s1", 0))
+                    route.deny(t.RejectRequest("s1", 0))
                 else:
                     book.withdraw(journey)
                 settled()
             if launch.out:
-                book.ended(journey, launch, t.How.CALLED_OFF, None, None)
+                book.ended(journey, launch, t.Outcome.CALLED_OFF, None, None)
             if not journey.settled:
-                route.break_off(t.BreakOff("s1"))
+                route.break_off(t.AbortResponse("s1"))
                 settled()
             assert journey.answer is answers[0]  # what was given stands
-            assert sum(isinstance(note, t.Ended) for note in told) == 1
-            assert sum(isinstance(note, t.Withdrawn) for note in told) <= 1
+            assert sum(isinstance(event, t.AttemptEnded) for event in told) == 1
+            assert sum(isinstance(event, t.RequestCancelled) for event in told) <= 1
             assert not book.journeys and book.unlaunched == 1  # the launch was put there by hand
 
     anyio.run(main)
--- a/tests/test_crossings_lists.py
+++ b/tests/test_crossings_lists.py
@@ -71,7 +71,7 @@
 def test_what_a_silent_watch_missed_is_asked_for_before_it_counts_as_told(instances, asked):
     """2 s after the wait of the call, or 6 s after the silence began, if that is later. Each watch is silent:
     whole lists are asked for, and answered within what is left."""
-    timing = timing_of(usual(instances=instances, must_ask=asked))
+    timing = timing_of(usual(instances=instances, poll_discovery=asked))
     play = Play(timing, longest)
     play.answer_at = lambda call: None if call.kind is CallKind.WATCH else call.began + watcher.SOON
     play.run(30.0)
@@ -93,7 +93,7 @@
         await until(lambda: len(net.discovery.seen) > 1)
         before, net.discovery.fault = len(net.discovery.seen), "silent"
         await until(lambda: len(net.discovery.seen) > before + 2)  # also a second silence in a row
-        assert t.Listed(t.ListKind.FAILED, []) not in net.notes
+        assert t.ListReceived(t.ListKind.FAILED, []) not in net.events
 
     on_network(check, fine, discovery=mode)
 
@@ -161,7 +161,7 @@
             group.cancel_scope.cancel()
 
     net = on_network(check, fine, limits=settings()["limits"] | {"probes": False})
-    assert seen(net, "s1") == [0] and net.ended() == [t.How.HANDLED]
+    assert seen(net, "s1") == [0] and net.ended() == [t.Outcome.HANDLED]
 
 
 def test_an_endpoint_that_vanished_while_its_connection_came_up_gets_nothing():
@@ -180,7 +180,7 @@
         await all_quiet(net)
 
     net = on_network(check, fine, limits=settings()["limits"] | {"probes": False})
-    assert not seen(net, "s1") and set(net.ended()) == {t.How.UNSENT}
+    assert not seen(net, "s1") and set(net.ended()) == {t.Outcome.UNSENT}
 
 
 def test_a_drain_told_between_a_kept_connections_end_and_the_second_try_stops_that_try():
@@ -205,7 +205,7 @@
         await all_quiet(net)
 
     net = on_network(check, fine, limits=settings()["limits"] | {"probes": False})
-    assert not seen(net, "s1") and net.ended()[1:] == [t.How.UNSENT]
+    assert not seen(net, "s1") and net.ended()[1:] == [t.Outcome.UNSENT]
 
 
 def test_a_list_in_lines_and_indented_is_read_as_any_other():
@@ -235,7 +235,7 @@
             await stream.send(wanted("s1"))
             await arrived(net, "s1")
             await there.wait()
-        await until(lambda: any(isinstance(note, t.Withdrawn) for note in net.notes))
+        await until(lambda: any(isinstance(event, t.RequestCancelled) for event in net.events))
         net.program.directory.by_hand("e0", True)
         gone.set()
         await all_quiet(net)
@@ -249,7 +249,7 @@
     """While discovery is down it tells nothing, and what it gets at its return counts as told at once, where
     lists are pushed. The longest pause between two calls that are refused has to leave time for the call."""
     grace = round(LEAST_GRACE * 1_000_000)
-    play = Play(timing_of(usual(must_ask=False, grace=grace)), draw, answer_at=lambda call: None)
+    play = Play(timing_of(usual(poll_discovery=False, grace=grace)), draw, answer_at=lambda call: None)
     play.fail_at = lambda call: call.began
     play.run(5.0)
     apart = [after.began - before.began for before, after in itertools.pairwise(play.begun)]
@@ -266,7 +266,9 @@
     may be made just after a call began that fails `took` seconds later, then comes the longest pause, then a
     call that is answered. Seen failing with 3 s for the list behind 2 s for its connection and up to 5 s of
     pause. The watch does not wait for the module to ask: its own pauses count."""
-    play = Play(timing_of(usual(instances=instances, must_ask=True)), longest, answer_at=lambda call: None)
+    play = Play(
+        timing_of(usual(instances=instances, poll_discovery=True)), longest, answer_at=lambda call: None
+    )
     play.fail_at = lambda call: call.began + took
     play.run(40.0)
     apart = [after.began - before.began for before, after in itertools.pairwise(play.begun)]
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -97,7 +97,9 @@
     net = on_network(
         check, fine, fine, sockets=100, known=False, net_of=Down, discovery="push" if pushed else "ask"
     )
-    assert t.Listed in map(type, net.notes) and not [log for log in net.logs if log[0] == "task_failed"]
+    assert t.ListReceived in map(type, net.events) and not [
+        log for log in net.logs if log[0] == "task_failed"
+    ]
 
 
 def test_a_call_for_the_list_that_found_no_descriptor_is_made_again(monkeypatch):
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -44,7 +44,7 @@
     """Stands for the directory: what was told, and what the watch asks by."""
 
     def __init__(self) -> None:
-        self.updates, self.failures, self.states, self.index = [], 0, {"e0": t.State.READY}, 7
+        self.updates, self.failures, self.states, self.index = [], 0, {"e0": t.EndpointStatus.READY}, 7
 
     def update(self, known, kind) -> None:
         self.updates.append((known.index, kind, [entry.endpoint for entry in known.entries]))
@@ -141,12 +141,12 @@
 
     spans = []
     for seed in range(30):
-        bed = Bed(deployment(seed=seed, instances=instances, must_ask=True, ask_within=10 * SECOND))
+        bed = Bed(deployment(seed=seed, instances=instances, poll_discovery=True, poll_interval=10 * SECOND))
         bed.run(12 * SECOND, 10_000)
         for turn in range(4):
             asked, failed = len(bed.watches), bed.now
             assert asked == turn + 1
-            bed.step(t.Listed(t.ListKind.FAILED, []))
+            bed.step(t.ListReceived(t.ListKind.FAILED, []))
             bed.run(12 * SECOND, 10_000)
             spans.append((turn, (bed.watches[asked] - failed) / SECOND))
     first = [span for turn, span in spans if turn == 0]
--- a/tests/test_discovery_directory.py
+++ b/tests/test_discovery_directory.py
@@ -13,10 +13,10 @@
     return net.discovery.rows[at] | fields
 
 
-def plant(net: Net, times: int) -> list[t.Listed]:
+def plant(net: Net, times: int) -> list[t.ListReceived]:
     """The module's list raises in the middle of so many updates; gives those."""
     roster = net.program.engine.sidecar.roster
-    tell, update, failed = roster.tell, roster.handlers[t.Listed], []
+    tell, update, failed = roster.tell, roster.handlers[t.ListReceived], []
 
     def telling(entry):
         if len(failed) < times and entry.endpoint == "e1":
@@ -39,7 +39,7 @@
         net.discovery.change(net.discovery.rows[1], status="DRAINING")
         listed = net.program.engine.sidecar.roster.listed
         with anyio.fail_after(8):
-            await until(lambda: listed["e1"].state is t.State.DRAINING)
+            await until(lambda: listed["e1"].state is t.EndpointStatus.DRAINING)
         assert len(failed) == 2 and net.program.directory.index == net.discovery.index
         assert (await net.ask(wanted("s1"))).status == 200
 
@@ -51,7 +51,7 @@
 def test_an_update_that_raises_in_the_middle_changes_nothing():
     """Seen failing: version and states before the bad entry were taken, and the module told nothing."""
 
-    class Unusable(t.Listing):
+    class Unusable(t.ListEntry):
         @property
         def state(self):
             raise RuntimeError("planted")
@@ -65,7 +65,7 @@
         await until(lambda: net.discovery.seen)
         before = directory.index, dict(directory.states), dict(directory.addresses)
         known = lists.known({"index": 99, "endpoints": [row(net, 0, status="DRAINING")]})
-        known.entries.append(Unusable("e1", t.State.READY))
+        known.entries.append(Unusable("e1", t.EndpointStatus.READY))
         with pytest.raises(RuntimeError):
             directory.update(known, t.ListKind.CHANGES)
         assert (directory.index, directory.states, directory.addresses) == before
@@ -77,7 +77,7 @@
     async def check(net: Net):
         directory, pool = net.program.directory, net.program.pool
         while len(pool.idle) < 2:
-            assert (await net.ask(wanted(f"s{len(net.notes)}"))).status == 200
+            assert (await net.ask(wanted(f"s{len(net.events)}"))).status == 200
         whole = lists.known({"index": 99, "snapshot": True, "endpoints": [row(net, 1)]})
         directory.update(whole, t.ListKind.FULL)
         assert set(directory.states) == set(directory.addresses) == {"e1"} == set(pool.idle)
--- a/tests/test_discovery_fleet.py
+++ b/tests/test_discovery_fleet.py
@@ -131,8 +131,8 @@
                 terms = t.Deployment(
                     seed=chance.getrandbits(62),
                     instances=self.count,
-                    must_ask=self.asked,
-                    ask_within=10 * SECOND,
+                    poll_discovery=self.asked,
+                    poll_interval=10 * SECOND,
                 )
                 seat = Seat(self.loop, terms, self.hear)
                 seat.discovery = driver.Discovery("d:1", terms, seat, None, lambda *_, **__: None)
@@ -149,7 +149,7 @@
 
     async def begin(self, seat: Seat, after: float) -> None:
         await anyio.sleep(after)
-        seat.discovery.watch(t.Watch())
+        seat.discovery.watch(t.StartWatch())
         await seat.discovery.run()
 
     def run(self, every: float | None = 6.7) -> Fleet:
@@ -220,5 +220,5 @@
 
 
 async def begin_at_once(seat: Seat) -> None:
-    seat.discovery.watch(t.Watch())
+    seat.discovery.watch(t.StartWatch())
     await seat.discovery.run()
--- a/tests/test_discovery_six_seconds.py
+++ b/tests/test_discovery_six_seconds.py
@@ -120,7 +120,7 @@
 
     def __init__(self, index: int | None, asks: bool) -> None:
         self.index, self.asks, self.updated = index, asks, None
-        self.states = {} if index is None else {"e0": t.State.READY}
+        self.states = {} if index is None else {"e0": t.EndpointStatus.READY}
         self.ask, self.heard = lambda: None, anyio.Event()
 
     def update(self, known, kind) -> None:
@@ -153,11 +153,11 @@
     """Seconds from the moment at which discovery had the change and could be reached."""
     service = Service(trouble, anyio.current_time() + offset)
     directory = Directory(index, asks)
-    terms = deployment(instances=instances, must_ask=not pushed, ask_within=10_000_000)
+    terms = deployment(instances=instances, poll_discovery=not pushed, poll_interval=10_000_000)
     watch = Discovery("127.0.0.1:1", terms, directory, Store(), lambda *_, **__: None)
     discovery.connect = service.connect  # put back by the fixture
-    directory.ask = lambda: watch.watch(t.Watch())
-    watch.watch(t.Watch())
+    directory.ask = lambda: watch.watch(t.StartWatch())
+    watch.watch(t.StartWatch())
     with anyio.fail_after(300):
         async with anyio.create_task_group() as group:
             group.start_soon(watch.run)
@@ -215,15 +215,15 @@
     """Seconds from the move to a discovery that answers; the old one stays in trouble."""
     old, new = Service(trouble, float("inf")), Service("none", 0.0)
     directory = Directory(index, True)
-    terms = deployment(instances=200, must_ask=not pushed, ask_within=10_000_000)
+    terms = deployment(instances=200, poll_discovery=not pushed, poll_interval=10_000_000)
     watch = Discovery("127.0.0.1:1", terms, directory, Store(), lambda *_, **__: None)
 
     async def connect(address, *more):
         return await (old if address == "127.0.0.1:1" else new).connect(address, *more)
 
     discovery.connect = connect  # put back by the fixture
-    directory.ask = lambda: watch.watch(t.Watch())
-    watch.watch(t.Watch())
+    directory.ask = lambda: watch.watch(t.StartWatch())
+    watch.watch(t.StartWatch())
     with anyio.fail_after(300):
         async with anyio.create_task_group() as group:
             group.start_soon(watch.run)
@@ -284,9 +284,9 @@
             return answer(OLD, True)
 
     async def main() -> None:
-        terms = deployment(must_ask=not pushed, ask_within=10_000_000)
+        terms = deployment(poll_discovery=not pushed, poll_interval=10_000_000)
         watch = Discovery("127.0.0.1:1", terms, Directory(OLD, True), Store(), lambda *_, **__: None)
-        watch.watch(t.Watch())
+        watch.watch(t.StartWatch())
         with anyio.move_on_after(10):
             await watch.run()
 
@@ -309,7 +309,7 @@
     read = discovery.lists.read
 
     async def main() -> None:
-        terms = deployment(must_ask=False)
+        terms = deployment(poll_discovery=False)
         watch = Discovery(
             "127.0.0.1:1", terms, Directory(OLD, True), Store(), lambda event, **f: logs.append((event, f))
         )
@@ -345,7 +345,7 @@
         return Unnamed()
 
     async def main() -> None:
-        terms = deployment(must_ask=False)
+        terms = deployment(poll_discovery=False)
         watch = Discovery("127.0.0.1:1", terms, Directory(OLD, True), Store(), lambda *_, **__: None)
         with anyio.move_on_after(1):
             await watch.run()
--- a/tests/test_endpoints_connections.py
+++ b/tests/test_endpoints_connections.py
@@ -185,7 +185,7 @@
         await all_quiet(net)
 
     net = on_network(check, fine, endpoint=endpoint, limits=NO_PROBES)
-    assert net.ended()[kept:] == [t.How.SPOILT]
+    assert net.ended()[kept:] == [t.Outcome.SPOILT]
 
 
 # --- what the client has left ---------------------------------------------------------------------------
@@ -318,7 +318,7 @@
 
     net = on_network(check, fine, endpoint=endpoint, limits=NO_PROBES | {"cancel": cancel})
     (how,) = net.ended()
-    assert how is t.How.UNSENT or cancel and how is t.How.CALLED_OFF
+    assert how is t.Outcome.UNSENT or cancel and how is t.Outcome.CALLED_OFF
 
 
 @pytest.mark.parametrize("kept", [False, True])
--- a/tests/test_engine_defects.py
+++ b/tests/test_engine_defects.py
@@ -23,10 +23,10 @@
     handlers = {kind: handle for kind, handle in desk.handlers.items() if handle.__name__ == handler}
     ((kind, handle),) = handlers.items()
 
-    def failing(note):
-        if which(note):
+    def failing(event):
+        if which(event):
             raise ZeroDivisionError("planted")
-        handle(note)
+        handle(event)
 
     desk.handlers[kind] = failing
 
@@ -37,7 +37,7 @@
 
 def test_an_arrival_that_the_module_fails_on_is_answered_long_before_its_deadline():
     async def check(net: Net):
-        fail_on(net, "arrive", lambda note: note.submission == "bad")
+        fail_on(net, "arrive", lambda event: event.request == "bad")
         with anyio.fail_after(4):  # its deadline is 8 s away
             answer = await net.ask(wanted("bad", "issue", "8.0"))
         assert answer.status == 502
@@ -51,7 +51,9 @@
 @pytest.mark.parametrize("how", [Answer(500), "reset"])
 def test_an_outcome_that_the_module_fails_on_ends_its_request_at_once(how):
     async def check(net: Net):
-        fail_on(net, "end", lambda note: note.submission == "bad" and note.how is not t.How.CALLED_OFF)
+        fail_on(
+            net, "end", lambda event: event.request == "bad" and event.outcome is not t.Outcome.CALLED_OFF
+        )
         with anyio.fail_after(4):
             assert (await net.ask(wanted("bad", "issue", "8.0"))).status == 502
         net.stands[0].act = fine
@@ -89,13 +91,13 @@
         engine = net.program.engine
         tell = engine.tell
 
-        def broken(note):
-            if isinstance(note, t.Probed):
+        def broken(event):
+            if isinstance(event, t.ProbeEnded):
                 raise KeyError("planted")
-            tell(note)
+            tell(event)
 
         engine.tell = broken
-        engine.carriers[t.Probe](t.Probe("e0"))
+        engine.carriers[t.StartProbe](t.StartProbe("e0"))
         await until(lambda: logged(net, "task_failed"))
         engine.tell = tell
         assert (await net.ask(wanted("s1"))).status == 200
@@ -112,19 +114,19 @@
     def __init__(self, at: int) -> None:
         self.at, self.armed, self.woken = at, False, []
         self.mail = self
-        self.orders: list = []
+        self.commands: list = []
 
-    def step(self, now: int, notes: list, ring: bool = True) -> list:
-        self.orders = []
-        if isinstance(notes[0], t.Withdrawn):
-            self.orders = [t.Log("ordered before the failure")]
+    def step(self, now: int, events: list, ring: bool = True) -> list:
+        self.commands = []
+        if isinstance(events[0], t.RequestCancelled):
+            self.commands = [t.WriteLog("ordered before the failure")]
             raise ZeroDivisionError("planted")
-        if isinstance(notes[0], t.Woke):
+        if isinstance(events[0], t.TimerFired):
             self.woken.append(now)
         if not self.armed:
             self.armed = True
-            self.orders.append(t.WakeMe(self.at, 1))
-        return self.orders
+            self.commands.append(t.SetTimer(self.at, 1))
+        return self.commands
 
 
 def engine_of(logs: list) -> Engine:
@@ -140,8 +142,8 @@
         engine = engine_of(logs)
         now = engine.clock.now()
         engine.sidecar = module = Asleep(now + 300_000)
-        engine.tell(t.Whole("s0", now))
-        engine.tell(t.Withdrawn("s1"))
+        engine.tell(t.RequestBodyReceived("s0", now))
+        engine.tell(t.RequestCancelled("s1"))
         with anyio.move_on_after(10):
             async with anyio.create_task_group() as group:
                 group.start_soon(engine.keep_time)
@@ -158,8 +160,8 @@
         engine = engine_of([])
         now = engine.clock.now()
         engine.sidecar = Asleep(now + 3_600_000_000)
-        engine.tell(t.Whole("s0", now))
-        engine.tell(t.Withdrawn("s1"))
+        engine.tell(t.RequestBodyReceived("s0", now))
+        engine.tell(t.RequestCancelled("s1"))
         assert engine.next_wake() - engine.clock.now() <= engines.GO_ON
 
     anyio.run(main)
@@ -170,9 +172,9 @@
         engine = engine_of([])
         engine.sidecar = Asleep(engine.clock.now() + 3_600_000_000)
         for _ in range(50):
-            engine.tell(t.Withdrawn("s1"))
+            engine.tell(t.RequestCancelled("s1"))
         assert engine.go_on == engines.GO_ON_MOST
-        engine.tell(t.Whole("s0", 0))
+        engine.tell(t.RequestBodyReceived("s0", 0))
         assert engine.go_on == engines.GO_ON
 
     anyio.run(main)
@@ -188,19 +190,19 @@
         engine = engine_of(logs)
         engine.sidecar = Asleep(engine.clock.now() + 1_000_000)
 
-        def raising(order):
-            engine.tell(t.Whole("inner", 0))
+        def raising(command):
+            engine.tell(t.RequestBodyReceived("inner", 0))
             done.append("told")
             raise KeyError("planted")
 
-        engine.carriers |= {t.Launch: raising, t.Deny: lambda order: done.append("denied")}
-        engine.sidecar.step = lambda now, notes, ring: (
-            [t.Launch("s1", "e0", 0), t.Deny("s2")]
-            if notes[0].submission == "outer"
+        engine.carriers |= {t.StartAttempt: raising, t.RejectRequest: lambda command: done.append("denied")}
+        engine.sidecar.step = lambda now, events, ring: (
+            [t.StartAttempt("s1", "e0", 0), t.RejectRequest("s2")]
+            if events[0].request == "outer"
             else done.append("inner") or []
         )
-        engine.tell(t.Whole("outer", 0))
-        assert done == ["told", "denied", "inner"] and not engine.notes and not engine.stepping
+        engine.tell(t.RequestBodyReceived("outer", 0))
+        assert done == ["told", "denied", "inner"] and not engine.events and not engine.stepping
 
     anyio.run(main)
     assert [event for event, _ in logs] == ["order_failed"]
@@ -213,7 +215,7 @@
     async def check(net: Net):
         engine, desk = net.program.engine, net.program.engine.sidecar.desk
         due = engine.clock.now() + 8_000_000
-        engine.tell(t.Arrived("ghost", "issue", due))  # no client's: the book knows nothing of it
+        engine.tell(t.RequestArrived("ghost", "issue", due))  # no client's: the book knows nothing of it
         await until(lambda: not desk.open)
         assert desk.flying == 0 and not any(seat.flying for seat in desk.seats.values())
         assert (await net.ask(wanted("s1", "issue"))).status == 200
@@ -227,8 +229,8 @@
 
     async def check(net: Net):
         chosen = {f"s{at}" for at in range(0, 60, 3)}
-        fail_on(net, "arrive", lambda note: note.submission in chosen and int(note.submission[1:]) % 2)
-        fail_on(net, "end", lambda note: note.submission in chosen and note.how is t.How.HANDLED)
+        fail_on(net, "arrive", lambda event: event.request in chosen and int(event.request[1:]) % 2)
+        fail_on(net, "end", lambda event: event.request in chosen and event.outcome is t.Outcome.HANDLED)
         got = {}
 
         async def ask(first: int) -> None:
@@ -254,15 +256,15 @@
         engine = net.program.engine
         step, planted = engine.sidecar.step, []
 
-        def failing(now, notes, ring):
-            orders = step(now, notes, ring)
-            if not planted and isinstance(notes[0], t.Arrived) and notes[0].submission == "innocent":
+        def failing(now, events, ring):
+            commands = step(now, events, ring)
+            if not planted and isinstance(events[0], t.RequestArrived) and events[0].request == "innocent":
                 planted.append(1)
-                engine.sidecar.mail.orders = orders
+                engine.sidecar.mail.commands = commands
                 error = ZeroDivisionError("planted")
                 error.about = GiveUp(engine.sidecar.desk.open["waits"], True)
                 raise error
-            return orders
+            return commands
 
         engine.sidecar.step = failing
         got = {}
--- a/tests/test_forwarded_framing.py
+++ b/tests/test_forwarded_framing.py
@@ -471,4 +471,4 @@
 
     net = on_network(check, always("reset"), endpoint=resets)
     assert len([one for one in seen if one.header(b"req-id")]) == 1
-    assert t.How.HANDLED not in net.ended() or size > http.SMALL
+    assert t.Outcome.HANDLED not in net.ended() or size > http.SMALL
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -145,7 +145,7 @@
     old.take_out(5, "e1", True)
     old.quiesce(77)
     listed = {f"e{at}": listing(at, started=at * 1000) for at in range(3)}
-    listed["e2"].state = t.State.DRAINING
+    listed["e2"].state = t.EndpointStatus.DRAINING
     rows = papers.write_list(listed, {f"e{at}": f"127.0.0.1:{at + 1}" for at in range(3)}, 41)
     table = papers.write(rows, old, {"cap": 3}, 9)
     table = orjson.loads(orjson.dumps(table))
@@ -170,17 +170,17 @@
     bed = Bed(deployment(), 4)
     for at in range(40):
         name = bed.arrive(IDEM)
-        how = t.How.RESET if at % 10 == 9 else t.How.HANDLED
+        how = t.Outcome.RESET if at % 10 == 9 else t.Outcome.HANDLED
         bed.end(name, 0, how, after=20_000)
         bed.run(100_000)
         for launch in bed.out(name):
-            bed.end(name, launch, t.How.HANDLED, after=20_000)
+            bed.end(name, launch, t.Outcome.HANDLED, after=20_000)
     old = bed.sidecar
     asided = next(iter(old.desk.endpoints))
     old.desk.endpoints[asided].mode = "aside"
     table = orjson.loads(orjson.dumps(learned.learned(old)))
     new = Sidecar(deployment(seed=8))
-    new.step(bed.now, [t.Listed(t.ListKind.CACHED, [listing(at) for at in range(4)])])
+    new.step(bed.now, [t.ListReceived(t.ListKind.CACHED, [listing(at) for at in range(4)])])
     learned.recall(new, table, bed.now)
     assert new.desk.retried.total(bed.now) == old.desk.retried.total(bed.now) > 0
     assert new.desk.taken.total(bed.now) == old.desk.taken.total(bed.now)
@@ -194,17 +194,17 @@
     bed = Bed(deployment(), 2)
     desk = bed.sidecar.desk
     for _ in range(40):
-        bed.end(bed.arrive(IDEM), 0, t.How.HANDLED, after=10_000)
+        bed.end(bed.arrive(IDEM), 0, t.Outcome.HANDLED, after=10_000)
     full = {f"e{at}": round(desk.cap) for at in range(2)}
-    bed.step(t.Elsewhere(full, 3))
+    bed.step(t.PredecessorLoad(full, 3))
     assert desk.retried.total(bed.now) == 3 and desk.flying == sum(full.values())
     name = bed.arrive(IDEM)
     assert not bed.out(name)  # held: there is no room
-    bed.step(t.Elsewhere({"e0": full["e0"]}))
+    bed.step(t.PredecessorLoad({"e0": full["e0"]}))
     assert bed.flights[name][0]["endpoint"] == "e1"
-    bed.step(t.Listed(t.ListKind.CHANGES, [listing(0, t.State.GONE)]))
-    bed.end(name, 0, t.How.HANDLED, after=1_000)
-    bed.step(t.Elsewhere({}))
+    bed.step(t.ListReceived(t.ListKind.CHANGES, [listing(0, t.EndpointStatus.GONE)]))
+    bed.end(name, 0, t.Outcome.HANDLED, after=1_000)
+    bed.step(t.PredecessorLoad({}))
     assert desk.flying == 0 and not desk.busy and set(desk.seats) == {"e1"}
 
 
--- a/tests/test_lab_model.py
+++ b/tests/test_lab_model.py
@@ -15,7 +15,7 @@
 from lupinmill.lab.timeline import SECOND, Timeline
 
 VIEW = t.Workload("view", SECOND, 2 * SECOND)
-BID = t.Workload("bid", SECOND, 3 * SECOND, repeat=t.Repeat.DEDUPLICATED, window=2 * SECOND)
+BID = t.Workload("bid", SECOND, 3 * SECOND, repeat=t.RepeatPolicy.DEDUPLICATED, window=2 * SECOND)
 SHAPE = Shape("e1", 0, cores=1, slots=1, queue=10**9)
 
 
@@ -26,11 +26,11 @@
         self.timeline = Timeline(SECOND)
         self.referee = Referee(SECOND, [VIEW, BID], 0, 0, (3.0, 2 * SECOND), True)
         self.endpoint = Endpoint(shape, self.timeline, np.random.default_rng(seed), self.referee, started)
-        self.ended: dict[str, tuple[t.How, int, t.Load | None]] = {}
+        self.ended: dict[str, tuple[t.Outcome, int, t.LoadReport | None]] = {}
         self.jobs: dict[str, Job] = {}
 
     def send(self, name: str, work: float, workload: str = "view", key: str = "", calls: int = 0) -> Job:
-        def reply(how: t.How, load: t.Load | None) -> None:
+        def reply(how: t.Outcome, load: t.LoadReport | None) -> None:
             assert name not in self.ended, "answered twice"
             self.ended[name] = (how, self.timeline.now, load)
 
@@ -45,7 +45,7 @@
     def took(self, name: str) -> float:
         return (self.ended[name][1] - SECOND) / SECOND
 
-    def how(self, name: str) -> t.How | None:
+    def how(self, name: str) -> t.Outcome | None:
         return self.ended[name][0] if name in self.ended else None
 
 
@@ -100,9 +100,9 @@
     stand = Stand(replace(SHAPE, queue=1))
     for name in "abc":
         stand.send(name, 0.1)
-    assert stand.how("c") is t.How.REFUSED and stand.how("a") is None
+    assert stand.how("c") is t.Outcome.REFUSED and stand.how("a") is None
     stand.run(1)
-    assert stand.how("a") is stand.how("b") is t.How.HANDLED
+    assert stand.how("a") is stand.how("b") is t.Outcome.HANDLED
 
 
 def test_a_crash_resets_all_it_held_and_comes_back_cold() -> None:
@@ -110,7 +110,7 @@
     stand.send("a", 0.2)
     stand.send("b", 0.2)
     stand.endpoint.crash()
-    assert stand.how("a") is stand.how("b") is t.How.RESET
+    assert stand.how("a") is stand.how("b") is t.Outcome.RESET
     stand.send("late", 0.1)
     stand.run(1)
     assert stand.how("late") is None
@@ -150,7 +150,7 @@
     assert stand.ended == {}
     stand.endpoint.hang(False)
     stand.run(0.2)
-    assert stand.how("a") is t.How.HANDLED
+    assert stand.how("a") is t.Outcome.HANDLED
 
 
 @pytest.mark.parametrize(
@@ -180,7 +180,11 @@
 
 
 def test_quick_errors_spoilt_answers_and_resets() -> None:
-    for name, how in (("failing", t.How.ERROR), ("spoiling", t.How.SPOILT), ("resetting", t.How.RESET)):
+    for name, how in (
+        ("failing", t.Outcome.ERROR),
+        ("spoiling", t.Outcome.SPOILT),
+        ("resetting", t.Outcome.RESET),
+    ):
         stand = Stand()
         setattr(stand.endpoint, name, 1.0)
         stand.send("a", 0.1)
@@ -231,7 +235,7 @@
     assert stand.endpoint.fallen and stand.referee.counts[4] == 1
     stand.run(60)
     stand.send("after", 0.1)
-    assert stand.how("after") is t.How.REFUSED
+    assert stand.how("after") is t.Outcome.REFUSED
 
 
 def test_a_warm_one_does_not_fall() -> None:
@@ -284,9 +288,9 @@
     assert len(calls) == 1 and stand.ended == {}  # b waits: the slot is held during the call
     calls[0](True)
     stand.run(0.3)
-    assert stand.how("a") is t.How.HANDLED
+    assert stand.how("a") is t.Outcome.HANDLED
     calls[1](False)
-    assert stand.how("b") is t.How.ERROR
+    assert stand.how("b") is t.Outcome.ERROR
 
 
 def test_reports_are_refreshed_delayed_and_only_of_the_told_fields() -> None:
@@ -299,16 +303,16 @@
     stand.run(0.3)
     assert stand.endpoint.report() is None  # nothing is old enough yet
     stand.run(0.5)
-    assert stand.endpoint.report() == t.Load(queued=4.0)
+    assert stand.endpoint.report() == t.LoadReport(queued=4.0)
 
 
 def test_drained_and_full_ones_answer_probes_as_they_are() -> None:
     stand = Stand()
-    assert stand.endpoint.probe() == (t.How.HANDLED, None)
+    assert stand.endpoint.probe() == (t.Outcome.HANDLED, None)
     stand.endpoint.draining = True
-    assert stand.endpoint.probe() == (t.How.REFUSED, None)
+    assert stand.endpoint.probe() == (t.Outcome.REFUSED, None)
     stand.send("a", 0.1)
-    assert stand.how("a") is t.How.REFUSED
+    assert stand.how("a") is t.Outcome.REFUSED
 
 
 def test_connections_are_counted_by_life() -> None:
@@ -327,7 +331,7 @@
 
 def registry(timeline: Timeline) -> tuple[Registry, list]:
     found = Registry(timeline, np.random.default_rng(1), lambda: 2.0, lambda: 8.0, lambda: 1.0)
-    found.enlist(Entry("e1", "a", "k", 0, t.State.READY, 0))
+    found.enlist(Entry("e1", "a", "k", 0, t.EndpointStatus.READY, 0))
     heard: list = []
     found.listen(
         "s",
@@ -342,13 +346,13 @@
     found, heard = registry(timeline)
     found.learn(gone(found.entries["e1"]), "gone")
     timeline.run_until(2 * SECOND)
-    assert heard == [(2.0, "e1", t.State.GONE)]
+    assert heard == [(2.0, "e1", t.EndpointStatus.GONE)]
     found.behind = 5.0
-    entry = Entry("e1", "a", "k", 0, t.State.READY, 3 * SECOND)
+    entry = Entry("e1", "a", "k", 0, t.EndpointStatus.READY, 3 * SECOND)
     found.learn(gone(entry), "silent")  # published after 13 s, unless something newer comes
     found.learn(entry, "add")
     timeline.run_until(30 * SECOND)
-    assert heard[1:] == [(8.0, "e1", t.State.READY)]
+    assert heard[1:] == [(8.0, "e1", t.EndpointStatus.READY)]
 
 
 def test_changes_since_a_version_or_the_whole_list_where_too_much_was_missed() -> None:
@@ -356,7 +360,7 @@
     found, _ = registry(timeline)
     known = found.index
     for at in range(5):
-        found.learn(Entry(f"n{at}", "a", "k", 0, t.State.READY, 0), "add")
+        found.learn(Entry(f"n{at}", "a", "k", 0, t.EndpointStatus.READY, 0), "add")
     timeline.run_until(3 * SECOND)
     whole, entries = found.since(known)
     assert not whole and [entry.name for entry in entries] == [f"n{at}" for at in range(5)]
@@ -373,4 +377,4 @@
     timeline.run_until(3 * SECOND)
     assert heard == ["broke"] and found.entries == {}
     found.come_up()
-    assert found.since(1) == (False, [gone(Entry("e1", "a", "k", 0, t.State.READY, 0))])
+    assert found.since(1) == (False, [gone(Entry("e1", "a", "k", 0, t.EndpointStatus.READY, 0))])
--- a/tests/test_lab_runs.py
+++ b/tests/test_lab_runs.py
@@ -53,9 +53,17 @@
 class AnswersTwice(policies.FewestInFlight):
     """Rule 1: denies what it has launched, and passes on the answer too."""
 
-    def step(self, now: int, notes: list) -> list:
-        orders = super().step(now, notes)
-        return orders + [t.Deny(order.submission) for order in orders if isinstance(order, t.Launch)] * 2
+    def step(self, now: int, events: list) -> list:
+        commands = super().step(now, events)
+        return (
+            commands
+            + [
+                t.RejectRequest(command.request)
+                for command in commands
+                if isinstance(command, t.StartAttempt)
+            ]
+            * 2
+        )
 
 
 class LaunchesAgain(policies.FewestInFlight):
@@ -78,12 +86,12 @@
 class IgnoresDrains(policies.FewestInFlight):
     """Rule 3: goes on sending to what drains or is gone."""
 
-    def listed(self, note: t.Listed) -> None:
+    def listed(self, event: t.ListReceived) -> None:
         before = list(self.ready)
-        super().listed(note)
+        super().listed(event)
         self.ready = sorted(set(before) | set(self.ready))
         for name in self.ready:
-            self.entries.setdefault(name, t.Listing(name, t.State.READY))
+            self.entries.setdefault(name, t.ListEntry(name, t.EndpointStatus.READY))
 
 
 class PushesOver(policies.Baseline):
@@ -278,7 +286,7 @@
     assert told[0].startswith("step 20 ") and any("note" in line or "order" in line for line in told[1:])
     named: list[str] = []
     replay.replay(found, named.append, submission="w3.1")
-    assert sum("Arrived(submission='w3.1'" in line for line in named) == 1
+    assert sum("RequestArrived(request='w3.1'" in line for line in named) == 1
     found.digests[3] = "0" * 16
     assert replay.replay(found, told.append).differs_at == 3
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -17,7 +17,7 @@
 
 MS, SECOND = 1_000, 1_000_000
 VIEW = t.Workload("view", 600 * MS, 1500 * MS, 2.0)
-BID = t.Workload("bid", 1200 * MS, 3 * SECOND, 8.0, repeat=t.Repeat.DEDUPLICATED, window=5 * SECOND)
+BID = t.Workload("bid", 1200 * MS, 3 * SECOND, 8.0, repeat=t.RepeatPolicy.DEDUPLICATED, window=5 * SECOND)
 PASSES = 5  # of the loop that one request needs
 
 
@@ -274,7 +274,10 @@
             answer = await net.ask(wanted(name))
             assert answer is not None and answer.status == 503
             assert 0.25 <= float(answer.header(b"retry-after")) <= 1.0
-        assert not [note for note in net.notes if isinstance(note, t.Arrived)] and not net.stands[0].seen
+        assert (
+            not [event for event in net.events if isinstance(event, t.RequestArrived)]
+            and not net.stands[0].seen
+        )
         assert gate.inside == gate.held == 0
         gate.active = False
         answer = await net.ask(wanted("d"))
@@ -299,7 +302,7 @@
             assert broken is not None and broken.status == 400
             gate.window = 5.0
             net.program.door.release()
-        assert [note.submission for note in net.notes if isinstance(note, t.Arrived)] == ["held"]
+        assert [event.request for event in net.events if isinstance(event, t.RequestArrived)] == ["held"]
         assert gate.inside == gate.held == 0
 
     on_network(check, answers, **settings())
--- a/tests/test_module_faults.py
+++ b/tests/test_module_faults.py
@@ -13,40 +13,40 @@
 def test_an_endpoint_may_go_while_a_request_sent_there_is_still_coming():
     """Its seat was dropped, as the launch was not counted so far; the outcome then found no endpoint."""
     bed = Bed(deployment(workloads=[IDEM]), endpoints=1)
-    bed.owed["u"] = t.Arrived("u", IDEM.name, bed.now + SECOND, whole=False)
+    bed.owed["u"] = t.RequestArrived("u", IDEM.name, bed.now + SECOND, whole=False)
     bed.flights["u"] = []
     bed.step(bed.owed["u"])
-    bed.step(t.Listed(t.ListKind.CHANGES, [listing(0, t.State.GONE)]))
-    bed.step(t.Whole("u", bed.now + SECOND))
+    bed.step(t.ListReceived(t.ListKind.CHANGES, [listing(0, t.EndpointStatus.GONE)]))
+    bed.step(t.RequestBodyReceived("u", bed.now + SECOND))
     bed.run(200 * MS)
-    bed.end("u", 0, t.How.RESET)
+    bed.end("u", 0, t.Outcome.RESET)
     bed.run(2 * SECOND)
     assert bed.closed["u"] and not bed.sidecar.desk.seats and not bed.sidecar.desk.busy
 
 
 def test_an_endpoint_that_came_back_under_its_name_gets_no_outcome_of_before():
     bed = Bed(deployment(workloads=[IDEM]), endpoints=1)
-    bed.owed["u"] = t.Arrived("u", IDEM.name, bed.now + SECOND, whole=False)
+    bed.owed["u"] = t.RequestArrived("u", IDEM.name, bed.now + SECOND, whole=False)
     bed.flights["u"] = []
     bed.step(bed.owed["u"])
-    bed.step(t.Listed(t.ListKind.CHANGES, [listing(0, t.State.GONE)]))
-    bed.step(t.Listed(t.ListKind.CHANGES, [listing(0)]))
+    bed.step(t.ListReceived(t.ListKind.CHANGES, [listing(0, t.EndpointStatus.GONE)]))
+    bed.step(t.ListReceived(t.ListKind.CHANGES, [listing(0)]))
     assert bed.sidecar.desk.open["u"].flights[0].seat is bed.sidecar.desk.seats["e0"]
-    bed.end("u", 0, t.How.HANDLED)
+    bed.end("u", 0, t.Outcome.HANDLED)
     assert bed.sidecar.roster.endpoints["e0"].flying == 0
 
 
 def test_probes_alone_that_find_no_connection_do_not_divide_by_no_answers():
     bed = Bed(deployment(reports_asked=True), endpoints=1)
     for _ in range(4):
-        bed.step(t.Probed("e0", t.How.UNCONNECTED, MS))
+        bed.step(t.ProbeEnded("e0", t.Outcome.UNCONNECTED, MS))
     assert bed.sidecar.desk.ready == 1  # the last one stays
 
 
 def test_a_first_answer_that_took_no_time_weighs_its_kind_by_the_least_pace():
     bed = Bed(deployment(uneven=True), endpoints=2)
     name = bed.arrive(IDEM)
-    bed.end(name, 0, t.How.HANDLED)
+    bed.end(name, 0, t.Outcome.HANDLED)
     assert all(pace > 0 for pace in bed.sidecar.desk.kinds.values())
     bed.run(SECOND)
     assert bed.arrive(IDEM) in bed.flights
@@ -55,28 +55,28 @@
 @pytest.mark.parametrize("late", [1, SECOND])
 def test_a_request_whose_time_is_over_is_answered_and_not_sent(late):
     bed = Bed(deployment(), endpoints=2)
-    bed.owed["s"] = t.Arrived("s", IDEM.name, bed.now - late)
+    bed.owed["s"] = t.RequestArrived("s", IDEM.name, bed.now - late)
     bed.flights["s"] = []
     bed.sidecar.step(bed.now, [])
-    orders = bed.sidecar.step(bed.now, [bed.owed["s"]])
-    assert [type(order) for order in orders if not isinstance(order, t.WakeMe)] == [t.Deny]
+    commands = bed.sidecar.step(bed.now, [bed.owed["s"]])
+    assert [type(command) for command in commands if not isinstance(command, t.SetTimer)] == [t.RejectRequest]
 
 
 def test_work_in_hand_is_answered_in_time_under_a_deployment_with_a_shorter_round():
     """Its alarm, set by the margin of before, rang too early by the new one and was not set again."""
     bed = Bed(deployment(round=5 * MS), endpoints=1)
     name = bed.arrive(IDEM)
-    bed.step(t.Deployed(deployment(round=MS)))
+    bed.step(t.DeploymentChanged(deployment(round=MS)))
     bed.run(IDEM.hard_limit + 10 * MS)
     assert bed.closed.get(name) == "denied"
 
 
 @pytest.mark.parametrize("weight", [0.0, -1.0])
 def test_a_weight_that_is_no_size_counts_as_one(weight):
-    bed = Bed(deployment(uneven=True, few_connections=True, beside=True), endpoints=0)
-    entries = [t.Listing(f"e{at}", t.State.READY, weight=weight) for at in range(3)]
-    bed.state = dict.fromkeys(("e0", "e1", "e2"), t.State.READY)
-    bed.step(t.Listed(t.ListKind.FULL, entries))
+    bed = Bed(deployment(uneven=True, few_connections=True, sidecar_per_client=True), endpoints=0)
+    entries = [t.ListEntry(f"e{at}", t.EndpointStatus.READY, weight=weight) for at in range(3)]
+    bed.state = dict.fromkeys(("e0", "e1", "e2"), t.EndpointStatus.READY)
+    bed.step(t.ListReceived(t.ListKind.FULL, entries))
     names = [bed.arrive(IDEM) for _ in range(5)]
     bed.run(SECOND)
     assert all(bed.flights[name] for name in names[:1])
@@ -85,7 +85,7 @@
 def test_a_request_told_twice_is_taken_once():
     bed = Bed(deployment(), endpoints=2)
     name = bed.arrive(IDEM)
-    assert not bed.sidecar.step(bed.now, [t.Arrived(name, IDEM.name, bed.now + SECOND)])
+    assert not bed.sidecar.step(bed.now, [t.RequestArrived(name, IDEM.name, bed.now + SECOND)])
 
 
 # An exception in one of its parts.
@@ -101,51 +101,53 @@
     desk = bed.sidecar.desk
     whole = desk.handlers[kind]
 
-    def handle(note) -> None:
-        if when(note):
+    def handle(event) -> None:
+        if when(event):
             raise Broken
-        whole(note)
+        whole(event)
 
     desk.handlers[kind] = handle
     return bed
 
 
-def arrivals(bed: Bed, *names: str) -> list[t.Note]:
-    return [t.Arrived(name, IDEM.name, bed.now + SECOND) for name in names]
+def arrivals(bed: Bed, *names: str) -> list[t.Event]:
+    return [t.RequestArrived(name, IDEM.name, bed.now + SECOND) for name in names]
 
 
 def test_an_exception_over_one_note_loses_neither_the_others_nor_their_orders():
-    bed = with_defect(t.Arrived, lambda note: note.submission == "bad")
+    bed = with_defect(t.RequestArrived, lambda event: event.request == "bad")
     with pytest.raises(Broken):
         bed.sidecar.step(bed.now, arrivals(bed, "a", "bad", "b"))
-    orders = bed.sidecar.mail.orders
-    assert [order.submission for order in orders if isinstance(order, t.Launch)] == ["a", "b"]
+    commands = bed.sidecar.mail.commands
+    assert [command.request for command in commands if isinstance(command, t.StartAttempt)] == ["a", "b"]
     assert not bed.sidecar.mail.waiting and not bed.sidecar.desk.inbox
 
 
 def test_an_exception_loses_no_wake_up_and_is_raised_once():
-    bed = with_defect(t.Arrived, lambda note: note.submission == "bad")
+    bed = with_defect(t.RequestArrived, lambda event: event.request == "bad")
     bed.sidecar.step(bed.now, arrivals(bed, "a"))
     with pytest.raises(Broken):
         bed.sidecar.step(bed.now + 1, arrivals(bed, "bad"))
-    wakes = [order.at for order in bed.sidecar.mail.orders if isinstance(order, t.WakeMe)]
+    wakes = [command.at for command in bed.sidecar.mail.commands if isinstance(command, t.SetTimer)]
     assert wakes == [bed.sidecar.mail.next_alarm()]  # the driver may have lost the one before
     assert isinstance(bed.sidecar.step(bed.now + 2, []), list)
 
 
 def test_an_exception_in_an_alarm_costs_no_other_alarm_of_the_moment():
-    bed = with_defect(t.Arrived, lambda note: False)
+    bed = with_defect(t.RequestArrived, lambda event: False)
     sidecar: Sidecar = bed.sidecar
     sidecar.step(bed.now, arrivals(bed, "a", "b"))
     kind = next(kind for kind in sidecar.desk.handlers if kind.__name__ == "GiveUp")
     whole = sidecar.desk.handlers[kind]
 
-    def give_up(note) -> None:
-        if note.submission.name == "a":
+    def give_up(event) -> None:
+        if event.request.name == "a":
             raise Broken
-        whole(note)
+        whole(event)
 
     sidecar.desk.handlers[kind] = give_up
     with pytest.raises(Broken):
-        sidecar.step(bed.now + SECOND, [t.Woke(1)])
-    assert any(isinstance(order, t.Deny) and order.submission == "b" for order in sidecar.mail.orders)
+        sidecar.step(bed.now + SECOND, [t.TimerFired(1)])
+    assert any(
+        isinstance(command, t.RejectRequest) and command.request == "b" for command in sidecar.mail.commands
+    )
--- a/tests/test_module_hostile.py
+++ b/tests/test_module_hostile.py
@@ -18,13 +18,22 @@
     contract = rng.choice([0, 1, 2, 50 * MS, SECOND])
     limit = rng.choice([contract, 2 * SECOND])
     return [
-        t.Workload("idem", contract, limit, rng.choice([0.0, 1.0, 9.0]), 0.0, t.Repeat.IDEMPOTENT),
+        t.Workload("idem", contract, limit, rng.choice([0.0, 1.0, 9.0]), 0.0, t.RepeatPolicy.IDEMPOTENT),
         t.Workload(
-            "all", SECOND, limit, 1.0, 0.0, t.Repeat.DEDUPLICATED, t.Group.ALL, rng.choice([0, SECOND])
+            "all",
+            SECOND,
+            limit,
+            1.0,
+            0.0,
+            t.RepeatPolicy.DEDUPLICATED,
+            t.DeduplicationScope.ALL,
+            rng.choice([0, SECOND]),
+        ),
+        t.Workload(
+            "cell", SECOND, limit, 1.0, 0.0, t.RepeatPolicy.DEDUPLICATED, t.DeduplicationScope.CELL, SECOND
         ),
-        t.Workload("cell", SECOND, limit, 1.0, 0.0, t.Repeat.DEDUPLICATED, t.Group.CELL, SECOND),
         t.Workload("once", SECOND, limit, 1.0),
-        t.Workload("bound", SECOND, limit, 1.0, 0.0, t.Repeat.IDEMPOTENT, zones=("z0",), kinds=("k0",)),
+        t.Workload("bound", SECOND, limit, 1.0, 0.0, t.RepeatPolicy.IDEMPOTENT, zones=("z0",), kinds=("k0",)),
     ]
 
 
@@ -41,21 +50,21 @@
         tenants=[t.Tenant("a", 0.0), t.Tenant("b", rng.choice([0.0, 10.0]))] if flag() else [],
         pooled_weight=rng.choice([0.0, 1.0]),
         evenness_weight=rng.choice([0.0, 1.0]),
-        must_ask=flag(),
-        ask_within=rng.choice([0, SECOND]),
+        poll_discovery=flag(),
+        poll_interval=rng.choice([0, SECOND]),
         grace=rng.choice([0, SECOND // 2]),
         cold_share=rng.choice([0.0, 0.2, 1.0]),
         cold_time=rng.choice([0, 5 * SECOND]),
         overload_time=rng.choice([0, SECOND]),
         round=rng.choice([0, MS, 5 * MS]),
-        most_launches=rng.choice([1, 4]),
-        copies_allowed=flag(),
+        max_attempts=rng.choice([1, 4]),
+        hedging_allowed=flag(),
         cancel_allowed=flag(),
         probes_allowed=flag(),
         reports_asked=flag(),
         advice_allowed=flag(),
         longest_advice=rng.choice([0, SECOND]),
-        beside=beside,
+        sidecar_per_client=beside,
         zone=rng.choice(ZONES),
         gone_binds=flag(),
         uneven=beside or flag(),
@@ -81,33 +90,33 @@
         self.launches: dict[str, int] = {}
         self.wake: int | None = None
 
-    def step(self, *notes: t.Note) -> None:
-        for order in self.module.step(self.now, list(notes)):
-            self.carry_out(order)
+    def step(self, *events: t.Event) -> None:
+        for command in self.module.step(self.now, list(events)):
+            self.carry_out(command)
         self.add_up()
 
-    def carry_out(self, order: t.Order) -> None:
-        if isinstance(order, t.Launch):
-            assert order.submission in self.owed, "sent after its end"
-            number = self.launches.get(order.submission, 0)
-            self.launches[order.submission] = number + 1
-            self.out[order.submission, number] = order.endpoint
-        elif isinstance(order, t.Deny | t.BreakOff):
-            assert order.submission in self.owed, "answered twice"
-            del self.owed[order.submission]
-            self.guessed.discard(order.submission)
-        elif isinstance(order, t.WakeMe):
-            assert order.at > self.now
-            self.wake = order.at
-        elif isinstance(order, t.CallOff):
-            assert order.launch < self.launches[order.submission]
+    def carry_out(self, command: t.Command) -> None:
+        if isinstance(command, t.StartAttempt):
+            assert command.request in self.owed, "sent after its end"
+            number = self.launches.get(command.request, 0)
+            self.launches[command.request] = number + 1
+            self.out[command.request, number] = command.endpoint
+        elif isinstance(command, t.RejectRequest | t.AbortResponse):
+            assert command.request in self.owed, "answered twice"
+            del self.owed[command.request]
+            self.guessed.discard(command.request)
+        elif isinstance(command, t.SetTimer):
+            assert command.at > self.now
+            self.wake = command.at
+        elif isinstance(command, t.CancelAttempt):
+            assert command.attempt < self.launches[command.request]
 
     def pass_time(self, span: int) -> None:
         """Wakes it when it asked for it."""
         end = self.now + span
         while self.wake is not None and self.wake <= end:
             self.now, self.wake = max(self.now, self.wake), None
-            self.step(t.Woke(1))
+            self.step(t.TimerFired(1))
         self.now = max(self.now, end)
         late = {name for name, due in self.owed.items() if due < self.now}
         assert late <= self.guessed | self.streams, "not answered before its deadline"
@@ -146,18 +155,18 @@
 
     # What happens to it.
 
-    def listing(self) -> t.Listing:
+    def listing(self) -> t.ListEntry:
         rng = self.rng
         started = rng.choice([0, 0, self.now, self.now - SECOND, self.now + 50 * SECOND])
-        state = rng.choice([t.State.READY] * 4 + [t.State.DRAINING, t.State.GONE])
+        state = rng.choice([t.EndpointStatus.READY] * 4 + [t.EndpointStatus.DRAINING, t.EndpointStatus.GONE])
         weight = rng.choice([1.0, 1.0, 0.25, 4.0, 0.0, -1.0, float("nan"), float("inf")])
         where = rng.choice(ZONES), rng.choice(KINDS), rng.choice(["0", "1", ""])
-        return t.Listing(rng.choice([*self.names, "never seen"]), state, *where, started, weight)
+        return t.ListEntry(rng.choice([*self.names, "never seen"]), state, *where, started, weight)
 
     def list_(self) -> None:
         kind = self.rng.choice(list(t.ListKind))
         some = 0 if kind is t.ListKind.FAILED else self.rng.randrange(len(self.names) * 2 + 1)
-        self.step(t.Listed(kind, [self.listing() for _ in range(some)]))
+        self.step(t.ListReceived(kind, [self.listing() for _ in range(some)]))
 
     def arrive(self) -> None:
         rng = self.rng
@@ -169,12 +178,14 @@
             self.guessed.add(name)
         workload, tenant = rng.choice([*WORKLOADS, "no such"]), rng.choice(["a", "b", "no such"])
         key = rng.choice(["", "key"])
-        self.step(t.Arrived(name, workload, due, tenant, rng.random() < 0.3, whole, key, rng.random() < 0.8))
+        self.step(
+            t.RequestArrived(name, workload, due, tenant, rng.random() < 0.3, whole, key, rng.random() < 0.8)
+        )
 
     def tell_twice(self) -> None:
         if self.owed:
             name = self.rng.choice(list(self.owed))
-            self.step(t.Arrived(name, "idem", self.owed[name]))
+            self.step(t.RequestArrived(name, "idem", self.owed[name]))
 
     def complete(self) -> None:
         name = self.rng.choice([*self.guessed, "no such"])
@@ -182,76 +193,93 @@
         self.guessed.discard(name)
         if name in self.owed:
             self.owed[name] = due
-        self.step(t.Whole(name, due))
+        self.step(t.RequestBodyReceived(name, due))
 
     def end(self) -> None:
         if not self.out:
-            return self.step(t.Ended("no such", 0, t.How.ERROR, 0))
+            return self.step(t.AttemptEnded("no such", 0, t.Outcome.ERROR, 0))
         key = self.rng.choice(list(self.out))
-        self.finish(key, self.rng.choice(list(t.How)))
+        self.finish(key, self.rng.choice(list(t.Outcome)))
 
-    def finish(self, key: tuple[str, int], how: t.How) -> None:
+    def finish(self, key: tuple[str, int], how: t.Outcome) -> None:
         name, number = key
         del self.out[key]
-        handled = how is t.How.HANDLED
+        handled = how is t.Outcome.HANDLED
         closed = handled or name not in self.owed
         if handled:
             self.owed.pop(name, None)
             self.guessed.discard(name)
         took = self.rng.choice([-5, 0, 0, 1, 20 * MS, SECOND])
-        load = t.Load(self.rng.choice([None, 0.0, 9.0]), busy=self.rng.choice([None, 0.0, 1.0]))
-        ended = t.Ended(
+        load = t.LoadReport(self.rng.choice([None, 0.0, 9.0]), busy=self.rng.choice([None, 0.0, 1.0]))
+        ended = t.AttemptEnded(
             name, number, how, took, closed, self.rng.choice([None, load]), self.rng.random() < 0.1
         )
         self.step(ended)
-        self.step(t.Ended(name, self.rng.choice([number, -1, 99]), how, took))  # once more, or never sent
+        self.step(
+            t.AttemptEnded(name, self.rng.choice([number, -1, 99]), how, took)
+        )  # once more, or never sent
 
     def withdraw(self) -> None:
         name = self.rng.choice([*self.owed, "no such"])
         self.owed.pop(name, None)
         self.guessed.discard(name)
-        self.step(t.Withdrawn(name))
+        self.step(t.RequestCancelled(name))
 
     def start(self) -> None:
         begun = [key for key in self.out if key[0] in self.owed]
         name, number = self.rng.choice(begun) if begun else ("no such", 0)
         self.streams.add(name)
-        self.step(t.Started(name, number))
+        self.step(t.ResponseStarted(name, number))
 
     def probed(self) -> None:
-        how = self.rng.choice([t.How.HANDLED, t.How.UNCONNECTED, t.How.TIMED_OUT])
-        load = self.rng.choice([None, t.Load(0.0, busy=0.0), t.Load(50.0)])
-        self.step(t.Probed(self.rng.choice([*self.names, "no such"]), how, self.rng.choice([0, MS]), load))
+        how = self.rng.choice([t.Outcome.HANDLED, t.Outcome.UNCONNECTED, t.Outcome.TIMED_OUT])
+        load = self.rng.choice([None, t.LoadReport(0.0, busy=0.0), t.LoadReport(50.0)])
+        self.step(
+            t.ProbeEnded(self.rng.choice([*self.names, "no such"]), how, self.rng.choice([0, MS]), load)
+        )
 
     def by_hand(self) -> None:
-        self.step(t.ByHand(self.rng.choice([*self.names, "no such"]), self.rng.random() < 0.5))
+        self.step(t.OperatorOverride(self.rng.choice([*self.names, "no such"]), self.rng.random() < 0.5))
 
     def elsewhere(self) -> None:
         some = self.rng.sample([*self.names, "no such"], self.rng.randrange(len(self.names) + 2))
-        self.step(t.Elsewhere({name: self.rng.randrange(4) for name in some}, self.rng.randrange(3)))
+        self.step(t.PredecessorLoad({name: self.rng.randrange(4) for name in some}, self.rng.randrange(3)))
 
     def common(self) -> None:
         plan = {"idem": ({"z0": 0.5, "z1": 0.5}, {"no such": 1.0}), "once": ({}, {})}
         until = self.rng.choice([0, self.now, self.now + SECOND])
         sidecars = self.rng.choice([-1, 0, 1, 200])
         brakes = {name: self.rng.choice([0.0, 0.5]) for name in self.names[:2]}
-        self.step(t.Common(sidecars, plan, brakes, {"z0": 3, "z1": 0}, until))
+        self.step(t.FleetState(sidecars, plan, brakes, {"z0": 3, "z1": 0}, until))
 
     def deploy(self) -> None:
         again = drawn_deployment(self.rng)
-        for held in ("tier", "beside", "few_connections", "uneven", "seed", "must_ask", "zone", "gone_binds"):
+        for held in (
+            "tier",
+            "sidecar_per_client",
+            "few_connections",
+            "uneven",
+            "seed",
+            "poll_discovery",
+            "zone",
+            "gone_binds",
+        ):
             setattr(again, held, getattr(self.deployment, held))
-        self.step(t.Deployed(again))
+        self.step(t.DeploymentChanged(again))
 
     def turn_clock_back(self) -> None:
         self.now -= self.rng.choice([1, SECOND])
-        self.step(t.Woke(1))
+        self.step(t.TimerFired(1))
 
     def drive(self) -> None:
         events = [self.list_] * 3 + [self.arrive] * 12 + [self.end] * 8 + [self.probed] * 3
         events += [self.complete, self.withdraw, self.by_hand, self.elsewhere, self.common, self.deploy]
         events += [self.tell_twice, self.turn_clock_back, self.start]
-        self.step(t.Listed(t.ListKind.CACHED, [t.Listing(name, t.State.READY) for name in self.names]))
+        self.step(
+            t.ListReceived(
+                t.ListKind.CACHED, [t.ListEntry(name, t.EndpointStatus.READY) for name in self.names]
+            )
+        )
         for _ in range(STEPS):
             self.rng.choice(events)()
             self.pass_time(self.rng.choice([0, 0, MS, 20 * MS, 300 * MS]))
@@ -259,11 +287,11 @@
 
     def end_all(self) -> None:
         """Nothing may be owed once all deadlines are over, and nothing left when all launches have ended."""
-        self.step(t.Elsewhere({}))
+        self.step(t.PredecessorLoad({}))
         self.pass_time(30 * SECOND)
         assert self.owed.keys() <= self.streams
         for key in list(self.out):
-            self.finish(key, t.How.ERROR)
+            self.finish(key, t.Outcome.ERROR)
         assert not self.owed
         assert not self.module.desk.open and not self.module.desk.busy
 
--- a/tests/test_module_learned.py
+++ b/tests/test_module_learned.py
@@ -13,7 +13,7 @@
 
 def sidecar(started: int = 0, **more) -> Sidecar:
     made = Sidecar(deployment(**more))
-    made.step(NOW, [t.Listed(t.ListKind.CACHED, [listing(0, started=started), listing(1)])])
+    made.step(NOW, [t.ListReceived(t.ListKind.CACHED, [listing(0, started=started), listing(1)])])
     return made
 
 
@@ -38,5 +38,12 @@
     """An idle cold endpoint has a greater weight than warm ones that hold requests: it would be sent as many
     times more than its part."""
     made = Sidecar(deployment(weights_live=live))
-    made.step(NOW, [t.Listed(t.ListKind.CACHED, [t.Listing("e0", t.State.READY, "z", "k", "0", 0, 4.0)])])
+    made.step(
+        NOW,
+        [
+            t.ListReceived(
+                t.ListKind.CACHED, [t.ListEntry("e0", t.EndpointStatus.READY, "z", "k", "0", 0, 4.0)]
+            )
+        ],
+    )
     assert made.desk.seats["e0"].size == size and made.desk.weight == size
--- a/tests/test_operators_file.py
+++ b/tests/test_operators_file.py
@@ -229,7 +229,7 @@
     with pytest.raises(told.BadStart, match="zones.workloads.moon: the platform tells of no such workload"):
         told.operators(path, "front-1", Deployment(seed=1))
     with pytest.raises(told.BadStart, match="zones: settings.family is mesh"):
-        told.operators(written(tmp_path, GOOD), "front-1", Deployment(seed=1, beside=True))
+        told.operators(written(tmp_path, GOOD), "front-1", Deployment(seed=1, sidecar_per_client=True))
 
 
 TABLE = {
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -117,16 +117,16 @@
 @pytest.mark.parametrize(
     "status, headers, how",
     [
-        (200, [], t.How.HANDLED),
-        (500, [], t.How.ERROR),
-        (404, [], t.How.ERROR),
-        (503, [], t.How.ERROR),
-        (400, [], t.How.REJECTED),
-        (429, [], t.How.ERROR),
-        (503, [(b"Srv-Declined", b"1")], t.How.REFUSED),
-        (504, [(b"srv-declined", b"1")], t.How.REFUSED),
-        (500, [(b"Srv-Declined", b"1")], t.How.ERROR),
-        (503, [(b"Srv-Declined", b"0")], t.How.ERROR),
+        (200, [], t.Outcome.HANDLED),
+        (500, [], t.Outcome.ERROR),
+        (404, [], t.Outcome.ERROR),
+        (503, [], t.Outcome.ERROR),
+        (400, [], t.Outcome.REJECTED),
+        (429, [], t.Outcome.ERROR),
+        (503, [(b"Srv-Declined", b"1")], t.Outcome.REFUSED),
+        (504, [(b"srv-declined", b"1")], t.Outcome.REFUSED),
+        (500, [(b"Srv-Declined", b"1")], t.Outcome.ERROR),
+        (503, [(b"Srv-Declined", b"0")], t.Outcome.ERROR),
     ],
 )
 def test_outcomes_by_the_protocols_table(status, headers, how):
@@ -160,11 +160,11 @@
 
 
 def test_reports_by_either_name_and_form():
-    whole = t.Load(queued=2.0, busy=0.61)
+    whole = t.LoadReport(queued=2.0, busy=0.61)
     for text in ("queue=2,util=0.61", " waiting=2 , cpu=0.61,odd=1", '{"queue":2,"util":0.61}'):
         assert reports.read(text) == whole
-    assert reports.read("inflight=7,latency_ms=1.5,qps=3") == t.Load(held=7.0, service=1500.0, rate=3.0)
-    assert reports.read("queue=2,util=1e-05") == t.Load(queued=2.0, busy=1e-05)
+    assert reports.read("inflight=7,latency_ms=1.5,qps=3") == t.LoadReport(held=7.0, service=1500.0, rate=3.0)
+    assert reports.read("queue=2,util=1e-05") == t.LoadReport(queued=2.0, busy=1e-05)
     for text in (
         None,
         "",
@@ -196,7 +196,7 @@
 
 def test_a_list_is_read_with_its_starts_on_the_modules_clock():
     known = lists.read(Answer(200, [], orjson.dumps({"index": 7, "snapshot": False, "endpoints": [ROW]})))
-    entry = t.Listing("s-5", t.State.DRAINING, "a", "m", "3", 1_700_000_000_123_000)
+    entry = t.ListEntry("s-5", t.EndpointStatus.DRAINING, "a", "m", "3", 1_700_000_000_123_000)
     assert (known.index, known.whole, known.entries) == (7, False, [entry])
     assert known.addresses == {"s-5": "127.0.0.1:1"}
 
@@ -248,5 +248,5 @@
     }
     made = settings.deployment(settings.flatten(nested))
     assert made == settings.deployment(pairs)
-    assert made.workloads[0].repeat is t.Repeat.DEDUPLICATED
+    assert made.workloads[0].repeat is t.RepeatPolicy.DEDUPLICATED
     assert made.cancel_allowed and not made.probes_allowed
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -11,15 +11,15 @@
 
 MS = 1000
 BESIDE = dict(
-    beside=True,
+    sidecar_per_client=True,
     uneven=True,
-    copies_allowed=False,
+    hedging_allowed=False,
     probes_allowed=False,
     zone="z",
     crossing_price=0.1,
     warm_keys=True,
 )
-HOWS = [h for h in t.How if h is not t.How.CALLED_OFF]
+HOWS = [h for h in t.Outcome if h is not t.Outcome.CALLED_OFF]
 
 
 def warm(bed: Bed, rounds: int = 60, took: int = 100 * MS, workload: t.Workload = IDEM) -> None:
@@ -28,13 +28,13 @@
         name = bed.arrive(workload)
         bed.run(took)
         for launch in bed.out(name):
-            bed.end(name, launch, t.How.HANDLED)
+            bed.end(name, launch, t.Outcome.HANDLED)
 
 
 def test_a_submission_is_launched_at_once_and_handled():
     bed = Bed(deployment())
     name = bed.arrive(IDEM)
-    bed.end(name, 0, t.How.HANDLED, after=50 * MS)
+    bed.end(name, 0, t.Outcome.HANDLED, after=50 * MS)
     assert bed.closed[name] == "handled"
 
 
@@ -46,7 +46,7 @@
         assert len(set(picks[start : start + 3])) == 3
     held = bed.arrive(IDEM)
     assert held in bed.owed and not bed.flights[held]
-    bed.end(names[0], 0, t.How.HANDLED, after=10 * MS)
+    bed.end(names[0], 0, t.Outcome.HANDLED, after=10 * MS)
     assert len(bed.flights[held]) == 1
 
 
@@ -57,7 +57,7 @@
         warm(bed, 25)
         name = bed.arrive(IDEM)
         start = bed.now
-        bed.end(name, 0, t.How.ERROR)
+        bed.end(name, 0, t.Outcome.ERROR)
         bed.run(60 * MS, stride=1000)
         first, second = bed.flights[name]
         assert first["endpoint"] != second["endpoint"]
@@ -70,7 +70,7 @@
     bed = Bed(deployment(tier=1))
     warm(bed, 30)
     name = bed.arrive(IDEM)
-    bed.end(name, 0, t.How.ERROR)
+    bed.end(name, 0, t.Outcome.ERROR)
     assert bed.closed[name] == "denied" and len(bed.flights[name]) == 1
 
 
@@ -82,12 +82,12 @@
         bed.run(40 * MS)
         for name in list(bed.flights):
             for launch in bed.out(name):
-                bed.end(name, launch, t.How.ERROR)
+                bed.end(name, launch, t.Outcome.ERROR)
     launches = sum(len(f) for f in bed.flights.values())
     assert 0 < launches - taken < taken / 10
 
 
-@pytest.mark.parametrize("how, closed", [(t.How.ERROR, "broken off"), (t.How.UNCONNECTED, None)])
+@pytest.mark.parametrize("how, closed", [(t.Outcome.ERROR, "broken off"), (t.Outcome.UNCONNECTED, None)])
 def test_unrepeatable_is_relaunched_only_if_it_never_ran(how, closed):
     bed = Bed(deployment())
     warm(bed, 30)
@@ -102,8 +102,8 @@
     bed = Bed(deployment(), endpoints=3)  # e1 is alone in its cell
     warm(bed, 30)
     name = next(n for n in iter(lambda: bed.arrive(KEYED), "") if bed.flights[n][0]["endpoint"] == "e1")
-    bed.step(t.Listed(t.ListKind.CHANGES, [listing(1, t.State.GONE)]))
-    bed.end(name, 0, t.How.RESET)
+    bed.step(t.ListReceived(t.ListKind.CHANGES, [listing(1, t.EndpointStatus.GONE)]))
+    bed.end(name, 0, t.Outcome.RESET)
     bed.run(3 * SECOND)
     assert bed.closed[name] == "broken off" and len(bed.flights[name]) == 1
 
@@ -123,21 +123,21 @@
 
 def test_drained_endpoints_get_nothing_and_an_empty_list_holds():
     bed = Bed(deployment(), endpoints=2)
-    bed.step(t.Listed(t.ListKind.CHANGES, [listing(0, t.State.DRAINING)]))
+    bed.step(t.ListReceived(t.ListKind.CHANGES, [listing(0, t.EndpointStatus.DRAINING)]))
     assert {bed.flights[bed.arrive(IDEM)][0]["endpoint"] for _ in range(4)} == {"e1"}
-    bed.step(t.Listed(t.ListKind.FULL, []))
+    bed.step(t.ListReceived(t.ListKind.FULL, []))
     assert not bed.flights[bed.arrive(IDEM)]
 
 
 def test_a_cold_endpoint_gets_no_burst():
     bed = Bed(deployment(), endpoints=4)
     warm(bed, 40, took=50 * MS)
-    bed.step(t.Listed(t.ListKind.CHANGES, [listing(9, started=bed.now)]))
+    bed.step(t.ListReceived(t.ListKind.CHANGES, [listing(9, started=bed.now)]))
     for _ in range(100):
         name = bed.arrive(IDEM)
         bed.run(20 * MS)
         for launch in bed.out(name):
-            bed.end(name, launch, t.How.HANDLED)
+            bed.end(name, launch, t.Outcome.HANDLED)
     sent = [f["sent"] for fs in bed.flights.values() for f in fs if f["endpoint"] == "e9"]
     assert 1 <= len(sent) <= 100 / 5 + 1
 
@@ -151,7 +151,7 @@
         bed.run(50 * MS)
         for launch in bed.out(name):
             if bed.flights[name][launch]["endpoint"] != "e0":
-                bed.end(name, launch, t.How.HANDLED)
+                bed.end(name, launch, t.Outcome.HANDLED)
             else:
                 stuck.append(name)
     return stuck
@@ -165,7 +165,7 @@
     for _ in range(4):
         bed.run(SECOND)
         for endpoint in bed.probes:
-            bed.step(t.Probed(endpoint, t.How.HANDLED, MS))
+            bed.step(t.ProbeEnded(endpoint, t.Outcome.HANDLED, MS))
         bed.probes.clear()
     assert any("e0 on trial" in line for line in bed.logs)
 
@@ -179,7 +179,7 @@
             bed.run(20 * MS)
             for launch in bed.out(name):
                 failed = bed.flights[name][launch]["endpoint"] in bad
-                bed.end(name, launch, t.How.ERROR if failed else t.How.HANDLED)
+                bed.end(name, launch, t.Outcome.ERROR if failed else t.Outcome.HANDLED)
         aside = {line.split()[0] for line in bed.logs if "set aside" in line}
         assert aside == ({"e0"} if len(bad) == 1 else set())
 
@@ -197,12 +197,12 @@
     warm(bed)
     name = bed.arrive(IDEM)
     bad = bed.flights[name][0]["endpoint"]
-    bed.end(name, 0, t.How.UNCONNECTED)
+    bed.end(name, 0, t.Outcome.UNCONNECTED)
     assert any(line == f"{bad} set aside: connections break" for line in bed.logs)
     while "set aside" in bed.logs[-1]:
         bed.run(5 * MS)
         while bed.probes:
-            bed.step(t.Probed(bed.probes.pop(), t.How.UNCONNECTED if away else t.How.HANDLED, MS))
+            bed.step(t.ProbeEnded(bed.probes.pop(), t.Outcome.UNCONNECTED if away else t.Outcome.HANDLED, MS))
             away = False
     assert bed.logs[-1] == f"{bad} {then}" and least < bed.now - bed.flights[name][0]["sent"] < most
 
@@ -220,7 +220,7 @@
             bad = flight["endpoint"] == "e0"
             if bad or bed.now - flight["sent"] >= 100 * MS:
                 fails = bad and rand.random() < (0.2 if at < 150 else 0.6)
-                bed.end(name, 0, t.How.ERROR if fails else t.How.HANDLED)
+                bed.end(name, 0, t.Outcome.ERROR if fails else t.Outcome.HANDLED)
                 out.append(bed.arrive(ONCE))
     assert any(line.startswith("e0 set aside: failed") for line in bed.logs)
     assert {line.split()[0] for line in bed.logs if "set aside" in line} == {"e0"}
@@ -230,7 +230,7 @@
     """Guards against answers spoilt at all endpoints alike: half of the room was gone on a light day."""
     bed = Bed(deployment())
     warm(bed)
-    for how, falls in ((t.How.ERROR, False), (t.How.TIMED_OUT, True)):
+    for how, falls in ((t.Outcome.ERROR, False), (t.Outcome.TIMED_OUT, True)):
         for _ in range(3):
             bed.end(name := bed.arrive(ONCE), 0, how, after=100 * MS)
             assert bed.closed[name] == "broken off"
@@ -240,10 +240,10 @@
 def test_a_broken_watch_is_asked_for_again_with_jitter():
     waits = []
     for seed in range(10):
-        bed = Bed(deployment(must_ask=True, ask_within=10 * SECOND, seed=seed))
+        bed = Bed(deployment(poll_discovery=True, poll_interval=10 * SECOND, seed=seed))
         bed.run(5 * SECOND)
         assert len(bed.watches) == 1
-        bed.step(t.Listed(t.ListKind.FAILED, []))
+        bed.step(t.ListReceived(t.ListKind.FAILED, []))
         start = bed.now
         bed.run(5 * SECOND)
         waits.append(bed.watches[1] - start)
@@ -258,21 +258,24 @@
         for _ in range(3):
             bed.arrive(rand.choice([IDEM, KEYED]))
         gone = sorted(listed)[0]
-        new = t.Listing(f"n{at}", t.State.READY, "z", "k", "0")
+        new = t.ListEntry(f"n{at}", t.EndpointStatus.READY, "z", "k", "0")
         if at % 2:
-            bed.step(t.Listed(t.ListKind.CHANGES, [new, t.Listing(gone, t.State.GONE)]), after=10 * MS)
+            bed.step(
+                t.ListReceived(t.ListKind.CHANGES, [new, t.ListEntry(gone, t.EndpointStatus.GONE)]),
+                after=10 * MS,
+            )
         else:
             left = [entry for entry in listed.values() if entry.endpoint != gone]
-            bed.step(t.Listed(t.ListKind.FULL, [*left, new]), after=10 * MS)
+            bed.step(t.ListReceived(t.ListKind.FULL, [*left, new]), after=10 * MS)
         for name in list(bed.flights):
             for launch in bed.out(name):
-                how = rand.choice([t.How.HANDLED, t.How.RESET, t.How.UNCONNECTED])
-                bed.end(name, launch, how, t.Load(1.0))
-        bed.step(t.Probed(gone, t.How.HANDLED, MS))
+                how = rand.choice([t.Outcome.HANDLED, t.Outcome.RESET, t.Outcome.UNCONNECTED])
+                bed.end(name, launch, how, t.LoadReport(1.0))
+        bed.step(t.ProbeEnded(gone, t.Outcome.HANDLED, MS))
     bed.run(4 * SECOND)
     for name in list(bed.flights):
         for launch in bed.out(name):
-            bed.end(name, launch, t.How.CALLED_OFF)
+            bed.end(name, launch, t.Outcome.CALLED_OFF)
     assert set(desk.endpoints) == set(desk.seats) == set(listed) and len(desk.seats) == 4
     assert {seat.name for seat in desk.told} <= set(desk.seats)
     assert desk.ready == sum(seat.says.open for seat in desk.seats.values()) and desk.flying >= 0
@@ -281,10 +284,15 @@
 def test_unknown_ends_and_late_notes_are_ignored():
     bed = Bed(deployment())
     name = bed.arrive(IDEM)
-    bed.end(name, 0, t.How.HANDLED)
-    late = [t.Ended(name, 0, t.How.ERROR, 5), t.Withdrawn(name), t.Withdrawn("other"), t.Woke(99)]
-    orders = bed.sidecar.step(bed.now + 5, late)
-    assert all(isinstance(o, t.WakeMe) for o in orders)
+    bed.end(name, 0, t.Outcome.HANDLED)
+    late = [
+        t.AttemptEnded(name, 0, t.Outcome.ERROR, 5),
+        t.RequestCancelled(name),
+        t.RequestCancelled("other"),
+        t.TimerFired(99),
+    ]
+    commands = bed.sidecar.step(bed.now + 5, late)
+    assert all(isinstance(o, t.SetTimer) for o in commands)
 
 
 @pytest.mark.parametrize("seed", range(45))
@@ -295,19 +303,19 @@
         deployment(
             seed=seed,
             tier=tier,
-            copies_allowed=chance.random() < 0.7,
-            must_ask=chance.random() < 0.5,
+            hedging_allowed=chance.random() < 0.7,
+            poll_discovery=chance.random() < 0.5,
             cancel_allowed=chance.random() < 0.7,
             probes_allowed=chance.random() < 0.8,
-            ask_within=10 * SECOND,
-            most_launches=chance.randint(1, 4),
+            poll_interval=10 * SECOND,
+            max_attempts=chance.randint(1, 4),
         )
         if seed < 30
         else deployment(
             seed=seed,
             instances=90,
-            must_ask=True,
-            ask_within=10 * SECOND,
+            poll_discovery=True,
+            poll_interval=10 * SECOND,
             cancel_allowed=seed % 2 > 0,
             few_connections=seed % 3 > 0,
             **BESIDE,
@@ -323,20 +331,20 @@
             bed.arrive(w, chance.randint(20 * MS, w.hard_limit))
         elif roll < 0.9 and live:
             name, launch = chance.choice(live)
-            bed.end(name, launch, t.How.HANDLED if chance.random() < 0.6 else chance.choice(HOWS))
+            bed.end(name, launch, t.Outcome.HANDLED if chance.random() < 0.6 else chance.choice(HOWS))
         elif roll < 0.93:
             started = bed.now if chance.random() < 0.5 else 0
-            entry = listing(chance.randrange(8), chance.choice(list(t.State)), started)
-            bed.step(t.Listed(t.ListKind.CHANGES, [entry]))
+            entry = listing(chance.randrange(8), chance.choice(list(t.EndpointStatus)), started)
+            bed.step(t.ListReceived(t.ListKind.CHANGES, [entry]))
         elif roll < 0.94 and bed.owed:
-            bed.step(t.Withdrawn(chance.choice(list(bed.owed))))
+            bed.step(t.RequestCancelled(chance.choice(list(bed.owed))))
         for endpoint in bed.probes:
-            bed.step(t.Probed(endpoint, chance.choice(HOWS), MS))
+            bed.step(t.ProbeEnded(endpoint, chance.choice(HOWS), MS))
         bed.probes.clear()
         for name, launch in live:
             arrived = bed.owed.get(name)
             if arrived and arrived.due <= bed.now and launch in bed.out(name):
-                bed.end(name, launch, t.How.TIMED_OUT)
+                bed.end(name, launch, t.Outcome.TIMED_OUT)
     bed.run(4 * SECOND)
     assert not bed.owed
 
@@ -350,9 +358,9 @@
         for other in list(bed.flights):
             for launch in bed.out(other):
                 if bed.flights[other][launch]["endpoint"] != "e0":
-                    bed.end(other, launch, t.How.HANDLED)
+                    bed.end(other, launch, t.Outcome.HANDLED)
                 elif other not in bed.owed:
-                    bed.end(other, launch, t.How.CALLED_OFF)
+                    bed.end(other, launch, t.Outcome.CALLED_OFF)
     assert any("e0 set aside" in line for line in bed.logs)
 
 
@@ -364,8 +372,8 @@
         bed.run(200 * MS)
         for name in names:
             for launch in bed.out(name):
-                bed.end(name, launch, t.How.HANDLED)
-    bed.step(t.Listed(t.ListKind.CHANGES, [listing(9)]))
+                bed.end(name, launch, t.Outcome.HANDLED)
+    bed.step(t.ListReceived(t.ListKind.CHANGES, [listing(9)]))
     for _ in range(12):
         bed.arrive(IDEM)
     flying = [f["endpoint"] for fs in bed.flights.values() for f in fs if f["how"] is None]
@@ -389,9 +397,13 @@
     for _ in range(100):
         name = bed.arrive(IDEM)
         bed.run(20 * MS)
-        bed.end(name, 0, t.How.HANDLED)
+        bed.end(name, 0, t.Outcome.HANDLED)
         for endpoint in ("e0", "e1", "e2", "e3"):
-            bed.step(t.Probed(endpoint, t.How.HANDLED, MS, t.Load(queued=9.0 if endpoint == "e0" else 1.0)))
+            bed.step(
+                t.ProbeEnded(
+                    endpoint, t.Outcome.HANDLED, MS, t.LoadReport(queued=9.0 if endpoint == "e0" else 1.0)
+                )
+            )
     assert sum(fs[0]["endpoint"] == "e0" for fs in bed.flights.values()) < 15
     assert "e0" in {bed.flights[bed.arrive(IDEM)][0]["endpoint"] for _ in range(13)}
 
@@ -399,15 +411,23 @@
 @pytest.mark.parametrize("uneven", [False, True])
 def test_a_bound_workload_goes_to_no_other_endpoint_and_holds_up_nothing_else(uneven):
     """As reported: claim-star, which only north-hall serves, went to west-hall at its first launch."""
-    star = t.Workload("star", SECOND, 2 * SECOND, repeat=t.Repeat.DEDUPLICATED, window=SECOND, zones=("n",))
+    star = t.Workload(
+        "star", SECOND, 2 * SECOND, repeat=t.RepeatPolicy.DEDUPLICATED, window=SECOND, zones=("n",)
+    )
     bed = Bed(deployment(workloads=[IDEM, star], uneven=uneven, zone="z"), endpoints=0)
-    told = [t.Listing(f"e{at}", t.State.READY, "n" if at < 2 else "z", "k", "0") for at in range(6)]
-    bed.step(t.Listed(t.ListKind.FULL, told))
+    told = [
+        t.ListEntry(f"e{at}", t.EndpointStatus.READY, "n" if at < 2 else "z", "k", "0") for at in range(6)
+    ]
+    bed.step(t.ListReceived(t.ListKind.FULL, told))
     chance, stars, others = random.Random(3), [], []
-    hows = [t.How.HANDLED] * 8 + [t.How.REFUSED, t.How.ERROR]
+    hows = [t.Outcome.HANDLED] * 8 + [t.Outcome.REFUSED, t.Outcome.ERROR]
     for at in range(400):
         if at == 200:
-            bed.step(t.Listed(t.ListKind.CHANGES, [t.Listing(f"e{n}", t.State.GONE) for n in (0, 1)]))
+            bed.step(
+                t.ListReceived(
+                    t.ListKind.CHANGES, [t.ListEntry(f"e{n}", t.EndpointStatus.GONE) for n in (0, 1)]
+                )
+            )
         (stars if at % 3 else others).append(bed.arrive(star if at % 3 else IDEM))
         bed.run(20 * MS)
         for name in list(bed.flights):
@@ -429,7 +449,7 @@
         bed.run(20 * MS)
         for at, name in due:
             for launch in bed.out(name) if at <= bed.now else []:
-                bed.end(name, launch, t.How.HANDLED)
+                bed.end(name, launch, t.Outcome.HANDLED)
         due = [(at, name) for at, name in due if name not in bed.closed]
     assert bed.sidecar.desk.crowding < 1.5 and bed.sidecar.desk.cap >= CAP_START
     assert not any("set aside" in line for line in bed.logs)
@@ -441,28 +461,35 @@
     bed = Bed(deployment(gone_binds=False), endpoints=4)
     warm(bed)
     if drained:
-        bed.step(t.Listed(t.ListKind.CHANGES, [listing(0, t.State.DRAINING)]))
-    bed.step(t.Listed(t.ListKind.CHANGES, [listing(0, t.State.GONE)]))
-    bed.state["e0"] = t.State.GONE if drained else t.State.READY  # what the bed holds each launch against
+        bed.step(t.ListReceived(t.ListKind.CHANGES, [listing(0, t.EndpointStatus.DRAINING)]))
+    bed.step(t.ListReceived(t.ListKind.CHANGES, [listing(0, t.EndpointStatus.GONE)]))
+    bed.state["e0"] = (
+        t.EndpointStatus.GONE if drained else t.EndpointStatus.READY
+    )  # what the bed holds each launch against
     picks = []
     for _ in range(20):
         picks.append(name := bed.arrive(IDEM))
-        bed.end(name, 0, t.How.HANDLED, after=20 * MS)
+        bed.end(name, 0, t.Outcome.HANDLED, after=20 * MS)
     used = [bed.flights[name][0]["endpoint"] for name in picks]
     assert ("e0" in used) is not drained
     while not drained and "e0" in bed.sidecar.desk.endpoints:
         name = bed.arrive(IDEM)
-        bed.end(name, 0, t.How.UNCONNECTED if bed.flights[name][0]["endpoint"] == "e0" else t.How.HANDLED)
+        bed.end(
+            name, 0, t.Outcome.UNCONNECTED if bed.flights[name][0]["endpoint"] == "e0" else t.Outcome.HANDLED
+        )
     assert "e0" not in bed.sidecar.roster.listed and not bed.sidecar.roster.dropped
-    bed.step(t.Listed(t.ListKind.CHANGES, [listing(0)]))
+    bed.step(t.ListReceived(t.ListKind.CHANGES, [listing(0)]))
     assert "e0" in bed.sidecar.desk.seats
 
 
 def test_a_workload_bound_to_kinds_goes_to_those_alone():
-    heavy = t.Workload("heavy", SECOND, 2 * SECOND, 1.0, 0.0, t.Repeat.IDEMPOTENT, kinds=("big",))
+    heavy = t.Workload("heavy", SECOND, 2 * SECOND, 1.0, 0.0, t.RepeatPolicy.IDEMPOTENT, kinds=("big",))
     bed = Bed(deployment(workloads=[heavy]), endpoints=0)
-    told = [t.Listing(f"e{at}", t.State.READY, "z", "big" if at == 3 else "small", "0") for at in range(4)]
-    bed.step(t.Listed(t.ListKind.FULL, told))
+    told = [
+        t.ListEntry(f"e{at}", t.EndpointStatus.READY, "z", "big" if at == 3 else "small", "0")
+        for at in range(4)
+    ]
+    bed.step(t.ListReceived(t.ListKind.FULL, told))
     names = [bed.arrive(heavy) for _ in range(9)]
     assert {f["endpoint"] for name in names for f in bed.flights[name]} == {"e3"}
 
@@ -470,7 +497,7 @@
 def test_a_first_report_puts_nobody_behind_before_the_mean_is_known():
     """Seen: whoever was probed in the first half second stood behind the others, whatever it told."""
     bed = Bed(deployment(reports_asked=True), endpoints=3)
-    bed.step(t.Probed("e0", t.How.HANDLED, MS, t.Load(queued=0.0)))
+    bed.step(t.ProbeEnded("e0", t.Outcome.HANDLED, MS, t.LoadReport(queued=0.0)))
     assert not bed.sidecar.desk.seats["e0"].says.crowded
 
 
@@ -481,13 +508,13 @@
         name = bed.arrive(IDEM)
         picks.append(bed.flights[name][0]["endpoint"])
         bed.run((150 if picks[-1] == "e0" else 40) * MS)
-        bed.end(name, 0, t.How.HANDLED)
+        bed.end(name, 0, t.Outcome.HANDLED)
     assert picks[100:].count("e0") < 12
     assert not any("set aside" in line for line in bed.logs)
 
 
 def test_an_inner_launch_that_never_ran_goes_elsewhere_but_one_that_may_have_run_does_not():
-    for how, launches in ((t.How.UNCONNECTED, 2), (t.How.REFUSED, 2), (t.How.RESET, 1)):
+    for how, launches in ((t.Outcome.UNCONNECTED, 2), (t.Outcome.REFUSED, 2), (t.Outcome.RESET, 1)):
         bed = Bed(deployment(tier=1))
         warm(bed, 30)
         name = bed.arrive(ONCE)
@@ -499,9 +526,9 @@
 @pytest.mark.parametrize(
     "how, workload, launches",
     [
-        (t.How.SPOILT, IDEM, 2),
-        (t.How.SPOILT, ONCE, 1),
-        (t.How.ERROR, IDEM, 1),
+        (t.Outcome.SPOILT, IDEM, 2),
+        (t.Outcome.SPOILT, ONCE, 1),
+        (t.Outcome.ERROR, IDEM, 1),
     ],
 )
 def test_an_inner_launch_whose_answer_came_spoilt_goes_out_anew_where_allowed(how, workload, launches):
@@ -520,23 +547,23 @@
         name = bed.arrive(ONCE, 600 * MS)
         if bed.flights[name][0]["endpoint"] == "e0":
             bed.run(600 * MS)
-            bed.end(name, 0, t.How.CALLED_OFF)
+            bed.end(name, 0, t.Outcome.CALLED_OFF)
             break
         bed.run(30 * MS)
-        bed.end(name, 0, t.How.HANDLED)
+        bed.end(name, 0, t.Outcome.HANDLED)
     bed.run(200 * MS)
     assert any("e0 set aside: silent" in line for line in bed.logs)
 
 
 def test_nothing_deduplicated_is_sent_again_after_its_window():
-    kind = t.Repeat.DEDUPLICATED, t.Group.ALL, SECOND // 2
+    kind = t.RepeatPolicy.DEDUPLICATED, t.DeduplicationScope.ALL, SECOND // 2
     short = t.Workload("short", 3 * SECOND, 5 * SECOND, 1.0, 0.0, *kind)
     for wait, launches in ((100 * MS, 2), (700 * MS, 1)):
         bed = Bed(deployment(workloads=[IDEM, short]))
         warm(bed, 30)
         name = bed.arrive(short)
         bed.run(wait)
-        bed.end(name, 0, t.How.ERROR)
+        bed.end(name, 0, t.Outcome.ERROR)
         bed.run(200 * MS)
         assert len(bed.flights[name]) == launches
 
@@ -545,7 +572,7 @@
     bed = Bed(deployment(), endpoints=4)
     warm(bed, 40, took=50 * MS)
     names = [bed.arrive(IDEM) for _ in range(12)]
-    bed.step(t.Listed(t.ListKind.CHANGES, [listing(9, started=bed.now)]))
+    bed.step(t.ListReceived(t.ListKind.CHANGES, [listing(9, started=bed.now)]))
     names += [bed.arrive(IDEM) for _ in range(6)]
     assert sum(bed.flights[n][0]["endpoint"] == "e9" for n in names if bed.flights[n]) <= 1
 
@@ -558,7 +585,7 @@
         bed.run(150 * MS)
         for name in names:
             for launch in bed.out(name):
-                bed.end(name, launch, t.How.HANDLED)
+                bed.end(name, launch, t.Outcome.HANDLED)
     for _ in range(20):
         bed.arrive(IDEM)
     flying = sum(f["how"] is None for fs in bed.flights.values() for f in fs)
@@ -594,13 +621,13 @@
         bed.taken += 1
         bed.run(30 * MS)
         for endpoint in bed.probes:
-            report = t.Load(queued=load if endpoint in heavy else 1.0, busy=busy)
-            bed.step(t.Probed(endpoint, t.How.HANDLED, MS, report))
+            report = t.LoadReport(queued=load if endpoint in heavy else 1.0, busy=busy)
+            bed.step(t.ProbeEnded(endpoint, t.Outcome.HANDLED, MS, report))
         bed.probed = getattr(bed, "probed", 0) + len(bed.probes)
         bed.probes.clear()
         bed.run(100 * MS)
         for launch in bed.out(name):
-            bed.end(name, launch, t.How.HANDLED)
+            bed.end(name, launch, t.Outcome.HANDLED)
     return bed
 
 
@@ -625,10 +652,10 @@
         name = bed.arrive(IDEM)
         bed.run(325 * MS)
         for endpoint in bed.probes:
-            bed.step(t.Probed(endpoint, t.How.HANDLED, MS, t.Load(queued=1.0, busy=busy)))
+            bed.step(t.ProbeEnded(endpoint, t.Outcome.HANDLED, MS, t.LoadReport(queued=1.0, busy=busy)))
         bed.probes.clear()
         for launch in bed.out(name):
-            bed.end(name, launch, t.How.HANDLED)
+            bed.end(name, launch, t.Outcome.HANDLED)
     assert (desk.cap < 0.8 * start) is falls
 
 
@@ -651,7 +678,7 @@
         out = [(n, i) for n, fs in bed.flights.items() for i, f in enumerate(fs) if f["how"] is None]
         for name, launch in out:
             if bed.now - bed.flights[name][launch]["sent"] >= 300 * MS:
-                bed.end(name, launch, t.How.HANDLED)
+                bed.end(name, launch, t.Outcome.HANDLED)
         total.append(len(out))
     assert sum(total[20:60]) / 40 <= 1.5 * 50 * FLEET_START * UNEVEN / 100
 
@@ -665,7 +692,7 @@
 
 @pytest.mark.parametrize("copies", [True, False])
 def test_a_second_copy_is_sent_only_where_two_launches_may_be_out(copies):
-    bed = Bed(deployment(copies_allowed=copies), endpoints=4)
+    bed = Bed(deployment(hedging_allowed=copies), endpoints=4)
     hang(bed)
     assert any("e0 set aside: silent" in line for line in bed.logs)
     assert any(len(fs) == 2 for fs in bed.flights.values()) is copies
--- a/tests/test_settings_served.py
+++ b/tests/test_settings_served.py
@@ -45,8 +45,8 @@
     found = told(more)
     assert f"settings.{key}" in found.unused
     d = found.deployment
-    if d.beside:
-        assert not (d.copies_allowed or d.probes_allowed or d.reports_asked)
+    if d.sidecar_per_client:
+        assert not (d.hedging_allowed or d.probes_allowed or d.reports_asked)
     else:
         assert not (d.few_connections or d.warm_keys or d.weights_tell_speed)
 
@@ -89,7 +89,7 @@
 def test_switches_in_all_their_forms(key, yes, no):
     """Seen failing for 1.0: read as off."""
     field = {"cancel": "cancel_allowed", "probes": "probes_allowed"} | {
-        "may-duplicate": "copies_allowed",
+        "may-duplicate": "hedging_allowed",
         "retry-after": "advice_allowed",
     }
     for value, holds in ((yes, True), (no, False), (None, False)):
@@ -99,7 +99,7 @@
 @pytest.mark.parametrize("value", [3, 3.0, "3", "3.0", "3e0", 3.7])
 def test_whole_numbers_in_all_their_forms(value):
     found = told({"instances": value, "tier": value, "limits": {"most-launches": value}}).deployment
-    assert (found.instances, found.tier, found.most_launches) == (3, 3, 3)
+    assert (found.instances, found.tier, found.max_attempts) == (3, 3, 3)
 
 
 @pytest.mark.parametrize("value", ["5.0", "0x1f", "8c1f30d27a5be964", "", None, 7, 7.5, "seed of the day"])
@@ -339,7 +339,7 @@
         submission = bed.arrive(asked)
         bed.run(20_000)
         for launch in bed.out(submission):
-            bed.end(submission, launch, t.How.HANDLED if at % 2 else t.How.ERROR)
+            bed.end(submission, launch, t.Outcome.HANDLED if at % 2 else t.Outcome.ERROR)
     bed.run(max(one.hard_limit for one in d.workloads) + 100_000)
     assert not bed.owed
 
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -34,15 +34,17 @@
 
 def test_defaults_are_the_old_shape():
     d = protocol_settings.deployment(fields(settings()))
-    assert not (d.beside or d.warm_keys or d.few_connections or d.weights_tell_speed or d.crossing_price)
+    assert not (
+        d.sidecar_per_client or d.warm_keys or d.few_connections or d.weights_tell_speed or d.crossing_price
+    )
     protocol_settings.check(fields(settings()))
 
 
 def test_the_new_shape_is_read_from_its_settings():
     protocol_settings.check(fields(settings(**BESIDE)))
     d = protocol_settings.deployment(fields(settings(**BESIDE)))
-    assert (d.beside, d.zone, d.crossing_price, d.warm_keys) == (True, "z", 0.1, True)
-    assert d.few_connections and d.weights_tell_speed and not d.copies_allowed
+    assert (d.sidecar_per_client, d.zone, d.crossing_price, d.warm_keys) == (True, "z", 0.1, True)
+    assert d.few_connections and d.weights_tell_speed and not d.hedging_allowed
 
 
 STAR = {"name": "star", "contract-time-s": 0.5, "hard-limit-s": 1.0, "repeat": "repeatable"}
@@ -114,9 +116,9 @@
         for at in range(12):
             answer = await net.ask(wanted(f"s{at}", more=f"Req-Key: week{at % 3}\r\n"))
             assert answer.status == 200
-        keys = [note.key for note in net.notes if isinstance(note, t.Arrived)]
+        keys = [event.key for event in net.events if isinstance(event, t.RequestArrived)]
         assert keys == [f"week{at % 3}" for at in range(12)]
-        assert not any(isinstance(note, t.Probed) for note in net.notes)
+        assert not any(isinstance(event, t.ProbeEnded) for event in net.events)
         seats = net.program.engine.sidecar.desk.seats.values()
         assert sum(seat.used for seat in seats) <= 4 < len(seats)
         overlong = await net.ask(wanted("s99", more=f"Req-Key: {'k' * 201}\r\n"))
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -62,28 +62,28 @@
         assert 0.7 < float(got.header(b"req-deadline")) <= 0.8
         assert (await net.ask(b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n")).status == 200
 
-        await until(lambda: any(isinstance(note, t.Probed) for note in net.notes))
+        await until(lambda: any(isinstance(event, t.ProbeEnded) for event in net.events))
 
     net = on_network(check, *[fine] * 4)
-    assert net.ended() == [t.How.HANDLED]
-    probed = next(note for note in net.notes if isinstance(note, t.Probed))
-    assert probed.how is t.How.HANDLED and probed.load == t.Load(queued=2.0, busy=0.4)
+    assert net.ended() == [t.Outcome.HANDLED]
+    probed = next(event for event in net.events if isinstance(event, t.ProbeEnded))
+    assert probed.outcome is t.Outcome.HANDLED and probed.load == t.LoadReport(queued=2.0, busy=0.4)
 
 
 @pytest.mark.parametrize(
     "act, how, status",
     [
-        (always(Answer(500)), t.How.ERROR, 502),
-        (always(Answer(503)), t.How.ERROR, 502),
-        (always(DECLINED), t.How.REFUSED, 503),
-        (always("cut"), t.How.RESET, 502),
-        (always("reset"), t.How.RESET, 502),
-        (always("garbled"), t.How.SPOILT, 502),
-        (always("endless"), t.How.SPOILT, 502),
-        (always("unfinished"), t.How.SPOILT, 502),
-        (always("no end of the head"), t.How.SPOILT, 502),
-        (always("huge"), t.How.SPOILT, 502),
-        (always("silent"), t.How.CALLED_OFF, 502),
+        (always(Answer(500)), t.Outcome.ERROR, 502),
+        (always(Answer(503)), t.Outcome.ERROR, 502),
+        (always(DECLINED), t.Outcome.REFUSED, 503),
+        (always("cut"), t.Outcome.RESET, 502),
+        (always("reset"), t.Outcome.RESET, 502),
+        (always("garbled"), t.Outcome.SPOILT, 502),
+        (always("endless"), t.Outcome.SPOILT, 502),
+        (always("unfinished"), t.Outcome.SPOILT, 502),
+        (always("no end of the head"), t.Outcome.SPOILT, 502),
+        (always("huge"), t.Outcome.SPOILT, 502),
+        (always("silent"), t.Outcome.CALLED_OFF, 502),
     ],
 )
 def test_what_comes_back_is_an_outcome_and_what_may_have_run_is_broken_off(act, how, status):
@@ -108,7 +108,7 @@
         assert (await net.ask(wanted("s1", "issue", "0.4"))).status == 503
 
     net = on_network(check, fine)
-    assert net.ended()[0] is t.How.UNCONNECTED and not seen(net, "s1")
+    assert net.ended()[0] is t.Outcome.UNCONNECTED and not seen(net, "s1")
 
 
 @pytest.mark.parametrize("row", [{"status": "DRAINING"}, {"status": "DELETED"}])
@@ -126,7 +126,7 @@
         assert (await net.ask(wanted("s1", "issue", "0.3"))).status == 503
 
     net = on_network(check, fine, limits=settings()["limits"] | {"probes": False})
-    assert net.ended() == [t.How.UNSENT] and not seen(net, "s1")
+    assert net.ended() == [t.Outcome.UNSENT] and not seen(net, "s1")
 
 
 def test_nothing_is_written_for_a_client_that_left_while_the_connection_was_made():
@@ -143,7 +143,7 @@
         await anyio.sleep(0.3)
 
     net = on_network(check, fine, limits=settings()["limits"] | {"cancel": False})
-    assert net.ended() == [t.How.UNSENT] and not seen(net, "s1")
+    assert net.ended() == [t.Outcome.UNSENT] and not seen(net, "s1")
 
 
 def test_a_client_that_leaves_is_withdrawn_and_its_launch_closed():
@@ -153,7 +153,9 @@
         assert net.stands[0].open == 0
 
     net = on_network(check, always("silent"))
-    assert any(isinstance(note, t.Withdrawn) for note in net.notes) and net.ended() == [t.How.CALLED_OFF]
+    assert any(isinstance(event, t.RequestCancelled) for event in net.events) and net.ended() == [
+        t.Outcome.CALLED_OFF
+    ]
 
 
 def test_an_idle_connection_that_broke_costs_no_launch():
@@ -173,7 +175,7 @@
         assert (await net.ask(wanted("s2", "issue"))).status == 200
 
     net = on_network(check, fine, limits=settings()["limits"] | {"probes": False})
-    assert net.ended() == [t.How.HANDLED] * 2 and broke
+    assert net.ended() == [t.Outcome.HANDLED] * 2 and broke
 
 
 @pytest.mark.parametrize(
@@ -221,9 +223,9 @@
         assert (await net.ask(wanted("s1", deadline="0.8"))).status == 200
 
     net = on_network(check, always(Answer(200), 0.2))
-    (ended,) = [note for note in net.notes if isinstance(note, t.Ended)]
-    assert 140_000 < ended.took < 190_000
-    (arrived,) = [note for note in net.notes if isinstance(note, t.Arrived)]
+    (ended,) = [event for event in net.events if isinstance(event, t.AttemptEnded)]
+    assert 140_000 < ended.duration < 190_000
+    (arrived,) = [event for event in net.events if isinstance(event, t.RequestArrived)]
     assert arrived.due < net.began + 800_000
 
 
@@ -260,7 +262,7 @@
         await anyio.sleep(0.05)
         assert net.program.descriptors.open[Side.CLIENT] == 0
 
-    assert not [note for note in on_network(check, fine).notes if isinstance(note, t.Arrived)]
+    assert not [event for event in on_network(check, fine).events if isinstance(event, t.RequestArrived)]
 
 
 def test_what_trickles_or_says_nothing_is_closed_in_time_and_drives_out_no_client_in_use(monkeypatch):
@@ -305,7 +307,7 @@
             assert (answer.status, answer.body) == (400, b"not so")
 
     net = on_network(check, *[always(Answer(400, [], b"not so"))] * 2)
-    assert net.ended() == [t.How.REJECTED] * 12
+    assert net.ended() == [t.Outcome.REJECTED] * 12
     assert not [fields for event, fields in net.logs if event == "mode"]
 
 
@@ -367,12 +369,12 @@
     async def check(net: Net):
         desk, whole = net.program.engine.sidecar.desk, net.program.engine.sidecar.desk.arrive
 
-        def broken(note):
-            if note.submission == "bad":
+        def broken(event):
+            if event.request == "bad":
                 raise RuntimeError("a defect")
-            whole(note)
+            whole(event)
 
-        desk.handlers[t.Arrived] = broken
+        desk.handlers[t.RequestArrived] = broken
         got = {}
 
         async def ask(name: str):
@@ -407,7 +409,9 @@
             group.start_soon(net.ask, wanted("s1"))
             group.start_soon(lag)
         assert (await net.ask(wanted("s2", "issue"))).status == 502
-        (due,) = [note.due for note in net.notes if isinstance(note, t.Arrived) and note.submission == "s2"]
+        (due,) = [
+            event.due for event in net.events if isinstance(event, t.RequestArrived) and event.request == "s2"
+        ]
         assert 700_000 < due - began[-1] < 950_000
 
     monkeypatch.setattr(wall_clock, "SHARED", wall_clock.WallClock())
@@ -430,17 +434,17 @@
         engine, desk = net.program.engine, net.program.engine.sidecar.desk
         whole = desk.arrive
 
-        def arrive(note):
-            whole(note)
-            if note.submission == "s1":  # told while its orders are carried out, as a failing launch would
-                engine.carriers[t.Launch] = lambda order: [engine.tell(one) for one in (bad, emptied)]
+        def arrive(event):
+            whole(event)
+            if event.request == "s1":  # told while its orders are carried out, as a failing launch would
+                engine.carriers[t.StartAttempt] = lambda command: [engine.tell(one) for one in (bad, emptied)]
 
-        def broken(note):
+        def broken(event):
             raise RuntimeError("a defect")
 
-        bad, emptied = t.Withdrawn("none"), t.Listed(t.ListKind.FULL, [])
-        desk.handlers |= {t.Arrived: arrive, t.Withdrawn: broken}
-        engine.tell(t.Arrived("s1", "view", engine.clock.now() + 300_000))
+        bad, emptied = t.RequestCancelled("none"), t.ListReceived(t.ListKind.FULL, [])
+        desk.handlers |= {t.RequestArrived: arrive, t.RequestCancelled: broken}
+        engine.tell(t.RequestArrived("s1", "view", engine.clock.now() + 300_000))
         await anyio.sleep(0)
         assert not engine.sidecar.roster.listed
 
@@ -459,7 +463,7 @@
         assert (await net.ask(wanted("s2", "issue"))).status == 200
 
     net = on_network(check, fine, tier=1)
-    assert net.ended()[0] is t.How.RESET and "task_failed" in [event for event, _ in net.logs]
+    assert net.ended()[0] is t.Outcome.RESET and "task_failed" in [event for event, _ in net.logs]
 
 
 def test_a_lasting_task_that_fails_goes_on():
@@ -491,7 +495,7 @@
         await until(lambda: net.discovery.seen)
         assert (await net.ask(wanted("s1"))).status == 200
         if fault != "silent":
-            await until(lambda: t.Listed(t.ListKind.FAILED, []) in net.notes)
+            await until(lambda: t.ListReceived(t.ListKind.FAILED, []) in net.events)
             net.discovery.fault = None
             net.discovery.change(net.discovery.rows[0], status="DRAINING")
             await until(lambda: not net.program.directory.takes("e0"))
@@ -553,7 +557,7 @@
         net.discovery.change(net.discovery.rows[0], status="SERVING", since_ms=int(time.time() * 1000))
         await until(lambda: net.program.directory.takes("e0"))
         assert time.monotonic() - began < 0.2
-        (entry,) = net.notes[-1].entries
+        (entry,) = net.events[-1].entries
         assert abs(net.program.engine.clock.now() - entry.started) < 1_000_000
 
     on_network(check, fine, known=False, discovery=mode)
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -191,33 +191,33 @@
 def test_a_launch_whose_submission_still_comes_takes_no_place_and_looks_not_silent():
     bed = Bed(deployment(), 2)
     for at in range(30):
-        bed.step(t.Arrived(f"u{at}", "view", bed.now + 60 * SECOND, whole=False))
+        bed.step(t.RequestArrived(f"u{at}", "view", bed.now + 60 * SECOND, whole=False))
     assert all(len(bed.out(f"u{at}")) == 1 for at in range(30))
     desk = bed.sidecar.desk
     assert desk.flying == 0 and not desk.busy
     for _ in range(40):  # what is usual is quick, and those uploads last
         name = bed.arrive(IDEM)
-        bed.end(name, 0, t.How.HANDLED, after=10_000)
+        bed.end(name, 0, t.Outcome.HANDLED, after=10_000)
         bed.run(100_000)
     assert all(seat.says.open for seat in desk.seats.values())
-    bed.step(t.Whole("u0", bed.now + SECOND))
+    bed.step(t.RequestBodyReceived("u0", bed.now + SECOND))
     assert desk.flying == 1 and len(desk.busy) == 1
     bed.run(SECOND + 50_000)  # its hard limit counts from its last byte
     assert bed.closed["u0"] == "denied" and "u1" not in bed.closed
-    bed.end("u0", 0, t.How.CALLED_OFF)
-    bed.step(t.Withdrawn("u1"))
+    bed.end("u0", 0, t.Outcome.CALLED_OFF)
+    bed.step(t.RequestCancelled("u1"))
     for at in range(1, 30):
-        bed.end(f"u{at}", 0, t.How.UNSENT if at % 2 else t.How.UNCONNECTED)
+        bed.end(f"u{at}", 0, t.Outcome.UNSENT if at % 2 else t.Outcome.UNCONNECTED)
     assert desk.flying == sum(seat.flying for seat in desk.seats.values() if seat.says.open)
 
 
 def test_what_can_not_be_sent_once_more_is_denied_where_it_never_ran_and_broken_off_where_it_may_have():
-    for how, answer in ((t.How.UNCONNECTED, "denied"), (t.How.RESET, "broken off")):
+    for how, answer in ((t.Outcome.UNCONNECTED, "denied"), (t.Outcome.RESET, "broken off")):
         bed = Bed(deployment(), 3)
         for _ in range(40):
-            bed.end(bed.arrive(IDEM), 0, t.How.HANDLED, after=10_000)
+            bed.end(bed.arrive(IDEM), 0, t.Outcome.HANDLED, after=10_000)
         name = bed.arrive(ONCE)
-        bed.step(t.Ended(name, 0, how, 10_000, last=True))
+        bed.step(t.AttemptEnded(name, 0, how, 10_000, last=True))
         assert bed.closed[name] == answer and len(bed.flights[name]) == 1
 
 
@@ -291,7 +291,7 @@
             assert (await stream.receive()).startswith(b"HTTP/1.1 200 ")
 
     net = on_network(check, act)
-    assert net.ended()[0] is t.How.HANDLED
+    assert net.ended()[0] is t.Outcome.HANDLED
 
 
 def test_an_answer_that_breaks_after_its_first_bytes_looks_broken_to_every_client():
@@ -394,7 +394,7 @@
             await anyio.sleep(1)
 
     net = on_network(check, fine, endpoint=endpoint)
-    assert net.ended()[0] is t.How.REJECTED
+    assert net.ended()[0] is t.Outcome.REJECTED
 
 
 def test_a_slow_body_is_waited_for_and_a_stuck_one_is_not(monkeypatch):
@@ -549,20 +549,20 @@
     """Seen failing: each kept its submission for as long as the slowest body could have taken."""
     bed = Bed(deployment(), 2)
     # One that stays open, with an alarm before theirs: done ones are let go of at the head of the heap.
-    bed.step(t.Arrived("stays", "view", bed.now + 300 * SECOND, whole=False))
+    bed.step(t.RequestArrived("stays", "view", bed.now + 300 * SECOND, whole=False))
     for at in range(50):
-        bed.step(t.Arrived(f"u{at}", "view", bed.now + 600 * SECOND, whole=False))
-        bed.step(t.Whole(f"u{at}", bed.now + SECOND), after=5_000)
+        bed.step(t.RequestArrived(f"u{at}", "view", bed.now + 600 * SECOND, whole=False))
+        bed.step(t.RequestBodyReceived(f"u{at}", bed.now + SECOND), after=5_000)
         if bed.out(f"u{at}"):
-            bed.end(f"u{at}", 0, t.How.HANDLED, after=5_000)
+            bed.end(f"u{at}", 0, t.Outcome.HANDLED, after=5_000)
     bed.run(11 * SECOND)
-    kept = [one[3].submission.name for one in bed.sidecar.mail.alarms if isinstance(one[3], GiveUp)]
+    kept = [one[3].request.name for one in bed.sidecar.mail.alarms if isinstance(one[3], GiveUp)]
     assert kept == ["stays"]
 
 
 def test_an_upload_that_never_ends_is_given_up_at_its_guessed_limit_and_not_before():
     bed = Bed(deployment(), 2)
-    bed.step(t.Arrived("u", "view", bed.now + 25 * SECOND, whole=False))
+    bed.step(t.RequestArrived("u", "view", bed.now + 25 * SECOND, whole=False))
     bed.run(24 * SECOND)
     assert "u" in bed.owed and bed.out("u")
     bed.run(SECOND)
--- a/tests/test_slow_start_fleet.py
+++ b/tests/test_slow_start_fleet.py
@@ -59,8 +59,8 @@
         for key in [key for key in fleet.out if key[0] == one]:
             fleet.out.pop(key)
         fleet.sidecars[one] = Sidecar(fleet.told[one])
-        rows = [fleet.row(name, t.State.READY) for name in fleet.servers]
-        fleet.step(one, t.Listed(t.ListKind.CACHED, rows))
+        rows = [fleet.row(name, t.EndpointStatus.READY) for name in fleet.servers]
+        fleet.step(one, t.ListReceived(t.ListKind.CACHED, rows))
 
 
 def a_small_one_joins(fleet: Fleet) -> None:
@@ -222,7 +222,7 @@
         bed.run(20 * MS)
         for name in names:
             for launch in bed.out(name):
-                bed.end(name, launch, t.How.HANDLED)
+                bed.end(name, launch, t.Outcome.HANDLED)
         names = [name for name in names if name in bed.owed]
         bed.run(pause)
 
@@ -239,7 +239,7 @@
     for seed in range(60):
         bed = Bed(deployment(seed=seed, instances=sidecars, **POOL), endpoints)
         warmed(bed, pause=pause)
-        bed.step(t.Listed(t.ListKind.CHANGES, [listing(9, started=bed.now)]))
+        bed.step(t.ListReceived(t.ListKind.CHANGES, [listing(9, started=bed.now)]))
         seat = bed.sidecar.desk.seats["e9"]
         seat.credit = 0.0
         bed.step(after=TIME - SECOND)
@@ -250,14 +250,14 @@
 
 def test_a_start_in_the_future_by_the_clock_of_another_machine_counts_from_when_it_was_heard():
     bed = Bed(deployment(**POOL))
-    bed.step(t.Listed(t.ListKind.CHANGES, [listing(9, started=bed.now + 3600 * SECOND)]))
+    bed.step(t.ListReceived(t.ListKind.CHANGES, [listing(9, started=bed.now + 3600 * SECOND)]))
     assert bed.sidecar.desk.seats["e9"].says.cold_since == bed.now
 
 
 def test_an_endpoint_on_trial_counts_as_cold_also_if_it_was_cold_long_ago():
     """The second time that it came back on trial it counted as warm at once."""
     bed = Bed(deployment(probes_allowed=False))
-    bed.step(t.Listed(t.ListKind.CHANGES, [listing(9, started=bed.now)]))
+    bed.step(t.ListReceived(t.ListKind.CHANGES, [listing(9, started=bed.now)]))
     one = bed.sidecar.roster.endpoints["e9"]
     bed.step(after=60 * SECOND)
     one.back()
@@ -271,10 +271,10 @@
     desk = bed.sidecar.desk
     desk.each = 100.0
     rows = [
-        t.Listing(f"c{size}", t.State.READY, "z", "k", "0", bed.now - 10 * SECOND, size)
+        t.ListEntry(f"c{size}", t.EndpointStatus.READY, "z", "k", "0", bed.now - 10 * SECOND, size)
         for size in (1.0, 0.25)
     ]
-    bed.step(t.Listed(t.ListKind.CHANGES, rows))
+    bed.step(t.ListReceived(t.ListKind.CHANGES, rows))
     for name in ("c1.0", "c0.25"):
         desk.seats[name].credit = 0.0
     bed.sidecar.mail.now += 5 * MS
--- a/tests/test_start_lists.py
+++ b/tests/test_start_lists.py
@@ -29,7 +29,7 @@
     return lists.read(Answer(200, [], body))
 
 
-def states(known: lists.Known) -> dict[str, t.State]:
+def states(known: lists.Known) -> dict[str, t.EndpointStatus]:
     return {entry.endpoint: entry.state for entry in known.entries}
 
 
@@ -58,7 +58,7 @@
 def test_a_row_that_names_its_endpoint_and_can_not_be_used_counts_as_its_drain(fault, whole):
     """Seen failing as `Garbled`, the whole list's end, or as an endpoint that takes launches."""
     known = read(GOOD | fault, OTHER, snapshot=whole)
-    assert states(known) == {"e0": t.State.DRAINING, "e1": t.State.READY}
+    assert states(known) == {"e0": t.EndpointStatus.DRAINING, "e1": t.EndpointStatus.READY}
     assert known.whole is whole and known.addresses["e1"] and known.unnamed == 0
     (why,) = known.refused
     assert why.startswith("e0: ") and next(iter(fault)) in why
@@ -67,7 +67,7 @@
 @pytest.mark.parametrize("key", ["status", "address"])
 def test_so_does_one_without_it_also_alone_in_a_list(key):
     row = {name: value for name, value in GOOD.items() if name != key}
-    assert states(read(row, snapshot=False)) == {"e0": t.State.DRAINING}
+    assert states(read(row, snapshot=False)) == {"e0": t.EndpointStatus.DRAINING}
 
 
 @pytest.mark.parametrize(
@@ -76,7 +76,7 @@
 def test_a_row_without_a_name_is_left_out_and_counted(row):
     """Seen failing as `Garbled`, and for null as an endpoint called None."""
     known = read(row, OTHER)
-    assert states(known) == {"e1": t.State.READY} and known.unnamed == 1 and len(known.refused) == 1
+    assert states(known) == {"e1": t.EndpointStatus.READY} and known.unnamed == 1 and len(known.refused) == 1
     with pytest.raises(Garbled, match="no row names an endpoint"):
         read(row, row)
 
@@ -97,7 +97,7 @@
 )
 def test_what_is_missing_without_harm_or_unknown_is_no_fault(fault, entry):
     known = read(GOOD | fault)
-    assert not known.refused and known.entries[0].state is t.State.READY
+    assert not known.refused and known.entries[0].state is t.EndpointStatus.READY
     assert {key: getattr(known.entries[0], key) for key in entry} == entry
 
 
@@ -148,12 +148,12 @@
 def test_a_row_that_turns_bad_while_the_program_runs_ends_new_launches_there_and_nothing_else():
     async def check(net: Net):
         net.discovery.change(net.discovery.rows[0], status="ODD")
-        await until(lambda: net.program.directory.states.get("e0") is t.State.DRAINING)
+        await until(lambda: net.program.directory.states.get("e0") is t.EndpointStatus.DRAINING)
         for at in range(6):
             assert (await net.ask(wanted(f"s{at}"))).status == 200
         assert not [one for one in net.stands[0].seen if b"view" in one.target]
         net.discovery.change(net.discovery.rows[0], status="SERVING")
-        await until(lambda: net.program.directory.states.get("e0") is t.State.READY)
+        await until(lambda: net.program.directory.states.get("e0") is t.EndpointStatus.READY)
 
     on_network(check, fine, fine)
 
@@ -178,7 +178,7 @@
     message = {"index": index, "snapshot": whole, "endpoints": [GOOD, *rows]}
     known = lists.at_start(message)
     for entry in known.entries:
-        if entry.state is t.State.READY:
+        if entry.state is t.EndpointStatus.READY:
             assert known.addresses[entry.endpoint] and 0 <= entry.started < 2**63
     try:
         lists.known(message)
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -44,7 +44,7 @@
 
 MS, SECOND = 1_000, 1_000_000
 NAMES = ("k0", "k1", "k2")
-BID = Work("bid-1", "bid", t.Repeat.DEDUPLICATED, 3 * SECOND, digest=7, body=b"x" * 50)
+BID = Work("bid-1", "bid", t.RepeatPolicy.DEDUPLICATED, 3 * SECOND, digest=7, body=b"x" * 50)
 
 
 class Site:
@@ -165,7 +165,7 @@
 def test_a_keeper_without_room_says_so_and_counts_it():
     site = Site(most=1)
     site.take("o")
-    told = site.take("o", Work("bid-2", "bid", t.Repeat.DEDUPLICATED, SECOND))
+    told = site.take("o", Work("bid-2", "bid", t.RepeatPolicy.DEDUPLICATED, SECOND))
     assert [type(order) for order in told] == [Unprotected] and "room" in told[0].why
     assert all(keeper.refused == 1 and len(keeper.entries) == 1 for keeper in site.keepers.values())
     site = Site(most_bytes=100)
@@ -175,7 +175,7 @@
 def test_an_entry_is_given_back_when_it_has_run_out():
     keeper = Keeper(0, 10 * SECOND, 100, 10**6, knows=True)
     for number in range(50):
-        work = Work(f"k{number}", "bid", t.Repeat.DEDUPLICATED, SECOND, body=b"x" * 100)
+        work = Work(f"k{number}", "bid", t.RepeatPolicy.DEDUPLICATED, SECOND, body=b"x" * 100)
         keeper.step(number * SECOND, Begin(work.key, Ballot(1, "o:1"), Record(work)))
     assert len(keeper.entries) == 10 and keeper.size == 10 * 500
     keeper.step(100 * SECOND, Claim("none", Ballot(1, "o:1")))
@@ -206,18 +206,25 @@
 @pytest.mark.parametrize(
     "repeat, intents, outcomes, oldest, left, expected",
     [
-        (t.Repeat.UNREPEATABLE, [], [], 0, SECOND, Next.ANYWHERE),
-        (t.Repeat.UNREPEATABLE, [], [], 0, 0, Next.DENIED),
-        (t.Repeat.UNREPEATABLE, [NORTH], [], 0, SECOND, Next.BROKEN_OFF),
-        (t.Repeat.UNREPEATABLE, [NORTH], [(NORTH, Outcome.NEVER_RAN)], 0, SECOND, Next.ANYWHERE),
-        (t.Repeat.UNREPEATABLE, [NORTH, SOUTH], [(NORTH, Outcome.NEVER_RAN)], 0, SECOND, Next.BROKEN_OFF),
-        (t.Repeat.DEDUPLICATED, [NORTH], [], SECOND, SECOND, Next.IN_GROUP),
-        (t.Repeat.DEDUPLICATED, [NORTH], [], 3 * SECOND, SECOND, Next.BROKEN_OFF),
-        (t.Repeat.DEDUPLICATED, [NORTH], [], SECOND, 0, Next.BROKEN_OFF),
-        (t.Repeat.DEDUPLICATED, [NORTH, SOUTH], [], 0, SECOND, Next.BROKEN_OFF),
-        (t.Repeat.DEDUPLICATED, [NORTH, SOUTH], [(NORTH, Outcome.NEVER_RAN)], 0, SECOND, Next.IN_GROUP),
-        (t.Repeat.IDEMPOTENT, [NORTH], [], 9 * SECOND, SECOND, Next.ANYWHERE),
-        (t.Repeat.IDEMPOTENT, [NORTH], [], 0, 0, Next.DENIED),
+        (t.RepeatPolicy.UNREPEATABLE, [], [], 0, SECOND, Next.ANYWHERE),
+        (t.RepeatPolicy.UNREPEATABLE, [], [], 0, 0, Next.DENIED),
+        (t.RepeatPolicy.UNREPEATABLE, [NORTH], [], 0, SECOND, Next.BROKEN_OFF),
+        (t.RepeatPolicy.UNREPEATABLE, [NORTH], [(NORTH, Outcome.NEVER_RAN)], 0, SECOND, Next.ANYWHERE),
+        (
+            t.RepeatPolicy.UNREPEATABLE,
+            [NORTH, SOUTH],
+            [(NORTH, Outcome.NEVER_RAN)],
+            0,
+            SECOND,
+            Next.BROKEN_OFF,
+        ),
+        (t.RepeatPolicy.DEDUPLICATED, [NORTH], [], SECOND, SECOND, Next.IN_GROUP),
+        (t.RepeatPolicy.DEDUPLICATED, [NORTH], [], 3 * SECOND, SECOND, Next.BROKEN_OFF),
+        (t.RepeatPolicy.DEDUPLICATED, [NORTH], [], SECOND, 0, Next.BROKEN_OFF),
+        (t.RepeatPolicy.DEDUPLICATED, [NORTH, SOUTH], [], 0, SECOND, Next.BROKEN_OFF),
+        (t.RepeatPolicy.DEDUPLICATED, [NORTH, SOUTH], [(NORTH, Outcome.NEVER_RAN)], 0, SECOND, Next.IN_GROUP),
+        (t.RepeatPolicy.IDEMPOTENT, [NORTH], [], 9 * SECOND, SECOND, Next.ANYWHERE),
+        (t.RepeatPolicy.IDEMPOTENT, [NORTH], [], 0, 0, Next.DENIED),
     ],
 )
 def test_rule_two_for_the_next_owner(repeat, intents, outcomes, oldest, left, expected):
@@ -232,7 +239,7 @@
 
 
 def test_where_all_drop_repeats_what_may_have_run_may_be_denied():
-    work = Work("k", "w", t.Repeat.DEDUPLICATED, SECOND, group_all=True)
+    work = Work("k", "w", t.RepeatPolicy.DEDUPLICATED, SECOND, group_all=True)
     record = Record(work, frozenset({Intent(Ballot(1, "o"), 0, "e1", "*")}))
     assert onward(record, 2 * SECOND, SECOND, 0).what is Next.DENIED
 
@@ -325,6 +332,6 @@
 
 
 def test_an_owner_that_is_stopped_before_its_first_byte_lets_the_launch_go():
-    world = World(t.Repeat.DEDUPLICATED, False)
+    world = World(t.RepeatPolicy.DEDUPLICATED, False)
     world.play((Departure(6, "stop"),))
     assert not world.broken() and any("cleared too long ago" in line for line in world.trace)
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -84,8 +84,8 @@
 HOUR = 3600 * SECOND
 
 
-def listed(started: int) -> t.Listing:
-    return t.Listing("e1", t.State.READY, "z", "k", "0", started)
+def listed(started: int) -> t.ListEntry:
+    return t.ListEntry("e1", t.EndpointStatus.READY, "z", "k", "0", started)
 
 
 @pytest.mark.parametrize("step", [-HOUR, -5 * SECOND, 5 * SECOND, HOUR])
@@ -116,8 +116,8 @@
         monkeypatch.setattr(time, "time_ns", lambda: read_wall() + step * 1000)
         await until(lambda: "clock_set" in [event for event, _ in net.logs])
         net.discovery.change(net.discovery.rows[0], since_ms=(read_wall() // 1000 + step) // 1000)
-        await until(lambda: isinstance(net.notes[-1], t.Listed) and net.notes[-1].entries[0].started)
-        started = net.notes[-1].entries[0].started
+        await until(lambda: isinstance(net.events[-1], t.ListReceived) and net.events[-1].entries[0].started)
+        started = net.events[-1].entries[0].started
         assert abs(net.program.engine.clock.now() - started) < SECOND
 
     on_network(check, fine, discovery="push")
--- a/tests/test_zones_member.py
+++ b/tests/test_zones_member.py
@@ -392,8 +392,8 @@
     sidecar = Sidecar(deployment(workloads=[IDEM, KEYED], instances=1, cold_time=5 * SECOND))
     tally = Tally(Map((Zone("a"), Zone("b")), (Workload("view"), Workload("bid"))), "a", 0)
     watch(sidecar, tally)
-    entries = [t.Listing(f"{z}{n}", t.State.READY, z) for z in "ab" for n in range(2)]
-    sidecar.step(0, [t.Listed(t.ListKind.FULL, entries)])
+    entries = [t.ListEntry(f"{z}{n}", t.EndpointStatus.READY, z) for z in "ab" for n in range(2)]
+    sidecar.step(0, [t.ListReceived(t.ListKind.FULL, entries)])
     return sidecar, tally
 
 
@@ -403,13 +403,13 @@
     for number in range(200):
         now += 10_000
         name = f"s{number}"
-        orders = sidecar.step(now, [t.Arrived(name, "view", now + SECOND)])
-        launch = next(order for order in orders if isinstance(order, t.Launch))
+        orders = sidecar.step(now, [t.RequestArrived(name, "view", now + SECOND)])
+        launch = next(order for order in orders if isinstance(order, t.StartAttempt))
         bad = launch.endpoint == "b1"
-        how = t.How.RESET if bad and number % 2 else t.How.HANDLED
-        sidecar.step(now + 5_000, [t.Ended(name, 0, how, 5_000, how is t.How.HANDLED)])
-        if how is t.How.RESET:
-            sidecar.step(now + 5_000, [t.Withdrawn(name)])
+        how = t.Outcome.RESET if bad and number % 2 else t.Outcome.HANDLED
+        sidecar.step(now + 5_000, [t.AttemptEnded(name, 0, how, 5_000, how is t.Outcome.HANDLED)])
+        if how is t.Outcome.RESET:
+            sidecar.step(now + 5_000, [t.RequestCancelled(name)])
     told = tally.report(now, "m", sidecar)
     assert told.traffic["view"] == pytest.approx(100, rel=0.2) and told.traffic["bid"] == 0
     assert told.seen["a"].failed == 0 < told.seen["b"].failed
@@ -432,13 +432,15 @@
 
 def test_cold_endpoints_are_told_with_their_rate_and_summed_into_a_brake():
     sidecar, tally = tallied()
-    sidecar.step(1, [t.Listed(t.ListKind.CHANGES, [t.Listing("a9", t.State.READY, "a", started=1)])])
+    sidecar.step(
+        1, [t.ListReceived(t.ListKind.CHANGES, [t.ListEntry("a9", t.EndpointStatus.READY, "a", started=1)])]
+    )
     now = 1
     for number in range(150):
         now += 10_000
-        orders = sidecar.step(now, [t.Arrived(f"s{number}", "view", now + SECOND)])
-        if any(isinstance(order, t.Launch) for order in orders):
-            sidecar.step(now, [t.Ended(f"s{number}", 0, t.How.HANDLED, 5_000, True)])
+        orders = sidecar.step(now, [t.RequestArrived(f"s{number}", "view", now + SECOND)])
+        if any(isinstance(order, t.StartAttempt) for order in orders):
+            sidecar.step(now, [t.AttemptEnded(f"s{number}", 0, t.Outcome.HANDLED, 5_000, True)])
     told = tally.report(now, "m", sidecar)
     ((mark, (rate, warmth)),) = told.cold.items()
     assert mark == words.mark_of("a9") and rate > 0 and 0.3 <= warmth < 1
