--- a/lupinmill/config/follower.py
+++ b/lupinmill/config/follower.py
@@ -28,7 +28,7 @@
     Version,
     WakeMe,
 )
-from lupinmill.workings import Chance
+from lupinmill.workings import RandomSource
 
 MS, SECOND = 1_000, 1_000_000
 LONGEST_WAIT = 60 * SECOND  # what a watch allows
@@ -76,7 +76,7 @@
         """`version` and `entries` are in force already. The spread is the fleet's, until relays tell theirs:
         over so long all of it comes anew."""
         self.name, self.wait, self.spread = name, min(LONGEST_WAIT, wait_us), spread_us
-        self.chance = Chance(seed)
+        self.random_source = RandomSource(seed)
         self.version, self.entries = version, dict(entries)  # the newest heard
         self.in_force, self.refused, self.why = version, 0, ""
         self.offered: Version | None = None
@@ -101,7 +101,7 @@
         others = [at for at in dict.fromkeys(relays) if at not in self.standings]
         self.relays = [at for at in self.relays if at in relays]
         while others:
-            self.relays.append(others.pop(self.chance.upto(len(others) - 1)))
+            self.relays.append(others.pop(self.random_source.upto(len(others) - 1)))
         self.standings = {at: self.standings.get(at, Standing()) for at in self.relays}
         if self.out is not None and self.out.at not in self.standings:
             self.out, self.due, self.whole = None, None, False
@@ -145,11 +145,11 @@
 
     def ask(self, now: int) -> None:
         if self.due is None:
-            self.due = now + self.chance.upto(self.spread)
+            self.due = now + self.random_source.upto(self.spread)
         if self.out is not None or not self.relays or now < self.next_call():
             return
         self.choose(now)
-        wait = int(self.wait * (PART + (1 - PART) * self.chance.draw()))
+        wait = int(self.wait * (PART + (1 - PART) * self.random_source.draw()))
         # Every other one that fails tells the version held: else nobody hears that a source is behind it.
         renew = self.renew and self.failures % 2 == 0
         since = Version() if self.whole or renew else self.version
@@ -279,7 +279,7 @@
         self.failures += 1
         spread = max(LEAST_SPREAD, self.standings[at].spread or self.spread)
         first = self.failures == 1
-        delay = self.chance.upto(spread) if first else spread + self.chance.upto(spread // 4)
+        delay = self.random_source.upto(spread) if first else spread + self.random_source.upto(spread // 4)
         self.due = now + delay
         self.say(now, kind, f"{at}: {why[:LONGEST_WHY]}; another is asked in {delay // MS} ms")
 
--- a/lupinmill/lab/commons.py
+++ b/lupinmill/lab/commons.py
@@ -165,14 +165,14 @@
         if life != self.life or self.peer is None or self.tally is None:
             return
         run = self.commons.run
-        desk = self.seat.module.desk
+        dispatcher = self.seat.module.dispatcher
         report = self.tally.report(run.timeline.now, self.name, self.seat.module)
-        self.tell(member.Own(report, dict(desk.open_in)))
+        self.tell(member.Own(report, dict(dispatcher.open_in)))
         run.timeline.after(self.commons.period, self.look, life)
 
     def go(self, order: member.Go) -> None:
         assert self.peer is not None and self.count is not None
-        seats, marks = self.seat.module.desk.seats, order.brakes
+        seats, marks = self.seat.module.dispatcher.endpoint_states, order.brakes
         brakes = {name: marks[mark_of(name)] for name in seats if mark_of(name) in marks} if marks else {}
         sidecars = 0
         if self.commons.live:
--- a/lupinmill/lab/explorer.py
+++ b/lupinmill/lab/explorer.py
@@ -24,7 +24,7 @@
 from lupinmill.peers.membership import Membership
 from lupinmill.peers.view import MS, SECOND, Changed, Heard, Seat, Send, Timing
 from lupinmill.peers.wire import Status
-from lupinmill.workings import Chance
+from lupinmill.workings import RandomSource
 
 TOPIC = "rehearsal"
 SPAN = SECOND
@@ -418,11 +418,11 @@
     """Breadth first by departures, so that the first failure has the fewest."""
     seen: set[int] = set()
     level: list[tuple[bytes, Action | None, list[Action]]] = [(pickle.dumps(make()), None, [])]
-    chance = Chance(1)
+    random_source = RandomSource(1)
     for deep in range(departures + 1):
         following: list[tuple[bytes, Action | None, list[Action]]] = []
         if len(seen) < states:
-            shuffle(level, chance)
+            shuffle(level, random_source)
         for data, action, before in level:
             world = pickle.loads(data)
             schedule = list(before)
@@ -453,10 +453,10 @@
     return Outcome(None, len(seen), departures, True)
 
 
-def shuffle(level: list, chance: Chance) -> None:
+def shuffle(level: list, random_source: RandomSource) -> None:
     """A bounded search shall see some of every part of a level."""
     for at in range(len(level) - 1, 0, -1):
-        other = chance.upto(at)
+        other = random_source.upto(at)
         level[at], level[other] = level[other], level[at]
 
 
@@ -475,11 +475,11 @@
 def walk(make: Callable[[], World], seed: int, share: float = 0.15) -> Found | None:
     """One schedule by chance, with departures at `share` of its steps: deeper than every order can be
     tried."""
-    chance, world, schedule, departures = Chance(seed), make(), [], 0
+    random_source, world, schedule, departures = RandomSource(seed), make(), [], 0
     while actions := world.actions():
         action = actions[0]
-        if chance.draw() < share:
-            action, departures = actions[chance.upto(len(actions) - 1)], departures + 1
+        if random_source.draw() < share:
+            action, departures = actions[random_source.upto(len(actions) - 1)], departures + 1
         world.apply(action)
         schedule.append(action)
     world.finish()
--- a/lupinmill/lab/policies.py
+++ b/lupinmill/lab/policies.py
@@ -9,7 +9,7 @@
 
 from lupinmill import terms as t
 from lupinmill.rules import Sidecar
-from lupinmill.workings import Chance
+from lupinmill.workings import RandomSource
 
 ASK_AGAIN = 1_000_000
 MARGIN = 10_000  # microseconds kept before the hard limit
@@ -29,13 +29,13 @@
     """Common to all baselines; `choose` says which of the ready endpoints."""
 
     def __init__(self, d: t.Deployment) -> None:
-        self.d, self.chance = d, Chance(d.seed)
+        self.d, self.random_source = d, RandomSource(d.seed)
         self.workloads = {w.name: w for w in d.workloads}
         self.entries: dict[str, t.ListEntry] = {}
         self.ready: list[str] = []
         self.flying: dict[str, int] = {}
         self.open: dict[str, Open] = {}
-        self.turn = self.chance.upto(1000)
+        self.turn = self.random_source.upto(1000)
         self.commands: list[t.Command] = []
         self.now, self.ask_at = 0, 0
 
@@ -65,9 +65,9 @@
 
     def listed(self, event: t.ListReceived) -> None:
         if event.kind is t.ListKind.FAILED:
-            return self.ask_later(ASK_AGAIN + self.chance.upto(ASK_AGAIN))
+            return self.ask_later(ASK_AGAIN + self.random_source.upto(ASK_AGAIN))
         if event.kind is t.ListKind.CACHED and self.d.poll_discovery:
-            self.ask_later(1 + self.chance.upto(ASK_AGAIN))
+            self.ask_later(1 + self.random_source.upto(ASK_AGAIN))
         if event.kind is not t.ListKind.CHANGES:
             self.entries = {}
         for entry in event.entries:
@@ -117,7 +117,7 @@
         if not started or age >= self.d.cold_time:
             return True
         warmth = self.d.cold_share + (1 - self.d.cold_share) * max(0, age) / self.d.cold_time
-        return self.chance.draw() < warmth
+        return self.random_source.draw() < warmth
 
     def launch(self, name: str) -> None:
         s = self.open[name]
@@ -174,7 +174,7 @@
 
 class RandomChoice(Baseline):
     def choose(self, names: list[str]) -> str:
-        return names[self.chance.upto(len(names) - 1)]
+        return names[self.random_source.upto(len(names) - 1)]
 
 
 class RoundRobin(Baseline):
@@ -189,14 +189,14 @@
     def choose(self, names: list[str]) -> str:
         least = min(self.flying.get(name, 0) for name in names)
         equal = [name for name in names if self.flying.get(name, 0) == least]
-        return equal[self.chance.upto(len(equal) - 1)]
+        return equal[self.random_source.upto(len(equal) - 1)]
 
 
 class TwoChoices(Baseline):
     """Of two drawn at random the one with fewer own launches in flight."""
 
     def choose(self, names: list[str]) -> str:
-        one, two = (names[self.chance.upto(len(names) - 1)] for _ in range(2))
+        one, two = (names[self.random_source.upto(len(names) - 1)] for _ in range(2))
         return one if self.flying.get(one, 0) <= self.flying.get(two, 0) else two
 
 
--- a/lupinmill/lab/virtual/run.py
+++ b/lupinmill/lab/virtual/run.py
@@ -105,10 +105,10 @@
         observe_endpoints(entry, self.world.tiers)
         caps = []
         for sidecar in self.sidecars:
-            desk = getattr(sidecar.module, "desk", None)
-            if sidecar.alive and desk is not None:
-                caps.append(desk.cap)
-                entry.aside += sum(one.mode == "aside" for one in desk.endpoints.values())
+            dispatcher = getattr(sidecar.module, "dispatcher", None)
+            if sidecar.alive and dispatcher is not None:
+                caps.append(dispatcher.cap)
+                entry.aside += sum(one.mode == "aside" for one in dispatcher.endpoints.values())
         entry.cap = sum(caps) / len(caps) if caps else 0.0
 
     def watch_step(
--- a/lupinmill/limits/gate.py
+++ b/lupinmill/limits/gate.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from lupinmill import terms as t
-from lupinmill.workings import Chance, Ring
+from lupinmill.workings import RandomSource, BucketedSum
 
 MS, SECOND = 1_000, 1_000_000
 TARGET = 7 * MS  # how late the loop may be: each request passes it some five times
@@ -65,9 +65,11 @@
     contract: int
     waiting: deque[Offer] = field(default_factory=deque)
     length: int = 0  # of those that still wait
-    let_in: Ring = field(default_factory=lambda: Ring(BUCKETS, WIDTH))  # to the window or to the line
-    ends: Ring = field(default_factory=lambda: Ring(BUCKETS, WIDTH))
-    too_late: Ring = field(default_factory=lambda: Ring(BUCKETS, WIDTH))
+    let_in: BucketedSum = field(
+        default_factory=lambda: BucketedSum(BUCKETS, WIDTH)
+    )  # to the window or to the line
+    ends: BucketedSum = field(default_factory=lambda: BucketedSum(BUCKETS, WIDTH))
+    too_late: BucketedSum = field(default_factory=lambda: BucketedSum(BUCKETS, WIDTH))
     patience: float = PATIENCE
 
 
@@ -80,13 +82,13 @@
         self.workloads = {w.name: w for w in d.workloads}
         self.front = d.tier == 0
         self.advice = d.longest_advice if d.advice_allowed else 0
-        self.chance = Chance(d.seed ^ 0x6A7E)
+        self.random_source = RandomSource(d.seed ^ 0x6A7E)
         self.lines: dict[tuple[str, bool], Line] = {}
         self.order: list[Line] = []  # the most worth first
         self.inside, self.held = 0, 0
         self.active, self.window = False, 0.0
         self.late, self.smooth, self.turned, self.pressed = 0, 0.0, 0, 0
-        self.done = Ring(BUCKETS, WIDTH)
+        self.done = BucketedSum(BUCKETS, WIDTH)
         # The most carried a second of late, and the part of the time that goes into denials.
         self.carries, self.denying = 0.0, 0.0
         self.log: list[str] = []  # changes of mode, to be taken by the driver
@@ -265,4 +267,4 @@
     def come_back(self) -> int:
         """Microseconds after which a denied one should ask again: spread, so that they don't come back
         together."""
-        return self.advice // 4 + self.chance.upto(self.advice * 3 // 4) if self.advice else 0
+        return self.advice // 4 + self.random_source.upto(self.advice * 3 // 4) if self.advice else 0
--- a/lupinmill/peers/claims.py
+++ b/lupinmill/peers/claims.py
@@ -18,7 +18,7 @@
 from lupinmill.peers.elector import DRIFT, majority
 from lupinmill.peers.view import MS, SECOND, Heard, Send
 from lupinmill.peers.wire import Accepted, Ballot, Promise, Refused, Topic
-from lupinmill.workings import Chance
+from lupinmill.workings import RandomSource
 
 ATTEMPT = SECOND  # a round that lasts longer is given up
 RESEND = 120 * MS
@@ -85,7 +85,7 @@
     def __init__(self, name: str, electors: list[str], span: int, life: int, seed: int, now: int) -> None:
         self.name, self.electors, self.life, self.now = name, electors, life, now
         self.span = span
-        self.chance = Chance(seed)
+        self.random_source = RandomSource(seed)
         self.claims: dict[str, Claim] = {}
         self.numbers: dict[str, int] = {}  # of ballots, by topic: none is used again while this process lives
         self.orders: list[Send | Took | Lost | Chosen] = []
@@ -98,7 +98,7 @@
     def want(self, topic: str) -> None:
         """One that is just being given up is wanted anew only once that is over: its attempt is a release."""
         if topic not in self.claims:
-            self.claims[topic] = Claim(topic, self.span, self.now + self.chance.upto(REST))
+            self.claims[topic] = Claim(topic, self.span, self.now + self.random_source.upto(REST))
 
     def give_up(self, topic: str) -> None:
         """From this moment on it is not held; the electors hear of it, else it runs out."""
@@ -203,7 +203,7 @@
     def fail(self, claim: Claim) -> None:
         claim.attempt = None
         claim.tries += 1
-        claim.next = self.now + REST + self.chance.upto(REST * min(4, claim.tries))
+        claim.next = self.now + REST + self.random_source.upto(REST * min(4, claim.tries))
         if claim.giving_up and claim.tries > 2:
             del self.claims[claim.topic]  # it runs out by itself
 
@@ -250,7 +250,7 @@
                 claim.busy = other.holder
                 claim.attempt = None
                 claim.tries = 0
-                claim.next = self.now + min(promise.running, claim.span) + self.chance.upto(REST)
+                claim.next = self.now + min(promise.running, claim.span) + self.random_source.upto(REST)
                 return None
         # Where too many electors forgot, numbers that others still go by must not be given out again: they
         # would take what is new for old. A liar's false height costs numbers, never what electors remember.
@@ -292,4 +292,4 @@
         out."""
         self.orders.append(Lost(claim.topic, claim.epoch, why))
         claim.epoch, claim.until, claim.pending, claim.attempt = 0, 0, None, None
-        claim.next = self.now + self.chance.upto(REST)
+        claim.next = self.now + self.random_source.upto(REST)
--- a/lupinmill/peers/membership.py
+++ b/lupinmill/peers/membership.py
@@ -33,7 +33,7 @@
     Timing,
 )
 from lupinmill.peers.wire import Note, Status
-from lupinmill.workings import Chance
+from lupinmill.workings import RandomSource
 
 MOST_PROBES = 64  # outstanding at a time, helpers' errands among them
 CHECKS, CHECKS_A_SECOND = 8.0, 20.0  # own probes for what others say, at once and by the second
@@ -64,7 +64,7 @@
 
 class Membership:
     def __init__(self, name: str, seats: list[Seat], timing: Timing, seed: int, now: int) -> None:
-        self.name, self.timing, self.chance = name, timing, Chance(seed)
+        self.name, self.timing, self.random_source = name, timing, RandomSource(seed)
         self.members: dict[str, Member] = {}
         self.status, self.incarnation = Status.ALIVE, 0
         self.orders: list[Send | Changed | Stands] = []
@@ -90,7 +90,7 @@
         self.told: Callable[[], list[wire.Height]] = list  # decisions known, for the tables
         self.behind: Callable[[str, list[wire.Height]], None] = lambda sender, told: None
         self.set_roster(seats)
-        self.at(now + int(timing.round * self.chance.draw() / 4), self.round)
+        self.at(now + int(timing.round * self.random_source.draw() / 4), self.round)
 
     # Time.
 
@@ -169,7 +169,7 @@
         """A few by chance, in a bounded number of draws."""
         found: dict[str, None] = {}
         for _ in range(count * 4 if self.names else 0):
-            name = self.names[self.chance.upto(len(self.names) - 1)]
+            name = self.names[self.random_source.upto(len(self.names) - 1)]
             if name not in but and name in self.members and self.members[name].status in status:
                 found[name] = None
                 if len(found) == count:
@@ -200,7 +200,7 @@
         if not order:
             order.extend(self.names)
             for at in range(len(order) - 1, 0, -1):
-                other = self.chance.upto(at)
+                other = self.random_source.upto(at)
                 order[at], order[other] = order[other], order[at]
         while order:
             name = order.pop()
--- a/lupinmill/program/in_force.py
+++ b/lupinmill/program/in_force.py
@@ -21,7 +21,7 @@
 from lupinmill.program.told import Told
 from lupinmill.protocol import settings
 from lupinmill.routing.engine import Log
-from lupinmill.rules import Allowances
+from lupinmill.rules import DispatchSettings
 
 if TYPE_CHECKING:
     from lupinmill.program.sidecar import Program
@@ -70,7 +70,7 @@
             deployment = replace(settings.deployment(fields), seed=base.deployment.seed)
             if not deployment.workloads:
                 raise ValueError("settings.workloads: none would be left")
-            Allowances(deployment)  # the module's own reading of it: what fails there fails here
+            DispatchSettings(deployment)  # the module's own reading of it: what fails there fails here
             found = replace(
                 base,
                 deployment=deployment,
@@ -204,10 +204,10 @@
         return tuple(file.config.relays) if file is not None and file.config is not None else ()
 
     def deploy(self, d: t.Deployment) -> None:
-        program, desk = self.program, self.program.engine.sidecar.desk
-        before = desk.allow
+        program, desk = self.program, self.program.engine.sidecar.dispatcher
+        before = desk.settings
         program.engine.tell(t.DeploymentChanged(d))
-        if desk.allow is before:
+        if desk.settings is before:
             raise RuntimeError("the module did not take it")  # its own line is in the log
         advice = d.longest_advice // 2 if d.advice_allowed else 0
         program.admit.deploy({w.name for w in d.workloads}, advice)
--- a/lupinmill/program/sidecar.py
+++ b/lupinmill/program/sidecar.py
@@ -443,7 +443,7 @@
 
         def listed() -> dict[str, Any]:
             directory = self.directory
-            rows = self.engine.sidecar.roster.listed
+            rows = self.engine.sidecar.registry.listed
             return papers.write_list(rows, directory.addresses, directory.index)
 
         def later_list(index: int) -> dict[str, Any] | None:
--- a/lupinmill/routing/engine.py
+++ b/lupinmill/routing/engine.py
@@ -88,7 +88,7 @@
             self.log(
                 "module_failed", note=t.LOGGED_NAMES.get(type(event), type(event).__name__), **defect(error)
             )
-            commands, self.sidecar.mail.commands = self.sidecar.mail.commands, []
+            commands, self.sidecar.message_queue.commands = self.sidecar.message_queue.commands, []
         for command in commands:
             self.carry_out(command)
         if failed is not None:
--- a/lupinmill/routing/route.py
+++ b/lupinmill/routing/route.py
@@ -46,7 +46,7 @@
         Nothing is sent; told so, it frees the places that it counts at endpoints and forgets the submission.
         None of its launches can be out, or it would be known."""
         self.log("order_failed", order="Launch", error=f"{command.request} is not open")
-        for number in range(self.engine.sidecar.desk.allow.most_launches):
+        for number in range(self.engine.sidecar.dispatcher.settings.max_attempts):
             self.engine.tell(t.AttemptEnded(command.request, number, t.Outcome.UNSENT, LEAST, True))
 
     def call_off(self, command: t.CancelAttempt) -> None:
--- a/lupinmill/state/learned.py
+++ b/lupinmill/state/learned.py
@@ -6,29 +6,32 @@
 from math import isfinite
 from typing import Any
 
-from lupinmill.rules import CAP_TOP, Sidecar
-from lupinmill.workings import Ring
+from lupinmill.rules import MAX_CAP, Sidecar
+from lupinmill.workings import BucketedSum
 
 Table = dict[str, Any]
 
 
 def learned(sidecar: Sidecar) -> Table:
-    desk = sidecar.desk
+    dispatcher = sidecar.dispatcher
     return {
-        "beside": desk.allow.beside,
-        "came": ring(desk.came),
-        "began": desk.began,
-        "unhurried": desk.unhurried,
-        "each": desk.each,
-        "kinds": desk.kinds,
-        "cap": desk.cap * desk.allow.sharers / max(1, desk.allow.told),  # as among so many as told
-        "crowding": desk.crowding,
+        "beside": dispatcher.settings.sidecar_per_client,
+        "came": ring(dispatcher.came),
+        "began": dispatcher.began,
+        "unhurried": dispatcher.unhurried,
+        "each": dispatcher.each,
+        "kinds": dispatcher.kinds,
+        "cap": dispatcher.cap
+        * dispatcher.settings.sharers
+        / max(1, dispatcher.settings.told),  # as among so many as told
+        "crowding": dispatcher.crowding,
         "gauges": {
-            name: [gauge.usual, gauge.uncrowded, list(gauge.means)] for name, gauge in desk.gauges.items()
+            name: [gauge.usual, gauge.uncrowded, list(gauge.means)]
+            for name, gauge in dispatcher.gauges.items()
         },
-        "taken": ring(desk.taken),
-        "retried": ring(desk.retried),
-        "launched": ring(desk.launched),
+        "taken": ring(dispatcher.taken),
+        "retried": ring(dispatcher.retried),
+        "launched": ring(dispatcher.launched),
         "endpoints": {
             name: {
                 "mode": one.mode,
@@ -40,7 +43,7 @@
                 "cold_since": one.cold_since,
                 "heard": one.heard,
             }
-            for name, one in desk.endpoints.items()
+            for name, one in dispatcher.endpoints.items()
         },
     }
 
@@ -49,25 +52,32 @@
     """Into a module that has its list already. Budgets count as spent; what was set aside stays so, and is
     probed anew; who was on trial goes on. Nothing is taken from the other shape of deployment: there a cap
     counts launches, here multiples of what own traffic keeps in flight, or the other way round."""
-    desk = sidecar.desk
-    if bool(table.get("beside")) is not desk.allow.beside:
+    dispatcher = sidecar.dispatcher
+    if bool(table.get("beside")) is not dispatcher.settings.sidecar_per_client:
         return
-    desk.mail.now = now
-    desk.cap = min(float(CAP_TOP), max(desk.allow.cap_floor, number(table.get("cap"), desk.cap)))
-    desk.began, desk.unhurried = int(table.get("began", -1)), number(table.get("unhurried"), 0.0)
-    desk.each = max(0.0, number(table.get("each"), 0.0))
-    desk.kinds = {str(kind): number(pace, 1.0) for kind, pace in table.get("kinds", {}).items()}
-    desk.crowding = min(8.0, max(0.0, number(table.get("crowding"), 1.0)))
+    dispatcher.message_queue.now = now
+    dispatcher.cap = min(
+        float(MAX_CAP), max(dispatcher.settings.cap_floor, number(table.get("cap"), dispatcher.cap))
+    )
+    dispatcher.began, dispatcher.unhurried = int(table.get("began", -1)), number(table.get("unhurried"), 0.0)
+    dispatcher.each = max(0.0, number(table.get("each"), 0.0))
+    dispatcher.kinds = {str(kind): number(pace, 1.0) for kind, pace in table.get("kinds", {}).items()}
+    dispatcher.crowding = min(8.0, max(0.0, number(table.get("crowding"), 1.0)))
     for name, (usual, uncrowded, means) in table.get("gauges", {}).items():
-        if name in desk.allow.workloads:
-            gauge = desk.gauge(desk.allow.workloads[name])
+        if name in dispatcher.settings.workloads:
+            gauge = dispatcher.gauge(dispatcher.settings.workloads[name])
             gauge.usual, gauge.uncrowded = float(usual), float(uncrowded)
             gauge.means.extend(float(mean) for mean in means)
-    rings = (desk.taken, "taken"), (desk.retried, "retried"), (desk.launched, "launched"), (desk.came, "came")
+    rings = (
+        (dispatcher.taken, "taken"),
+        (dispatcher.retried, "retried"),
+        (dispatcher.launched, "launched"),
+        (dispatcher.came, "came"),
+    )
     for kept, pairs in rings:
         fill(kept, table.get(pairs, []))
     for name, said in table.get("endpoints", {}).items():
-        one = desk.endpoints.get(name)
+        one = dispatcher.endpoints.get(name)
         if one is None:
             continue
         one.share = min(1.0, max(0.1, number(said.get("share"), 1.0)))
@@ -79,9 +89,9 @@
         if said.get("mode") in ("aside", "trial"):
             one.mode = said["mode"]
             if one.mode == "aside":
-                one.schedule_probe(desk.chance.upto(one.rest // 4))
+                one.schedule_probe(dispatcher.random_source.upto(one.rest // 4))
         one.tell()
-    sidecar.mail.run()
+    sidecar.message_queue.run()
 
 
 def number(value: Any, usual: float) -> float:
@@ -89,11 +99,11 @@
     return float(value) if known else usual
 
 
-def ring(kept: Ring) -> list[list[float]]:
+def ring(kept: BucketedSum) -> list[list[float]]:
     return [[mark, total] for mark, total in zip(kept.marks, kept.sums) if mark >= 0]
 
 
-def fill(kept: Ring, pairs: list[list[float]]) -> None:
+def fill(kept: BucketedSum, pairs: list[list[float]]) -> None:
     """Both processes go by the same clock, so buckets fit."""
     for mark, total in pairs:
         slot = int(mark) % len(kept.sums)
--- a/lupinmill/terms.py
+++ b/lupinmill/terms.py
@@ -1,8 +1,8 @@
 """The interface of the decision module: what it is told, what it orders. No decisions live here.
 
 All times are whole microseconds of the caller's clock; ids are opaque and returned as received. A protocol
-adapter turns its messages into notes, calls `rules.Sidecar.step(now, notes)` and carries out the orders that
-come back, in their order."""
+adapter turns its messages into events, calls `rules.Sidecar.step(now, events)` and carries out the commands
+that come back, in their order."""
 
 from __future__ import annotations
 
--- a/lupinmill/workings.py
+++ b/lupinmill/workings.py
@@ -16,10 +16,10 @@
 MEAN_SPAN = 2_000_000  # microseconds between two means of a gauge
 
 if TYPE_CHECKING:
-    from lupinmill.rules import Submission
+    from lupinmill.rules import RequestState
 
 
-class Chance:
+class RandomSource:
     """A linear congruential generator; only its high bits are used."""
 
     def __init__(self, seed: int) -> None:
@@ -41,7 +41,7 @@
     return ((both ^ both >> 13) + 1) / 2**32
 
 
-class Ring:
+class BucketedSum:
     """Sums over the last `buckets * width`, in buckets that are used again."""
 
     __slots__ = ("width", "sums", "marks")
@@ -61,7 +61,7 @@
         return sum(s for s, mark in zip(self.sums, self.marks) if mark > oldest)
 
 
-class Gauge:
+class LatencyEstimate:
     """Answer times of one workload: the usual one now, and the uncrowded one of the last half minute.
 
     `evidence`: answers behind a mean."""
@@ -87,7 +87,7 @@
             self.uncrowded = min(self.uncrowded, self.usual)
 
 
-class Part:
+class Actor:
     """An actor: its inbox, and what it does about each type of note: the method whose one argument is `event`
     of just that type."""
 
@@ -112,7 +112,7 @@
     return tuple(found.items())
 
 
-class Mail:
+class MessageQueue:
     """Inboxes and the one loop that empties them; orders to the outside collect here too."""
 
     def __init__(self) -> None:
@@ -120,17 +120,17 @@
         self.commands: list[t.Command] = []
         self.defects: list[Exception] = []  # what the parts raised over single notes
         self.waiting: deque[Any] = deque()
-        self.alarms: list[tuple[int, int, Any, Any]] = []
+        self.timers: list[tuple[int, int, Any, Any]] = []
         self.serial = 0
 
-    def post(self, part: Any, event: Any) -> None:
+    def send(self, part: Any, event: Any) -> None:
         if not part.inbox:
             self.waiting.append(part)
         part.inbox.append(event)
 
-    def alarm(self, at: int, part: Any, event: Any) -> None:
+    def set_timer(self, at: int, part: Any, event: Any) -> None:
         self.serial += 1
-        heappush(self.alarms, (at, self.serial, part, event))
+        heappush(self.timers, (at, self.serial, part, event))
 
     def run(self) -> None:
         while self.waiting:
@@ -143,27 +143,29 @@
                     error.about = event
                     self.defects.append(error)
 
-    def ring(self) -> int | None:
+    def fire_timers(self) -> int | None:
         """Alarms after all news of the same moment: what is due must not go to an endpoint that just left.
         Returns when the next is due, None where there is none."""
-        while self.alarms and self.alarms[0][0] <= self.now:
-            _, _, part, event = heappop(self.alarms)
-            self.post(part, event)
+        while self.timers and self.timers[0][0] <= self.now:
+            _, _, part, event = heappop(self.timers)
+            self.send(part, event)
         self.run()
-        return self.next_alarm()
+        return self.next_timer()
 
-    def next_alarm(self) -> int | None:
+    def next_timer(self) -> int | None:
         """When to be woken; alarms of what has ended meanwhile wake nobody."""
-        while self.alarms and isinstance(self.alarms[0][3], GiveUp) and self.alarms[0][3].request.done:
-            heappop(self.alarms)
-        return self.alarms[0][0] if self.alarms else None
+        while (
+            self.timers and isinstance(self.timers[0][3], RequestTimeout) and self.timers[0][3].request.done
+        ):
+            heappop(self.timers)
+        return self.timers[0][0] if self.timers else None
 
     def log(self, text: str) -> None:
         self.commands.append(t.WriteLog(text))
 
 
 @dataclass(slots=True)
-class Standing:  # endpoint -> desk: may it be picked, what it takes, what it was seen and heard to do
+class EndpointReport:  # endpoint -> dispatcher: may it be picked, what it takes, how it was seen to do
     name: str
     open: bool
     trial: bool
@@ -178,12 +180,12 @@
 
 
 @dataclass(slots=True)
-class Sent:  # desk -> endpoint
+class AttemptSent:  # dispatcher -> endpoint
     pass
 
 
 @dataclass(slots=True, frozen=True)
-class Usual:  # desk -> endpoint; what is usual in the fleet: crowding is the pace of all answers together
+class FleetAverages:  # dispatcher -> endpoint; in the fleet: crowding is the pace of all answers together
     took: int = 1_000_000
     crowding: float = 1.0
     pace: float = 1.0
@@ -194,32 +196,32 @@
 
 
 @dataclass(slots=True)
-class Answer:  # desk -> endpoint; pace is the time taken as a multiple of the uncrowded time
-    how: t.Outcome
+class AttemptResult:  # dispatcher -> endpoint; pace is the time taken as a multiple of the uncrowded time
+    outcome: t.Outcome
     pace: float
     overtaken: bool  # ended by us or by its client, not by the endpoint
-    usual: Usual
+    usual: FleetAverages
 
 
 @dataclass(slots=True)
-class Sweep:  # desk -> desk
+class PeriodicCheck:  # dispatcher -> dispatcher
     pass
 
 
 @dataclass(slots=True)
-class Plea:  # endpoint -> roster: take me out; hard evidence needs no permission
+class EjectionRequest:  # endpoint -> registry: take me out; hard evidence needs no permission
     name: str
     why: str
     hard: bool
 
 
 @dataclass(slots=True)
-class Aside:  # roster -> endpoint: granted
+class Ejected:  # registry -> endpoint: granted
     why: str
 
 
 @dataclass(slots=True)
-class Silent:  # endpoint -> desk: what is out there will hardly be answered
+class EndpointSilent:  # endpoint -> dispatcher: what is out there will hardly be answered
     name: str
 
 
@@ -229,31 +231,31 @@
 
 
 @dataclass(slots=True)
-class AskDue:
+class PollDue:
     pass
 
 
 @dataclass(slots=True)
-class GiveUp:
-    request: Submission
+class RequestTimeout:
+    request: RequestState
     final: bool
 
 
 @dataclass(slots=True)
 class RetryDue:
-    request: Submission
+    request: RequestState
 
 
 @dataclass(slots=True)
-class Seat:
-    """What the desk knows of an endpoint: its own launches there, and the endpoint's last Standing."""
+class EndpointState:
+    """What the desk knows of an endpoint: its own launches there, and the endpoint's last EndpointReport."""
 
     name: str
-    says: Standing
-    flying: int = 0
+    report: EndpointReport
+    in_flight: int = 0
     elsewhere: int = 0  # of them, those of an older process of this sidecar
     coming: int = 0  # launches whose submission is still coming, which are not in flight so far
-    shelf: int = -1  # where it stands among the ready ones: by launches in flight, the crowded far behind
+    bucket: int = -1  # where it stands among the ready ones: by launches in flight, the crowded far behind
     spot: int = 0
     credit: float = 0.0
     credited: int = 0
@@ -264,12 +266,12 @@
     size: float = 1.0  # by its weight, where that tells of its size
 
     def counts(self) -> bool:
-        return self.used and self.says.open
+        return self.used and self.report.open
 
 
 @dataclass(slots=True)
-class Flight:
-    seat: Seat
+class Attempt:
+    endpoint_state: EndpointState
     sent: int
     out: bool = True
     never_ran: bool = False
@@ -278,9 +280,9 @@
 
 
 @dataclass(slots=True)
-class Lane:
+class RequestQueue:
     """Held submissions of one workload, standing and zone, first come first served."""
 
     worth: float
     zone: str = ""
-    line: deque[Submission] = field(default_factory=deque)
+    waiting: deque[RequestState] = field(default_factory=deque)
--- a/lupinmill/zones/driver.py
+++ b/lupinmill/zones/driver.py
@@ -68,7 +68,7 @@
     def look(self) -> None:
         sidecar, now = self.engine.sidecar, self.engine.clock.now()
         report = self.tally.report(now, self.core.name, sidecar)
-        self.tell(member.Own(report, dict(sidecar.desk.open_in)))
+        self.tell(member.Own(report, dict(sidecar.dispatcher.open_in)))
 
     # Notes in, orders out.
 
@@ -105,7 +105,7 @@
         if self.found is None:
             return t.FleetState(until=now + 1)
         marks = self.found.brakes
-        names = self.engine.sidecar.desk.seats if marks else ()
+        names = self.engine.sidecar.dispatcher.endpoint_states if marks else ()
         brakes = {name: marks[mark_of(name)] for name in names if mark_of(name) in marks}
         listed = self.tally.listed(self.engine.sidecar)
         return t.FleetState(0, self.found.plan, brakes, listed, max(now + 1, self.found.until))
--- a/lupinmill/zones/tally.py
+++ b/lupinmill/zones/tally.py
@@ -9,7 +9,7 @@
 
 from lupinmill import terms as t
 from lupinmill.rules import Sidecar
-from lupinmill.workings import Ring
+from lupinmill.workings import BucketedSum
 from lupinmill.zones.evidence import SECOND, SPAN, Report, Seen
 from lupinmill.zones.map import Map
 from lupinmill.zones.words import MOST_COLD, mark_of
@@ -37,20 +37,20 @@
 class Counts:
     def __init__(self) -> None:
         self.tried, self.failed, self.refused = (
-            Ring(BUCKETS, WIDTH),
-            Ring(BUCKETS, WIDTH),
-            Ring(BUCKETS, WIDTH),
+            BucketedSum(BUCKETS, WIDTH),
+            BucketedSum(BUCKETS, WIDTH),
+            BucketedSum(BUCKETS, WIDTH),
         )
-        self.handled, self.paces = Ring(BUCKETS, WIDTH), Ring(BUCKETS, WIDTH)
+        self.handled, self.paces = BucketedSum(BUCKETS, WIDTH), BucketedSum(BUCKETS, WIDTH)
 
 
 class Tally:
     def __init__(self, map_: Map, home: str, now: int) -> None:
         self.map, self.home, self.began = map_, home, now
         self.zones = {zone.name: Counts() for zone in map_.zones}
-        self.came = {w.name: Ring(BUCKETS, WIDTH) for w in map_.workloads}
-        self.all, self.denied = Ring(BUCKETS, WIDTH), Ring(BUCKETS, WIDTH)
-        self.cold: dict[str, Ring] = {}
+        self.came = {w.name: BucketedSum(BUCKETS, WIDTH) for w in map_.workloads}
+        self.all, self.denied = BucketedSum(BUCKETS, WIDTH), BucketedSum(BUCKETS, WIDTH)
+        self.cold: dict[str, BucketedSum] = {}
         self.crossed = {
             w.name: [0, 0] for w in map_.workloads
         }  # first launches beyond the zone, and all, so far
@@ -65,12 +65,12 @@
             if ring is not None:
                 ring.add(now)
         elif isinstance(event, t.AttemptEnded):
-            s = sidecar.desk.open.get(event.request)
-            if s is None or event.attempt >= len(s.flights) or not s.flights[event.attempt].out:
+            s = sidecar.dispatcher.open.get(event.request)
+            if s is None or event.attempt >= len(s.attempts) or not s.attempts[event.attempt].out:
                 return
-            counts = self.zones.get(s.flights[event.attempt].seat.says.entry.zone)
+            counts = self.zones.get(s.attempts[event.attempt].endpoint_state.report.entry.zone)
             if counts is not None:
-                gauge = sidecar.desk.gauges.get(s.workload.name)
+                gauge = sidecar.dispatcher.gauges.get(s.workload.name)
                 self.ended(now, counts, event, gauge.uncrowded if gauge is not None else 0.0)
 
     def ended(self, now: int, counts: Counts, event: t.AttemptEnded, uncrowded: float) -> None:
@@ -89,35 +89,38 @@
         """The module's answer."""
         for command in commands:
             if isinstance(command, t.StartAttempt):
-                seat, s = sidecar.desk.seats.get(command.endpoint), sidecar.desk.open.get(command.request)
+                seat, s = (
+                    sidecar.dispatcher.endpoint_states.get(command.endpoint),
+                    sidecar.dispatcher.open.get(command.request),
+                )
                 if seat is None or s is None:
                     continue
                 counts = self.crossed.get(s.workload.name)
-                if counts is not None and len(s.flights) == 1:
-                    counts[0] += seat.says.entry.zone != self.home
+                if counts is not None and len(s.attempts) == 1:
+                    counts[0] += seat.report.entry.zone != self.home
                     counts[1] += 1
-                if seat.says.cold_since is not None and len(self.cold) < MOST_COLD:
-                    self.cold.setdefault(command.endpoint, Ring(BUCKETS, WIDTH)).add(now)
+                if seat.report.cold_since is not None and len(self.cold) < MOST_COLD:
+                    self.cold.setdefault(command.endpoint, BucketedSum(BUCKETS, WIDTH)).add(now)
             elif isinstance(command, t.RejectRequest):
                 self.denied.add(now)
 
     # What it tells.
 
     def report(self, now: int, name: str, sidecar: Sidecar) -> Report:
-        desk = sidecar.desk
+        dispatcher = sidecar.dispatcher
         span = min(SPAN, max(0.5, (now - self.began) / SECOND))
         came, denied = self.all.total(now), self.denied.total(now)
         short = denied > SHORT * max(1.0, came)
         listed, cold = self.listed(sidecar), {}
-        for seat in desk.seats.values():
-            if seat.counts() and seat.says.cold_since is not None:
-                zone = seat.says.entry.zone
-                cold[zone] = cold.get(zone, 0.0) + 1 - desk.warmth(seat.says)
+        for seat in dispatcher.endpoint_states.values():
+            if seat.counts() and seat.report.cold_since is not None:
+                zone = seat.report.entry.zone
+                cold[zone] = cold.get(zone, 0.0) + 1 - dispatcher.warmth(seat.report)
         seen = {}
         for zone, counts in self.zones.items():
             handled = counts.handled.total(now)
             pace = counts.paces.total(now) / handled if handled else 1.0
-            ready = max(0, desk.open_in.get(zone, 0))
+            ready = max(0, dispatcher.open_in.get(zone, 0))
             share = cold.get(zone, 0) / ready if ready else 0.0
             seen[zone] = Seen(
                 counts.tried.total(now),
@@ -140,7 +143,7 @@
     def listed(self, sidecar: Sidecar) -> dict[str, int]:
         """Endpoints that the list names as ready, by zone."""
         found: dict[str, int] = {}
-        for entry in sidecar.roster.listed.values():
+        for entry in sidecar.registry.listed.values():
             if entry.state is t.EndpointStatus.READY:
                 found[entry.zone] = found.get(entry.zone, 0) + 1
         return found
@@ -157,10 +160,10 @@
     def cold_ones(self, now: int, span: float, sidecar: Sidecar) -> dict[int, tuple[float, float]]:
         found = {}
         for name in list(self.cold):
-            seat = sidecar.desk.seats.get(name)
+            seat = sidecar.dispatcher.endpoint_states.get(name)
             rate = self.cold[name].total(now) / span
-            if seat is None or not rate or sidecar.desk.warmth(seat.says) >= 1:
+            if seat is None or not rate or sidecar.dispatcher.warmth(seat.report) >= 1:
                 del self.cold[name]
             else:
-                found[mark_of(name)] = (rate, sidecar.desk.warmth(seat.says))
+                found[mark_of(name)] = (rate, sidecar.dispatcher.warmth(seat.report))
         return found
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -183,7 +183,7 @@
         bed.end(name, 0, t.Outcome.HANDLED, after=2_000)
     bed.state["e0"] = t.EndpointStatus.READY
     bed.step(t.OperatorOverride("e0", False))
-    assert bed.sidecar.desk.seats["e0"].says.cold_since == bed.now
+    assert bed.sidecar.dispatcher.endpoint_states["e0"].report.cold_since == bed.now
     for _ in range(300):
         name = bed.arrive(bed.workloads["view"])
         bed.end(name, 0, t.Outcome.HANDLED, after=5_000)
@@ -353,7 +353,7 @@
         assert (await net.ask(wanted("s1"))).status == 503
         assert time.monotonic() - began < 0.9
         assert await operate(net, "PUT", "/admin/uncordon?member=e1") == 200
-        await until(lambda: net.program.engine.sidecar.desk.seats["e1"].says.open)
+        await until(lambda: net.program.engine.sidecar.dispatcher.endpoint_states["e1"].report.open)
         with anyio.fail_after(5):
             while (await net.ask(wanted(f"t{time.monotonic_ns()}"))).status != 200:
                 pass
--- a/tests/test_beside.py
+++ b/tests/test_beside.py
@@ -116,8 +116,8 @@
         *[entry(f"slow{at}", kind="slow") for at in range(4)],
     )
     picks = serve(bed, 600, 20 * MS, lambda name: (120 if name.startswith("slow") else 50) * MS)
-    seats = bed.sidecar.desk.seats
-    assert not any(seats[f"slow{at}"].says.crowded for at in range(4))
+    seats = bed.sidecar.dispatcher.endpoint_states
+    assert not any(seats[f"slow{at}"].report.crowded for at in range(4))
     assert 40 < sum(name.startswith("slow") for name in picks[200:]) < 200
 
 
@@ -135,7 +135,7 @@
     d = beside(tenants=[t.Tenant("a", 50.0), t.Tenant("b", 50.0)], beyond_share_value=0.1)
     bed, rand = Bed(d, endpoints=8), random.Random(3)
     beyond = {"a": 0, "b": 0}
-    taken, desk = {"a": 0, "b": 0}, bed.sidecar.desk
+    taken, desk = {"a": 0, "b": 0}, bed.sidecar.dispatcher
     whole = desk.beyond_share
 
     def watched(tenant: str) -> bool:
@@ -156,7 +156,7 @@
     new = [entry(f"new{at}", started=bed.now) for at in range(4)]
     bed.step(t.ListReceived(t.ListKind.CHANGES, new))
     picks = serve(bed, 300, 20 * MS, lambda name: (200 if name.startswith("new") else 50) * MS)
-    assert bed.sidecar.desk.crowding < 1.6
+    assert bed.sidecar.dispatcher.crowding < 1.6
     assert 10 < sum(name.startswith("new") for name in picks) < 150
 
 
@@ -193,9 +193,9 @@
     old, new = Bed(beside(), endpoints=8), Bed(beside(), endpoints=8)
     serve(old, 400, 10 * MS)
     taken_over(old, new)
-    before, after = old.sidecar.desk, new.sidecar.desk
+    before, after = old.sidecar.dispatcher, new.sidecar.dispatcher
     for desk in (before, after):
-        desk.mail.now = old.now
+        desk.message_queue.now = old.now
         desk.balance(1.0)
     assert after.kinds == before.kinds and after.unhurried == before.unhurried > 0
     assert 0.9 * before.part() < after.part() < 1.1 * before.part() and after.part() > 2
@@ -203,6 +203,6 @@
 
 def test_nothing_learned_passes_between_the_two_shapes():
     old, new = Bed(deployment(), endpoints=4), Bed(beside(), endpoints=4)
-    old.sidecar.desk.cap = 9.0
+    old.sidecar.dispatcher.cap = 9.0
     taken_over(old, new)
-    assert new.sidecar.desk.cap == new.sidecar.desk.allow.cap_start
+    assert new.sidecar.dispatcher.cap == new.sidecar.dispatcher.settings.cap_start
--- a/tests/test_clients_answers.py
+++ b/tests/test_clients_answers.py
@@ -162,7 +162,7 @@
     monkeypatch.setattr(take_in, "WHOLE", 0.1)
 
     async def check(net: Net):
-        net.program.engine.sidecar.desk.handlers[t.RequestArrived] = defective
+        net.program.engine.sidecar.dispatcher.handlers[t.RequestArrived] = defective
         net.program.shelf.limit = 0
         async with await connect(net) as stream:
             await stream.send(wanted("s1", deadline="0.3", body=b"x" * 200_000)[:-1000])
--- a/tests/test_common.py
+++ b/tests/test_common.py
@@ -60,9 +60,9 @@
 def test_a_plan_that_is_not_confirmed_ends_by_itself():
     bed = bed_of()
     agree(bed, until=SECOND, plan=plan({"a": 1.0}), sidecars=4)
-    assert bed.sidecar.desk.allow.sharers == 4
+    assert bed.sidecar.dispatcher.settings.sharers == 4
     bed.run(2 * SECOND)
-    assert bed.sidecar.desk.allow.sharers == 2 and not bed.sidecar.desk.common.plan
+    assert bed.sidecar.dispatcher.settings.sharers == 2 and not bed.sidecar.dispatcher.common.plan
     assert len(set(zones_of(bed, one_by_one(bed, 60)))) == 3
 
 
@@ -89,7 +89,7 @@
     found = zones_of(bed, names)
     assert set(found) == {"b", ""} and 0.4 < found.count("b") / 200 < 0.6
     assert all(bed.closed[name] == "denied" for name, zone in zip(names, found) if not zone)
-    assert not bed.sidecar.desk.waiting
+    assert not bed.sidecar.dispatcher.waiting
 
 
 def test_what_failed_in_its_zone_may_be_launched_again_in_another():
@@ -170,14 +170,14 @@
 
 def test_caps_follow_the_live_count_and_what_was_learned_is_scaled():
     sidecar = Sidecar(deployment(instances=4))
-    start = sidecar.desk.cap
+    start = sidecar.dispatcher.cap
     assert start == FLEET_START / 4
     sidecar.step(SECOND, [t.FleetState(sidecars=2, until=9 * SECOND)])
-    assert sidecar.desk.cap == 2 * start and sidecar.desk.allow.cap_start == CAP_START
+    assert sidecar.dispatcher.cap == 2 * start and sidecar.dispatcher.settings.cap_start == CAP_START
     sidecar.step(2 * SECOND, [t.FleetState(sidecars=8, until=9 * SECOND)])
-    assert sidecar.desk.cap == start / 2
+    assert sidecar.dispatcher.cap == start / 2
     sidecar.step(9 * SECOND, [t.TimerFired(1)])
-    assert sidecar.desk.cap == start and sidecar.desk.allow.sharers == 4
+    assert sidecar.dispatcher.cap == start and sidecar.dispatcher.settings.sharers == 4
 
 
 def test_the_next_process_of_an_upgrade_learns_the_cap_as_among_those_told():
@@ -185,7 +185,7 @@
     old, new = Sidecar(deployment(instances=4)), Sidecar(deployment(instances=4))
     old.step(SECOND, [t.FleetState(sidecars=2, until=9 * SECOND)])
     learned.recall(new, learned.learned(old), SECOND)
-    assert new.desk.cap == FLEET_START / 4
+    assert new.dispatcher.cap == FLEET_START / 4
 
 
 def test_a_fall_of_the_count_waits_and_a_rise_does_not():
--- a/tests/test_config_overlay.py
+++ b/tests/test_config_overlay.py
@@ -166,10 +166,10 @@
 def test_what_does_not_fit_is_refused_whole_with_its_key_and_the_old_version_stays(more, key):
     async def check(net):
         await net.in_force({FLEET: {"limits": {"most-launches": 3}}})
-        before, told = net.program.engine.sidecar.desk.allow, net.program.told
+        before, told = net.program.engine.sidecar.dispatcher.settings, net.program.told
         why = await net.refused({MINE: {"beyond-share-value": 0.5} | more})
         assert key in why, why
-        assert net.program.engine.sidecar.desk.allow is before and net.program.told is told
+        assert net.program.engine.sidecar.dispatcher.settings is before and net.program.told is told
         assert net.version() == 1 and (await net.ask(wanted("s1"))).status == 200
         await until(lambda: net.relay.statuses[-1].refused == 2)
         assert net.relay.statuses[-1].in_force.index == 1 and key[:60] in net.relay.statuses[-1].why
--- a/tests/test_config_terms.py
+++ b/tests/test_config_terms.py
@@ -66,7 +66,7 @@
 def waits_for_a_retry(bed: Bed, workload: t.Workload, how: t.Outcome) -> str:
     name = bed.arrive(workload)
     bed.end(name, 0, how, after=10_000)
-    assert bed.sidecar.desk.open[name].retrying and not bed.out(name)
+    assert bed.sidecar.dispatcher.open[name].retrying and not bed.out(name)
     return name
 
 
@@ -131,7 +131,7 @@
     busy(bed)
     held = [bed.arrive(IDEM) for _ in range(40)]
     bed.deploy(workloads=[ONCE])
-    assert set(bed.sidecar.desk.allow.workloads) == {"issue"}
+    assert set(bed.sidecar.dispatcher.settings.workloads) == {"issue"}
     for name in held:
         if name not in bed.closed and bed.out(name):
             bed.end(name, 0, t.Outcome.HANDLED, after=5_000)
@@ -139,45 +139,45 @@
     assert all(name in bed.closed for name in held)
     assert sum(bed.closed[name] == "handled" for name in held) >= 8
     bed.deploy(workloads=[ONCE])
-    assert set(bed.sidecar.desk.gauges) <= {"issue"} and not bed.sidecar.desk.lanes
+    assert set(bed.sidecar.dispatcher.gauges) <= {"issue"} and not bed.sidecar.dispatcher.queues
 
 
 def test_worths_follow_and_what_was_learned_stays():
     bed = Live(deployment(workloads=[IDEM, KEYED]), endpoints=1)
     busy(bed)
-    desk = bed.sidecar.desk
+    desk = bed.sidecar.dispatcher
     held = [bed.arrive(one) for one in (IDEM, KEYED) for _ in range(6)]
-    cap, gauge, lanes = desk.cap, desk.gauges["view"], dict(desk.lanes)
+    cap, gauge, lanes = desk.cap, desk.gauges["view"], dict(desk.queues)
     usual = (gauge.usual, gauge.uncrowded)
-    assert {key[0] for key, lane in lanes.items() if lane.line} == {"view", "bid"}
+    assert {key[0] for key, lane in lanes.items() if lane.waiting} == {"view", "bid"}
     bed.deploy(workloads=[as_(IDEM, value=9.0), KEYED])
     assert desk.cap == cap and desk.gauges["view"] is gauge and (gauge.usual, gauge.uncrowded) == usual
-    assert {key: lane.worth for key, lane in desk.lanes.items()} == {
-        key: 9.0 if key[0] == "view" else KEYED.value for key in desk.lanes
+    assert {key: lane.worth for key, lane in desk.queues.items()} == {
+        key: 9.0 if key[0] == "view" else KEYED.value for key in desk.queues
     }
-    view = next(lane for key, lane in desk.lanes.items() if key[0] == "view")
+    view = next(lane for key, lane in desk.queues.items() if key[0] == "view")
     assert view is lanes["view", False, False, ""]
     launched = [
         command.request
         for command in bed.end(held[0], 0, t.Outcome.HANDLED, after=5_000)
         if isinstance(command, t.StartAttempt)
     ]
-    assert launched and all(bed.sidecar.desk.open[name].workload.name == "view" for name in launched)
+    assert launched and all(bed.sidecar.dispatcher.open[name].workload.name == "view" for name in launched)
 
 
 def test_instances_share_out_the_learned_cap():
     bed = Live(deployment(instances=2))
     busy(bed)
-    desk = bed.sidecar.desk
+    desk = bed.sidecar.dispatcher
     cap = desk.cap
     bed.deploy(instances=8)
-    assert desk.cap == cap / 4 and desk.allow.sharers == 8 and desk.allow.told == 8
+    assert desk.cap == cap / 4 and desk.settings.sharers == 8 and desk.settings.told == 8
     bed.step(t.FleetState(sidecars=4, until=bed.now + SECOND), after=1)
     assert desk.cap == cap / 2
     bed.deploy(instances=16)  # the live count goes before it while it counts
-    assert desk.cap == cap / 2 and desk.allow.sharers == 4 and desk.allow.told == 16
+    assert desk.cap == cap / 2 and desk.settings.sharers == 4 and desk.settings.told == 16
     bed.run(2 * SECOND)
-    assert desk.cap == pytest.approx(cap / 8) and desk.allow.sharers == 16
+    assert desk.cap == pytest.approx(cap / 8) and desk.settings.sharers == 16
 
 
 def test_the_same_deployment_again_changes_no_decision():
@@ -298,14 +298,14 @@
         for at in bed.out(name):
             bed.end(name, at, t.Outcome.CALLED_OFF)
     bed.run(SECOND)
-    desk = bed.sidecar.desk
-    assert not desk.open and not desk.waiting and not desk.flying
+    desk = bed.sidecar.dispatcher
+    assert not desk.open and not desk.waiting and not desk.in_flight
 
 
 def test_two_thousand_changes_leave_memory_and_tables_bounded():
     """Names come and go, and none comes back: a day's changes of a service that names its releases."""
     bed, rng, names = Live(deployment(workloads=[IDEM])), random.Random(11), iter(range(10**6))
-    gate, desk = Gate(deployment(workloads=[IDEM])), bed.sidecar.desk
+    gate, desk = Gate(deployment(workloads=[IDEM])), bed.sidecar.dispatcher
     gate.active, gate.window, gate.carries = True, 0.0, 1_000.0
     admit = Admit(None, None, {"view"}, None)
     row = in_force.replace(IDEM)
@@ -335,8 +335,8 @@
             for book in (bed.flights, bed.terms, bed.closed, bed.answers, bed.logs, bed.wakes, bed.probes):
                 book.clear()
             sizes.append(len(pickle.dumps(bed.sidecar)))
-        assert len(desk.lanes) <= 5 + len(desk.open) and len(desk.gauges) <= 5 + len(desk.open)
+        assert len(desk.queues) <= 5 + len(desk.open) and len(desk.gauges) <= 5 + len(desk.open)
         assert len(desk.sent_by) == 1 and len(gate.lines) <= 5
         assert len(admit.gone) <= 1_000 and len(admit.known) <= 1_005
-    assert not desk.open and len(desk.lanes) == 0
+    assert not desk.open and len(desk.queues) == 0
     assert max(sizes[1:]) < 1.2 * sizes[0], sizes
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -64,9 +64,13 @@
 
 async def all_quiet(net: Net) -> None:
     """Nothing is left in the module either."""
-    desk = net.program.engine.sidecar.desk
+    desk = net.program.engine.sidecar.dispatcher
     await until(lambda: not net.program.book.journeys and not desk.open)
-    assert desk.waiting == 0 and desk.flying == 0 and not any(seat.flying for seat in desk.seats.values())
+    assert (
+        desk.waiting == 0
+        and desk.in_flight == 0
+        and not any(seat.in_flight for seat in desk.endpoint_states.values())
+    )
 
 
 # --- a client leaves while its submission waits ---------------------------------------------------------
@@ -82,7 +86,7 @@
             await arrived(net, "s1")
             await stream.send(behind)
         await withdrawn(net)
-        assert net.program.engine.sidecar.desk.waiting == 0
+        assert net.program.engine.sidecar.dispatcher.waiting == 0
         list_all(net)
         await until(lambda: net.program.directory.states)
         assert (await net.ask(wanted("s3"))).status == 200
@@ -270,7 +274,7 @@
         return await fine(request)
 
     async def check(net: Net):
-        net.program.engine.sidecar.desk.taken.add(net.program.engine.clock.now(), 1000.0)
+        net.program.engine.sidecar.dispatcher.taken.add(net.program.engine.clock.now(), 1000.0)
         async with await connect(net) as stream:
             for at in range(before):
                 await stream.send(wanted(f"b{at}"))
@@ -399,10 +403,10 @@
     gone = anyio.Event()
 
     async def check(net: Net):
-        desk = net.program.engine.sidecar.desk
+        desk = net.program.engine.sidecar.dispatcher
         if held_by == "a retry delay":
-            desk.taken.add(desk.mail.now, 1000.0)  # the budget allows one
-            desk.chance.upto = lambda ceiling: ceiling  # the longest delay
+            desk.taken.add(desk.message_queue.now, 1000.0)  # the budget allows one
+            desk.random_source.upto = lambda ceiling: ceiling  # the longest delay
         if held_by == "a connection that comes up late":
             opens = net.program.pool.open
 
@@ -415,7 +419,7 @@
             net.program.pool.open = late
         async with anyio.create_task_group() as group:
             if held_by == "a full endpoint":
-                desk.cap, desk.allow.cap_growth = 1.0, 0.0
+                desk.cap, desk.settings.cap_growth = 1.0, 0.0
                 group.start_soon(net.ask, wanted("hog", deadline="8"))
                 await turned.wait()
             async with await connect(net) as stream:
--- a/tests/test_crossings_lists.py
+++ b/tests/test_crossings_lists.py
@@ -126,7 +126,7 @@
         async def both(order):
             rows = [row | {"status": status} for status in order]
             net.program.directory.update(lists.known({"index": 9, "endpoints": rows}), t.ListKind.CHANGES)
-            return net.program.engine.sidecar.roster.listed.get("e0")
+            return net.program.engine.sidecar.registry.listed.get("e0")
 
         assert await both(["SERVING", "DELETED"]) is None and "e0" not in net.program.directory.states
         assert await both(["DELETED", "SERVING"]) is not None and net.program.directory.takes("e0")
--- a/tests/test_discovery_directory.py
+++ b/tests/test_discovery_directory.py
@@ -15,7 +15,7 @@
 
 def plant(net: Net, times: int) -> list[t.ListReceived]:
     """The module's list raises in the middle of so many updates; gives those."""
-    roster = net.program.engine.sidecar.roster
+    roster = net.program.engine.sidecar.registry
     tell, update, failed = roster.tell, roster.handlers[t.ListReceived], []
 
     def telling(entry):
@@ -37,7 +37,7 @@
         await until(lambda: b"index=" in net.discovery.seen[-1].target if net.discovery.seen else False)
         failed = plant(net, times=2)
         net.discovery.change(net.discovery.rows[1], status="DRAINING")
-        listed = net.program.engine.sidecar.roster.listed
+        listed = net.program.engine.sidecar.registry.listed
         with anyio.fail_after(8):
             await until(lambda: listed["e1"].state is t.EndpointStatus.DRAINING)
         assert len(failed) == 2 and net.program.directory.index == net.discovery.index
--- a/tests/test_engine_defects.py
+++ b/tests/test_engine_defects.py
@@ -11,7 +11,7 @@
 from lupinmill.protocol.http import Answer
 from lupinmill.routing import engine as engines
 from lupinmill.routing.engine import Clock, Engine
-from lupinmill.workings import GiveUp
+from lupinmill.workings import RequestTimeout
 
 NO_PROBES = settings()["limits"] | {"probes": False}
 LONG = [one | {"contract-time-s": 8.0, "hard-limit-s": 9.0} for one in settings()["workloads"]]
@@ -19,7 +19,7 @@
 
 def fail_on(net: Net, handler: str, which) -> None:
     """The module's desk raises on the notes that `which` picks, before it does anything about them."""
-    desk = net.program.engine.sidecar.desk
+    desk = net.program.engine.sidecar.dispatcher
     handlers = {kind: handle for kind, handle in desk.handlers.items() if handle.__name__ == handler}
     ((kind, handle),) = handlers.items()
 
@@ -113,7 +113,7 @@
 
     def __init__(self, at: int) -> None:
         self.at, self.armed, self.woken = at, False, []
-        self.mail = self
+        self.message_queue = self
         self.commands: list = []
 
     def step(self, now: int, events: list, ring: bool = True) -> list:
@@ -213,11 +213,11 @@
     carrier and counted at the endpoint for good."""
 
     async def check(net: Net):
-        engine, desk = net.program.engine, net.program.engine.sidecar.desk
+        engine, desk = net.program.engine, net.program.engine.sidecar.dispatcher
         due = engine.clock.now() + 8_000_000
         engine.tell(t.RequestArrived("ghost", "issue", due))  # no client's: the book knows nothing of it
         await until(lambda: not desk.open)
-        assert desk.flying == 0 and not any(seat.flying for seat in desk.seats.values())
+        assert desk.in_flight == 0 and not any(seat.in_flight for seat in desk.endpoint_states.values())
         assert (await net.ask(wanted("s1", "issue"))).status == 200
 
     net = on_network(check, fine, workloads=LONG, limits=NO_PROBES)
@@ -260,9 +260,9 @@
             commands = step(now, events, ring)
             if not planted and isinstance(events[0], t.RequestArrived) and events[0].request == "innocent":
                 planted.append(1)
-                engine.sidecar.mail.commands = commands
+                engine.sidecar.message_queue.commands = commands
                 error = ZeroDivisionError("planted")
-                error.about = GiveUp(engine.sidecar.desk.open["waits"], True)
+                error.about = RequestTimeout(engine.sidecar.dispatcher.open["waits"], True)
                 raise error
             return commands
 
@@ -276,7 +276,7 @@
             async with anyio.create_task_group() as group:
                 group.start_soon(ask, "first")
                 await until(lambda: "first" in net.program.book.journeys)
-                engine.sidecar.desk.cap = 0.1  # one launch at a time: the next ones are held
+                engine.sidecar.dispatcher.cap = 0.1  # one launch at a time: the next ones are held
                 group.start_soon(ask, "waits")
                 await until(lambda: "waits" in net.program.book.journeys)
                 group.start_soon(ask, "innocent")
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -176,28 +176,34 @@
         for launch in bed.out(name):
             bed.end(name, launch, t.Outcome.HANDLED, after=20_000)
     old = bed.sidecar
-    asided = next(iter(old.desk.endpoints))
-    old.desk.endpoints[asided].mode = "aside"
+    asided = next(iter(old.dispatcher.endpoints))
+    old.dispatcher.endpoints[asided].mode = "aside"
     table = orjson.loads(orjson.dumps(learned.learned(old)))
     new = Sidecar(deployment(seed=8))
     new.step(bed.now, [t.ListReceived(t.ListKind.CACHED, [listing(at) for at in range(4)])])
     learned.recall(new, table, bed.now)
-    assert new.desk.retried.total(bed.now) == old.desk.retried.total(bed.now) > 0
-    assert new.desk.taken.total(bed.now) == old.desk.taken.total(bed.now)
-    assert new.desk.cap == old.desk.cap and new.desk.crowding == old.desk.crowding
-    assert new.desk.endpoints[asided].mode == "aside" and not new.desk.seats[asided].says.open
-    gauge = new.desk.gauges["view"]
-    assert gauge.usual == old.desk.gauges["view"].usual and gauge.means == old.desk.gauges["view"].means
+    assert new.dispatcher.retried.total(bed.now) == old.dispatcher.retried.total(bed.now) > 0
+    assert new.dispatcher.taken.total(bed.now) == old.dispatcher.taken.total(bed.now)
+    assert new.dispatcher.cap == old.dispatcher.cap and new.dispatcher.crowding == old.dispatcher.crowding
+    assert (
+        new.dispatcher.endpoints[asided].mode == "aside"
+        and not new.dispatcher.endpoint_states[asided].report.open
+    )
+    gauge = new.dispatcher.gauges["view"]
+    assert (
+        gauge.usual == old.dispatcher.gauges["view"].usual
+        and gauge.means == old.dispatcher.gauges["view"].means
+    )
 
 
 def test_what_an_older_process_has_out_counts_in_caps_and_retries_until_it_ended():
     bed = Bed(deployment(), 2)
-    desk = bed.sidecar.desk
+    desk = bed.sidecar.dispatcher
     for _ in range(40):
         bed.end(bed.arrive(IDEM), 0, t.Outcome.HANDLED, after=10_000)
     full = {f"e{at}": round(desk.cap) for at in range(2)}
     bed.step(t.PredecessorLoad(full, 3))
-    assert desk.retried.total(bed.now) == 3 and desk.flying == sum(full.values())
+    assert desk.retried.total(bed.now) == 3 and desk.in_flight == sum(full.values())
     name = bed.arrive(IDEM)
     assert not bed.out(name)  # held: there is no room
     bed.step(t.PredecessorLoad({"e0": full["e0"]}))
@@ -205,7 +211,7 @@
     bed.step(t.ListReceived(t.ListKind.CHANGES, [listing(0, t.EndpointStatus.GONE)]))
     bed.end(name, 0, t.Outcome.HANDLED, after=1_000)
     bed.step(t.PredecessorLoad({}))
-    assert desk.flying == 0 and not desk.busy and set(desk.seats) == {"e1"}
+    assert desk.in_flight == 0 and not desk.busy and set(desk.endpoint_states) == {"e1"}
 
 
 # --- two programs -------------------------------------------------------------------------------
@@ -290,7 +296,7 @@
             await until(lambda: clients(new) == 1)
             assert clients(old) == 1
             await until(lambda: "slow" in new.book.elsewhere)
-            assert sum(seat.elsewhere for seat in new.engine.sidecar.desk.seats.values()) == 1
+            assert sum(seat.elsewhere for seat in new.engine.sidecar.dispatcher.endpoint_states.values()) == 1
             assert (await net.ask(wanted("slow"))).status == 400  # that id is open
             await busy.send(wanted("next"))  # behind the one that is open
             assert b"done-slow" in await busy.receive()
@@ -298,7 +304,7 @@
             assert b"done-a2" in await exchange(idle, "a2")
             await until(lambda: clients(new) == 2 and clients(old) == 0)
             await until(lambda: not new.book.elsewhere)
-            assert all(seat.elsewhere == 0 for seat in new.engine.sidecar.desk.seats.values())
+            assert all(seat.elsewhere == 0 for seat in new.engine.sidecar.dispatcher.endpoint_states.values())
             assert (await net.ask(wanted("fresh"))).body == b"done-fresh"
             assert not old.book.journeys
 
@@ -318,7 +324,7 @@
         new = await both.start()
         assert await operate(both.operator(1), "GET", "/admin/health") == 200
         assert list(new.standing.out) == ["e0"] and new.standing.mode is Mode.DRAINING
-        assert not new.engine.sidecar.desk.seats["e0"].says.open
+        assert not new.engine.sidecar.dispatcher.endpoint_states["e0"].report.open
         assert await operate(both.operator(0), "PUT", "/admin/cordon?member=e1") == 200
         assert list(new.standing.out) == ["e0", "e1"]
         assert await operate(both.operator(1), "PUT", "/admin/uncordon?member=e0") == 200
--- a/tests/test_module_faults.py
+++ b/tests/test_module_faults.py
@@ -21,7 +21,7 @@
     bed.run(200 * MS)
     bed.end("u", 0, t.Outcome.RESET)
     bed.run(2 * SECOND)
-    assert bed.closed["u"] and not bed.sidecar.desk.seats and not bed.sidecar.desk.busy
+    assert bed.closed["u"] and not bed.sidecar.dispatcher.endpoint_states and not bed.sidecar.dispatcher.busy
 
 
 def test_an_endpoint_that_came_back_under_its_name_gets_no_outcome_of_before():
@@ -31,23 +31,26 @@
     bed.step(bed.owed["u"])
     bed.step(t.ListReceived(t.ListKind.CHANGES, [listing(0, t.EndpointStatus.GONE)]))
     bed.step(t.ListReceived(t.ListKind.CHANGES, [listing(0)]))
-    assert bed.sidecar.desk.open["u"].flights[0].seat is bed.sidecar.desk.seats["e0"]
+    assert (
+        bed.sidecar.dispatcher.open["u"].attempts[0].endpoint_state
+        is bed.sidecar.dispatcher.endpoint_states["e0"]
+    )
     bed.end("u", 0, t.Outcome.HANDLED)
-    assert bed.sidecar.roster.endpoints["e0"].flying == 0
+    assert bed.sidecar.registry.endpoints["e0"].in_flight == 0
 
 
 def test_probes_alone_that_find_no_connection_do_not_divide_by_no_answers():
     bed = Bed(deployment(reports_asked=True), endpoints=1)
     for _ in range(4):
         bed.step(t.ProbeEnded("e0", t.Outcome.UNCONNECTED, MS))
-    assert bed.sidecar.desk.ready == 1  # the last one stays
+    assert bed.sidecar.dispatcher.ready == 1  # the last one stays
 
 
 def test_a_first_answer_that_took_no_time_weighs_its_kind_by_the_least_pace():
     bed = Bed(deployment(uneven=True), endpoints=2)
     name = bed.arrive(IDEM)
     bed.end(name, 0, t.Outcome.HANDLED)
-    assert all(pace > 0 for pace in bed.sidecar.desk.kinds.values())
+    assert all(pace > 0 for pace in bed.sidecar.dispatcher.kinds.values())
     bed.run(SECOND)
     assert bed.arrive(IDEM) in bed.flights
 
@@ -98,7 +101,7 @@
 def with_defect(kind: type, when) -> Bed:
     """A module whose desk raises over notes of a kind."""
     bed = Bed(deployment(), endpoints=2)
-    desk = bed.sidecar.desk
+    desk = bed.sidecar.dispatcher
     whole = desk.handlers[kind]
 
     def handle(event) -> None:
@@ -118,9 +121,9 @@
     bed = with_defect(t.RequestArrived, lambda event: event.request == "bad")
     with pytest.raises(Broken):
         bed.sidecar.step(bed.now, arrivals(bed, "a", "bad", "b"))
-    commands = bed.sidecar.mail.commands
+    commands = bed.sidecar.message_queue.commands
     assert [command.request for command in commands if isinstance(command, t.StartAttempt)] == ["a", "b"]
-    assert not bed.sidecar.mail.waiting and not bed.sidecar.desk.inbox
+    assert not bed.sidecar.message_queue.waiting and not bed.sidecar.dispatcher.inbox
 
 
 def test_an_exception_loses_no_wake_up_and_is_raised_once():
@@ -128,8 +131,8 @@
     bed.sidecar.step(bed.now, arrivals(bed, "a"))
     with pytest.raises(Broken):
         bed.sidecar.step(bed.now + 1, arrivals(bed, "bad"))
-    wakes = [command.at for command in bed.sidecar.mail.commands if isinstance(command, t.SetTimer)]
-    assert wakes == [bed.sidecar.mail.next_alarm()]  # the driver may have lost the one before
+    wakes = [command.at for command in bed.sidecar.message_queue.commands if isinstance(command, t.SetTimer)]
+    assert wakes == [bed.sidecar.message_queue.next_timer()]  # the driver may have lost the one before
     assert isinstance(bed.sidecar.step(bed.now + 2, []), list)
 
 
@@ -137,17 +140,18 @@
     bed = with_defect(t.RequestArrived, lambda event: False)
     sidecar: Sidecar = bed.sidecar
     sidecar.step(bed.now, arrivals(bed, "a", "b"))
-    kind = next(kind for kind in sidecar.desk.handlers if kind.__name__ == "GiveUp")
-    whole = sidecar.desk.handlers[kind]
+    kind = next(kind for kind in sidecar.dispatcher.handlers if kind.__name__ == "RequestTimeout")
+    whole = sidecar.dispatcher.handlers[kind]
 
     def give_up(event) -> None:
         if event.request.name == "a":
             raise Broken
         whole(event)
 
-    sidecar.desk.handlers[kind] = give_up
+    sidecar.dispatcher.handlers[kind] = give_up
     with pytest.raises(Broken):
         sidecar.step(bed.now + SECOND, [t.TimerFired(1)])
     assert any(
-        isinstance(command, t.RejectRequest) and command.request == "b" for command in sidecar.mail.commands
+        isinstance(command, t.RejectRequest) and command.request == "b"
+        for command in sidecar.message_queue.commands
     )
--- a/tests/test_module_hostile.py
+++ b/tests/test_module_hostile.py
@@ -124,34 +124,34 @@
     # What the module counts, from scratch.
 
     def add_up(self) -> None:
-        desk = self.module.desk
-        ready = [seat for seat in desk.seats.values() if seat.used and seat.says.open]
+        desk = self.module.dispatcher
+        ready = [seat for seat in desk.endpoint_states.values() if seat.used and seat.report.open]
         assert desk.ready == len(ready)
-        assert desk.flying == sum(seat.flying for seat in ready)
-        assert desk.shares == pytest.approx(sum(seat.says.share for seat in ready), abs=1e-6)
+        assert desk.in_flight == sum(seat.in_flight for seat in ready)
+        assert desk.shares == pytest.approx(sum(seat.report.share for seat in ready), abs=1e-6)
         assert desk.waiting == sum(s.held for s in desk.open.values())
         zones: dict[str, int] = {}
         for seat in ready:
-            zones[seat.says.entry.zone] = zones.get(seat.says.entry.zone, 0) + 1
+            zones[seat.report.entry.zone] = zones.get(seat.report.entry.zone, 0) + 1
         assert {zone: count for zone, count in desk.open_in.items() if count} == zones
         self.add_up_flights()
-        shelved = [seat for shelf in desk.shelves for seat in shelf]
+        shelved = [seat for shelf in desk.load_buckets for seat in shelf]
         assert sorted(seat.name for seat in shelved) == sorted(seat.name for seat in ready)
-        assert set(desk.busy) == {seat.name for seat in desk.seats.values() if seat.flying}
-        assert desk.seats.keys() == desk.endpoints.keys()
+        assert set(desk.busy) == {seat.name for seat in desk.endpoint_states.values() if seat.in_flight}
+        assert desk.endpoint_states.keys() == desk.endpoints.keys()
 
     def add_up_flights(self) -> None:
-        desk = self.module.desk
-        counted = {name: seat.elsewhere for name, seat in desk.seats.items()}
-        coming = dict.fromkeys(desk.seats, 0)
+        desk = self.module.dispatcher
+        counted = {name: seat.elsewhere for name, seat in desk.endpoint_states.items()}
+        coming = dict.fromkeys(desk.endpoint_states, 0)
         for submission in desk.open.values():
-            for flight in submission.flights:
+            for flight in submission.attempts:
                 if flight.out:
-                    assert desk.seats[flight.seat.name] is flight.seat
+                    assert desk.endpoint_states[flight.endpoint_state.name] is flight.endpoint_state
                     where = counted if flight.counted else coming
-                    where[flight.seat.name] += 1
-        assert counted == {name: seat.flying for name, seat in desk.seats.items()}
-        assert coming == {name: seat.coming for name, seat in desk.seats.items()}
+                    where[flight.endpoint_state.name] += 1
+        assert counted == {name: seat.in_flight for name, seat in desk.endpoint_states.items()}
+        assert coming == {name: seat.coming for name, seat in desk.endpoint_states.items()}
 
     # What happens to it.
 
@@ -293,7 +293,7 @@
         for key in list(self.out):
             self.finish(key, t.Outcome.ERROR)
         assert not self.owed
-        assert not self.module.desk.open and not self.module.desk.busy
+        assert not self.module.dispatcher.open and not self.module.dispatcher.busy
 
 
 @pytest.mark.parametrize("seed", range(60))
--- a/tests/test_module_learned.py
+++ b/tests/test_module_learned.py
@@ -22,15 +22,15 @@
     """Seen failing: the older process's None went before what the list had just told."""
     old, new = sidecar(before), sidecar(after)
     learned.recall(new, learned.learned(old), NOW)
-    assert new.desk.endpoints["e0"].cold_since == (STARTED if before or after else None)
-    assert new.desk.endpoints["e1"].cold_since is None
+    assert new.dispatcher.endpoints["e0"].cold_since == (STARTED if before or after else None)
+    assert new.dispatcher.endpoints["e1"].cold_since is None
 
 
 def test_what_a_warm_endpoint_handles_is_handed_over():
     old, new = sidecar(), sidecar()
-    old.desk.each = 7.5
+    old.dispatcher.each = 7.5
     learned.recall(new, learned.learned(old), NOW)
-    assert new.desk.each == 7.5
+    assert new.dispatcher.each == 7.5
 
 
 @pytest.mark.parametrize("live, size", [(False, 4.0), (True, 1.0)])
@@ -46,4 +46,4 @@
             )
         ],
     )
-    assert made.desk.seats["e0"].size == size and made.desk.weight == size
+    assert made.dispatcher.endpoint_states["e0"].size == size and made.dispatcher.weight == size
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -7,7 +7,7 @@
 from bed import IDEM, KEYED, KEYED_ALL, ONCE, Bed, deployment, listing
 
 from lupinmill import terms as t
-from lupinmill.rules import CAP_START, FLEET_START, RETRY_BASE, SECOND, UNEVEN, Gauge
+from lupinmill.rules import CAP_START, FLEET_START, RETRY_BASE, SECOND, UNEVEN, LatencyEstimate
 
 MS = 1000
 BESIDE = dict(
@@ -234,7 +234,7 @@
         for _ in range(3):
             bed.end(name := bed.arrive(ONCE), 0, how, after=100 * MS)
             assert bed.closed[name] == "broken off"
-        assert any(e.share < 0.9 for e in bed.sidecar.desk.endpoints.values()) is falls
+        assert any(e.share < 0.9 for e in bed.sidecar.dispatcher.endpoints.values()) is falls
 
 
 def test_a_broken_watch_is_asked_for_again_with_jitter():
@@ -253,7 +253,7 @@
 def test_nothing_stays_of_endpoints_that_are_gone():
     """Seen failing with an actor, a seat and a place in `told` for each of 300."""
     bed = Bed(deployment())
-    desk, rand, listed = bed.sidecar.desk, random.Random(5), bed.sidecar.roster.listed
+    desk, rand, listed = bed.sidecar.dispatcher, random.Random(5), bed.sidecar.registry.listed
     for at in range(300):
         for _ in range(3):
             bed.arrive(rand.choice([IDEM, KEYED]))
@@ -276,9 +276,11 @@
     for name in list(bed.flights):
         for launch in bed.out(name):
             bed.end(name, launch, t.Outcome.CALLED_OFF)
-    assert set(desk.endpoints) == set(desk.seats) == set(listed) and len(desk.seats) == 4
-    assert {seat.name for seat in desk.told} <= set(desk.seats)
-    assert desk.ready == sum(seat.says.open for seat in desk.seats.values()) and desk.flying >= 0
+    assert set(desk.endpoints) == set(desk.endpoint_states) == set(listed) and len(desk.endpoint_states) == 4
+    assert {seat.name for seat in desk.told} <= set(desk.endpoint_states)
+    assert (
+        desk.ready == sum(seat.report.open for seat in desk.endpoint_states.values()) and desk.in_flight >= 0
+    )
 
 
 def test_unknown_ends_and_late_notes_are_ignored():
@@ -451,7 +453,7 @@
             for launch in bed.out(name) if at <= bed.now else []:
                 bed.end(name, launch, t.Outcome.HANDLED)
         due = [(at, name) for at, name in due if name not in bed.closed]
-    assert bed.sidecar.desk.crowding < 1.5 and bed.sidecar.desk.cap >= CAP_START
+    assert bed.sidecar.dispatcher.crowding < 1.5 and bed.sidecar.dispatcher.cap >= CAP_START
     assert not any("set aside" in line for line in bed.logs)
 
 
@@ -472,14 +474,14 @@
         bed.end(name, 0, t.Outcome.HANDLED, after=20 * MS)
     used = [bed.flights[name][0]["endpoint"] for name in picks]
     assert ("e0" in used) is not drained
-    while not drained and "e0" in bed.sidecar.desk.endpoints:
+    while not drained and "e0" in bed.sidecar.dispatcher.endpoints:
         name = bed.arrive(IDEM)
         bed.end(
             name, 0, t.Outcome.UNCONNECTED if bed.flights[name][0]["endpoint"] == "e0" else t.Outcome.HANDLED
         )
-    assert "e0" not in bed.sidecar.roster.listed and not bed.sidecar.roster.dropped
+    assert "e0" not in bed.sidecar.registry.listed and not bed.sidecar.registry.dropped
     bed.step(t.ListReceived(t.ListKind.CHANGES, [listing(0)]))
-    assert "e0" in bed.sidecar.desk.seats
+    assert "e0" in bed.sidecar.dispatcher.endpoint_states
 
 
 def test_a_workload_bound_to_kinds_goes_to_those_alone():
@@ -498,7 +500,7 @@
     """Seen: whoever was probed in the first half second stood behind the others, whatever it told."""
     bed = Bed(deployment(reports_asked=True), endpoints=3)
     bed.step(t.ProbeEnded("e0", t.Outcome.HANDLED, MS, t.LoadReport(queued=0.0)))
-    assert not bed.sidecar.desk.seats["e0"].says.crowded
+    assert not bed.sidecar.dispatcher.endpoint_states["e0"].report.crowded
 
 
 def test_an_endpoint_slower_than_the_others_is_picked_after_them():
@@ -646,7 +648,7 @@
 @pytest.mark.parametrize("busy, falls", [(0.4, False), (0.95, True)])
 def test_where_caps_are_fractions_probed_reports_must_bear_out_a_crowd(busy, falls):
     bed = probing(busy=busy)
-    desk = bed.sidecar.desk
+    desk = bed.sidecar.dispatcher
     start = desk.cap
     for _ in range(12):  # 2.5 times slower than before
         name = bed.arrive(IDEM)
@@ -660,7 +662,7 @@
 
 
 def test_a_jam_at_the_start_is_not_taken_for_the_uncrowded_state():
-    gauge = Gauge(200 * MS, 40)
+    gauge = LatencyEstimate(200 * MS, 40)
     for took in (150 * MS, 140 * MS, 130 * MS, 600 * MS, 700 * MS, 800 * MS):
         gauge.add(SECOND, took)
     assert gauge.uncrowded < 200 * MS < gauge.usual
@@ -686,7 +688,7 @@
 def test_a_tie_goes_to_the_endpoint_that_told_of_less_even_without_a_crowd():
     bed = probing(load=2.0)
     picks = [fs[0]["endpoint"] for fs in bed.flights.values() if fs]
-    assert not bed.sidecar.desk.seats["e0"].says.crowded
+    assert not bed.sidecar.dispatcher.endpoint_states["e0"].report.crowded
     assert picks[50:].count("e0") < 100 / 8 / 2
 
 
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -367,7 +367,7 @@
 
 def test_a_failing_module_costs_no_other_submission_and_its_own_gets_a_break_off():
     async def check(net: Net):
-        desk, whole = net.program.engine.sidecar.desk, net.program.engine.sidecar.desk.arrive
+        desk, whole = net.program.engine.sidecar.dispatcher, net.program.engine.sidecar.dispatcher.arrive
 
         def broken(event):
             if event.request == "bad":
@@ -431,7 +431,7 @@
 
 def test_notes_told_behind_one_that_fails_are_not_lost():
     async def check(net: Net):
-        engine, desk = net.program.engine, net.program.engine.sidecar.desk
+        engine, desk = net.program.engine, net.program.engine.sidecar.dispatcher
         whole = desk.arrive
 
         def arrive(event):
@@ -446,7 +446,7 @@
         desk.handlers |= {t.RequestArrived: arrive, t.RequestCancelled: broken}
         engine.tell(t.RequestArrived("s1", "view", engine.clock.now() + 300_000))
         await anyio.sleep(0)
-        assert not engine.sidecar.roster.listed
+        assert not engine.sidecar.registry.listed
 
     on_network(check, fine, discovery="push", limits=settings()["limits"] | {"probes": False})
 
@@ -538,7 +538,7 @@
         await until(lambda: "e0" not in directory.states)
         assert old.closed and not new.closed
         assert list(pool.idle) == ["n0"] and list(directory.addresses) == ["n0"]
-        assert list(net.program.engine.sidecar.desk.seats) == ["n0"]
+        assert list(net.program.engine.sidecar.dispatcher.endpoint_states) == ["n0"]
 
     on_network(check, fine, discovery="push")
 
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -18,7 +18,7 @@
 from lupinmill.routing import take_in
 from lupinmill.routing.body import Body, Gone
 from lupinmill.transport.ring import Shelf
-from lupinmill.workings import GiveUp
+from lupinmill.workings import RequestTimeout
 
 MIB = 2**20
 
@@ -193,22 +193,22 @@
     for at in range(30):
         bed.step(t.RequestArrived(f"u{at}", "view", bed.now + 60 * SECOND, whole=False))
     assert all(len(bed.out(f"u{at}")) == 1 for at in range(30))
-    desk = bed.sidecar.desk
-    assert desk.flying == 0 and not desk.busy
+    desk = bed.sidecar.dispatcher
+    assert desk.in_flight == 0 and not desk.busy
     for _ in range(40):  # what is usual is quick, and those uploads last
         name = bed.arrive(IDEM)
         bed.end(name, 0, t.Outcome.HANDLED, after=10_000)
         bed.run(100_000)
-    assert all(seat.says.open for seat in desk.seats.values())
+    assert all(seat.report.open for seat in desk.endpoint_states.values())
     bed.step(t.RequestBodyReceived("u0", bed.now + SECOND))
-    assert desk.flying == 1 and len(desk.busy) == 1
+    assert desk.in_flight == 1 and len(desk.busy) == 1
     bed.run(SECOND + 50_000)  # its hard limit counts from its last byte
     assert bed.closed["u0"] == "denied" and "u1" not in bed.closed
     bed.end("u0", 0, t.Outcome.CALLED_OFF)
     bed.step(t.RequestCancelled("u1"))
     for at in range(1, 30):
         bed.end(f"u{at}", 0, t.Outcome.UNSENT if at % 2 else t.Outcome.UNCONNECTED)
-    assert desk.flying == sum(seat.flying for seat in desk.seats.values() if seat.says.open)
+    assert desk.in_flight == sum(seat.in_flight for seat in desk.endpoint_states.values() if seat.report.open)
 
 
 def test_what_can_not_be_sent_once_more_is_denied_where_it_never_ran_and_broken_off_where_it_may_have():
@@ -556,7 +556,9 @@
         if bed.out(f"u{at}"):
             bed.end(f"u{at}", 0, t.Outcome.HANDLED, after=5_000)
     bed.run(11 * SECOND)
-    kept = [one[3].request.name for one in bed.sidecar.mail.alarms if isinstance(one[3], GiveUp)]
+    kept = [
+        one[3].request.name for one in bed.sidecar.message_queue.timers if isinstance(one[3], RequestTimeout)
+    ]
     assert kept == ["stays"]
 
 
--- a/tests/test_slow_start_fleet.py
+++ b/tests/test_slow_start_fleet.py
@@ -240,35 +240,35 @@
         bed = Bed(deployment(seed=seed, instances=sidecars, **POOL), endpoints)
         warmed(bed, pause=pause)
         bed.step(t.ListReceived(t.ListKind.CHANGES, [listing(9, started=bed.now)]))
-        seat = bed.sidecar.desk.seats["e9"]
+        seat = bed.sidecar.dispatcher.endpoint_states["e9"]
         seat.credit = 0.0
         bed.step(after=TIME - SECOND)
         bed.arrive(t.Workload("view", SECOND, 2 * SECOND))
-        ready += bed.sidecar.desk.credited(seat)
+        ready += bed.sidecar.dispatcher.credited(seat)
     assert ready * sidecars / 60 < allowed(2.5 * able)
 
 
 def test_a_start_in_the_future_by_the_clock_of_another_machine_counts_from_when_it_was_heard():
     bed = Bed(deployment(**POOL))
     bed.step(t.ListReceived(t.ListKind.CHANGES, [listing(9, started=bed.now + 3600 * SECOND)]))
-    assert bed.sidecar.desk.seats["e9"].says.cold_since == bed.now
+    assert bed.sidecar.dispatcher.endpoint_states["e9"].report.cold_since == bed.now
 
 
 def test_an_endpoint_on_trial_counts_as_cold_also_if_it_was_cold_long_ago():
     """The second time that it came back on trial it counted as warm at once."""
     bed = Bed(deployment(probes_allowed=False))
     bed.step(t.ListReceived(t.ListKind.CHANGES, [listing(9, started=bed.now)]))
-    one = bed.sidecar.roster.endpoints["e9"]
+    one = bed.sidecar.registry.endpoints["e9"]
     bed.step(after=60 * SECOND)
     one.back()
-    bed.sidecar.mail.run()
-    seat = bed.sidecar.desk.seats["e9"]
-    assert seat.says.cold_since == bed.now and bed.sidecar.desk.warmth(seat.says) < 0.5
+    bed.sidecar.message_queue.run()
+    seat = bed.sidecar.dispatcher.endpoint_states["e9"]
+    assert seat.report.cold_since == bed.now and bed.sidecar.dispatcher.warmth(seat.report) < 0.5
 
 
 def test_a_small_endpoint_earns_by_its_size():
     bed = Bed(deployment(**POOL))
-    desk = bed.sidecar.desk
+    desk = bed.sidecar.dispatcher
     desk.each = 100.0
     rows = [
         t.ListEntry(f"c{size}", t.EndpointStatus.READY, "z", "k", "0", bed.now - 10 * SECOND, size)
@@ -276,7 +276,10 @@
     ]
     bed.step(t.ListReceived(t.ListKind.CHANGES, rows))
     for name in ("c1.0", "c0.25"):
-        desk.seats[name].credit = 0.0
-    bed.sidecar.mail.now += 5 * MS
-    earned = [desk.credited(desk.seats[name]) or desk.seats[name].credit for name in ("c1.0", "c0.25")]
+        desk.endpoint_states[name].credit = 0.0
+    bed.sidecar.message_queue.now += 5 * MS
+    earned = [
+        desk.credited(desk.endpoint_states[name]) or desk.endpoint_states[name].credit
+        for name in ("c1.0", "c0.25")
+    ]
     assert earned[0] == pytest.approx(4 * earned[1])
--- a/tests/test_zones_member.py
+++ b/tests/test_zones_member.py
@@ -417,7 +417,7 @@
     assert (
         1.5 < told.seen["a"].room / (told.seen["a"].tried / 2) < 2.5
     ), "twice, at the pace of uncrowded ones"
-    assert not sidecar.desk.open and len(tally.cold) == 0
+    assert not sidecar.dispatcher.open and len(tally.cold) == 0
 
 
 def test_a_zone_that_denies_has_no_more_room_than_it_used():
