--- a/lupinmill/lab/earlier.py
+++ b/lupinmill/lab/earlier.py
@@ -1,5 +1,6 @@
 """An earlier decision module of this repository under today's lab: its `rules`, `terms` and `workings` are
-loaded from a git worktree before anything else of the lab is. Imports nothing of the project."""
+loaded from a git worktree before anything else of the lab is, and are given today's names
+(`earlier_names`). Imports nothing else of the project."""
 
 from __future__ import annotations
 
@@ -10,6 +11,7 @@
 import tempfile
 from collections.abc import Iterator
 from pathlib import Path
+from types import ModuleType
 
 MODULES = ("terms", "workings", "rules")
 
@@ -21,7 +23,9 @@
 def take_from(folder: str) -> None:
     """In a fresh process, before the lab is imported: the module's files of that tree in place of today's."""
     import lupinmill
+    from lupinmill.lab import earlier_names
 
+    loaded: dict[str, ModuleType] = {}
     for name in MODULES:
         path = Path(folder) / "lupinmill" / f"{name}.py"
         if not path.is_file():
@@ -33,6 +37,8 @@
         sys.modules[f"lupinmill.{name}"] = module
         setattr(lupinmill, name, module)
         spec.loader.exec_module(module)
+        loaded[name] = module
+    earlier_names.adapt(loaded)
 
 
 @contextlib.contextmanager
