--- a/lupinmill/cli/check.py
+++ b/lupinmill/cli/check.py
@@ -7,8 +7,8 @@
 import click
 
 from lupinmill.config import merge
-from lupinmill.peers.conduct import TABLE
 from lupinmill.peers.elector import majority
+from lupinmill.peers.partition_policy import TABLE
 from lupinmill.program import operators_file
 from lupinmill.program.operators_file import BadFile, File
 
--- a/lupinmill/lab/commons.py
+++ b/lupinmill/lab/commons.py
@@ -14,9 +14,9 @@
 from lupinmill import terms as t
 from lupinmill.lab.timeline import SECOND
 from lupinmill.lab.world import chance_for
-from lupinmill.peers import claims, peer, wire
-from lupinmill.peers.count import LiveCount
+from lupinmill.peers import peer, proposer, wire
 from lupinmill.peers.elector import Keep, Memory
+from lupinmill.peers.live_count import LiveCount
 from lupinmill.peers.peer import Peer, Told
 from lupinmill.peers.view import PRESENT, Heard, Seat, Send, Standing
 from lupinmill.zones import member
@@ -126,10 +126,10 @@
             elif isinstance(order, peer.Known):
                 self.commons.note_known(self, order)
                 self.tell(member.Decided(order.version, order.body))
-            elif isinstance(order, claims.Took):
+            elif isinstance(order, proposer.Took):
                 self.commons.note_took(self, order)
                 self.tell(member.Took(order.epoch))
-            elif isinstance(order, claims.Lost):
+            elif isinstance(order, proposer.Lost):
                 self.tell(member.Lost())
             elif isinstance(order, peer.Forgot):
                 self.tell(member.Forgot())
@@ -246,7 +246,7 @@
 
     # What must hold.
 
-    def note_took(self, post: Post, order: claims.Took) -> None:
+    def note_took(self, post: Post, order: proposer.Took) -> None:
         if order.epoch in self.epochs:
             self.broken.append(f"epoch {order.epoch}: {self.epochs[order.epoch]} and {post.name}")
         self.epochs[order.epoch] = post.name
--- a/lupinmill/lab/explorer.py
+++ b/lupinmill/lab/explorer.py
@@ -18,7 +18,7 @@
 
 import msgspec
 
-from lupinmill.peers.claims import Chosen, Claims, Lost, Took
+from lupinmill.peers.proposer import Chosen, Claims, Lost, Took
 from lupinmill.peers.elector import Elector, Keep, Memory
 from lupinmill.peers import wire
 from lupinmill.peers.membership import Membership
--- a/lupinmill/lab/fleet_virtual.py
+++ b/lupinmill/lab/fleet_virtual.py
@@ -12,9 +12,9 @@
 
 from lupinmill.lab.fleet import Event, Fault, Fleet, FleetResult, Weather, meant
 from lupinmill.peers import wire
-from lupinmill.peers.claims import Chosen, Lost, Took
 from lupinmill.peers.elector import Keep, Memory, majority
 from lupinmill.peers.peer import REHEARSAL, Forgot, Known, Peer, Told
+from lupinmill.peers.proposer import Chosen, Lost, Took
 from lupinmill.peers.view import MS, SECOND, Changed, Heard, Leave, Seat, Send, Stands, Timing
 from lupinmill.peers.wire import Status
 
--- a/lupinmill/peers/driver.py
+++ b/lupinmill/peers/driver.py
@@ -16,10 +16,10 @@
 import anyio
 
 from lupinmill.peers import wire
-from lupinmill.peers.claims import Chosen, Lost, Took
 from lupinmill.peers.elector import Keep
-from lupinmill.peers.keep import BadKeep, Promises
 from lupinmill.peers.peer import REHEARSAL, Forgot, Known, Note, Order, Peer, Said, Told
+from lupinmill.peers.proposer import Chosen, Lost, Took
+from lupinmill.peers.stable_store import BadKeep, Promises
 from lupinmill.peers.view import (
     PRESENT,
     SECOND,
--- a/lupinmill/peers/peer.py
+++ b/lupinmill/peers/peer.py
@@ -10,10 +10,10 @@
 from zlib import crc32
 
 from lupinmill.peers import wire
-from lupinmill.peers.claims import Chosen, Claims, Lost, Took
-from lupinmill.peers.conduct import TABLE, may_decide
 from lupinmill.peers.elector import Elector, Keep, Memory, majority
 from lupinmill.peers.membership import Membership
+from lupinmill.peers.partition_policy import TABLE, may_decide
+from lupinmill.peers.proposer import Chosen, Claims, Lost, Took
 from lupinmill.peers.view import (
     MS,
     SECOND,
--- a/lupinmill/program/common.py
+++ b/lupinmill/program/common.py
@@ -10,8 +10,8 @@
 import anyio
 
 from lupinmill import terms as t
-from lupinmill.peers.count import LiveCount
 from lupinmill.peers.driver import Driver
+from lupinmill.peers.live_count import LiveCount
 from lupinmill.peers.view import SECOND, Standing
 from lupinmill.routing.engine import Engine, Log
 
--- a/lupinmill/zones/driver.py
+++ b/lupinmill/zones/driver.py
@@ -11,7 +11,7 @@
 import anyio
 
 from lupinmill import terms as t
-from lupinmill.peers import claims, peer
+from lupinmill.peers import peer, proposer
 from lupinmill.peers.driver import Driver
 from lupinmill.routing.engine import Engine, Log
 from lupinmill.zones import member
@@ -56,9 +56,9 @@
             self.tell(member.Heard(order.sender, order.words))
         elif isinstance(order, peer.Known):
             self.tell(member.Decided(order.version, order.body))
-        elif isinstance(order, claims.Took):
+        elif isinstance(order, proposer.Took):
             self.tell(member.Took(order.epoch))
-        elif isinstance(order, claims.Lost):
+        elif isinstance(order, proposer.Lost):
             self.tell(member.Lost())
         elif isinstance(order, peer.Forgot):
             self.tell(member.Forgot())
--- a/tests/test_common.py
+++ b/tests/test_common.py
@@ -5,7 +5,7 @@
 from bed import IDEM, KEYED, Bed, deployment
 
 from lupinmill import terms as t
-from lupinmill.peers.count import FADES, HOLD, LiveCount
+from lupinmill.peers.live_count import FADES, HOLD, LiveCount
 from lupinmill.peers.view import SECOND
 from lupinmill.rules import CAP_START, FLEET_START, Sidecar
 from lupinmill.state import learned
--- a/tests/test_peers_decisions.py
+++ b/tests/test_peers_decisions.py
@@ -11,9 +11,9 @@
 from lupinmill.lab.explorer import TOPIC, AgreementWorld, Planted, explore, replay, shortened, walk
 from lupinmill.lab.fleet_virtual import VirtualFleet
 from lupinmill.peers import wire
-from lupinmill.peers.claims import Claims, Lost, Took
 from lupinmill.peers.elector import Elector, Keep, Memory, majority
-from lupinmill.peers.keep import FILE, BadKeep, Promises
+from lupinmill.peers.proposer import Claims, Lost, Took
+from lupinmill.peers.stable_store import FILE, BadKeep, Promises
 from lupinmill.peers.view import SECOND, Heard, Send
 from lupinmill.peers.wire import Ballot, Topic
 
--- a/tests/test_peers_members.py
+++ b/tests/test_peers_members.py
@@ -10,8 +10,8 @@
 from lupinmill.lab.fleet import Fault, Fleet, Network
 from lupinmill.lab.fleet_virtual import VirtualFleet
 from lupinmill.peers import wire
-from lupinmill.peers.conduct import TABLE
 from lupinmill.peers.membership import CHECKS, Membership
+from lupinmill.peers.partition_policy import TABLE
 from lupinmill.peers.peer import REHEARSAL, Peer, Told
 from lupinmill.peers.view import SECOND, Changed, Heard, Leave, Return, Roster, Seat, Send, Standing, Timing
 from lupinmill.peers.wire import Note, Status
