--- a/lupinmill/cli/check.py
+++ b/lupinmill/cli/check.py
@@ -8,7 +8,7 @@
 
 from lupinmill.config import merge
 from lupinmill.peers.elector import majority
-from lupinmill.peers.partition_policy import TABLE
+from lupinmill.peers.partition_policy import POLICY_TABLE
 from lupinmill.program import operators_file
 from lupinmill.program.operators_file import BadFile, File
 
@@ -25,10 +25,10 @@
         f"peers: {len(peers.members)} sidecars in {len(zones) or 1} zones and {len(regions) or 1} regions; "
         f"each asks one other every {peers.round_ms} ms"
     )
-    timing = operators_file.Timing(round=peers.round_ms * 1000)
+    timing = operators_file.MembershipTiming(round=peers.round_ms * 1000)
     count = len(peers.members)
-    least = timing.suspicion(count, count) / 1e6 + peers.round_ms / 1000
-    most = timing.suspicion(count, 0) / 1e6 + 2 * peers.round_ms / 1000
+    least = timing.suspicion_timeout(count, count) / 1e6 + peers.round_ms / 1000
+    most = timing.suspicion_timeout(count, 0) / 1e6 + 2 * peers.round_ms / 1000
     lines.append(f"a sidecar that fails is given up {least:.1f} to {most:.1f} s after it was first suspected")
     if peers.electors:
         need = majority(len(peers.electors))
@@ -68,10 +68,10 @@
             f"this sidecar, {name}: zone {entry.zone or 'not told'}, region {entry.region or 'not told'}, "
             f"listens for peers at {operators_file.bind(file, name)}"
             f"{', an elector' if name in told.electors else ''}"
-            f"{', asks for ' + ', '.join(told.wants) if told.wants else ''}"
+            f"{', asks for ' + ', '.join(told.wanted_topics) if told.wanted_topics else ''}"
         )
     lines.append("the peers' network must be a trusted one: there are no keys and no sign-in")
-    for row in TABLE.values():
+    for row in POLICY_TABLE.values():
         lines.append(
             f"{row.feature}: alone it {row.alone}; only with a majority it {row.majority}; "
             f"without it {row.falls_back}"
--- a/lupinmill/lab/commons.py
+++ b/lupinmill/lab/commons.py
@@ -15,10 +15,10 @@
 from lupinmill.lab.timeline import SECOND
 from lupinmill.lab.world import chance_for
 from lupinmill.peers import peer, proposer, wire
-from lupinmill.peers.elector import Keep, Memory
+from lupinmill.peers.elector import Memory, Persist
 from lupinmill.peers.live_count import LiveCount
-from lupinmill.peers.peer import Peer, Told
-from lupinmill.peers.view import PRESENT, Heard, Seat, Send, Standing
+from lupinmill.peers.peer import Peer, PeerSettings
+from lupinmill.peers.view import PRESENT, QuorumState, Received, RosterEntry, Send
 from lupinmill.zones import member
 from lupinmill.zones.evidence import Picture, State
 from lupinmill.zones.map import Map, Workload, Zone
@@ -62,7 +62,7 @@
         self.life += 1
         memory = msgspec.msgpack.decode(self.disk, type=Memory) if self.disk is not None else None
         electors = self.commons.electors
-        told = Told(
+        told = PeerSettings(
             self.name,
             self.commons.seats,
             electors,
@@ -101,7 +101,7 @@
             if not inbox:
                 break
             notes = inbox
-        due = max(timeline.now + 1, self.peer.next())
+        due = max(timeline.now + 1, self.peer.next_due())
         if self.wakes < 0 or due < self.wakes:
             self.wakes = due
             timeline.at(due, self.wake_at, due, self.life)
@@ -113,25 +113,25 @@
     def carry_out(self, order: Any, inbox: list[Any]) -> None:
         if isinstance(order, Send):
             if order.to == self.name:
-                inbox.append(Heard(order.to, order.body))
+                inbox.append(Received(order.to, order.body))
             else:
                 self.commons.send(self, order)
-        elif isinstance(order, Keep):
+        elif isinstance(order, Persist):
             self.disk = order.data
-            for send in order.then:
+            for send in order.then_send:
                 self.carry_out(send, inbox)
         elif getattr(order, "topic", "") == TOPIC:
-            if isinstance(order, peer.Said):
-                self.tell(member.Heard(order.sender, order.words))
-            elif isinstance(order, peer.Known):
+            if isinstance(order, peer.FeatureMessageReceived):
+                self.tell(member.Heard(order.sender, order.payload))
+            elif isinstance(order, peer.DecisionAdopted):
                 self.commons.note_known(self, order)
                 self.tell(member.Decided(order.version, order.body))
-            elif isinstance(order, proposer.Took):
+            elif isinstance(order, proposer.LeaseAcquired):
                 self.commons.note_took(self, order)
                 self.tell(member.Took(order.epoch))
-            elif isinstance(order, proposer.Lost):
+            elif isinstance(order, proposer.LeaseLost):
                 self.tell(member.Lost())
-            elif isinstance(order, peer.Forgot):
+            elif isinstance(order, peer.DecisionExpired):
                 self.tell(member.Forgot())
 
     # The zones' core.
@@ -141,9 +141,9 @@
             return
         now = self.commons.run.timeline.now
         decide = None
-        for order in self.member.step(now, list(notes), self.peer.holds(TOPIC, now), self.present()):
+        for order in self.member.step(now, list(notes), self.peer.held_epoch(TOPIC, now), self.present()):
             if isinstance(order, member.Say):
-                self.commons.send(self, Send(order.to, wire.Carried(TOPIC, order.data), []))
+                self.commons.send(self, Send(order.to, wire.FeatureMessage(TOPIC, order.data), []))
             elif isinstance(order, member.Decide):
                 decide = order.body
             elif isinstance(order, member.Go):
@@ -151,7 +151,7 @@
             elif isinstance(order, member.Done):
                 self.commons.done.append((now, order.done, order.text))
         if decide is not None:
-            self.peer.claims.now = now
+            self.peer.proposer.now = now
             self.peer.decide(TOPIC, decide)
             self.commons.run.timeline.after(1, self.wake, self.life)
 
@@ -176,7 +176,7 @@
         brakes = {name: marks[mark_of(name)] for name in seats if mark_of(name) in marks} if marks else {}
         sidecars = 0
         if self.commons.live:
-            together = self.peer.membership.standing in (Standing.TOGETHER, Standing.IN_DOUBT)
+            together = self.peer.membership.quorum_state in (QuorumState.MAJORITY, QuorumState.UNCERTAIN)
             sidecars = self.count.step(self.commons.run.timeline.now, together, len(self.present()))
         assert self.tally is not None
         self.seat.tell(
@@ -206,7 +206,7 @@
         self.chance = chance_for(run.world.seed, "commons")
         names = [seat.name for seat in run.sidecars]
         self.seats = tuple(
-            Seat(seat.name, f"127.0.0.1:{at + 1}", seat.zone) for at, seat in enumerate(run.sidecars)
+            RosterEntry(seat.name, f"127.0.0.1:{at + 1}", seat.zone) for at, seat in enumerate(run.sidecars)
         )
         count = 5 if len(names) >= 5 else 3
         self.electors = (
@@ -232,9 +232,9 @@
         world, timeline = self.run.world, self.run.timeline
         here, there = self.zone_of[post.name], self.zone_of[order.to]
         post.sent += 1
-        if isinstance(order.body, wire.Carried):
+        if isinstance(order.body, wire.FeatureMessage):
             post.said += 1
-            post.bytes += len(order.body.words) + 20
+            post.bytes += len(order.body.payload) + 20
         if world.network.blocked(here, there) or self.loss and self.chance.random() < self.loss:
             return
         timeline.after(world.network.delay(here, there), self.deliver, post.name, order)
@@ -242,16 +242,16 @@
     def deliver(self, sender: str, order: Send) -> None:
         post = self.posts[order.to]
         if post.peer is not None and post.seat.alive:
-            post.step([Heard(sender, order.body, order.notes)])
+            post.step([Received(sender, order.body, order.updates)])
 
     # What must hold.
 
-    def note_took(self, post: Post, order: proposer.Took) -> None:
+    def note_took(self, post: Post, order: proposer.LeaseAcquired) -> None:
         if order.epoch in self.epochs:
             self.broken.append(f"epoch {order.epoch}: {self.epochs[order.epoch]} and {post.name}")
         self.epochs[order.epoch] = post.name
 
-    def note_known(self, post: Post, order: peer.Known) -> None:
+    def note_known(self, post: Post, order: peer.DecisionAdopted) -> None:
         now = self.run.timeline.now
         force = self.versions.get(order.version)
         if force is None:
--- a/lupinmill/lab/explorer.py
+++ b/lupinmill/lab/explorer.py
@@ -18,11 +18,11 @@
 
 import msgspec
 
-from lupinmill.peers.proposer import Chosen, Claims, Lost, Took
-from lupinmill.peers.elector import Elector, Keep, Memory
+from lupinmill.peers.proposer import DecisionAccepted, Proposer, LeaseLost, LeaseAcquired
+from lupinmill.peers.elector import Elector, Persist, Memory
 from lupinmill.peers import wire
 from lupinmill.peers.membership import Membership
-from lupinmill.peers.view import MS, SECOND, Changed, Heard, Seat, Send, Timing
+from lupinmill.peers.view import MS, SECOND, MemberChanged, Received, RosterEntry, Send, MembershipTiming
 from lupinmill.peers.wire import Status
 from lupinmill.workings import Chance
 
@@ -55,7 +55,7 @@
 
     name: str
     elector: Elector | None = None
-    claims: Claims | None = None
+    claims: Proposer | None = None
     disk: bytes = b""
     ahead: int = 0  # of its monotonic clock, ...
     pace: int = 0  # ... which runs so many thousandths faster
@@ -99,7 +99,7 @@
         if self.keeps and box.disk and not self.planted.forgets:
             memory = msgspec.msgpack.decode(box.disk, type=Memory)
         box.elector = Elector(box.name, names, [TOPIC], SPAN, life, now, memory)
-        box.claims = Claims(box.name, names, SPAN, life, life, now)
+        box.claims = Proposer(box.name, names, SPAN, life, life, now)
         if self.planted.miscounts:
             box.claims.majority = half
         box.decided = 0
@@ -143,7 +143,7 @@
         what, at = action
         if what == "deliver":
             sender, to, body = self.flying.pop(at)
-            self.step(to, [Heard(self.boxes[sender].name, body)])
+            self.step(to, [Received(self.boxes[sender].name, body)])
         elif what == "lose":
             self.flying.pop(at)
         elif what == "double":
@@ -161,9 +161,9 @@
             box = self.boxes[at]
             assert box.claims is not None
             box.claims.now = self.clock(at)
-            box.claims.give_up(TOPIC)
+            box.claims.release(TOPIC)
             if self.planted.reuses:
-                box.claims.numbers.clear()
+                box.claims.ballot_numbers.clear()
             self.step(at, [])
         elif what == "move wall clock":
             self.boxes[at].wall += 60 * SECOND
@@ -182,11 +182,11 @@
         """Microseconds from now until the process has something to do."""
         box = self.boxes[at]
         assert box.claims is not None and box.elector is not None
-        times = [box.claims.next(), box.elector.next()]
+        times = [box.claims.next_due(), box.elector.next_due()]
         now = self.clock(at)
         return min((when for when in times if when is not None), default=now + SPAN // 2) - now
 
-    def step(self, at: int, notes: list[Heard]) -> None:
+    def step(self, at: int, notes: list[Received]) -> None:
         box = self.boxes[at]
         assert box.claims is not None and box.elector is not None
         pending, first = notes, True
@@ -195,12 +195,12 @@
             now, own = self.clock(at), []
             box.claims.now = now
             if at < self.wanting:
-                box.claims.want(TOPIC)
+                box.claims.request(TOPIC)
             orders: list[object] = list(
                 box.elector.step(now + (box.wall if self.planted.wall else 0), pending)
             )
             orders += box.claims.step(now, pending)
-            if (epoch := box.claims.holds(TOPIC, now)) and box.decided != epoch:
+            if (epoch := box.claims.held_epoch(TOPIC, now)) and box.decided != epoch:
                 if box.claims.decide(TOPIC, f"{box.name} {epoch}".encode()):
                     box.decided = epoch
                     orders += box.claims.step(now, [])
@@ -209,29 +209,29 @@
             pending = own
         self.judge()
 
-    def carry_out(self, at: int, order: object, own: list[Heard]) -> None:
+    def carry_out(self, at: int, order: object, own: list[Received]) -> None:
         box = self.boxes[at]
-        if isinstance(order, Keep):
+        if isinstance(order, Persist):
             box.disk = order.data
-            for send in order.then:
+            for send in order.then_send:
                 self.carry_out(at, send, own)
         elif isinstance(order, Send):
             if order.to == box.name:
-                own.append(Heard(box.name, order.body))
+                own.append(Received(box.name, order.body))
             else:
                 to = next(index for index, one in enumerate(self.boxes) if one.name == order.to)
                 self.flying.append((at, to, order.body))
-        elif isinstance(order, Took):
+        elif isinstance(order, LeaseAcquired):
             if self.taken.setdefault(order.epoch, box.name) != box.name:
                 self.wrong = f"epoch {order.epoch} was taken by {self.taken[order.epoch]} and by {box.name}"
-        elif isinstance(order, Chosen):
+        elif isinstance(order, DecisionAccepted):
             told = self.made.setdefault(order.version, (order.epoch, order.body))
             if told[1] != order.body:
                 self.wrong = f"decision {order.version} is {told[1]!r} and {order.body!r}"
             elif order.version < max(self.made):
                 self.wrong = f"decision {max(self.made)} was told as made and is lost"
         else:
-            assert isinstance(order, Lost)
+            assert isinstance(order, LeaseLost)
 
     def finish(self) -> None:
         """Nothing is owed at the end."""
@@ -240,25 +240,25 @@
         holders = [
             box.name
             for at, box in enumerate(self.boxes)
-            if box.claims is not None and box.claims.holds(TOPIC, self.clock(at))
+            if box.claims is not None and box.claims.held_epoch(TOPIC, self.clock(at))
         ]
         if len(holders) > 1 and not self.wrong:
             self.wrong = f"{' and '.join(holders)} hold one lease at the same moment"
 
 
-def nothing_decided(sender: str, told: list[wire.Height]) -> None:
+def nothing_decided(sender: str, told: list[wire.TopicProgress]) -> None:
     """In place of what a whole member does about another's table; by name, so that a world can be copied."""
 
 
 class Gullible(Membership):
     """A planted fault: hearsay of a death is believed at once, whatever the incarnation."""
 
-    def learn(self, note: wire.Note, teller: str) -> None:
+    def apply_update(self, note: wire.MemberUpdate, reporter: str) -> None:
         member = self.members.get(note.name)
         if member is not None and note.status is Status.DEAD:
-            self.hold(member, Status.DEAD, note.incarnation, note.by, "told")
+            self.set_status(member, Status.DEAD, note.incarnation, note.source, "told")
             return
-        super().learn(note, teller)
+        super().apply_update(note, reporter)
 
 
 @dataclass
@@ -274,7 +274,7 @@
     now: int = 0
     cores: list[Membership | None] = field(default_factory=list)
     paused: list[bool] = field(default_factory=list)
-    flying: list[tuple[int, int, Heard]] = field(default_factory=list)
+    flying: list[tuple[int, int, Received]] = field(default_factory=list)
     alive_at: dict[tuple[int, str], int] = field(default_factory=dict)  # incarnation held for alive, by whom
     lives: int = 0
     wrong: str = ""
@@ -292,9 +292,9 @@
     def start(self, at: int) -> None:
         self.lives += 1
         kind = Gullible if self.gullible else Membership
-        seats = [Seat(name, f"127.0.0.1:{index + 1}") for index, name in enumerate(self.names)]
-        core = kind(self.names[at], seats, Timing(), self.lives, BEGIN + self.now)
-        core.behind = nothing_decided
+        seats = [RosterEntry(name, f"127.0.0.1:{index + 1}") for index, name in enumerate(self.names)]
+        core = kind(self.names[at], seats, MembershipTiming(), self.lives, BEGIN + self.now)
+        core.on_progress = nothing_decided
         self.cores[at], self.paused[at] = core, False
         for observer in range(self.size):
             self.alive_at.pop((at, self.names[observer]), None)
@@ -338,29 +338,29 @@
         assert core is not None
         incarnation = core.members[self.names[at]].incarnation
         ping = wire.Ping(0, Status.ALIVE, core.incarnation, Status.ALIVE, 0, 0)
-        note = wire.Note(self.names[at], Status.DEAD, incarnation, self.names[-1])
+        note = wire.MemberUpdate(self.names[at], Status.DEAD, incarnation, self.names[-1])
         for to in range(self.size - 1):
-            self.flying.append((self.size - 1, to, Heard(self.names[-1], ping, [note])))
+            self.flying.append((self.size - 1, to, Received(self.names[-1], ping, [note])))
 
     def pass_time(self) -> None:
         running = [core for at, core in enumerate(self.cores) if core is not None and not self.paused[at]]
-        due = min((core.next() - BEGIN for core in running), default=self.now + 50 * MS)
+        due = min((core.next_due() - BEGIN for core in running), default=self.now + 50 * MS)
         self.now = min(self.horizon, max(self.now + MS, due))
         for at, core in enumerate(self.cores):
-            if core is not None and not self.paused[at] and core.next() <= BEGIN + self.now:
+            if core is not None and not self.paused[at] and core.next_due() <= BEGIN + self.now:
                 self.step(at, [])
 
-    def step(self, at: int, notes: list[Heard]) -> None:
+    def step(self, at: int, notes: list[Received]) -> None:
         core = self.cores[at]
         assert core is not None
         for order in core.step(BEGIN + self.now, notes):
             if isinstance(order, Send):
                 to = self.names.index(order.to)
-                self.flying.append((at, to, Heard(self.names[at], order.body, order.notes)))
-            elif isinstance(order, Changed):
+                self.flying.append((at, to, Received(self.names[at], order.body, order.updates)))
+            elif isinstance(order, MemberChanged):
                 self.judge(at, order, core.members[order.name].incarnation)
 
-    def judge(self, at: int, order: Changed, incarnation: int) -> None:
+    def judge(self, at: int, order: MemberChanged, incarnation: int) -> None:
         key = (at, order.name)
         if order.after is Status.ALIVE:
             self.alive_at[key] = max(incarnation, self.alive_at.get(key, 0))
--- a/lupinmill/lab/fleet_measure.py
+++ b/lupinmill/lab/fleet_measure.py
@@ -12,10 +12,10 @@
 
 from lupinmill.lab.fleet import Fault, Fleet, Network
 from lupinmill.lab.fleet_virtual import VirtualFleet
-from lupinmill.peers.view import SECOND, Timing
+from lupinmill.peers.view import SECOND, MembershipTiming
 
 SETTLE = 15.0  # seconds until a fleet has joined
-ROUND = Timing().round / SECOND
+ROUND = MembershipTiming().round / SECOND
 
 
 @dataclass(frozen=True)
@@ -157,9 +157,9 @@
 
 
 def theory(kind: str, members: int) -> str:
-    timing = Timing()
+    timing = MembershipTiming()
     probed = ROUND * e / (e - 1)  # SWIM: expected rounds until somebody's turn comes to the failed one
-    least, most = (timing.suspicion(members, n) / SECOND for n in (members, 0))
+    least, most = (timing.suspicion_timeout(members, n) / SECOND for n in (members, 0))
     if kind == "death":
         spread = ROUND / 2 * log(members) / log(3)
         return (
--- a/lupinmill/lab/fleet_sockets.py
+++ b/lupinmill/lab/fleet_sockets.py
@@ -24,7 +24,7 @@
 
 from lupinmill.lab.fleet import Event, Fault, Fleet, FleetResult, Weather, meant
 from lupinmill.lab.processes import Process, call_operator, last_lines
-from lupinmill.peers.peer import REHEARSAL
+from lupinmill.peers.peer import REHEARSAL_TOPIC
 
 HOST = "127.0.0.1"
 LARGEST = 2_048
@@ -174,7 +174,7 @@
                 zone = at * self.fleet.zones // self.fleet.members
                 rows.append(f'[peers.members.{other}]\naddress = "{address}"\nzone = "z{zone}"\n')
         electors = [one for one in self.electors if one in roster]
-        wants = f'wants = ["{REHEARSAL}"]\n' if name in electors else ""
+        wants = f'wants = ["{REHEARSAL_TOPIC}"]\n' if name in electors else ""
         keep = f'keep = "{self.folder / "promises" / name}"\n' if self.fleet.keep and name in electors else ""
         text = (
             f'site = "fleet"\n\n[peers]\nelectors = {orjson.dumps(electors).decode()}\n{wants}{keep}'
--- a/lupinmill/lab/fleet_virtual.py
+++ b/lupinmill/lab/fleet_virtual.py
@@ -12,10 +12,20 @@
 
 from lupinmill.lab.fleet import Event, Fault, Fleet, FleetResult, Weather, meant
 from lupinmill.peers import wire
-from lupinmill.peers.elector import Keep, Memory, majority
-from lupinmill.peers.peer import REHEARSAL, Forgot, Known, Peer, Told
-from lupinmill.peers.proposer import Chosen, Lost, Took
-from lupinmill.peers.view import MS, SECOND, Changed, Heard, Leave, Seat, Send, Stands, Timing
+from lupinmill.peers.elector import Memory, Persist, majority
+from lupinmill.peers.peer import REHEARSAL_TOPIC, DecisionAdopted, DecisionExpired, Peer, PeerSettings
+from lupinmill.peers.proposer import DecisionAccepted, LeaseAcquired, LeaseLost
+from lupinmill.peers.view import (
+    MS,
+    SECOND,
+    Leave,
+    MemberChanged,
+    MembershipTiming,
+    QuorumChanged,
+    Received,
+    RosterEntry,
+    Send,
+)
 from lupinmill.peers.wire import Status
 
 EPOCH = 1_000 * SECOND  # where clocks begin, more or less: no member's is another's
@@ -35,7 +45,7 @@
     peer: Peer | None = None
     disk: bytes | None = None
     paused: bool = False
-    inbox: list[Heard] = field(default_factory=list)
+    inbox: list[Received] = field(default_factory=list)
     wakes: int = -1  # the moment it is queued for
     life: int = 0
     began: int = 0  # its process's start, or when it went on after a stop
@@ -45,16 +55,18 @@
 
 
 class VirtualFleet:
-    def __init__(self, fleet: Fleet, seed: int, timing: Timing | None = None, decide: bool = True) -> None:
+    def __init__(
+        self, fleet: Fleet, seed: int, timing: MembershipTiming | None = None, decide: bool = True
+    ) -> None:
         self.fleet, self.seed, self.now = fleet, seed, 0
         self.weather = Weather(fleet, seed)
-        self.timing = timing or Timing(round=fleet.round_ms * MS)
+        self.timing = timing or MembershipTiming(round=fleet.round_ms * MS)
         self.decide = decide
         self.result = FleetResult(fleet, "virtual", seed)
         names = fleet.names()
         self.electors = tuple(names[at * fleet.members // fleet.electors] for at in range(fleet.electors))
         self.seats = tuple(
-            Seat(name, f"127.0.0.1:{at + 1}", f"z{at * fleet.zones // fleet.members}")
+            RosterEntry(name, f"127.0.0.1:{at + 1}", f"z{at * fleet.zones // fleet.members}")
             for at, name in enumerate(names)
         )
         chance = self.weather.chance
@@ -113,12 +125,12 @@
         memory = None
         if host.disk is not None:
             memory = msgspec.msgpack.decode(host.disk, type=Memory)
-        wants = (REHEARSAL,) if name in self.electors else ()
-        told = Told(
+        wants = (REHEARSAL_TOPIC,) if name in self.electors else ()
+        told = PeerSettings(
             name,
             self.seats,
             self.electors,
-            wants=wants,
+            wanted_topics=wants,
             lease=int(self.fleet.lease_s * SECOND),
             timing=self.timing,
         )
@@ -136,7 +148,7 @@
         )
         self.forgot |= bool(self.epochs) and remember + kept < majority(len(self.electors))
 
-    def do_datagram(self, what: tuple[str, Heard]) -> None:
+    def do_datagram(self, what: tuple[str, Received]) -> None:
         name, heard = what
         host = self.hosts[name]
         if host.peer is None:
@@ -178,7 +190,7 @@
         for name in self.electors:
             host = self.hosts[name]
             if host.peer is not None and not host.paused:
-                host.peer.decide(REHEARSAL, f"{name} {self.now}".encode())
+                host.peer.decide(REHEARSAL_TOPIC, f"{name} {self.now}".encode())
                 self.step(host)
 
     # Faults.
@@ -235,7 +247,7 @@
     def step(self, host: Host, notes: list | None = None) -> None:
         pending = notes or []
         while host.peer is not None:
-            own: list[Heard] = []
+            own: list[Received] = []
             for order in host.peer.step(self.clock(host), pending):
                 self.carry_out(host, order, own)
             if not own:
@@ -243,42 +255,42 @@
             pending = own
         if host.peer is None:
             return
-        at = max(self.now + 1, self.now + int((host.peer.next() - self.clock(host)) / host.pace) + 1)
+        at = max(self.now + 1, self.now + int((host.peer.next_due() - self.clock(host)) / host.pace) + 1)
         if host.wakes != at:
             host.wakes = at
             self.put(at, "wake", (host.name, at))
         if self.check_truth:
             self.look_for_two()
 
-    def carry_out(self, host: Host, order: object, own: list[Heard]) -> None:
+    def carry_out(self, host: Host, order: object, own: list[Received]) -> None:
         if isinstance(order, Send):
             self.send(host, order, own)
-        elif isinstance(order, Keep):
+        elif isinstance(order, Persist):
             if self.fleet.keep:
                 host.disk = order.data
-            for send in order.then:
+            for send in order.then_send:
                 self.send(host, send, own)
-        elif isinstance(order, Changed):
-            self.event(host, "peer", order.name, order.after.name.lower(), why=order.why)
+        elif isinstance(order, MemberChanged):
+            self.event(host, "peer", order.name, order.after.name.lower(), why=order.reason)
             if order.after is Status.DEAD:
                 self.false_deaths += self.was_well(order.name)
-        elif isinstance(order, Stands):
-            self.event(host, "standing", state=order.after.value, why=order.why)
-        elif isinstance(order, Took):
+        elif isinstance(order, QuorumChanged):
+            self.event(host, "standing", state=order.after.value, why=order.reason)
+        elif isinstance(order, LeaseAcquired):
             host.held[order.topic] = order.epoch
             if order.epoch in self.epochs and not self.forgot:
                 self.broken(f"epoch {order.epoch} was taken by {self.epochs[order.epoch]} and by {host.name}")
             self.epochs[order.epoch] = host.name
             self.event(host, "lease", order.topic, "taken", order.epoch)
-        elif isinstance(order, Lost):
+        elif isinstance(order, LeaseLost):
             host.held.pop(order.topic, None)
-            self.event(host, "lease", order.topic, "ended", order.epoch, why=order.why)
-        elif isinstance(order, Chosen):
+            self.event(host, "lease", order.topic, "ended", order.epoch, why=order.reason)
+        elif isinstance(order, DecisionAccepted):
             self.chosen(host, order)
-        elif isinstance(order, Known | Forgot):
-            version = order.version if isinstance(order, Known) else 0
+        elif isinstance(order, DecisionAdopted | DecisionExpired):
+            version = order.version if isinstance(order, DecisionAdopted) else 0
             self.event(host, "decision", order.topic, "known" if version else "forgotten", version=version)
-            if isinstance(order, Known) and version in self.decisions:
+            if isinstance(order, DecisionAdopted) and version in self.decisions:
                 if self.decisions[version][1] != order.body and not self.forgot:
                     self.broken(f"{host.name} goes by another decision {version} than was made")
 
@@ -289,7 +301,7 @@
             return False
         return self.now - max(host.began, self.calm_since) > LATELY
 
-    def chosen(self, host: Host, order: Chosen) -> None:
+    def chosen(self, host: Host, order: DecisionAccepted) -> None:
         self.event(host, "decision", order.topic, "made", order.epoch, order.version)
         before = self.decisions.get(order.version)
         if before is not None and before[1] != order.body and not self.forgot:
@@ -304,7 +316,9 @@
             [
                 name
                 for name, host in self.hosts.items()
-                if host.held and host.peer is not None and host.peer.holds(REHEARSAL, self.clock(host))
+                if host.held
+                and host.peer is not None
+                and host.peer.held_epoch(REHEARSAL_TOPIC, self.clock(host))
             ]
             if any(self.hosts[name].held for name in self.electors)
             else []
@@ -312,8 +326,8 @@
         if len(holders) > 1:
             self.broken(f"{' and '.join(holders)} hold one lease at {self.now / SECOND:.3f} s")
 
-    def send(self, host: Host, order: Send, own: list[Heard]) -> None:
-        heard = Heard(host.name, order.body, order.notes)
+    def send(self, host: Host, order: Send, own: list[Received]) -> None:
+        heard = Received(host.name, order.body, order.updates)
         if order.to == host.name:
             own.append(heard)
             return
@@ -322,7 +336,7 @@
         host.sent += 1
         self.datagrams += 1
         if self.datagrams % SEND_SIZE_EVERY == 0:
-            self.sizes.append(len(wire.encode(1, order.body, order.notes)))
+            self.sizes.append(len(wire.encode(1, order.body, order.updates)))
         for delay in self.weather.delays(host.name, order.to):
             self.put(self.now + max(1, int(delay * SECOND)), "datagram", (order.to, heard))
 
--- a/lupinmill/lab/scale/days.py
+++ b/lupinmill/lab/scale/days.py
@@ -33,7 +33,7 @@
     """Seconds until each played core that is up sees so many, itself among them; 0: not in time."""
     for at in range(1, KNOWN * 2 + 1):
         hollow.run(0.5)
-        if all(core.peer.membership.present + 1 == present for core in hollow.played if core.up):
+        if all(core.peer.membership.present_count + 1 == present for core in hollow.played if core.up):
             return at / 2
     return 0.0
 
--- a/lupinmill/lab/scale/holder.py
+++ b/lupinmill/lab/scale/holder.py
@@ -16,8 +16,8 @@
 from lupinmill.lab.scale.hollow import SITE, seats
 from lupinmill.peers import wire
 from lupinmill.peers.driver import Driver
-from lupinmill.peers.peer import Told
-from lupinmill.peers.view import SECOND, Heard
+from lupinmill.peers.peer import PeerSettings
+from lupinmill.peers.view import SECOND, Received
 from lupinmill.peers.wire import Status
 from lupinmill.zones import member, words
 from lupinmill.zones.driver import TOPIC, Zoning
@@ -44,7 +44,7 @@
     epoch = 0
     decided = 0
 
-    def holds(self, topic: str) -> int:
+    def held_epoch(self, topic: str) -> int:
         return self.epoch
 
     def decide(self, topic: str, body: bytes) -> bool:
@@ -97,7 +97,7 @@
         self.seats = seats(members, zones)
         self.names = [seat.name for seat in self.seats]
         electors = tuple(self.names[at * members // ELECTORS] for at in range(ELECTORS))
-        self.told = Told(electors[0], self.seats, electors, (TOPIC,))
+        self.told = PeerSettings(electors[0], self.seats, electors, (TOPIC,))
         self.driver = Post(self.told, "hollow", "127.0.0.1:1", None, lambda *a, **k: None)
         self.driver.peer = self.peer()
         self.driver.sock = Sink()  # type: ignore[assignment]
@@ -114,10 +114,10 @@
         from lupinmill.peers.peer import Peer
 
         peer = Peer(self.told, 1, 1, BEGAN)
-        for at in range(0, len(self.names), wire.MOST_NOTES):
-            notes = [wire.Note(n, Status.ALIVE, 0, n) for n in self.names[at : at + wire.MOST_NOTES]]
-            peer.membership.hear(Heard(self.names[-1], wire.Table(False, 0, []), notes))
-        peer.membership.news.clear()
+        for at in range(0, len(self.names), wire.MAX_UPDATES):
+            notes = [wire.MemberUpdate(n, Status.ALIVE, 0, n) for n in self.names[at : at + wire.MAX_UPDATES]]
+            peer.membership.receive(Received(self.names[-1], wire.Table(False, 0, []), notes))
+        peer.membership.pending_updates.clear()
         return peer
 
     # Evidence.
@@ -126,7 +126,7 @@
         """As the driver does: decoded, through the peers' core, to the zones."""
         found = wire.decode(SITE, data)
         assert self.driver.peer is not None
-        for order in self.driver.peer.step(BEGAN, [Heard(sender, found.body, found.notes)]):
+        for order in self.driver.peer.step(BEGAN, [Received(sender, found.body, found.updates)]):
             if getattr(order, "topic", "") == TOPIC:
                 self.zoning.heard(order)
 
@@ -168,7 +168,7 @@
                 fresh.append(len(self.zoning.core.evidence.reports) / len(self.seats))
             else:
                 telling = words.telling(self.map, words_of[at], self.clock, 0)
-                body = wire.Carried(TOPIC, words.say(telling))
+                body = wire.FeatureMessage(TOPIC, words.say(telling))
                 data = wire.encode(SITE, body, [])
                 began = time.thread_time_ns()
                 self.hear(tellers[at].name, data)
--- a/lupinmill/lab/scale/hollow.py
+++ b/lupinmill/lab/scale/hollow.py
@@ -17,26 +17,28 @@
 from dataclasses import dataclass, field
 
 from lupinmill.peers import wire
-from lupinmill.peers.elector import Keep
-from lupinmill.peers.peer import Peer, Told
-from lupinmill.peers.view import SECOND, Heard, Seat, Send, Timing
+from lupinmill.peers.elector import Persist
+from lupinmill.peers.peer import Peer, PeerSettings
+from lupinmill.peers.view import SECOND, MembershipTiming, Received, RosterEntry, Send
 from lupinmill.peers.wire import Status
 
-SITE = wire.site_of("hollow")
+SITE = wire.site_hash("hollow")
 EPOCH = 1_000 * SECOND
 DELAY = (200, 1_000)  # microseconds of the network
 MOST_TALKS = 200_000  # conversations whose answers may still come, where few stand for many
 MEMBER_BYTES = 900  # a row with all that hangs on it, for the look ahead at memory
-TELL_OF_ALL = wire.MOST_NOTES
+TELL_OF_ALL = wire.MAX_UPDATES
 
 
 def names(members: int) -> list[str]:
     return [f"sidecar-{at:05d}" for at in range(members)]
 
 
-def seats(members: int, zones: int = 20) -> tuple[Seat, ...]:
+def seats(members: int, zones: int = 20) -> tuple[RosterEntry, ...]:
     return tuple(
-        Seat(name, f"127.{1 + at // 60_000}.0.1:{1_024 + at % 60_000}", f"z{at * zones // members}", "")
+        RosterEntry(
+            name, f"127.{1 + at // 60_000}.0.1:{1_024 + at % 60_000}", f"z{at * zones // members}", ""
+        )
         for at, name in enumerate(names(members))
     )
 
@@ -82,7 +84,7 @@
         cores: int = 0,
         loss: float = 0.0,
         electors: int = 0,
-        timing: Timing | None = None,
+        timing: MembershipTiming | None = None,
         watched: int = 0,
         absent: set[int] | None = None,
     ) -> None:
@@ -94,7 +96,7 @@
         self.all = not cores or cores >= members
         self.chance = random.Random(seed)
         self.seats = seats(members)
-        self.timing = timing or Timing()
+        self.timing = timing or MembershipTiming()
         every = 1 if self.all else members // cores
         self.going = {self.names[at] for at in absent or ()}
         self.gone: set[str] = set()
@@ -113,7 +115,7 @@
         self.watched = [core for core in self.played if core.watched]
 
     def peer(self, name: str, life: int) -> Peer:
-        told = Told(name, self.seats, self.electors, timing=self.timing)
+        told = PeerSettings(name, self.seats, self.electors, timing=self.timing)
         return Peer(told, life, self.seed * 1_000_003 + life, EPOCH + self.now)
 
     # Beginnings.
@@ -127,21 +129,21 @@
         """As long after a start: each has heard of all, by the tables that it would have been sent, and its
         news is told. Not played, as that takes minutes of a large fleet's time: news is taken away and the
         number of rounds set."""
-        notes = [wire.Note(name, Status.ALIVE, 0, name) for name in self.names]
+        notes = [wire.MemberUpdate(name, Status.ALIVE, 0, name) for name in self.names]
         for core in self.played:
             peer = core.peer
             sender = self.names[0] if core.name != self.names[0] else self.names[1]
             heard = [
-                Heard(sender, wire.Table(False, 0, []), notes[at : at + TELL_OF_ALL])
+                Received(sender, wire.Table(False, 0, []), notes[at : at + TELL_OF_ALL])
                 for at in range(0, len(notes), TELL_OF_ALL)
             ]
             peer.membership.now = EPOCH
             for one in heard:
-                peer.membership.hear(one)
-            peer.membership.orders.clear()
-            peer.membership.news.clear()
+                peer.membership.receive(one)
+            peer.membership.commands.clear()
+            peer.membership.pending_updates.clear()
             peer.membership.round_number = 20 + len(self.names) + self.chance.randrange(10)
-            peer.membership.checks_at = EPOCH
+            peer.membership.check_tokens_at = EPOCH
             self.wake(core, self.chance.randrange(self.timing.round))
 
     # The run.
@@ -170,18 +172,18 @@
     def step(self, core: Core, came: tuple[str, bytes] | None) -> None:
         second, clock = core.second(self.now), EPOCH + self.now
         began = time.thread_time_ns() if core.watched else 0
-        notes: list[Heard] = []
+        notes: list[Received] = []
         if came is not None:
             found = wire.decode(SITE, came[1])
-            notes.append(Heard(came[0], found.body, found.notes))
+            notes.append(Received(came[0], found.body, found.updates))
         out: list[tuple[str, wire.Body, bytes]] = []
         while True:
-            own: list[Heard] = []
+            own: list[Received] = []
             for order in core.peer.step(clock, notes):
                 if isinstance(order, Send):
                     self.encode(core, order, out, own)
-                elif isinstance(order, Keep):
-                    for send in order.then:
+                elif isinstance(order, Persist):
+                    for send in order.then_send:
                         self.encode(core, send, out, own)
             if not own:
                 break
@@ -196,15 +198,15 @@
             second.bytes_out += len(data)
             second.tables += isinstance(body, wire.Table) and body.wanted
             self.pass_on(core, to, body, data)
-        self.wake(core, max(self.now + 1, core.peer.next() - EPOCH))
+        self.wake(core, max(self.now + 1, core.peer.next_due() - EPOCH))
 
     def encode(
-        self, core: Core, order: Send, out: list[tuple[str, wire.Body, bytes]], own: list[Heard]
+        self, core: Core, order: Send, out: list[tuple[str, wire.Body, bytes]], own: list[Received]
     ) -> None:
         if order.to == core.name:
-            own.append(Heard(order.to, order.body))
+            own.append(Received(order.to, order.body))
         else:
-            out.append((order.to, order.body, wire.encode(SITE, order.body, order.notes)))
+            out.append((order.to, order.body, wire.encode(SITE, order.body, order.updates)))
 
     # The network.
 
@@ -215,7 +217,7 @@
             hearer, sender = self.cores[to], core.name
         else:
             table = isinstance(body, wire.Table) and not body.wanted
-            answers = table or isinstance(body, wire.Ack | wire.Relayed)
+            answers = table or isinstance(body, wire.Ack | wire.IndirectAck)
             talk = self.talks.get((core.name, to)) if answers else None
             if talk is not None:
                 hearer, sender = talk
@@ -255,10 +257,10 @@
     def rows(self) -> float:
         """Members that a core holds for present, in the mean, itself among them."""
         up = [core for core in self.played if core.up]
-        return sum(core.peer.membership.present + 1 for core in up) / len(up)
+        return sum(core.peer.membership.present_count + 1 for core in up) / len(up)
 
     def news(self) -> float:
-        return sum(len(core.peer.membership.news) for core in self.played) / len(self.played)
+        return sum(len(core.peer.membership.pending_updates) for core in self.played) / len(self.played)
 
     def figures(self, first: int, last: int) -> dict[str, tuple[float, float]]:
         """Mean and dearest second of the mean member, over whole seconds `first` up to `last`."""
--- a/lupinmill/lab/scale/loopback.py
+++ b/lupinmill/lab/scale/loopback.py
@@ -19,9 +19,9 @@
 from lupinmill.lab.fleet_sockets import HOST, SETTINGS, TAKEN, free_port
 from lupinmill.lab.scale.hollow import names
 from lupinmill.peers.driver import Driver
-from lupinmill.peers.membership import JOINING, TABLE_EVERY
-from lupinmill.peers.view import Heard
-from lupinmill.peers.wire import MOST_NOTES, Ping
+from lupinmill.peers.membership import JOIN_ROUNDS, TABLE_SYNC_ROUNDS
+from lupinmill.peers.view import Received
+from lupinmill.peers.wire import MAX_UPDATES, Ping
 from lupinmill.program import operators_file
 from lupinmill.program.common import Common
 from lupinmill.protocol import settings as protocol_settings
@@ -67,7 +67,7 @@
 
 def settled_rounds(members: int) -> int:
     """Rounds until tables are asked for by turns only, and some more in which news is told."""
-    return JOINING + 2 * members // MOST_NOTES + TABLE_EVERY // 2 + members // 10
+    return JOIN_ROUNDS + 2 * members // MAX_UPDATES + TABLE_SYNC_ROUNDS // 2 + members // 10
 
 
 class Watch:
@@ -77,14 +77,14 @@
 
     def __init__(self, driver: Driver) -> None:
         self.heard: dict[str, list[tuple[float, int]]] = {}
-        self.driver, self.take = driver, driver.take
-        driver.take = self.look  # type: ignore[method-assign]
+        self.driver, self.take = driver, driver.receive_datagram
+        driver.receive_datagram = self.look  # type: ignore[method-assign]
 
     def look(self, data: bytes, address: Any) -> None:
         before = len(self.driver.inbox)
         self.take(data, address)
         for note in self.driver.inbox[before:]:
-            if isinstance(note, Heard) and isinstance(note.body, Ping) and note.body.serial:
+            if isinstance(note, Received) and isinstance(note.body, Ping) and note.body.serial:
                 self.heard.setdefault(note.sender, []).append((time.monotonic(), note.body.serial))
 
     def pace(self) -> float:
@@ -117,7 +117,7 @@
             raise RuntimeError(f"{event}: {fields}")
 
     def rows(self) -> int:
-        return self.driver.peer.membership.present + 1 if self.driver.peer is not None else 0
+        return self.driver.peer.membership.present_count + 1 if self.driver.peer is not None else 0
 
     def counts(self) -> tuple[int, int, int, int]:
         driver = self.driver
--- a/lupinmill/lab/scale/settings.py
+++ b/lupinmill/lab/scale/settings.py
@@ -24,8 +24,8 @@
 from lupinmill.lab.scale.hollow import seats
 from lupinmill.peers import wire
 from lupinmill.peers.driver import Driver
-from lupinmill.peers.peer import Peer, Told
-from lupinmill.peers.view import Heard
+from lupinmill.peers.peer import Peer, PeerSettings
+from lupinmill.peers.view import Received
 from lupinmill.peers.wire import Status
 from lupinmill.program import operators_file
 from lupinmill.protocol import lists
@@ -114,16 +114,18 @@
     if warm:
         state(ELECTORS, zones, False)  # what the first one alone fills, as caches of types
     told_seats = seats(members, zones)
-    told = Told(told_seats[0].name, told_seats)
+    told = PeerSettings(told_seats[0].name, told_seats)
     tracemalloc.start()
     driver = Driver(told, "hollow", "127.0.0.1:1", None, lambda *a, **k: None)
     driver.peer = Peer(told, 1, 1, 0)
-    for at in range(0, members, wire.MOST_NOTES):
-        notes = [wire.Note(s.name, Status.ALIVE, 0, s.name) for s in told_seats[at : at + wire.MOST_NOTES]]
-        driver.peer.membership.hear(Heard(told_seats[-1].name, wire.Table(False, 0, []), notes))
-    driver.peer.membership.orders.clear()
-    driver.peer.membership.news.clear()
-    driver.peer.membership.following(driver.peer.membership.rotation, (Status.ALIVE,))
+    for at in range(0, members, wire.MAX_UPDATES):
+        notes = [
+            wire.MemberUpdate(s.name, Status.ALIVE, 0, s.name) for s in told_seats[at : at + wire.MAX_UPDATES]
+        ]
+        driver.peer.membership.receive(Received(told_seats[-1].name, wire.Table(False, 0, []), notes))
+    driver.peer.membership.commands.clear()
+    driver.peer.membership.pending_updates.clear()
+    driver.peer.membership.next_in_rotation(driver.peer.membership.probe_order, (Status.ALIVE,))
     gc.collect()
     memory = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
--- a/lupinmill/lab/sockets/configuration.py
+++ b/lupinmill/lab/sockets/configuration.py
@@ -6,7 +6,7 @@
 
 from lupinmill.lab.registry import Entry
 from lupinmill.lab.stands import HOST, STATUS
-from lupinmill.peers.peer import REHEARSAL
+from lupinmill.peers.peer import REHEARSAL_TOPIC
 
 ELECTORS = (0, 3, 5)  # how many there may be
 
@@ -16,7 +16,7 @@
     names = [f"s{at}" for at in range(len(ports))]
     most = max((n for n in ELECTORS if n <= len(ports)), default=0)
     electors = orjson.dumps(names[:most]).decode()
-    wants = f'wants = ["{REHEARSAL}"]\n' if most else ""
+    wants = f'wants = ["{REHEARSAL_TOPIC}"]\n' if most else ""
     rows = [f'[peers.members.{name}]\naddress = "{HOST}:{port}"\n' for name, port in zip(names, ports)]
     return f'site = "lab"\n\n[peers]\nelectors = {electors}\n{wants}\n' + "\n".join(rows)
 
--- a/lupinmill/peers/driver.py
+++ b/lupinmill/peers/driver.py
@@ -16,35 +16,47 @@
 import anyio
 
 from lupinmill.peers import wire
-from lupinmill.peers.elector import Keep
-from lupinmill.peers.peer import REHEARSAL, Forgot, Known, Note, Order, Peer, Said, Told
-from lupinmill.peers.proposer import Chosen, Lost, Took
-from lupinmill.peers.stable_store import BadKeep, Promises
+from lupinmill.peers.elector import Persist
+from lupinmill.peers.peer import (
+    REHEARSAL_TOPIC,
+    Command,
+    DecisionAdopted,
+    DecisionExpired,
+    Event,
+    FeatureMessageReceived,
+    Peer,
+    PeerSettings,
+)
+from lupinmill.peers.proposer import DecisionAccepted, LeaseAcquired, LeaseLost
+from lupinmill.peers.stable_store import StableStore, StoreError
 from lupinmill.peers.view import (
     PRESENT,
     SECOND,
-    Changed,
-    Heard,
     Leave,
+    MemberChanged,
+    QuorumChanged,
+    QuorumState,
+    Received,
+    Rejoin,
     Resign,
-    Return,
-    Roster,
+    RosterChange,
     Send,
-    Standing,
-    Stands,
 )
 from lupinmill.routing.engine import Log, defect
 from lupinmill.transport.connection import split_address
 
-BATCH = 64  # datagrams between two pauses
-PAUSE = 0.004  # seconds after a whole batch
-RATE, BURST = 150.0, 300.0  # datagrams a second from one address, and at once: some ten times what is usual
-LINES, LINES_AT_ONCE = 10.0, 200.0  # in the log a second, and at once
-AGAIN = 0.05  # seconds between two tries for an address that the process before this one still has
-RECEIVE = 256 * 1024  # bytes in the kernel
-MOST_KEPT = 256
-RESIGN = 400_000  # microseconds for giving leases up before the address is
-RETRY_LIMIT = 30.0  # seconds for the process before this one to give the address back
+RECEIVE_BATCH = 64  # datagrams between two pauses
+BATCH_PAUSE_S = 0.004  # seconds after a whole batch
+DATAGRAMS_PER_SECOND, DATAGRAM_BURST = (
+    150.0,
+    300.0,
+)  # datagrams a second from one address, and at once: some ten times what is usual
+LOG_LINES_PER_SECOND, LOG_LINE_BURST = 10.0, 200.0  # in the log a second, and at once
+BIND_RETRY_S = 0.05  # seconds between two tries for an address that the process before this one still has
+RECEIVE_BUFFER_BYTES = 256 * 1024  # bytes in the kernel
+MAX_UNWRITTEN_REPLIES = 256
+RESIGN_TIMEOUT_US = 400_000  # microseconds for giving leases up before the address is
+BIND_WARNING_S = 30.0  # seconds for the process before this one to give the address back
 
 
 def now() -> int:
@@ -52,7 +64,7 @@
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1000
 
 
-class Rate:
+class TokenBucket:
     """So many a second, so many at once."""
 
     def __init__(self, rate: float, burst: float) -> None:
@@ -69,100 +81,112 @@
 
 
 class Driver:
-    def __init__(self, told: Told, site: str, bind: str, keep: str | None, log: Log) -> None:
-        self.told, self.site, self.bind, self.directory, self.log = told, wire.site_of(site), bind, keep, log
+    def __init__(self, settings: PeerSettings, site: str, bind: str, directory: str | None, log: Log) -> None:
+        self.settings, self.site, self.bind, self.directory, self.log = (
+            settings,
+            wire.site_hash(site),
+            bind,
+            directory,
+            log,
+        )
         self.peer: Peer | None = None
         self.sock: socket.socket | None = None
-        self.promises: Promises | None = None
-        self.lines = Rate(LINES, LINES_AT_ONCE)
-        self.unwritten = 0  # lines
+        self.store: StableStore | None = None
+        self.log_bucket = TokenBucket(LOG_LINES_PER_SECOND, LOG_LINE_BURST)
+        self.suppressed_lines = 0  # lines
         self.sent = self.received = self.bytes_out = self.bytes_in = 0
         self.refused: dict[str, int] = {}
         self.addresses: dict[str, tuple[str, int]] = {}
-        self.names: dict[tuple[str, int], str] = {}
-        self.rates: dict[str, Rate] = {}
-        self.inbox: list[Note] = []
+        self.names_by_address: dict[tuple[str, int], str] = {}
+        self.buckets: dict[str, TokenBucket] = {}
+        self.inbox: list[Event] = []
         self.stepping = False
-        self.awake = anyio.Event()
-        self.wanted = anyio.Event()  # this process has the peers' address, or is to have it
-        self.wanted.set()
-        self.turn: anyio.CancelScope | None = None
-        self.kept: tuple[bytes, list[Send]] | None = None
-        self.to_keep = anyio.Event()
-        self.resigns_by: int | None = None  # while another process of this sidecar waits for the address
-        self.gone = False  # left, or drained
+        self.woken = anyio.Event()
+        self.address_wanted = anyio.Event()  # this process has the peers' address, or is to have it
+        self.address_wanted.set()
+        self.serve_scope: anyio.CancelScope | None = None
+        self.unwritten: tuple[bytes, list[Send]] | None = None
+        self.write_requested = anyio.Event()
+        self.resign_deadline: int | None = None  # while another process of this sidecar waits for the address
+        self.has_left = False  # left, or drained
         # Features that go by peers, by topic: each is told the orders that are about it.
-        self.features: dict[str, Callable[[Order], None]] = {}
-        self.set_seats(told)
+        self.features: dict[str, Callable[[Command], None]] = {}
+        self.set_roster(settings)
 
-    def set_seats(self, told: Told) -> None:
-        self.told = told
+    def set_roster(self, settings: PeerSettings) -> None:
+        self.settings = settings
         self.addresses = {
-            seat.name: split_address(seat.address) for seat in told.seats if seat.name != told.name
+            entry.name: split_address(entry.address)
+            for entry in settings.roster
+            if entry.name != settings.name
+        }
+        self.names_by_address = {address: name for name, address in self.addresses.items()}
+        self.buckets = {
+            name: self.buckets.get(name) or TokenBucket(DATAGRAMS_PER_SECOND, DATAGRAM_BURST)
+            for name in self.addresses
         }
-        self.names = {address: name for name, address in self.addresses.items()}
-        self.rates = {name: self.rates.get(name) or Rate(RATE, BURST) for name in self.addresses}
 
     # The life of it.
 
     async def run(self, wait: bool) -> None:
         """`wait`: the process before this one still has the address, and gives it back when it yields."""
         while True:
-            await self.wanted.wait()
-            with anyio.CancelScope() as self.turn:
+            await self.address_wanted.wait()
+            with anyio.CancelScope() as self.serve_scope:
                 await self.serve(wait)
             wait = True
-            await anyio.sleep(AGAIN)
+            await anyio.sleep(BIND_RETRY_S)
 
     async def serve(self, wait: bool) -> None:
         try:
-            await self.open(wait)
+            await self.acquire(wait)
             self.inbox.clear()
             life = int.from_bytes(os.urandom(7), "big")
-            memory = self.promises.read() if self.promises is not None else None
-            self.peer = Peer(self.told, life, life ^ 0x5851F42D4C957F2D, now(), memory)
+            memory = self.store.read() if self.store is not None else None
+            self.peer = Peer(self.settings, life, life ^ 0x5851F42D4C957F2D, now(), memory)
             self.log(
                 "peers",
-                text=f"{len(self.told.seats)} sidecars in the roster, {len(self.told.electors)} electors",
+                text=f"{len(self.settings.roster)} sidecars in the roster, "
+                f"{len(self.settings.electors)} electors",
                 listen=self.bind,
                 remembers=memory is not None,
             )
-            if self.gone:
-                self.tell(Leave())
+            if self.has_left:
+                self.handle(Leave())
             async with anyio.create_task_group() as group:
                 group.start_soon(self.receive)
-                group.start_soon(self.keep_time)
-                group.start_soon(self.write)
+                group.start_soon(self.run_timers)
+                group.start_soon(self.write_promises)
         finally:
-            self.peer, self.kept = None, None
+            self.peer, self.unwritten = None, None
             if self.sock is not None:
                 self.sock.close()
                 self.sock = None
-            if self.promises is not None:
-                self.promises.close()
-                self.promises = None
+            if self.store is not None:
+                self.store.close()
+                self.store = None
 
-    async def open(self, wait: bool) -> None:
+    async def acquire(self, wait: bool) -> None:
         began = anyio.current_time()
         while True:
             try:
                 if self.sock is None:
-                    self.sock = self.listen()
-                if self.directory and self.promises is None:
-                    self.promises = Promises(self.directory)
+                    self.sock = self.open_socket()
+                if self.directory and self.store is None:
+                    self.store = StableStore(self.directory)
                 return
-            except (OSError, BadKeep) as error:
-                if not wait or anyio.current_time() - began > RETRY_LIMIT:
+            except (OSError, StoreError) as error:
+                if not wait or anyio.current_time() - began > BIND_WARNING_S:
                     wait = True
                     self.log("peers_wait", error=f"{self.bind}: {error}")
                     began = anyio.current_time()
-                await anyio.sleep(AGAIN)
+                await anyio.sleep(BIND_RETRY_S)
 
-    def listen(self) -> socket.socket:
+    def open_socket(self) -> socket.socket:
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         try:
             sock.setblocking(False)
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE)
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
             sock.bind(split_address(self.bind))
         except BaseException:
             sock.close()
@@ -173,102 +197,102 @@
 
     def leave(self) -> None:
         """It ends, or is drained: leaving is not failing."""
-        if not self.gone:
-            self.gone = True
-            self.tell(Leave())
+        if not self.has_left:
+            self.has_left = True
+            self.handle(Leave())
 
-    def come_back(self) -> None:
-        if self.gone:
-            self.gone = False
-            self.tell(Return())
+    def rejoin(self) -> None:
+        if self.has_left:
+            self.has_left = False
+            self.handle(Rejoin())
 
-    def yield_(self) -> None:
+    def resign(self) -> None:
         """The next process of this sidecar is this member from now on: leases are given up, then the
         address."""
-        self.wanted = anyio.Event()
-        self.resigns_by = now() + RESIGN
-        self.tell(Resign())
-        self.end_turn()
+        self.address_wanted = anyio.Event()
+        self.resign_deadline = now() + RESIGN_TIMEOUT_US
+        self.handle(Resign())
+        self.finish_resigning()
 
-    def end_turn(self) -> None:
+    def finish_resigning(self) -> None:
         """Once the electors have heard of it, or have had time to."""
-        if self.resigns_by is not None and self.turn is not None:
-            if self.peer is None or not self.peer.claims.claims or now() >= self.resigns_by:
-                self.resigns_by = None
-                self.turn.cancel()
+        if self.resign_deadline is not None and self.serve_scope is not None:
+            if self.peer is None or not self.peer.proposer.claims or now() >= self.resign_deadline:
+                self.resign_deadline = None
+                self.serve_scope.cancel()
 
-    def take_up(self) -> None:
+    def resume(self) -> None:
         """The next one has gone. Also where this one was just giving up: it begins anew."""
-        self.wanted.set()
+        self.address_wanted.set()
 
-    def change(self, told: Told) -> None:
+    def change_settings(self, settings: PeerSettings) -> None:
         """Another roster, from now on."""
-        self.set_seats(told)
+        self.set_roster(settings)
         if self.peer is not None:
-            self.peer.told = told
-            self.tell(Roster(list(told.seats)))
+            self.peer.settings = settings
+            self.handle(RosterChange(list(settings.roster)))
 
     # Notes in, orders out.
 
-    def tell(self, *notes: Note) -> None:
+    def handle(self, *events: Event) -> None:
         if self.peer is None:
             return
-        self.inbox += notes
+        self.inbox += events
         if self.stepping:
             return
         self.stepping = True
         try:
-            again = True
-            while again and self.peer is not None:
-                taken, self.inbox = self.inbox, []
-                for order in self.peer.step(now(), taken):
-                    self.carry_out(order)
-                again = bool(self.inbox)
+            pending = True
+            while pending and self.peer is not None:
+                batch, self.inbox = self.inbox, []
+                for command in self.peer.step(now(), batch):
+                    self.execute(command)
+                pending = bool(self.inbox)
         except Exception as error:  # a defect costs this core, never the program: it begins anew
             self.log("task_failed", task="peers", **defect(error))
-            if self.turn is not None:
-                self.turn.cancel()
+            if self.serve_scope is not None:
+                self.serve_scope.cancel()
         finally:
             self.stepping = False
-        self.awake.set()
-        self.end_turn()
-
-    def carry_out(self, order: Order) -> None:
-        if isinstance(order, Send):
-            self.send(order)
-        elif isinstance(order, Keep):
-            self.keep(order)
+        self.woken.set()
+        self.finish_resigning()
+
+    def execute(self, command: Command) -> None:
+        if isinstance(command, Send):
+            self.send(command)
+        elif isinstance(command, Persist):
+            self.persist(command)
         else:
-            if not isinstance(order, Said):
-                self.say(order)
-            feature = self.features.get(getattr(order, "topic", ""))
+            if not isinstance(command, FeatureMessageReceived):
+                self.log_command(command)
+            feature = self.features.get(getattr(command, "topic", ""))
             if feature is not None:
-                feature(order)
+                feature(command)
 
     # What features ask of it.
 
-    def carry(self, topic: str, to: str, words: bytes) -> None:
+    def send_feature_message(self, topic: str, to: str, payload: bytes) -> None:
         """One datagram to another member, or to this one itself; it may be lost."""
-        if to == self.told.name:
-            self.features[topic](Said(topic, to, words))
+        if to == self.settings.name:
+            self.features[topic](FeatureMessageReceived(topic, to, payload))
         elif self.peer is not None:
-            self.send(Send(to, wire.Carried(topic, words), []))
+            self.send(Send(to, wire.FeatureMessage(topic, payload), []))
 
-    def holds(self, topic: str) -> int:
+    def held_epoch(self, topic: str) -> int:
         """The epoch under which this process may act at this moment; 0: it may not."""
-        return self.peer.holds(topic, now()) if self.peer is not None else 0
+        return self.peer.held_epoch(topic, now()) if self.peer is not None else 0
 
     def decide(self, topic: str, body: bytes) -> bool:
         """False where it does not hold the topic now, or its last decision is still on its way."""
-        if self.peer is None or not self.holds(topic):
+        if self.peer is None or not self.held_epoch(topic):
             return False
-        self.peer.claims.now = now()
+        self.peer.proposer.now = now()
         done = self.peer.decide(topic, body)
-        self.awake.set()
+        self.woken.set()
         return done
 
-    def standing(self) -> Standing:
-        return self.peer.membership.standing if self.peer is not None else Standing.ALONE
+    def quorum_state(self) -> QuorumState:
+        return self.peer.membership.quorum_state if self.peer is not None else QuorumState.ISOLATED
 
     def present(self) -> list[str]:
         """Members that are there in this one's view, itself first; none where another process is the
@@ -276,104 +300,104 @@
         if self.peer is None:
             return []
         members = self.peer.membership.members
-        return [self.told.name, *(name for name, one in members.items() if one.status in PRESENT)]
+        return [self.settings.name, *(name for name, one in members.items() if one.status in PRESENT)]
 
-    def send(self, order: Send) -> None:
-        if order.to == self.told.name:
-            self.inbox.append(Heard(order.to, order.body))
+    def send(self, command: Send) -> None:
+        if command.to == self.settings.name:
+            self.inbox.append(Received(command.to, command.body))
             return
-        address = self.addresses.get(order.to)
+        address = self.addresses.get(command.to)
         if address is None or self.sock is None:
             return
-        data = wire.encode(self.site, order.body, order.notes)
+        data = wire.encode(self.site, command.body, command.updates)
         try:
             self.sock.sendto(data, address)
             self.sent += 1
             self.bytes_out += len(data)
         except OSError:
-            self.refuse("unsent")  # a full buffer is a lost datagram
+            self.count_refused("unsent")  # a full buffer is a lost datagram
 
-    def refuse(self, why: str) -> None:
-        self.refused[why] = self.refused.get(why, 0) + 1
+    def count_refused(self, reason: str) -> None:
+        self.refused[reason] = self.refused.get(reason, 0) + 1
 
     async def receive(self) -> None:
         assert self.sock is not None
         while True:
             await anyio.wait_readable(self.sock)
             count = 0
-            while count < BATCH:
+            while count < RECEIVE_BATCH:
                 try:
-                    data, address = self.sock.recvfrom(wire.LARGEST + 1)
+                    data, address = self.sock.recvfrom(wire.MAX_DATAGRAM_BYTES + 1)
                 except BlockingIOError:
                     break
                 except OSError:
-                    count = BATCH  # whatever it is, it must not spin
+                    count = RECEIVE_BATCH  # whatever it is, it must not spin
                     break
                 count += 1
-                self.take(data, address)
-            self.tell()
-            if count == BATCH:
-                await anyio.sleep(PAUSE)
+                self.receive_datagram(data, address)
+            self.handle()
+            if count == RECEIVE_BATCH:
+                await anyio.sleep(BATCH_PAUSE_S)
 
-    def take(self, data: bytes, address: Any) -> None:
-        name = self.names.get(address)
+    def receive_datagram(self, data: bytes, address: Any) -> None:
+        name = self.names_by_address.get(address)
         if name is None:
-            self.refuse("address")
+            self.count_refused("address")
             return
-        if not self.rates[name].take(now()):
-            self.refuse("flood")
+        if not self.buckets[name].take(now()):
+            self.count_refused("flood")
             return
         try:
-            found = wire.decode(self.site, data)
-        except wire.Foreign as error:
-            self.refuse(str(error))
+            datagram = wire.decode(self.site, data)
+        except wire.InvalidDatagram as error:
+            self.count_refused(str(error))
             return
         self.received += 1
         self.bytes_in += len(data)
-        self.inbox.append(Heard(name, found.body, found.notes))
+        self.inbox.append(Received(name, datagram.body, datagram.updates))
 
-    async def keep_time(self) -> None:
+    async def run_timers(self) -> None:
         while self.peer is not None:
-            self.awake = anyio.Event()
-            due = self.peer.next()
-            if self.resigns_by is not None:
-                due = min(due, self.resigns_by)
+            self.woken = anyio.Event()
+            due = self.peer.next_due()
+            if self.resign_deadline is not None:
+                due = min(due, self.resign_deadline)
             wait = due - now()
             if wait > 0:
                 with anyio.move_on_after(wait / SECOND):
-                    await self.awake.wait()
+                    await self.woken.wait()
                     continue
             # What lies unread was there before the timers: it is heard first.
             await anyio.sleep(0)
-            self.tell()
+            self.handle()
 
     # Promises are on disk before anybody hears of them.
 
-    def keep(self, order: Keep) -> None:
-        if self.promises is None:
-            for send in order.then:
+    def persist(self, command: Persist) -> None:
+        if self.store is None:
+            for send in command.then_send:
                 self.send(send)
             return
-        waiting = self.kept[1] if self.kept is not None else []
-        if len(waiting) + len(order.then) > MOST_KEPT:
-            self.refuse("disk")
+        waiting = self.unwritten[1] if self.unwritten is not None else []
+        if len(waiting) + len(command.then_send) > MAX_UNWRITTEN_REPLIES:
+            self.count_refused("disk")
             return
-        self.kept = (order.data, waiting + order.then)
-        self.to_keep.set()
+        self.unwritten = (command.data, waiting + command.then_send)
+        self.write_requested.set()
 
-    async def write(self) -> None:
+    async def write_promises(self) -> None:
         failing = False
         while True:
-            await self.to_keep.wait()
-            self.to_keep = anyio.Event()
-            if self.kept is None or self.promises is None:
+            await self.write_requested.wait()
+            self.write_requested = anyio.Event()
+            if self.unwritten is None or self.store is None:
                 continue
-            (data, then), self.kept = self.kept, None
+            (data, replies), self.unwritten = self.unwritten, None
             try:
                 with anyio.CancelScope(shield=True):  # the directory's lock is held until the disk is done
-                    await anyio.to_thread.run_sync(self.promises.write, data)
+                    await anyio.to_thread.run_sync(self.store.write, data)
             except OSError as error:
-                self.refuse("disk")
+                self.count_refused("disk")
                 if not failing:
                     self.log(
                         "peers",
@@ -385,52 +409,61 @@
             if failing:
                 self.log("peers", text="promises are kept again; this elector votes")
                 failing = False
-            for send in then:
+            for send in replies:
                 self.send(send)
-            self.tell()
+            self.handle()
 
     # For people.
 
-    def say(self, order: Order) -> None:
-        if not self.lines.take(now()):
-            self.unwritten += 1
+    def log_command(self, command: Command) -> None:
+        if not self.log_bucket.take(now()):
+            self.suppressed_lines += 1
             return
-        more = {"unwritten": self.unwritten} if self.unwritten else {}
-        self.unwritten = 0
-        if isinstance(order, Changed):
+        more = {"unwritten": self.suppressed_lines} if self.suppressed_lines else {}
+        self.suppressed_lines = 0
+        if isinstance(command, MemberChanged):
             self.log(
                 "peer",
-                member=order.name,
-                was=order.before.name.lower(),
-                now=order.after.name.lower(),
-                by=order.by,
-                why=order.why,
+                member=command.name,
+                was=command.before.name.lower(),
+                now=command.after.name.lower(),
+                by=command.source,
+                why=command.reason,
                 **more,
             )
-        elif isinstance(order, Stands):
-            self.log("standing", was=order.before.value, now=order.after.value, why=order.why, **more)
-        elif isinstance(order, Took):
-            self.log("lease", topic=order.topic, epoch=order.epoch, text="taken", **more)
-        elif isinstance(order, Lost):
-            self.log("lease", topic=order.topic, epoch=order.epoch, text=f"ended: {order.why}", **more)
-        elif isinstance(order, Known):
-            self.log("decision", topic=order.topic, epoch=order.epoch, version=order.version, **more)
-        elif isinstance(order, Forgot):
-            self.log("decision", topic=order.topic, text=f"forgotten: {order.why}", **more)
-        elif isinstance(order, Chosen):
+        elif isinstance(command, QuorumChanged):
+            self.log(
+                "standing", was=command.before.value, now=command.after.value, why=command.reason, **more
+            )
+        elif isinstance(command, LeaseAcquired):
+            self.log("lease", topic=command.topic, epoch=command.epoch, text="taken", **more)
+        elif isinstance(command, LeaseLost):
             self.log(
-                "decision", topic=order.topic, epoch=order.epoch, version=order.version, text="made", **more
+                "lease", topic=command.topic, epoch=command.epoch, text=f"ended: {command.reason}", **more
+            )
+        elif isinstance(command, DecisionAdopted):
+            self.log("decision", topic=command.topic, epoch=command.epoch, version=command.version, **more)
+        elif isinstance(command, DecisionExpired):
+            self.log("decision", topic=command.topic, text=f"forgotten: {command.reason}", **more)
+        elif isinstance(command, DecisionAccepted):
+            self.log(
+                "decision",
+                topic=command.topic,
+                epoch=command.epoch,
+                version=command.version,
+                text="made",
+                **more,
             )
 
     def rehearse(self) -> bool:
         """A decision that says nothing, for drills; False where this sidecar doesn't hold the topic."""
-        done = self.decide(REHEARSAL, f"{self.told.name} {now()}".encode())
-        self.tell()
+        done = self.decide(REHEARSAL_TOPIC, f"{self.settings.name} {now()}".encode())
+        self.handle()
         return done
 
     def show(self) -> dict[str, object]:
         if self.peer is None:
-            return {"name": self.told.name, "standing": "another process of this sidecar is the member"}
+            return {"name": self.settings.name, "standing": "another process of this sidecar is the member"}
         self.peer.now = now()
         table = self.peer.show()
         table["datagrams"] = {
--- a/lupinmill/peers/elector.py
+++ b/lupinmill/peers/elector.py
@@ -16,36 +16,38 @@
 import msgspec
 
 from lupinmill.peers import wire
-from lupinmill.peers.view import MS, Heard, Send
-from lupinmill.peers.wire import Ballot, Topic
+from lupinmill.peers.view import MS, Received, Send
+from lupinmill.peers.wire import Ballot, TopicState
 
-MOST_TOPICS = 8
-DRIFT = 100  # clocks of two members run apart by less than one part in so many
-JUMP = 2**32  # by which one ballot may go beyond the last: a liar can't drive the numbers to their end
-RECALL_EVERY = 300 * MS
-PARTS = MOST_TOPICS  # of what another remembers: one register may fill a datagram
-NOBODY = Ballot()
+MAX_TOPICS = 8
+CLOCK_DRIFT_DIVISOR = 100  # clocks of two members run apart by less than one part in so many
+MAX_BALLOT_JUMP = (
+    2**32
+)  # by which one ballot may go beyond the last: a liar can't drive the numbers to their end
+RECALL_INTERVAL_US = 300 * MS
+MAX_RECALL_PARTS = MAX_TOPICS  # of what another remembers: one register may fill a datagram
+NO_BALLOT = Ballot()
 
 
 class Register(msgspec.Struct):
-    promised: Ballot = NOBODY
-    accepted: Ballot = NOBODY
-    value: Topic = Topic()
-    until: int = 0  # by this elector's clock, when the lease in `value` has run out
+    promised: Ballot = NO_BALLOT
+    accepted: Ballot = NO_BALLOT
+    value: TopicState = TopicState()
+    lease_until: int = 0  # by this elector's clock, when the lease in `value` has run out
 
 
 class Memory(msgspec.Struct, array_like=True):
     """What is kept on disk. No times: clocks begin anew, so after a start each lease runs its whole span."""
 
-    registers: list[tuple[str, Ballot, Ballot, Topic]] = []
+    registers: list[tuple[str, Ballot, Ballot, TopicState]] = []
 
 
 @dataclass(slots=True)
-class Keep:
+class Persist:
     """Write `data` down, then send `then`; where writing fails, send nothing."""
 
     data: bytes
-    then: list[Send]
+    then_send: list[Send]
 
 
 def majority(electors: int) -> int:
@@ -58,190 +60,211 @@
         name: str,
         electors: list[str],
         topics: list[str],
-        span: int,
-        life: int,
+        lease: int,
+        instance_id: int,
         now: int,
         memory: Memory | None,
     ) -> None:
-        self.name, self.electors, self.topics, self.life, self.now = name, electors, topics, life, now
-        self.longest = span  # of a lease, the same at all members
-        self.silence = span + 2 * span // DRIFT
+        self.name, self.electors, self.topics, self.instance_id, self.now = (
+            name,
+            electors,
+            topics,
+            instance_id,
+            now,
+        )
+        self.max_lease = lease  # of a lease, the same at all members
+        self.silence_period = lease + 2 * lease // CLOCK_DRIFT_DIVISOR
         self.registers: dict[str, Register] = {}
-        self.knows = memory is not None
-        self.began, self.recall_at = now, now
-        self.recalls, self.recalled_at = 0, now  # tries, and when the last one began
-        self.orders: list[Send | Keep] = []
-        self.recalled: dict[str, dict[int, wire.Recalled]] = {}  # by elector and part
+        self.has_memory = memory is not None
+        self.started_at, self.next_recall_at = now, now
+        self.recall_round, self.recall_started_at = 0, now  # tries, and when the last one began
+        self.commands: list[Send | Persist] = []
+        self.recall_replies: dict[str, dict[int, wire.RecallReply]] = {}  # by elector and part
         if memory is not None:
-            for topic, promised, accepted, value in memory.registers[:MOST_TOPICS]:
-                self.registers[topic] = Register(promised, accepted, value, self.runs_out(value))
+            for topic, promised, accepted, value in memory.registers[:MAX_TOPICS]:
+                self.registers[topic] = Register(promised, accepted, value, self.lease_expiry(value))
         if len(electors) == 1:
-            self.knows = True  # there is nobody to ask, and nobody else to agree with
+            self.has_memory = True  # there is nobody to ask, and nobody else to agree with
 
-    def runs_out(self, value: Topic) -> int:
-        return self.now + value.span + value.span // DRIFT if value.span else 0
+    def lease_expiry(self, value: TopicState) -> int:
+        return self.now + value.lease + value.lease // CLOCK_DRIFT_DIVISOR if value.lease else 0
 
-    def next(self) -> int | None:
-        return None if self.knows else self.recall_at
+    def next_due(self) -> int | None:
+        return None if self.has_memory else self.next_recall_at
 
-    def step(self, now: int, notes: list[Heard]) -> list[Send | Keep]:
+    def step(self, now: int, events: list[Received]) -> list[Send | Persist]:
         self.now = now
-        for note in notes:
-            body = note.body
+        for event in events:
+            body = event.body
             if isinstance(body, wire.Prepare):
-                self.prepare(note.sender, body)
+                self.prepare(event.sender, body)
             elif isinstance(body, wire.Accept):
-                self.accept(note.sender, body)
-            elif isinstance(body, wire.Recall):
-                self.tell_what_is_known(note.sender, body)
-            elif isinstance(body, wire.Recalled):
-                self.hear_recalled(note.sender, body)
-        if not self.knows and now >= self.recall_at:
-            self.recall()
-        orders, self.orders = self.orders, []
-        return orders
+                self.accept(event.sender, body)
+            elif isinstance(body, wire.RecallRequest):
+                self.on_recall_request(event.sender, body)
+            elif isinstance(body, wire.RecallReply):
+                self.on_recall_reply(event.sender, body)
+        if not self.has_memory and now >= self.next_recall_at:
+            self.start_recall()
+        commands, self.commands = self.commands, []
+        return commands
 
     def votes(self) -> bool:
-        return self.knows
+        return self.has_memory
 
-    def memory(self) -> bytes:
+    def encode_memory(self) -> bytes:
         rows = [(t, r.promised, r.accepted, r.value) for t, r in self.registers.items()]
         return msgspec.msgpack.encode(Memory(rows))
 
-    def keep(self, to: str, body: wire.Body) -> None:
-        self.orders.append(Keep(self.memory(), [Send(to, body, [])]))
+    def persist_and_send(self, to: str, body: wire.Body) -> None:
+        self.commands.append(Persist(self.encode_memory(), [Send(to, body, [])]))
 
     def register(self, topic: str) -> Register | None:
         if topic not in self.registers:
-            if topic not in self.topics or len(self.registers) >= MOST_TOPICS:
+            if topic not in self.topics or len(self.registers) >= MAX_TOPICS:
                 return None
             self.registers[topic] = Register()
         return self.registers[topic]
 
-    def running(self, register: Register) -> int:
+    def lease_remaining(self, register: Register) -> int:
         """Microseconds that the lease in it still runs, by this elector's own monotonic clock."""
-        return max(0, register.until - self.now)
+        return max(0, register.lease_until - self.now)
 
     # Votes.
 
     def prepare(self, sender: str, body: wire.Prepare) -> None:
-        refused = wire.Refused(body.topic, body.ballot, NOBODY, True)
+        nack = wire.Nack(body.topic, body.ballot, NO_BALLOT, True)
         register = self.register(body.topic) if self.votes() else None
         if register is None:
-            self.orders.append(Send(sender, refused, []))
+            self.commands.append(Send(sender, nack, []))
             return
-        if body.ballot < register.promised or body.ballot.number > register.promised.number + JUMP:
-            refused = wire.Refused(body.topic, body.ballot, register.promised, False)
-            self.orders.append(Send(sender, refused, []))
+        if body.ballot < register.promised or body.ballot.number > register.promised.number + MAX_BALLOT_JUMP:
+            nack = wire.Nack(body.topic, body.ballot, register.promised, False)
+            self.commands.append(Send(sender, nack, []))
             return
         register.promised = body.ballot
-        running = self.running(register)
-        promise = wire.Promise(body.topic, body.ballot, self.life, register.accepted, register.value, running)
-        self.keep(sender, promise)
+        running = self.lease_remaining(register)
+        promise = wire.Promise(
+            body.topic, body.ballot, self.instance_id, register.accepted, register.value, running
+        )
+        self.persist_and_send(sender, promise)
 
     def accept(self, sender: str, body: wire.Accept) -> None:
         register = self.registers.get(body.topic)
-        if not self.votes() or register is None or body.life != self.life:
-            self.orders.append(Send(sender, wire.Refused(body.topic, body.ballot, NOBODY, True), []))
+        if not self.votes() or register is None or body.instance_id != self.instance_id:
+            self.commands.append(Send(sender, wire.Nack(body.topic, body.ballot, NO_BALLOT, True), []))
             return
         if body.ballot < register.promised:
-            refused = wire.Refused(body.topic, body.ballot, register.promised, False)
-            self.orders.append(Send(sender, refused, []))
+            nack = wire.Nack(body.topic, body.ballot, register.promised, False)
+            self.commands.append(Send(sender, nack, []))
             return
-        if body.ballot > register.promised or not self.sound(register, sender, body.value):
+        if body.ballot > register.promised or not self.is_valid_change(register, sender, body.value):
             return
         if body.ballot != register.accepted:  # told twice, the lease still runs from the first time
             register.accepted, register.value = body.ballot, body.value
-            register.until = self.runs_out(body.value)
-        self.keep(sender, wire.Accepted(body.topic, body.ballot, self.life))
+            register.lease_until = self.lease_expiry(body.value)
+        self.persist_and_send(sender, wire.Accepted(body.topic, body.ballot, self.instance_id))
 
-    def sound(self, register: Register, sender: str, value: Topic) -> bool:
+    def is_valid_change(self, register: Register, sender: str, value: TopicState) -> bool:
         """What an honest asker's value always is: without these looks a member that lies could take a lease
         that runs, or set an epoch back."""
         before = register.value
-        if value.holder not in ("", sender) or value.span > self.longest:
+        if value.holder not in ("", sender) or value.lease > self.max_lease:
             return False
         if (value.epoch, value.version) < (before.epoch, before.version):
             return False
-        if self.running(register) and (value.holder, value.life) != (before.holder, before.life):
+        if self.lease_remaining(register) and (value.holder, value.instance_id) != (
+            before.holder,
+            before.instance_id,
+        ):
             return value.holder == "" and sender == before.holder and value.epoch == before.epoch
         return True
 
     # Memory, among electors.
 
-    def tell_what_is_known(self, sender: str, body: wire.Recall) -> None:
+    def on_recall_request(self, sender: str, body: wire.RecallRequest) -> None:
         """First it promises more than all before, so that nothing can be accepted here any more that the one
         who forgot may have voted for in a former life."""
         if sender not in self.electors:
             return
         for register in self.registers.values():
-            if self.knows:
+            if self.has_memory:
                 register.promised = Ballot(register.promised.number + 1, sender)
         rows = [(t, r.promised, r.accepted, r.value) for t, r in self.registers.items()]
         parts = [rows[at : at + 1] for at in range(len(rows))] or [[]]
         sends = [
             Send(
                 sender,
-                wire.Recalled(
-                    body.life, body.round, self.knows, self.now - self.began, part, at == len(parts) - 1, at
+                wire.RecallReply(
+                    body.instance_id,
+                    body.round,
+                    self.has_memory,
+                    self.now - self.started_at,
+                    part,
+                    at == len(parts) - 1,
+                    at,
                 ),
                 [],
             )
             for at, part in enumerate(parts)
         ]
-        if self.knows:
-            self.orders.append(Keep(self.memory(), sends))
+        if self.has_memory:
+            self.commands.append(Persist(self.encode_memory(), sends))
         else:  # nothing is written before it remembers: after a restart the file would pass for its memory
-            self.orders += sends
+            self.commands += sends
 
-    def recall(self) -> None:
+    def start_recall(self) -> None:
         """Guards against an elector's old word beside its new one: each try counts alone."""
-        self.recall_at, self.recalled_at = self.now + RECALL_EVERY, self.now
-        self.recalls += 1
-        self.recalled.clear()
+        self.next_recall_at, self.recall_started_at = self.now + RECALL_INTERVAL_US, self.now
+        self.recall_round += 1
+        self.recall_replies.clear()
         for name in self.electors:
             if name != self.name:
-                self.orders.append(Send(name, wire.Recall(self.life, self.recalls), []))
+                self.commands.append(Send(name, wire.RecallRequest(self.instance_id, self.recall_round), []))
 
-    def hear_recalled(self, sender: str, body: wire.Recalled) -> None:
-        if self.knows or (body.life, body.round) != (self.life, self.recalls) or sender not in self.electors:
+    def on_recall_reply(self, sender: str, body: wire.RecallReply) -> None:
+        if (
+            self.has_memory
+            or (body.instance_id, body.round) != (self.instance_id, self.recall_round)
+            or sender not in self.electors
+        ):
             return
-        if body.part >= PARTS or self.now - self.began < self.silence:
+        if body.part >= MAX_RECALL_PARTS or self.now - self.started_at < self.silence_period:
             return
-        self.recalled.setdefault(sender, {})[body.part] = body
-        whole = [parts for parts in self.recalled.values() if is_whole(parts)]
-        knowing = sum(parts[0].knows for parts in whole)
-        if knowing < majority(len(self.electors)) and not (
-            len(whole) == len(self.electors) - 1 and self.too_many_forgot(whole)
+        self.recall_replies.setdefault(sender, {})[body.part] = body
+        complete = [parts for parts in self.recall_replies.values() if is_complete(parts)]
+        with_memory = sum(parts[0].has_memory for parts in complete)
+        if with_memory < majority(len(self.electors)) and not (
+            len(complete) == len(self.electors) - 1 and self.majority_forgot(complete)
         ):
             return
-        for parts in whole:
-            for recalled in parts.values():
-                for topic, promised, accepted, value in recalled.registers:
+        for parts in complete:
+            for reply in parts.values():
+                for topic, promised, accepted, value in reply.registers:
                     self.adopt(topic, promised, accepted, value)
-        self.knows = True
-        self.recalled.clear()
-        self.orders.append(Keep(self.memory(), []))
+        self.has_memory = True
+        self.recall_replies.clear()
+        self.commands.append(Persist(self.encode_memory(), []))
 
-    def too_many_forgot(self, whole: list[dict[int, wire.Recalled]]) -> bool:
+    def majority_forgot(self, complete: list[dict[int, wire.RecallReply]]) -> bool:
         """So many had forgotten at one moment that no majority can remember, whatever is waited for: begin
         anew from the newest that anybody holds. Guards against taking words of different moments for one: an
         elector that remembers meanwhile may have been the last to know what was decided. That moment lies
         before this try began and after each of them did."""
-        slack = (self.now - self.recalled_at) + (self.now - self.began) // DRIFT
-        forgot = sum(not parts[0].knows and parts[0].forgot > slack for parts in whole)
+        slack = (self.now - self.recall_started_at) + (self.now - self.started_at) // CLOCK_DRIFT_DIVISOR
+        forgot = sum(not parts[0].has_memory and parts[0].forgotten_for > slack for parts in complete)
         return len(self.electors) - 1 - forgot < majority(len(self.electors))
 
-    def adopt(self, topic: str, promised: Ballot, accepted: Ballot, value: Topic) -> None:
+    def adopt(self, topic: str, promised: Ballot, accepted: Ballot, value: TopicState) -> None:
         register = self.register(topic)
         if register is None:
             return
         register.promised = max(register.promised, promised)
         if accepted > register.accepted:
             register.accepted, register.value = accepted, value
-            register.until = self.runs_out(value)
+            register.lease_until = self.lease_expiry(value)
 
 
-def is_whole(parts: dict[int, wire.Recalled]) -> bool:
+def is_complete(parts: dict[int, wire.RecallReply]) -> bool:
     last = [at for at, part in parts.items() if part.last]
     return bool(last) and all(at in parts for at in range(last[0] + 1))
--- a/lupinmill/peers/live_count.py
+++ b/lupinmill/peers/live_count.py
@@ -13,26 +13,26 @@
 
 from lupinmill.peers.view import SECOND
 
-HOLD = 10 * SECOND
-FADES = 30 * SECOND
-KEPT = 64
+FALL_DELAY_US = 10 * SECOND
+TRUST_US = 30 * SECOND
+MAX_SAMPLES = 64
 
 
 class LiveCount:
-    def __init__(self, told: int, now: int) -> None:
-        self.told = max(1, told)
-        self.seen: deque[tuple[int, int]] = deque(maxlen=KEPT)
-        self.known, self.known_at = self.told, now - FADES
+    def __init__(self, configured: int, now: int) -> None:
+        self.configured = max(1, configured)
+        self.recent: deque[tuple[int, int]] = deque(maxlen=MAX_SAMPLES)
+        self.known, self.known_at = self.configured, now - TRUST_US
 
-    def step(self, now: int, together: bool, live: int) -> int:
+    def step(self, now: int, has_quorum: bool, live: int) -> int:
         """`live`: members there in this one's view, itself among them. Gives the count to go by; the told one
         where nothing is known."""
-        if together:
-            self.seen.append((now, max(1, live)))
-            while self.seen and now - self.seen[0][0] > HOLD:
-                self.seen.popleft()
-            self.known, self.known_at = max(count for _, count in self.seen), now
+        if has_quorum:
+            self.recent.append((now, max(1, live)))
+            while self.recent and now - self.recent[0][0] > FALL_DELAY_US:
+                self.recent.popleft()
+            self.known, self.known_at = max(count for _, count in self.recent), now
             return self.known
-        self.seen.clear()
-        trust = max(0.0, 1 - (now - self.known_at) / FADES)
-        return max(1, round(self.told + (self.known - self.told) * trust))
+        self.recent.clear()
+        trust = max(0.0, 1 - (now - self.known_at) / TRUST_US)
+        return max(1, round(self.configured + (self.known - self.configured) * trust))
--- a/lupinmill/peers/partition_policy.py
+++ b/lupinmill/peers/partition_policy.py
@@ -7,11 +7,11 @@
 
 from dataclasses import dataclass
 
-from lupinmill.peers.view import Standing
+from lupinmill.peers.view import QuorumState
 
 
 @dataclass(frozen=True, slots=True)
-class Row:
+class PolicyRow:
     feature: str
     alone: str  # what a member may do by itself, in any standing
     majority: str  # what it does only with a majority
@@ -19,20 +19,20 @@
     after_s: float  # how long what was decided counts, at most
 
 
-TABLE: dict[str, Row] = {}
+POLICY_TABLE: dict[str, PolicyRow] = {}
 
 
-def register(row: Row) -> None:
-    TABLE[row.feature] = row
+def register(row: PolicyRow) -> None:
+    POLICY_TABLE[row.feature] = row
 
 
-def may_decide(standing: Standing) -> bool:
+def may_request_lease(state: QuorumState) -> bool:
     """For others. A member in doubt that holds a lease keeps it, but asks for no new one."""
-    return standing is Standing.TOGETHER
+    return state is QuorumState.MAJORITY
 
 
 register(
-    Row(
+    PolicyRow(
         "serving",
         "takes, launches, retries and answers by its own evidence",
         "does nothing more",
@@ -41,7 +41,7 @@
     )
 )
 register(
-    Row(
+    PolicyRow(
         "membership",
         "holds views, suspects, refutes what is said of it",
         "does nothing more",
@@ -49,12 +49,14 @@
         0.0,
     )
 )
-register(Row("leases", "gives its own up", "takes one and keeps it", "holds none", 6.0))
+register(PolicyRow("leases", "gives its own up", "takes one and keeps it", "holds none", 6.0))
 register(
-    Row("decisions", "goes by the newest that it was told", "makes one, under a lease", "forgets it", 30.0)
+    PolicyRow(
+        "decisions", "goes by the newest that it was told", "makes one, under a lease", "forgets it", 30.0
+    )
 )
 register(
-    Row(
+    PolicyRow(
         "zones",
         "goes by the last plan, home and its ways out",
         "plans, and takes an operator's drain",
@@ -63,7 +65,7 @@
     )
 )
 register(
-    Row(
+    PolicyRow(
         "live count",
         "goes back to the figure told at the start",
         "shares caps out by who is there",
--- a/lupinmill/peers/peer.py
+++ b/lupinmill/peers/peer.py
@@ -10,52 +10,52 @@
 from zlib import crc32
 
 from lupinmill.peers import wire
-from lupinmill.peers.elector import Elector, Keep, Memory, majority
+from lupinmill.peers.elector import Elector, Memory, Persist, majority
 from lupinmill.peers.membership import Membership
-from lupinmill.peers.partition_policy import TABLE, may_decide
-from lupinmill.peers.proposer import Chosen, Claims, Lost, Took
+from lupinmill.peers.partition_policy import POLICY_TABLE, may_request_lease
+from lupinmill.peers.proposer import DecisionAccepted, LeaseAcquired, LeaseLost, Proposer
 from lupinmill.peers.view import (
     MS,
     SECOND,
-    Changed,
-    Heard,
     Leave,
+    MemberChanged,
+    MembershipTiming,
+    QuorumChanged,
+    QuorumState,
+    Received,
+    Rejoin,
     Resign,
-    Return,
-    Roster,
-    Seat,
+    RosterChange,
+    RosterEntry,
     Send,
-    Standing,
-    Stands,
-    Timing,
 )
-from lupinmill.peers.wire import Confirm, Confirmed, Height, Made, Status
+from lupinmill.peers.wire import ConfirmReply, ConfirmRequest, DecisionMade, Status, TopicProgress
 
-REHEARSAL = "rehearsal"  # a topic that carries nothing: for drills of the operators and for tests
-WORDS = 4  # hearsay of newer decisions, a topic
-RISE = 1_000_000  # by which one word may raise a height
-CONFIRM_EVERY = 100 * MS  # a topic: nobody can make this member ask more often
-SPREAD = 8  # datagrams in which one member tells a new decision, FAN at a time
-FAN = 2
-DROPPED_CAUSES = 16
+REHEARSAL_TOPIC = "rehearsal"  # a topic that carries nothing: for drills of the operators and for tests
+MAX_UNCONFIRMED = 4  # hearsay of newer decisions, a topic
+MAX_PROGRESS_JUMP = 1_000_000  # by which one word may raise a height
+CONFIRM_INTERVAL_US = 100 * MS  # a topic: nobody can make this member ask more often
+SPREAD_DATAGRAMS = 8  # datagrams in which one member tells a new decision, FAN at a time
+SPREAD_FANOUT = 2
+MAX_DROP_CAUSES = 16
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class PeerSettings:
     """What the operator's file says for the core."""
 
     name: str
-    seats: tuple[Seat, ...]
+    roster: tuple[RosterEntry, ...]
     electors: tuple[str, ...] = ()
-    topics: tuple[str, ...] = (REHEARSAL,)
-    wants: tuple[str, ...] = ()  # topics whose lease this member asks for
+    topics: tuple[str, ...] = (REHEARSAL_TOPIC,)
+    wanted_topics: tuple[str, ...] = ()  # topics whose lease this member asks for
     lease: int = 6 * SECOND
-    fades: int = 30 * SECOND  # after so long cut off a decision is forgotten
-    timing: Timing = Timing()
+    decision_ttl: int = 30 * SECOND  # after so long cut off a decision is forgotten
+    timing: MembershipTiming = MembershipTiming()
 
 
 @dataclass(slots=True)
-class Known:
+class DecisionAdopted:
     """A decision that this member goes by from now on."""
 
     topic: str
@@ -65,268 +65,291 @@
 
 
 @dataclass(slots=True)
-class Hearsay:
+class UnconfirmedDecision:
     """A newer decision by another's word, until a majority of the electors has confirmed it."""
 
-    made: Made
-    confirmed: dict[str, None] = field(default_factory=dict)
+    decision: DecisionMade
+    confirmed_by: dict[str, None] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
-class Said:
+class FeatureMessageReceived:
     """A feature's words from another member, for the same feature here."""
 
     topic: str
     sender: str
-    words: bytes
+    payload: bytes
 
 
 @dataclass(slots=True)
-class Forgot:
+class DecisionExpired:
     topic: str
-    why: str
-
-
-Note = Heard | Leave | Return | Roster | Resign
-Order = Send | Keep | Changed | Stands | Took | Lost | Chosen | Known | Forgot | Said
+    reason: str
+
+
+Event = Received | Leave | Rejoin | RosterChange | Resign
+Command = (
+    Send
+    | Persist
+    | MemberChanged
+    | QuorumChanged
+    | LeaseAcquired
+    | LeaseLost
+    | DecisionAccepted
+    | DecisionAdopted
+    | DecisionExpired
+    | FeatureMessageReceived
+)
 
 
 class Peer:
-    def __init__(self, told: Told, life: int, seed: int, now: int, memory: Memory | None = None) -> None:
-        self.told, self.name, self.life, self.now = told, told.name, life, now
-        self.membership = Membership(told.name, list(told.seats), told.timing, seed, now)
-        electors = list(told.electors)
+    def __init__(
+        self, settings: PeerSettings, instance_id: int, seed: int, now: int, memory: Memory | None = None
+    ) -> None:
+        self.settings, self.name, self.instance_id, self.now = settings, settings.name, instance_id, now
+        self.membership = Membership(settings.name, list(settings.roster), settings.timing, seed, now)
+        electors = list(settings.electors)
         self.elector = None
-        if told.name in electors:
-            self.elector = Elector(told.name, electors, list(told.topics), told.lease, life, now, memory)
-        self.claims = Claims(told.name, electors, told.lease, life, seed ^ 0x9E3779B97F4A7C15, now)
-        self.decided: dict[str, Made] = {}
-        self.words: dict[str, dict[tuple[int, int], Hearsay]] = {}  # by topic, then version and mark
-        self.confirm_at: dict[str, int] = {}
-        self.heights: dict[str, tuple[int, int]] = {}  # epoch and version ever heard of, by topic
+        if settings.name in electors:
+            self.elector = Elector(
+                settings.name, electors, list(settings.topics), settings.lease, instance_id, now, memory
+            )
+        self.proposer = Proposer(
+            settings.name, electors, settings.lease, instance_id, seed ^ 0x9E3779B97F4A7C15, now
+        )
+        self.decisions: dict[str, DecisionMade] = {}
+        self.unconfirmed: dict[
+            str, dict[tuple[int, int], UnconfirmedDecision]
+        ] = {}  # by topic, then version and mark
+        self.last_confirm_at: dict[str, int] = {}
+        self.progress: dict[str, tuple[int, int]] = {}  # epoch and version ever heard of, by topic
         self.resigned = False
         self.spreading: dict[str, int] = {}  # topics, and how often each is still told
-        self.spread_at = now
-        self.majority_at = now  # when this member last saw a majority
-        self.orders: list[Order] = []
-        self.membership.told = self.what_is_decided
-        self.membership.behind = self.help_behind
-        self.claims.heights = self.height
-
-    def next(self) -> int:
-        times = [self.membership.next(), self.claims.next(), self.elector.next() if self.elector else None]
+        self.next_spread_at = now
+        self.last_majority_at = now  # when this member last saw a majority
+        self.commands: list[Command] = []
+        self.membership.topic_progress = self.topic_progress
+        self.membership.on_progress = self.on_progress
+        self.proposer.progress = self.progress_of
+
+    def next_due(self) -> int:
+        times = [
+            self.membership.next_due(),
+            self.proposer.next_due(),
+            self.elector.next_due() if self.elector else None,
+        ]
         if self.spreading:
-            times.append(self.spread_at)
+            times.append(self.next_spread_at)
         return min(at for at in times if at is not None)
 
-    def step(self, now: int, notes: list[Note]) -> list[Order]:
+    def step(self, now: int, events: list[Event]) -> list[Command]:
         self.now = now
-        of_members: list[Note] = []
-        votes: list[Heard] = []
-        claims: list[Heard] = []
-        for note in notes:
-            if isinstance(note, Heard):
-                body = note.body
-                if isinstance(body, wire.Prepare | wire.Accept | wire.Recall | wire.Recalled):
-                    votes.append(note)
-                elif isinstance(body, wire.Promise | wire.Accepted | wire.Refused):
-                    claims.append(note)
-                elif isinstance(body, Made | Confirm | Confirmed):
-                    self.hear_of_decision(note.sender, body)
-                elif isinstance(body, wire.Carried):
-                    self.hear_words(note.sender, body)
+        membership_events: list[Event] = []
+        elector_messages: list[Received] = []
+        proposer_messages: list[Received] = []
+        for event in events:
+            if isinstance(event, Received):
+                body = event.body
+                if isinstance(body, wire.Prepare | wire.Accept | wire.RecallRequest | wire.RecallReply):
+                    elector_messages.append(event)
+                elif isinstance(body, wire.Promise | wire.Accepted | wire.Nack):
+                    proposer_messages.append(event)
+                elif isinstance(body, DecisionMade | ConfirmRequest | ConfirmReply):
+                    self.on_decision_message(event.sender, body)
+                elif isinstance(body, wire.FeatureMessage):
+                    self.on_feature_message(event.sender, body)
                 else:
-                    of_members.append(note)
+                    membership_events.append(event)
                     continue
-                if note.sender != self.name:
-                    of_members.append(note)  # who is there shows in every datagram
+                if event.sender != self.name:
+                    membership_events.append(event)  # who is there shows in every datagram
             else:
-                self.obey(note)
-                if not isinstance(note, Resign):
-                    of_members.append(note)
-        self.orders += self.membership.step(now, of_members)
+                self.apply_lifecycle_event(event)
+                if not isinstance(event, Resign):
+                    membership_events.append(event)
+        self.commands += self.membership.step(now, membership_events)
         if self.elector is not None:
-            known = [note for note in votes if self.is_member(note.sender)]
-            self.orders += self.elector.step(now, known)
-        elif votes:
-            self.membership.drop("votes")
-        self.claim()
-        for order in self.claims.step(now, claims):
-            self.orders.append(order)
-            if isinstance(order, Chosen):
-                self.chosen(order)
-            elif isinstance(order, Took):
-                self.rise(order.topic, order.epoch, 0)
-        self.spread()
-        self.fade()
-        orders, self.orders = self.orders, []
-        return orders
+            known = [event for event in elector_messages if self.is_member(event.sender)]
+            self.commands += self.elector.step(now, known)
+        elif elector_messages:
+            self.membership.count_dropped("votes")
+        self.update_claims()
+        for command in self.proposer.step(now, proposer_messages):
+            self.commands.append(command)
+            if isinstance(command, DecisionAccepted):
+                self.on_accepted(command)
+            elif isinstance(command, LeaseAcquired):
+                self.raise_progress(command.topic, command.epoch, 0)
+        self.spread_decisions()
+        self.expire_decisions()
+        commands, self.commands = self.commands, []
+        return commands
 
     def is_member(self, name: str) -> bool:
         return name == self.name or name in self.membership.members
 
-    def obey(self, note: Note) -> None:
-        if isinstance(note, Resign):
+    def apply_lifecycle_event(self, event: Event) -> None:
+        if isinstance(event, Resign):
             self.resigned = True
-        if isinstance(note, Leave | Resign):
-            for topic in list(self.claims.claims):
-                self.claims.now = self.now
-                self.claims.give_up(topic)
+        if isinstance(event, Leave | Resign):
+            for topic in list(self.proposer.claims):
+                self.proposer.now = self.now
+                self.proposer.release(topic)
 
     # Leases and decisions.
 
-    def claim(self) -> None:
+    def update_claims(self) -> None:
         """Only who sees a majority asks for a lease; one that is held stays until it runs out."""
-        asks = may_decide(self.membership.standing) and self.membership.status is Status.ALIVE
-        self.claims.now = self.now
-        if self.membership.standing in (Standing.CUT_OFF, Standing.ALONE):
+        may_ask = may_request_lease(self.membership.quorum_state) and self.membership.status is Status.ALIVE
+        self.proposer.now = self.now
+        if self.membership.quorum_state in (QuorumState.MINORITY, QuorumState.ISOLATED):
             # Even where the electors are on this side: who sees a minority decides nothing for the others.
-            for topic in list(self.claims.claims):
-                if self.claims.holds(topic, self.now):
-                    self.claims.give_up(topic)
-        for topic in self.told.wants if self.told.electors else ():
-            if asks and not self.resigned:
-                self.claims.want(topic)
+            for topic in list(self.proposer.claims):
+                if self.proposer.held_epoch(topic, self.now):
+                    self.proposer.release(topic)
+        for topic in self.settings.wanted_topics if self.settings.electors else ():
+            if may_ask and not self.resigned:
+                self.proposer.request(topic)
             else:
-                self.claims.ask_no_more(topic)
+                self.proposer.cancel_request(topic)
 
-    def holds(self, topic: str, now: int) -> int:
-        return self.claims.holds(topic, now)
+    def held_epoch(self, topic: str, now: int) -> int:
+        return self.proposer.held_epoch(topic, now)
 
     def decide(self, topic: str, body: bytes) -> bool:
-        return self.claims.decide(topic, body)
+        return self.proposer.decide(topic, body)
 
-    def chosen(self, order: Chosen) -> None:
-        made = Made(order.topic, order.epoch, order.version, order.body)
-        for elector in self.told.electors:
+    def on_accepted(self, command: DecisionAccepted) -> None:
+        decision = DecisionMade(command.topic, command.epoch, command.version, command.body)
+        for elector in self.settings.electors:
             if elector != self.name:
-                self.orders.append(Send(elector, made, []))
-        self.believe(made)
+                self.commands.append(Send(elector, decision, []))
+        self.adopt_decision(decision)
 
-    def believe(self, made: Made) -> None:
+    def adopt_decision(self, decision: DecisionMade) -> None:
         """Versions only grow, whoever the holder is: they tell which decision is newer."""
-        held = self.decided.get(made.topic)
-        if held is not None and held.version >= made.version:
+        current = self.decisions.get(decision.topic)
+        if current is not None and current.version >= decision.version:
             return
-        self.decided[made.topic] = made
-        self.rise(made.topic, made.epoch, made.version)
-        self.words.pop(made.topic, None)
-        self.spreading[made.topic] = SPREAD
-        self.spread_at = self.now
-        self.orders.append(Known(made.topic, made.epoch, made.version, made.body))
-
-    def hear_of_decision(self, sender: str, body: Made | Confirm | Confirmed) -> None:
-        if body.topic not in self.told.topics or not self.is_member(sender):
-            self.membership.drop("topic")
-        elif isinstance(body, Made):
-            self.hear_made(sender, body)
-        elif isinstance(body, Confirm):
+        self.decisions[decision.topic] = decision
+        self.raise_progress(decision.topic, decision.epoch, decision.version)
+        self.unconfirmed.pop(decision.topic, None)
+        self.spreading[decision.topic] = SPREAD_DATAGRAMS
+        self.next_spread_at = self.now
+        self.commands.append(DecisionAdopted(decision.topic, decision.epoch, decision.version, decision.body))
+
+    def on_decision_message(self, sender: str, body: DecisionMade | ConfirmRequest | ConfirmReply) -> None:
+        if body.topic not in self.settings.topics or not self.is_member(sender):
+            self.membership.count_dropped("topic")
+        elif isinstance(body, DecisionMade):
+            self.on_decision_made(sender, body)
+        elif isinstance(body, ConfirmRequest):
             if self.has_accepted(body):
-                self.orders.append(Send(sender, Confirmed(body.topic, body.version, body.mark), []))
-        elif sender in self.told.electors:
-            self.confirmed(sender, body)
+                self.commands.append(Send(sender, ConfirmReply(body.topic, body.version, body.body_crc), []))
+        elif sender in self.settings.electors:
+            self.on_confirmation(sender, body)
 
-    def hear_words(self, sender: str, body: wire.Carried) -> None:
-        if body.topic not in self.told.topics or not self.is_member(sender):
-            self.membership.drop("topic")
+    def on_feature_message(self, sender: str, body: wire.FeatureMessage) -> None:
+        if body.topic not in self.settings.topics or not self.is_member(sender):
+            self.membership.count_dropped("topic")
         else:
-            self.orders.append(Said(body.topic, sender, body.words))
+            self.commands.append(FeatureMessageReceived(body.topic, sender, body.payload))
 
-    def hear_made(self, sender: str, made: Made) -> None:
+    def on_decision_made(self, sender: str, decision: DecisionMade) -> None:
         """Hearsay until a majority of the electors says that it has accepted just that. Guards against a
         member that lies about what was decided, its maker among them."""
-        held = self.decided.get(made.topic)
-        if held is not None and made.version <= held.version:
+        current = self.decisions.get(decision.topic)
+        if current is not None and decision.version <= current.version:
             return
-        mark = crc32(made.body)
-        words = self.words.setdefault(made.topic, {})
-        if (made.version, mark) not in words:
-            if len(words) >= WORDS:
-                del words[next(iter(words))]
-            words[made.version, mark] = Hearsay(made)
-        if self.now - self.confirm_at.get(made.topic, -CONFIRM_EVERY) < CONFIRM_EVERY:
+        body_crc = crc32(decision.body)
+        candidates = self.unconfirmed.setdefault(decision.topic, {})
+        if (decision.version, body_crc) not in candidates:
+            if len(candidates) >= MAX_UNCONFIRMED:
+                del candidates[next(iter(candidates))]
+            candidates[decision.version, body_crc] = UnconfirmedDecision(decision)
+        if self.now - self.last_confirm_at.get(decision.topic, -CONFIRM_INTERVAL_US) < CONFIRM_INTERVAL_US:
             return
-        self.confirm_at[made.topic] = self.now
-        confirm = Confirm(made.topic, made.version, mark)
-        for elector in self.told.electors:
+        self.last_confirm_at[decision.topic] = self.now
+        confirm = ConfirmRequest(decision.topic, decision.version, body_crc)
+        for elector in self.settings.electors:
             if elector != self.name:
-                self.orders.append(Send(elector, confirm, []))
+                self.commands.append(Send(elector, confirm, []))
         if self.has_accepted(confirm):
-            self.confirmed(self.name, Confirmed(made.topic, made.version, mark))
+            self.on_confirmation(self.name, ConfirmReply(decision.topic, decision.version, body_crc))
 
-    def has_accepted(self, asked: Confirm) -> bool:
+    def has_accepted(self, asked: ConfirmRequest) -> bool:
         register = self.elector.registers.get(asked.topic) if self.elector is not None else None
         if register is None:
             return False
-        return (register.value.version, crc32(register.value.body)) == (asked.version, asked.mark)
+        return (register.value.version, crc32(register.value.body)) == (asked.version, asked.body_crc)
 
-    def confirmed(self, elector: str, body: Confirmed) -> None:
-        hearsay = self.words.get(body.topic, {}).get((body.version, body.mark))
-        if hearsay is None:
+    def on_confirmation(self, elector: str, body: ConfirmReply) -> None:
+        unconfirmed = self.unconfirmed.get(body.topic, {}).get((body.version, body.body_crc))
+        if unconfirmed is None:
             return
-        hearsay.confirmed[elector] = None
-        if len(hearsay.confirmed) >= majority(len(self.told.electors)):
-            self.believe(hearsay.made)
+        unconfirmed.confirmed_by[elector] = None
+        if len(unconfirmed.confirmed_by) >= majority(len(self.settings.electors)):
+            self.adopt_decision(unconfirmed.decision)
 
-    def spread(self) -> None:
-        if not self.spreading or self.now < self.spread_at:
+    def spread_decisions(self) -> None:
+        if not self.spreading or self.now < self.next_spread_at:
             return
-        self.spread_at = self.now + self.told.timing.round // 2
+        self.next_spread_at = self.now + self.settings.timing.round // 2
         for topic in list(self.spreading):
-            for name in self.membership.some(FAN):
-                self.orders.append(Send(name, self.decided[topic], []))
+            for name in self.membership.random_members(SPREAD_FANOUT):
+                self.commands.append(Send(name, self.decisions[topic], []))
             self.spreading[topic] -= 1
             if not self.spreading[topic]:
                 del self.spreading[topic]
 
-    def what_is_decided(self) -> list[Height]:
+    def topic_progress(self) -> list[TopicProgress]:
         found = []
-        for topic in self.told.topics:
-            epoch, version = self.height(topic)
-            decided = self.decided[topic].version if topic in self.decided else 0
+        for topic in self.settings.topics:
+            epoch, version = self.progress_of(topic)
+            decided = self.decisions[topic].version if topic in self.decisions else 0
             if epoch or version:
-                found.append(Height(topic, epoch, version, decided))
+                found.append(TopicProgress(topic, epoch, version, decided))
         return found
 
-    def height(self, topic: str) -> tuple[int, int]:
+    def progress_of(self, topic: str) -> tuple[int, int]:
         """How far epochs and versions have gone, as far as this member ever heard, also as an elector."""
-        epoch, version = self.heights.get(topic, (0, 0))
+        epoch, version = self.progress.get(topic, (0, 0))
         if self.elector is not None and topic in self.elector.registers:
             value = self.elector.registers[topic].value
             epoch = max(epoch, value.epoch)
         return epoch, version
 
-    def rise(self, topic: str, epoch: int, version: int) -> None:
-        before = self.heights.get(topic, (0, 0))
-        if epoch <= before[0] + RISE and version <= before[1] + RISE:
-            self.heights[topic] = max(before[0], epoch), max(before[1], version)
+    def raise_progress(self, topic: str, epoch: int, version: int) -> None:
+        before = self.progress.get(topic, (0, 0))
+        if epoch <= before[0] + MAX_PROGRESS_JUMP and version <= before[1] + MAX_PROGRESS_JUMP:
+            self.progress[topic] = max(before[0], epoch), max(before[1], version)
 
-    def help_behind(self, sender: str, told: list[Height]) -> None:
+    def on_progress(self, sender: str, progress: list[TopicProgress]) -> None:
         """Two tables were compared: who lacks a decision is told it."""
-        theirs = {}
-        for one in told:
-            if one.topic in self.told.topics:
-                self.rise(one.topic, one.epoch, one.version)
-                theirs[one.topic] = one.decided
-        for made in self.decided.values():
-            if theirs.get(made.topic, 0) < made.version:
-                self.orders.append(Send(sender, made, []))
-
-    def fade(self) -> None:
+        their_versions = {}
+        for one in progress:
+            if one.topic in self.settings.topics:
+                self.raise_progress(one.topic, one.epoch, one.version)
+                their_versions[one.topic] = one.decided
+        for decision in self.decisions.values():
+            if their_versions.get(decision.topic, 0) < decision.version:
+                self.commands.append(Send(sender, decision, []))
+
+    def expire_decisions(self) -> None:
         """Cut off, what was decided counts for a while and no longer."""
-        if self.membership.standing.value in ("together", "in doubt"):
-            self.majority_at = self.now
-        elif self.decided and self.now - self.majority_at >= self.told.fades:
-            for topic in list(self.decided):
-                del self.decided[topic]
+        if self.membership.quorum_state.value in ("together", "in doubt"):
+            self.last_majority_at = self.now
+        elif self.decisions and self.now - self.last_majority_at >= self.settings.decision_ttl:
+            for topic in list(self.decisions):
+                del self.decisions[topic]
                 self.spreading.pop(topic, None)
-                self.orders.append(Forgot(topic, "no majority was seen for too long"))
+                self.commands.append(DecisionExpired(topic, "no majority was seen for too long"))
 
     # For operators.
 
     def show(self) -> dict[str, object]:
         """A plain table. Times are seconds ago."""
-        m = self.membership
+        membership = self.membership
 
         def ago(at: int) -> float | None:
             return round((self.now - at) / SECOND, 1) if at >= 0 else None
@@ -336,28 +359,33 @@
                 "name": name,
                 "status": one.status.name.lower(),
                 "since_s": ago(one.since),
-                "by": one.by,
+                "by": one.source,
                 "incarnation": one.incarnation,
-                "answered_s": ago(one.answered),
-                "zone": one.seat.zone,
-                "region": one.seat.region,
-                "elector": name in self.told.electors,
+                "answered_s": ago(one.last_ack_at),
+                "zone": one.entry.zone,
+                "region": one.entry.region,
+                "elector": name in self.settings.electors,
             }
-            for name, one in sorted(m.members.items())
+            for name, one in sorted(membership.members.items())
         ]
         leases = [
             {
                 "topic": topic,
                 "epoch": claim.epoch,
-                "held": bool(self.claims.holds(topic, self.now)),
-                "runs_s": max(0.0, round((claim.until - self.now) / SECOND, 1)),
-                "holder": claim.busy,
+                "held": bool(self.proposer.held_epoch(topic, self.now)),
+                "runs_s": max(0.0, round((claim.held_until - self.now) / SECOND, 1)),
+                "holder": claim.current_holder,
             }
-            for topic, claim in self.claims.claims.items()
+            for topic, claim in self.proposer.claims.items()
         ]
         decided = [
-            {"topic": d.topic, "epoch": d.epoch, "version": d.version, "bytes": len(d.body)}
-            for d in self.decided.values()
+            {
+                "topic": decision.topic,
+                "epoch": decision.epoch,
+                "version": decision.version,
+                "bytes": len(decision.body),
+            }
+            for decision in self.decisions.values()
         ]
         elector = None
         if self.elector is not None:
@@ -366,28 +394,28 @@
                 "registers": [
                     {
                         "topic": topic,
-                        "epoch": r.value.epoch,
-                        "holder": r.value.holder,
-                        "runs_s": round(self.elector.running(r) / SECOND, 1),
-                        "version": r.value.version,
+                        "epoch": register.value.epoch,
+                        "holder": register.value.holder,
+                        "runs_s": round(self.elector.lease_remaining(register) / SECOND, 1),
+                        "version": register.value.version,
                     }
-                    for topic, r in self.elector.registers.items()
+                    for topic, register in self.elector.registers.items()
                 ],
             }
         return {
             "name": self.name,
-            "status": m.status.name.lower(),
-            "incarnation": m.incarnation,
-            "standing": m.standing.value,
-            "standing_s": ago(m.standing_since),
-            "late": m.health,
-            "sees": m.present + 1,
-            "of": m.total,
-            "electors": list(self.told.electors),
+            "status": membership.status.name.lower(),
+            "incarnation": membership.incarnation,
+            "standing": membership.quorum_state.value,
+            "standing_s": ago(membership.quorum_state_since),
+            "late": membership.health_score,
+            "sees": membership.present_count + 1,
+            "of": membership.roster_size,
+            "electors": list(self.settings.electors),
             "members": members,
             "leases": leases,
             "decisions": decided,
             "elector": elector,
-            "dropped": dict(list(m.dropped.items())[:DROPPED_CAUSES]),
-            "features": sorted(TABLE),
+            "dropped": dict(list(membership.dropped.items())[:MAX_DROP_CAUSES]),
+            "features": sorted(POLICY_TABLE),
         }
--- a/lupinmill/peers/stable_store.py
+++ b/lupinmill/peers/stable_store.py
@@ -14,36 +14,36 @@
 
 from lupinmill.peers.elector import Memory
 
-FILE, LOCK = "promises", "promises.lock"
-LARGEST = 64 * 1024
+FILE_NAME, LOCK_NAME = "promises", "promises.lock"
+MAX_FILE_BYTES = 64 * 1024
 FORMAT = b"lmp1"
 
 
-class BadKeep(Exception):
+class StoreError(Exception):
     """The directory can't be used; the text says why."""
 
 
-class Promises:
+class StableStore:
     def __init__(self, directory: str) -> None:
         self.directory = Path(directory)
         try:
             self.directory.mkdir(mode=0o700, parents=True, exist_ok=True)
-            self.lock = os.open(self.directory / LOCK, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
+            self.lock = os.open(self.directory / LOCK_NAME, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         except OSError as error:
-            raise BadKeep(f"{directory}: {error.strerror}") from error
+            raise StoreError(f"{directory}: {error.strerror}") from error
         try:
             fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError as error:
             os.close(self.lock)
-            raise BadKeep(f"{directory}: another process has it") from error
+            raise StoreError(f"{directory}: another process has it") from error
 
     def read(self) -> Memory | None:
         """None: nothing was kept, or it can't be trusted."""
         try:
-            data = (self.directory / FILE).read_bytes()
+            data = (self.directory / FILE_NAME).read_bytes()
         except OSError:
             return None
-        if len(data) > LARGEST or data[:4] != FORMAT or xxhash.xxh64(data[12:]).digest() != data[4:12]:
+        if len(data) > MAX_FILE_BYTES or data[:4] != FORMAT or xxhash.xxh64(data[12:]).digest() != data[4:12]:
             return None
         try:
             return msgspec.msgpack.decode(data[12:], type=Memory)
@@ -52,8 +52,8 @@
 
     def write(self, body: bytes) -> None:
         """Raises OSError, and then the file is as before. Blocks for the disk: not for an event loop."""
-        path, fresh = self.directory / FILE, self.directory / f"{FILE}.new"
-        descriptor = os.open(fresh, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
+        path, temporary = self.directory / FILE_NAME, self.directory / f"{FILE_NAME}.new"
+        descriptor = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
         try:
             data = memoryview(FORMAT + xxhash.xxh64(body).digest() + body)
             while data:
@@ -61,12 +61,12 @@
             os.fsync(descriptor)
         finally:
             os.close(descriptor)
-        os.rename(fresh, path)
-        folder = os.open(self.directory, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
+        os.rename(temporary, path)
+        directory = os.open(self.directory, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         try:
-            os.fsync(folder)
+            os.fsync(directory)
         finally:
-            os.close(folder)
+            os.close(directory)
 
     def close(self) -> None:
         os.close(self.lock)
--- a/lupinmill/peers/wire.py
+++ b/lupinmill/peers/wire.py
@@ -14,17 +14,17 @@
 from msgspec import Meta, Struct
 
 VERSION = 1
-LARGEST = 1_200  # bytes of a datagram
-MOST_NOTES = 24  # on the members, in one datagram
-LARGEST_BODY = 700  # bytes of a decision
-LARGEST_WORDS = 1_000  # bytes that a feature says in one datagram
-ROOM = LARGEST - 60  # bytes for the notes and the body; the rest is their frame
+MAX_DATAGRAM_BYTES = 1_200  # bytes of a datagram
+MAX_UPDATES = 24  # on the members, in one datagram
+MAX_DECISION_BYTES = 700  # bytes of a decision
+MAX_FEATURE_BYTES = 1_000  # bytes that a feature says in one datagram
+PAYLOAD_BYTES = MAX_DATAGRAM_BYTES - 60  # bytes for the notes and the body; the rest is their frame
 
-Count = Annotated[int, Meta(ge=0, le=2**53)]
+Counter = Annotated[int, Meta(ge=0, le=2**53)]
 Name = Annotated[str, Meta(min_length=1, max_length=64)]
-Words = Annotated[bytes, Meta(max_length=LARGEST_WORDS)]
-Decision = Annotated[bytes, Meta(max_length=LARGEST_BODY)]
-Life = Annotated[int, Meta(ge=0, le=2**62)]
+FeaturePayload = Annotated[bytes, Meta(max_length=MAX_FEATURE_BYTES)]
+DecisionBody = Annotated[bytes, Meta(max_length=MAX_DECISION_BYTES)]
+InstanceId = Annotated[int, Meta(ge=0, le=2**62)]
 
 
 class Status(IntEnum):
@@ -37,79 +37,79 @@
     LEFT = 4
 
 
-class Note(Struct, array_like=True, frozen=True):
+class MemberUpdate(Struct, array_like=True, frozen=True):
     """One member by another's word."""
 
     name: Name
     status: Status
-    incarnation: Count
-    by: Name  # who found it so
+    incarnation: Counter
+    source: Name  # who found it so
 
 
 class Ping(Struct, array_like=True, tag="p", frozen=True):
-    serial: Count
+    serial: Counter
     status: Status  # of the sender, by its own word
-    incarnation: Count
-    held: Status  # what the sender holds of who is asked, so that it can refute it
-    held_incarnation: Count
-    digest: Count  # of who is present in the sender's view
+    incarnation: Counter
+    known_status: Status  # what the sender holds of who is asked, so that it can refute it
+    known_incarnation: Counter
+    digest: Counter  # of who is present in the sender's view
 
 
 class Ack(Struct, array_like=True, tag="a", frozen=True):
-    serial: Count
+    serial: Counter
     status: Status
-    incarnation: Count
-    held: Status
-    held_incarnation: Count
-    digest: Count
+    incarnation: Counter
+    known_status: Status
+    known_incarnation: Counter
+    digest: Counter
 
 
-class Ask(Struct, array_like=True, tag="q", frozen=True):
+class PingRequest(Struct, array_like=True, tag="q", frozen=True):
     """Ping `name` for me, I don't hear it."""
 
-    serial: Count
+    serial: Counter
     name: Name
 
 
-class Relayed(Struct, array_like=True, tag="r", frozen=True):
+class IndirectAck(Struct, array_like=True, tag="r", frozen=True):
     """What came of an `Ask`: it answered, or (`answered` false) it did not, but the helper is there."""
 
-    serial: Count
+    serial: Counter
     name: Name
     answered: bool
-    incarnation: Count
+    incarnation: Counter
 
 
-class Height(Struct, array_like=True, frozen=True):
+class TopicProgress(Struct, array_like=True, frozen=True):
     """How far things have gone on a topic, as far as the sender ever heard, and what it goes by itself."""
 
     topic: Name
-    epoch: Count
-    version: Count
-    decided: Count  # version that the sender goes by; 0: none
+    epoch: Counter
+    version: Counter
+    decided: Counter  # version that the sender goes by; 0: none
 
 
 class Table(Struct, array_like=True, tag="t", frozen=True):
     """Part of the sender's whole table, in the notes; `wanted`: send yours from `at` on."""
 
     wanted: bool
-    at: Count
-    told: Annotated[list[Height], Meta(max_length=16)]
+    position: Counter
+    progress: Annotated[list[TopicProgress], Meta(max_length=16)]
 
 
-class Topic(Struct, array_like=True, frozen=True):
+class TopicState(Struct, array_like=True, frozen=True):
     """The value of one register: who holds the lease on a topic, and the newest decision on it."""
 
-    epoch: Count = 0  # grows with each holder: the fencing token
+    epoch: Counter = 0  # grows with each holder: the fencing token
     holder: Annotated[str, Meta(max_length=64)] = ""
-    life: Life = 0  # of the holder's process
-    span: Count = 0  # microseconds from acceptance that the lease runs at an elector
-    version: Count = 0  # of the decision; grows by one
-    body: Decision = b""
+    instance_id: InstanceId = 0  # of the holder's process
+    lease: Counter = 0  # microseconds from acceptance that the lease runs at an elector
+    version: Counter = 0  # of the decision; grows by one
+    body: DecisionBody = b""
 
 
 class Ballot(Struct, array_like=True, frozen=True, order=True):
-    number: Count = 0
+    number: Counter = 0
     name: Annotated[str, Meta(max_length=96)] = ""  # of the asking process: name and life, never used again
 
 
@@ -121,102 +121,102 @@
 class Promise(Struct, array_like=True, tag="Q", frozen=True):
     topic: Name
     ballot: Ballot
-    life: Life  # of the elector: only this life may accept under this promise
+    instance_id: InstanceId  # of the elector: only this life may accept under this promise
     accepted: Ballot
-    value: Topic
-    running: Count  # microseconds that the lease in `value` still runs by the elector's clock
+    value: TopicState
+    remaining: Counter  # microseconds that the lease in `value` still runs by the elector's clock
 
 
 class Accept(Struct, array_like=True, tag="A", frozen=True):
     topic: Name
     ballot: Ballot
-    life: Life  # of the elector that promised
-    value: Topic
+    instance_id: InstanceId  # of the elector that promised
+    value: TopicState
 
 
 class Accepted(Struct, array_like=True, tag="B", frozen=True):
     topic: Name
     ballot: Ballot
-    life: Life
+    instance_id: InstanceId
 
 
-class Refused(Struct, array_like=True, tag="N", frozen=True):
+class Nack(Struct, array_like=True, tag="N", frozen=True):
     """A ballot came too late; `highest` is what was promised. `silent`: the elector gives no vote yet."""
 
     topic: Name
     ballot: Ballot
-    highest: Ballot
-    silent: bool
+    promised: Ballot
+    abstains: bool
 
 
-class Recall(Struct, array_like=True, tag="R", frozen=True):
+class RecallRequest(Struct, array_like=True, tag="R", frozen=True):
     """An elector that forgot asks another for what it holds; who answers is bound by a higher promise
     first."""
 
-    life: Life
-    round: Count
+    instance_id: InstanceId
+    round: Counter
 
 
-class Recalled(Struct, array_like=True, tag="S", frozen=True):
-    life: Life  # of who asked, ...
-    round: Count  # ... and in which try
-    knows: bool  # false: it forgot as well, and its word counts only where too few remember
-    forgot: Count  # for how long it has not known by now, microseconds
-    registers: Annotated[list[tuple[Name, Ballot, Ballot, Topic]], Meta(max_length=16)]
+class RecallReply(Struct, array_like=True, tag="S", frozen=True):
+    instance_id: InstanceId  # of who asked, ...
+    round: Counter  # ... and in which try
+    has_memory: bool  # false: it forgot as well, and its word counts only where too few remember
+    forgotten_for: Counter  # for how long it has not known by now, microseconds
+    registers: Annotated[list[tuple[Name, Ballot, Ballot, TopicState]], Meta(max_length=16)]
     last: bool  # no more parts come
-    part: Count
+    part: Counter
 
 
-class Made(Struct, array_like=True, tag="M", frozen=True):
+class DecisionMade(Struct, array_like=True, tag="M", frozen=True):
     """A decision that a majority has accepted, by the sender's word."""
 
     topic: Name
-    epoch: Count
-    version: Count
-    body: Decision
+    epoch: Counter
+    version: Counter
+    body: DecisionBody
 
 
-class Confirm(Struct, array_like=True, tag="C", frozen=True):
+class ConfirmRequest(Struct, array_like=True, tag="C", frozen=True):
     """Has this elector accepted decision `version` with that body?"""
 
     topic: Name
-    version: Count
-    mark: Count  # CRC-32 of the body
+    version: Counter
+    body_crc: Counter  # CRC-32 of the body
 
 
-class Confirmed(Struct, array_like=True, tag="D", frozen=True):
+class ConfirmReply(Struct, array_like=True, tag="D", frozen=True):
     """It has, and holds it now."""
 
     topic: Name
-    version: Count
-    mark: Count
+    version: Counter
+    body_crc: Counter
 
 
-class Carried(Struct, array_like=True, tag="x", frozen=True):
+class FeatureMessage(Struct, array_like=True, tag="x", frozen=True):
     """What a feature that goes by peers says to the same feature of another member. It may be lost,
     doubled and late; the feature reads its words itself."""
 
     topic: Name
-    words: Words
+    payload: FeaturePayload
 
 
 Body = (
     Ping
     | Ack
-    | Ask
-    | Relayed
+    | PingRequest
+    | IndirectAck
     | Table
     | Prepare
     | Promise
     | Accept
     | Accepted
-    | Refused
-    | Recall
-    | Recalled
-    | Made
-    | Confirm
-    | Confirmed
-    | Carried
+    | Nack
+    | RecallRequest
+    | RecallReply
+    | DecisionMade
+    | ConfirmRequest
+    | ConfirmReply
+    | FeatureMessage
 )
 
 
@@ -224,10 +224,10 @@
     version: int
     site: Annotated[int, Meta(ge=0, lt=2**32)]
     body: Body
-    notes: Annotated[list[Note], Meta(max_length=MOST_NOTES)]
+    updates: Annotated[list[MemberUpdate], Meta(max_length=MAX_UPDATES)]
 
 
-class Foreign(Exception):
+class InvalidDatagram(Exception):
     """Not for this sidecar; the text says why, in one word that is counted."""
 
 
@@ -235,29 +235,29 @@
 DECODER = msgspec.msgpack.Decoder(Datagram)
 
 
-def site_of(name: str) -> int:
+def site_hash(name: str) -> int:
     return crc32(name.encode())
 
 
-def encode(site: int, body: Body, notes: list[Note]) -> bytes:
+def encode(site: int, body: Body, updates: list[MemberUpdate]) -> bytes:
     """At most `LARGEST` bytes: notes that find no room are left out, the last ones first."""
     while True:
-        data = ENCODER.encode(Datagram(VERSION, site, body, notes[:MOST_NOTES]))
-        if len(data) <= LARGEST or not notes:
+        data = ENCODER.encode(Datagram(VERSION, site, body, updates[:MAX_UPDATES]))
+        if len(data) <= MAX_DATAGRAM_BYTES or not updates:
             return data
-        notes = notes[: min(len(notes), MOST_NOTES) * 3 // 4]
+        updates = updates[: min(len(updates), MAX_UPDATES) * 3 // 4]
 
 
 def decode(site: int, data: bytes) -> Datagram:
     """Raises Foreign."""
-    if len(data) > LARGEST:
-        raise Foreign("large")
+    if len(data) > MAX_DATAGRAM_BYTES:
+        raise InvalidDatagram("large")
     try:
-        found = DECODER.decode(data)
+        datagram = DECODER.decode(data)
     except (msgspec.DecodeError, RecursionError, UnicodeDecodeError) as error:
-        raise Foreign("garbled") from error
-    if found.version != VERSION:
-        raise Foreign("version")
-    if found.site != site:
-        raise Foreign("site")
-    return found
+        raise InvalidDatagram("garbled") from error
+    if datagram.version != VERSION:
+        raise InvalidDatagram("version")
+    if datagram.site != site:
+        raise InvalidDatagram("site")
+    return datagram
--- a/lupinmill/program/common.py
+++ b/lupinmill/program/common.py
@@ -12,7 +12,7 @@
 from lupinmill import terms as t
 from lupinmill.peers.driver import Driver
 from lupinmill.peers.live_count import LiveCount
-from lupinmill.peers.view import SECOND, Standing
+from lupinmill.peers.view import SECOND, QuorumState
 from lupinmill.routing.engine import Engine, Log
 
 if TYPE_CHECKING:
@@ -38,7 +38,7 @@
     def look(self) -> None:
         now, sidecars = self.engine.clock.now(), 0
         if self.live is not None:
-            together = self.peers.standing() in (Standing.TOGETHER, Standing.IN_DOUBT)
+            together = self.peers.quorum_state() in (QuorumState.MAJORITY, QuorumState.UNCERTAIN)
             sidecars = self.live.step(now, together, len(self.peers.present()))
             if sidecars != self.count:
                 self.log("mode", text=f"{sidecars} sidecars share the endpoints, {self.count} before")
@@ -53,7 +53,7 @@
     def change(self, told: int) -> None:
         """Another figure told of how many share the endpoints."""
         if self.live is not None:
-            self.live.told = max(1, told)
+            self.live.configured = max(1, told)
         else:
             self.count = told
 
--- a/lupinmill/program/operators_file.py
+++ b/lupinmill/program/operators_file.py
@@ -17,8 +17,8 @@
 import msgspec
 from msgspec import Struct
 
-from lupinmill.peers.peer import REHEARSAL, Told
-from lupinmill.peers.view import MS, SECOND, Seat, Timing
+from lupinmill.peers.peer import REHEARSAL_TOPIC, PeerSettings
+from lupinmill.peers.view import MS, SECOND, MembershipTiming, RosterEntry
 from lupinmill.terms import Deployment
 from lupinmill.zones.map import BadMap, Map, Workload, Zone
 
@@ -27,8 +27,8 @@
 LONGEST_NAME = 64
 ELECTORS = (3, 5, 7)
 ZONES = "zones"
-TOPICS = (REHEARSAL, ZONES)
-WANTS = (REHEARSAL,)  # what may stand in `wants`; features that are on ask for their own
+TOPICS = (REHEARSAL_TOPIC, ZONES)
+WANTS = (REHEARSAL_TOPIC,)  # what may stand in `wants`; features that are on ask for their own
 MOST_ZONES = 16
 MOST_RELAYS = 16
 
@@ -286,14 +286,14 @@
         return False
 
 
-def told(file: File, name: str) -> Told:
+def told(file: File, name: str) -> PeerSettings:
     """Of the peers, for the sidecar of that name. Raises BadFile."""
     peers = file.peers
     assert peers is not None
     if name not in peers.members:
         raise BadFile(f"peers.members: has no entry for this sidecar, {name or 'which has no name'}")
-    seats = tuple(Seat(one, e.address, e.zone, e.region) for one, e in peers.members.items())
-    return Told(
+    seats = tuple(RosterEntry(one, e.address, e.zone, e.region) for one, e in peers.members.items())
+    return PeerSettings(
         name,
         seats,
         tuple(peers.electors),
@@ -301,7 +301,7 @@
         (*peers.wants, *((ZONES,) if file.zones is not None and name in peers.electors else ())),
         int(peers.lease_s * SECOND),
         int(peers.fades_s * SECOND),
-        Timing(round=peers.round_ms * MS),
+        MembershipTiming(round=peers.round_ms * MS),
     )
 
 
--- a/lupinmill/program/sidecar.py
+++ b/lupinmill/program/sidecar.py
@@ -160,7 +160,7 @@
         self.to_close.set()
         if self.peers is None:
             return
-        tell = self.peers.come_back if self.standing.mode is Mode.SERVING else self.peers.leave
+        tell = self.peers.rejoin if self.standing.mode is Mode.SERVING else self.peers.leave
         try:
             tell()
         except Exception as error:
@@ -381,7 +381,7 @@
         from lupinmill.program import operators_file
 
         peers = operators_file.told(told.operators, told.name)
-        self.peers.change(peers)
+        self.peers.change_settings(peers)
         if self.common is not None and self.common.zoning is not None:
             self.common.zoning.change(peers)
 
@@ -468,7 +468,7 @@
             self.pool.close()
             listener.dismiss_all()
             if self.peers is not None:
-                self.peers.yield_()
+                self.peers.resign()
             if self.in_force is not None:
                 self.in_force.watch.keeping = False
 
@@ -476,7 +476,7 @@
             take_in.pass_on, listener.passing = None, False
             listener.resume()
             if self.peers is not None:
-                self.peers.take_up()
+                self.peers.resume()
             if self.in_force is not None:
                 self.in_force.watch.keeping = True
 
--- a/lupinmill/zones/driver.py
+++ b/lupinmill/zones/driver.py
@@ -27,15 +27,15 @@
 
 
 class Zoning:
-    def __init__(self, map_: Map, told: peer.Told, peers: Driver, engine: Engine, log: Log) -> None:
+    def __init__(self, map_: Map, told: peer.PeerSettings, peers: Driver, engine: Engine, log: Log) -> None:
         self.map, self.peers, self.engine, self.log = map_, peers, engine, log
         now = engine.clock.now()
-        seats = {seat.name: seat for seat in told.seats}
+        seats = {seat.name: seat for seat in told.roster}
         home = seats[told.name].zone
-        peopled = tuple(zone.name for zone in map_.zones if any(s.zone == zone.name for s in told.seats))
+        peopled = tuple(zone.name for zone in map_.zones if any(s.zone == zone.name for s in told.roster))
         self.core = Member(map_, told.name, home, told.electors, peopled, now)
         self.tally = Tally(map_, home, now)
-        self.period = PERIOD * max(1.0, len(told.seats) / MOST_LARGE)
+        self.period = PERIOD * max(1.0, len(told.roster) / MOST_LARGE)
         self.found: member.Go | None = None  # what the module is to hear of
         self.waiting: dict[int, Callable[[bool, str], None]] = {}
         self.serial = now
@@ -44,23 +44,23 @@
         peers.features[TOPIC] = self.heard
         watch(engine.sidecar, self.tally)
 
-    def change(self, told: peer.Told) -> None:
+    def change(self, told: peer.PeerSettings) -> None:
         """Another roster, from now on."""
-        zones = {seat.zone for seat in told.seats}
+        zones = {seat.zone for seat in told.roster}
         self.core.evidence.peopled = tuple(zone.name for zone in self.map.zones if zone.name in zones)
 
     # From the peers.
 
-    def heard(self, order: peer.Order) -> None:
-        if isinstance(order, peer.Said):
-            self.tell(member.Heard(order.sender, order.words))
-        elif isinstance(order, peer.Known):
+    def heard(self, order: peer.Command) -> None:
+        if isinstance(order, peer.FeatureMessageReceived):
+            self.tell(member.Heard(order.sender, order.payload))
+        elif isinstance(order, peer.DecisionAdopted):
             self.tell(member.Decided(order.version, order.body))
-        elif isinstance(order, proposer.Took):
+        elif isinstance(order, proposer.LeaseAcquired):
             self.tell(member.Took(order.epoch))
-        elif isinstance(order, proposer.Lost):
+        elif isinstance(order, proposer.LeaseLost):
             self.tell(member.Lost())
-        elif isinstance(order, peer.Forgot):
+        elif isinstance(order, peer.DecisionExpired):
             self.tell(member.Forgot())
 
     # Once a period.
@@ -80,7 +80,7 @@
         try:
             while again:
                 taken, self.inbox = self.inbox, []
-                now, epoch = self.engine.clock.now(), self.peers.holds(TOPIC)
+                now, epoch = self.engine.clock.now(), self.peers.held_epoch(TOPIC)
                 for order in self.core.step(now, taken, epoch, self.peers.present()):
                     self.carry_out(order)
                 again = bool(self.inbox)
@@ -89,7 +89,7 @@
 
     def carry_out(self, order: member.Order) -> None:
         if isinstance(order, member.Say):
-            self.peers.carry(TOPIC, order.to, order.data)
+            self.peers.send_feature_message(TOPIC, order.to, order.data)
         elif isinstance(order, member.Decide):
             self.peers.decide(TOPIC, order.body)  # refused or lost: the next look computes it anew
         elif isinstance(order, member.Go):
--- a/tests/test_common.py
+++ b/tests/test_common.py
@@ -5,7 +5,7 @@
 from bed import IDEM, KEYED, Bed, deployment
 
 from lupinmill import terms as t
-from lupinmill.peers.live_count import FADES, HOLD, LiveCount
+from lupinmill.peers.live_count import FALL_DELAY_US, TRUST_US, LiveCount
 from lupinmill.peers.view import SECOND
 from lupinmill.rules import CAP_START, FLEET_START, Sidecar
 from lupinmill.state import learned
@@ -185,12 +185,12 @@
     assert count.step(0, True, 10) == 10
     assert count.step(SECOND, True, 3) == 10, "most restart, and are back before it counts"
     assert count.step(2 * SECOND, True, 12) == 12
-    assert count.step(2 * SECOND + HOLD + 1, True, 9) == 9
+    assert count.step(2 * SECOND + FALL_DELAY_US + 1, True, 9) == 9
 
 
 def test_who_is_cut_off_goes_back_to_the_told_figure():
     count = LiveCount(10, 0)
     assert count.step(0, True, 20) == 20
-    assert count.step(FADES // 2, False, 1) == 15, "never by what it sees itself: the others may be there"
-    assert count.step(FADES, False, 1) == 10
+    assert count.step(TRUST_US // 2, False, 1) == 15, "never by what it sees itself: the others may be there"
+    assert count.step(TRUST_US, False, 1) == 10
     assert LiveCount(10, 0).step(0, False, 1) == 10
--- a/tests/test_peers_decisions.py
+++ b/tests/test_peers_decisions.py
@@ -11,11 +11,11 @@
 from lupinmill.lab.explorer import TOPIC, AgreementWorld, Planted, explore, replay, shortened, walk
 from lupinmill.lab.fleet_virtual import VirtualFleet
 from lupinmill.peers import wire
-from lupinmill.peers.elector import Elector, Keep, Memory, majority
-from lupinmill.peers.proposer import Claims, Lost, Took
-from lupinmill.peers.stable_store import FILE, BadKeep, Promises
-from lupinmill.peers.view import SECOND, Heard, Send
-from lupinmill.peers.wire import Ballot, Topic
+from lupinmill.peers.elector import Elector, Memory, Persist, majority
+from lupinmill.peers.proposer import LeaseAcquired, LeaseLost, Proposer
+from lupinmill.peers.stable_store import FILE_NAME, StableStore, StoreError
+from lupinmill.peers.view import SECOND, Received, Send
+from lupinmill.peers.wire import Ballot, TopicState
 
 NAMES = ["a", "b", "c"]
 SEEDS = (130, 410, 1233)  # of walks in which a ballot used again does harm
@@ -97,7 +97,7 @@
     versions = [e.version for e in result.events if e.what == "decision" and e.state == "made"]
     epochs = [e.epoch for e in result.events if e.what == "lease" and e.state == "taken"]
     assert versions and versions == sorted(versions) and epochs == sorted(set(epochs))
-    newest = {host.peer.decided[TOPIC].version for host in virtual.hosts.values()}
+    newest = {host.peer.decisions[TOPIC].version for host in virtual.hosts.values()}
     assert max(newest) - min(newest) <= 1
 
 
@@ -118,25 +118,25 @@
         self.electors = {
             n: Elector(n, NAMES, [TOPIC], span, at + 1, self.now, Memory()) for at, n in enumerate(NAMES)
         }
-        self.askers: dict[str, Claims] = {}
+        self.askers: dict[str, Proposer] = {}
         self.orders: dict[str, list] = {}
         self.deaf: set[str] = set()
 
-    def asker(self, name: str, life: int = 9) -> Claims:
-        self.askers[name] = Claims(name, NAMES, self.span, life, life, self.now)
+    def asker(self, name: str, life: int = 9) -> Proposer:
+        self.askers[name] = Proposer(name, NAMES, self.span, life, life, self.now)
         self.orders[name] = []
         return self.askers[name]
 
     def run(self, span: int, stride: int = 10_000) -> None:
         for _ in range(span // stride):
             self.now += stride
-            inboxes: dict[str, list[Heard]] = {name: [] for name in self.askers}
+            inboxes: dict[str, list[Received]] = {name: [] for name in self.askers}
             for _ in range(6):
-                to_electors: dict[str, list[Heard]] = {name: [] for name in NAMES}
+                to_electors: dict[str, list[Received]] = {name: [] for name in NAMES}
                 for name, asker in self.askers.items():
                     for order in asker.step(self.now, inboxes[name]):
                         if isinstance(order, Send):
-                            to_electors[order.to].append(Heard(name, order.body))
+                            to_electors[order.to].append(Received(name, order.body))
                         else:
                             self.orders[name].append(order)
                 inboxes = {name: [] for name in self.askers}
@@ -144,63 +144,63 @@
                     if name in self.deaf:
                         continue
                     for order in elector.step(self.now, to_electors[name]):
-                        for send in order.then if isinstance(order, Keep) else [order]:
+                        for send in order.then_send if isinstance(order, Persist) else [order]:
                             if send.to in inboxes:
-                                inboxes[send.to].append(Heard(name, send.body))
+                                inboxes[send.to].append(Received(name, send.body))
 
 
 def test_a_lease_passes_when_its_holder_gives_it_up_and_epochs_grow():
     hall = Hall()
     first, second = hall.asker("x", 5), hall.asker("y", 6)
-    first.want(TOPIC)
+    first.request(TOPIC)
     hall.run(SECOND)
-    assert first.holds(TOPIC, hall.now) == 1
-    second.want(TOPIC)
+    assert first.held_epoch(TOPIC, hall.now) == 1
+    second.request(TOPIC)
     hall.run(SECOND)
-    assert not second.holds(TOPIC, hall.now) and second.claims[TOPIC].busy == "x"
-    first.give_up(TOPIC)
-    assert not first.holds(TOPIC, hall.now), "given up counts from that moment on"
+    assert not second.held_epoch(TOPIC, hall.now) and second.claims[TOPIC].current_holder == "x"
+    first.release(TOPIC)
+    assert not first.held_epoch(TOPIC, hall.now), "given up counts from that moment on"
     hall.run(3 * SECOND)
-    assert second.holds(TOPIC, hall.now) == 2
+    assert second.held_epoch(TOPIC, hall.now) == 2
 
 
 def test_a_stopped_holder_does_not_act_on_a_lease_that_ran_out():
     hall = Hall()
     holder = hall.asker("x")
-    holder.want(TOPIC)
+    holder.request(TOPIC)
     hall.run(SECOND)
-    assert holder.holds(TOPIC, hall.now)
+    assert holder.held_epoch(TOPIC, hall.now)
     later = hall.now + 3 * SECOND  # it was stopped: no step in between
-    assert holder.holds(TOPIC, later) == 0
+    assert holder.held_epoch(TOPIC, later) == 0
     holder.now = later
     assert not holder.decide(TOPIC, b"mine")
-    assert [type(order) for order in holder.step(later, [])][0] is Lost
+    assert [type(order) for order in holder.step(later, [])][0] is LeaseLost
 
 
 def test_a_minority_of_electors_gives_no_lease():
     hall = Hall()
     hall.deaf = {"b", "c"}
     holder = hall.asker("x")
-    holder.want(TOPIC)
+    holder.request(TOPIC)
     hall.run(5 * SECOND)
-    assert not hall.orders["x"] and not holder.holds(TOPIC, hall.now)
+    assert not hall.orders["x"] and not holder.held_epoch(TOPIC, hall.now)
     hall.deaf = {"c"}
     hall.run(5 * SECOND)
-    assert isinstance(hall.orders["x"][0], Took)
+    assert isinstance(hall.orders["x"][0], LeaseAcquired)
 
 
 def test_a_decision_is_made_once_and_a_fenced_holder_makes_none():
     hall = Hall()
     first, second = hall.asker("x", 5), hall.asker("y", 6)
-    first.want(TOPIC)
+    first.request(TOPIC)
     hall.run(SECOND)
     assert first.decide(TOPIC, b"one") and not first.decide(TOPIC, b"two"), "one at a time"
     hall.run(SECOND)
-    assert [o.version for o in hall.orders["x"] if not isinstance(o, Took)] == [1]
+    assert [o.version for o in hall.orders["x"] if not isinstance(o, LeaseAcquired)] == [1]
     stopped = hall.askers.pop("x")
-    second.want(TOPIC)
+    second.request(TOPIC)
     hall.run(6 * SECOND)
-    assert second.holds(TOPIC, hall.now) == 2 and second.claims[TOPIC].version == 1
+    assert second.held_epoch(TOPIC, hall.now) == 2 and second.claims[TOPIC].version == 1
     hall.askers["x"] = stopped
     stopped.now = hall.now
     assert not stopped.decide(TOPIC, b"late")
@@ -209,36 +209,38 @@
 
 
 def prepared(elector: Elector, now: int, number: int, sender: str = "x") -> wire.Promise:
-    (keep,) = elector.step(now, [Heard(sender, wire.Prepare(TOPIC, Ballot(number, f"{sender}:1")))])
-    assert isinstance(keep, Keep)
-    return keep.then[0].body
+    (keep,) = elector.step(now, [Received(sender, wire.Prepare(TOPIC, Ballot(number, f"{sender}:1")))])
+    assert isinstance(keep, Persist)
+    return keep.then_send[0].body
 
 
-def offered(elector: Elector, now: int, number: int, value: Topic, sender: str = "x", life: int = 1) -> list:
+def offered(
+    elector: Elector, now: int, number: int, value: TopicState, sender: str = "x", life: int = 1
+) -> list:
     accept = wire.Accept(TOPIC, Ballot(number, f"{sender}:1"), life, value)
-    return [type(o) for o in elector.step(now, [Heard(sender, accept)])]
+    return [type(o) for o in elector.step(now, [Received(sender, accept)])]
 
 
 def test_an_elector_does_not_take_what_no_honest_asker_offers():
     now = 1000 * SECOND
     elector = Elector("a", NAMES, [TOPIC], 2 * SECOND, 1, now, Memory())
-    held = Topic(1, "x", 5, SECOND, 0, b"")
+    held = TopicState(1, "x", 5, SECOND, 0, b"")
     prepared(elector, now, 1)
-    assert offered(elector, now, 1, held) == [Keep]
+    assert offered(elector, now, 1, held) == [Persist]
     prepared(elector, now, 2, "y")
     for value in (
-        Topic(2, "y", 6, SECOND, 0, b""),  # the other's lease runs
-        Topic(1, "", 0, 0, 0, b""),  # nor is it y's to give up
-        Topic(0, "x", 5, SECOND, 0, b""),  # an epoch set back
-        Topic(2, "x", 5, SECOND, 0, b""),  # in another's name
-        Topic(2, "y", 6, 9 * SECOND, 0, b""),  # longer than any lease
+        TopicState(2, "y", 6, SECOND, 0, b""),  # the other's lease runs
+        TopicState(1, "", 0, 0, 0, b""),  # nor is it y's to give up
+        TopicState(0, "x", 5, SECOND, 0, b""),  # an epoch set back
+        TopicState(2, "x", 5, SECOND, 0, b""),  # in another's name
+        TopicState(2, "y", 6, 9 * SECOND, 0, b""),  # longer than any lease
     ):
         assert offered(elector, now, 2, value, "y") == []
     later = now + 2 * SECOND
-    assert offered(elector, later, 2, Topic(2, "y", 6, SECOND, 0, b""), "y") == [Keep]
+    assert offered(elector, later, 2, TopicState(2, "y", 6, SECOND, 0, b""), "y") == [Persist]
     assert offered(elector, later, 1, held) == [Send], "an older ballot is refused"
-    refused = elector.step(later, [Heard("x", wire.Prepare("invented", Ballot(1, "x:1")))])
-    assert isinstance(refused[0].body, wire.Refused) and list(elector.registers) == [TOPIC]
+    refused = elector.step(later, [Received("x", wire.Prepare("invented", Ballot(1, "x:1")))])
+    assert isinstance(refused[0].body, wire.Nack) and list(elector.registers) == [TOPIC]
 
 
 def test_an_acceptance_is_only_for_the_life_that_promised():
@@ -247,8 +249,8 @@
     prepared(elector, now, 1)
     again = Elector("a", NAMES, [TOPIC], 2 * SECOND, 2, now, Memory())
     prepared(again, now, 1)
-    assert offered(again, now, 1, Topic(1, "x", 5, SECOND, 0, b""), life=1) == [Send]
-    assert offered(again, now, 1, Topic(1, "x", 5, SECOND, 0, b""), life=2) == [Keep]
+    assert offered(again, now, 1, TopicState(1, "x", 5, SECOND, 0, b""), life=1) == [Send]
+    assert offered(again, now, 1, TopicState(1, "x", 5, SECOND, 0, b""), life=2) == [Persist]
 
 
 def test_an_elector_that_forgot_is_silent_and_writes_nothing_until_it_has_asked():
@@ -258,19 +260,19 @@
     orders = elector.step(
         now,
         [
-            Heard("x", wire.Prepare(TOPIC, Ballot(1, "x:1"))),
-            Heard("b", wire.Recall(7, 1)),
+            Received("x", wire.Prepare(TOPIC, Ballot(1, "x:1"))),
+            Received("b", wire.RecallRequest(7, 1)),
         ],
     )
-    assert not any(isinstance(order, Keep) for order in orders)
-    assert [o.body.silent for o in orders if isinstance(o.body, wire.Refused)] == [True]
-    assert [o.body.knows for o in orders if isinstance(o.body, wire.Recalled)] == [False]
+    assert not any(isinstance(order, Persist) for order in orders)
+    assert [o.body.abstains for o in orders if isinstance(o.body, wire.Nack)] == [True]
+    assert [o.body.has_memory for o in orders if isinstance(o.body, wire.RecallReply)] == [False]
 
 
 def test_an_elector_that_forgot_begins_from_what_a_majority_remembers():
     now = 1000 * SECOND
     others = {n: Elector(n, NAMES, [TOPIC], 2 * SECOND, 3, now, Memory()) for n in ("b", "c")}
-    held = Topic(4, "x", 5, SECOND, 2, b"what was decided")
+    held = TopicState(4, "x", 5, SECOND, 2, b"what was decided")
     for elector in others.values():
         prepared(elector, now, 3)
         offered(elector, now, 3, held, life=3)
@@ -280,9 +282,11 @@
         now += 100_000
         asks = [o for o in elector.step(now, []) if isinstance(o, Send)]
         for ask in asks:
-            for order in others[ask.to].step(now, [Heard("a", ask.body)]):
-                for send in order.then:
-                    kept += sum(isinstance(o, Keep) for o in elector.step(now, [Heard(ask.to, send.body)]))
+            for order in others[ask.to].step(now, [Received("a", ask.body)]):
+                for send in order.then_send:
+                    kept += sum(
+                        isinstance(o, Persist) for o in elector.step(now, [Received(ask.to, send.body)])
+                    )
         if now < 1002 * SECOND:
             assert not elector.votes(), "promises of its former life may still run"
     assert elector.votes() and kept == 1
@@ -301,46 +305,46 @@
 
 
 def test_promises_survive_and_others_are_kept_out(tmp_path):
-    promises = Promises(str(tmp_path / "own"))
+    promises = StableStore(str(tmp_path / "own"))
     assert promises.read() is None
     elector = Elector("a", NAMES, [TOPIC], SECOND, 1, 0, Memory())
     prepared(elector, 0, 7)
-    promises.write(elector.memory())
-    with pytest.raises(BadKeep, match="another process"):
-        Promises(str(tmp_path / "own"))
+    promises.write(elector.encode_memory())
+    with pytest.raises(StoreError, match="another process"):
+        StableStore(str(tmp_path / "own"))
     promises.close()
-    again = Promises(str(tmp_path / "own"))
+    again = StableStore(str(tmp_path / "own"))
     memory = again.read()
     assert memory.registers[0][1] == Ballot(7, "x:1")
-    assert stat.S_IMODE(os.stat(tmp_path / "own" / FILE).st_mode) == 0o600
+    assert stat.S_IMODE(os.stat(tmp_path / "own" / FILE_NAME).st_mode) == 0o600
     again.close()
 
 
 def test_any_damage_counts_as_having_forgotten(tmp_path):
-    promises = Promises(str(tmp_path))
-    promises.write(Memory_bytes())
-    good = (tmp_path / FILE).read_bytes()
+    promises = StableStore(str(tmp_path))
+    promises.write(encoded_memory())
+    good = (tmp_path / FILE_NAME).read_bytes()
     for at in range(len(good)):
-        (tmp_path / FILE).write_bytes(good[:at])
+        (tmp_path / FILE_NAME).write_bytes(good[:at])
         assert promises.read() is None
-        (tmp_path / FILE).write_bytes(good[:at] + bytes([good[at] ^ 0x10]) + good[at + 1 :])
+        (tmp_path / FILE_NAME).write_bytes(good[:at] + bytes([good[at] ^ 0x10]) + good[at + 1 :])
         assert promises.read() is None
-    (tmp_path / FILE).write_bytes(good)
+    (tmp_path / FILE_NAME).write_bytes(good)
     assert promises.read() is not None
     promises.close()
 
 
-def Memory_bytes() -> bytes:
+def encoded_memory() -> bytes:
     import msgspec
 
     return msgspec.msgpack.encode(
-        Memory([(TOPIC, Ballot(1, "x"), Ballot(1, "x"), Topic(1, "x", 2, 3, 4, b"5"))])
+        Memory([(TOPIC, Ballot(1, "x"), Ballot(1, "x"), TopicState(1, "x", 2, 3, 4, b"5"))])
     )
 
 
 def test_a_write_that_fails_leaves_the_file_as_it_was(tmp_path, monkeypatch):
-    promises = Promises(str(tmp_path))
-    promises.write(Memory_bytes())
+    promises = StableStore(str(tmp_path))
+    promises.write(encoded_memory())
     before = promises.read()
     for call in ("write", "fsync", "rename"):
 
--- a/tests/test_peers_members.py
+++ b/tests/test_peers_members.py
@@ -10,13 +10,24 @@
 from lupinmill.lab.fleet import Fault, Fleet, Network
 from lupinmill.lab.fleet_virtual import VirtualFleet
 from lupinmill.peers import wire
-from lupinmill.peers.membership import CHECKS, Membership
-from lupinmill.peers.partition_policy import TABLE
-from lupinmill.peers.peer import REHEARSAL, Peer, Told
-from lupinmill.peers.view import SECOND, Changed, Heard, Leave, Return, Roster, Seat, Send, Standing, Timing
-from lupinmill.peers.wire import Note, Status
+from lupinmill.peers.membership import CHECK_BURST, Membership
+from lupinmill.peers.partition_policy import POLICY_TABLE
+from lupinmill.peers.peer import REHEARSAL_TOPIC, Peer, PeerSettings
+from lupinmill.peers.view import (
+    SECOND,
+    Leave,
+    MemberChanged,
+    MembershipTiming,
+    QuorumState,
+    Received,
+    Rejoin,
+    RosterChange,
+    RosterEntry,
+    Send,
+)
+from lupinmill.peers.wire import MemberUpdate, Status
 
-ROUND = Timing().round
+ROUND = MembershipTiming().round
 FUZZ = int(os.environ.get("FUZZ", "30000"))  # messages
 
 
@@ -32,7 +43,9 @@
 
 
 def standings(fleet: VirtualFleet) -> dict[str, str]:
-    return {name: h.peer.membership.standing.value for name, h in fleet.hosts.items() if h.peer is not None}
+    return {
+        name: h.peer.membership.quorum_state.value for name, h in fleet.hosts.items() if h.peer is not None
+    }
 
 
 @pytest.mark.parametrize("members", [2, 3, 8, 40])
@@ -90,7 +103,7 @@
     seen = {}
 
     def look(_):
-        seen.update({h.name: h.peer.membership.present + 1 for h in fleet.hosts.values()})
+        seen.update({h.name: h.peer.membership.present_count + 1 for h in fleet.hosts.values()})
         seen["standing"] = standings(fleet)
 
     fleet.do_look = look
@@ -188,8 +201,8 @@
 # --- one core by hand --------------------------------------------------------------------------------------
 
 
-def seats(count: int) -> list[Seat]:
-    return [Seat(f"m{at}", f"127.0.0.1:{at + 1}") for at in range(count)]
+def seats(count: int) -> list[RosterEntry]:
+    return [RosterEntry(f"m{at}", f"127.0.0.1:{at + 1}") for at in range(count)]
 
 
 class Alone:
@@ -197,9 +210,9 @@
 
     def __init__(self, count: int = 6) -> None:
         self.now = 1000 * SECOND
-        self.core = Membership("m0", seats(count), Timing(), 5, self.now)
+        self.core = Membership("m0", seats(count), MembershipTiming(), 5, self.now)
         self.answering = {f"m{at}": 0 for at in range(1, count)}  # incarnation of each that answers
-        self.changes: list[Changed] = []
+        self.changes: list[MemberChanged] = []
         self.sent: list[Send] = []
 
     def tell(self, *notes):
@@ -207,7 +220,7 @@
         while True:
             orders, inbox = self.core.step(self.now, inbox), []
             for order in orders:
-                if isinstance(order, Changed):
+                if isinstance(order, MemberChanged):
                     self.changes.append(order)
                 elif isinstance(order, Send):
                     self.sent.append(order)
@@ -215,23 +228,23 @@
             if not inbox:
                 return
 
-    def reply(self, order: Send) -> list[Heard]:
+    def reply(self, order: Send) -> list[Received]:
         inc = self.answering.get(order.to)
         body = order.body
         if inc is None:
             return []
         if isinstance(body, wire.Ping):
-            if body.held in (Status.SUSPECT, Status.DEAD) and body.held_incarnation >= inc:
-                inc = self.answering[order.to] = body.held_incarnation + 1
+            if body.known_status in (Status.SUSPECT, Status.DEAD) and body.known_incarnation >= inc:
+                inc = self.answering[order.to] = body.known_incarnation + 1
             if body.serial:
                 ack = wire.Ack(body.serial, Status.ALIVE, inc, Status.ALIVE, 0, body.digest)
-                return [Heard(order.to, ack)]
+                return [Received(order.to, ack)]
         return []
 
     def run(self, seconds: float) -> None:
         ends = self.now + int(seconds * SECOND)
-        while self.core.next() <= ends:
-            self.now = max(self.now, self.core.next())
+        while self.core.next_due() <= ends:
+            self.now = max(self.now, self.core.next_due())
             self.tell()
         self.now = ends
 
@@ -248,9 +261,9 @@
     return alone
 
 
-def accuse(name: str, status: Status, incarnation: int, sender: str, by: str = "") -> Heard:
+def accuse(name: str, status: Status, incarnation: int, sender: str, by: str = "") -> Received:
     ping = wire.Ping(0, Status.ALIVE, 0, Status.ALIVE, 0, 0)
-    return Heard(sender, ping, [Note(name, status, incarnation, by or sender)])
+    return Received(sender, ping, [MemberUpdate(name, status, incarnation, by or sender)])
 
 
 @pytest.mark.parametrize("status", [Status.SUSPECT, Status.DEAD, Status.LEFT])
@@ -272,13 +285,14 @@
     pings = len([s for s in alone.sent if isinstance(s.body, wire.Ping)])
     for _ in range(100):
         notes = [
-            Note(f"m{at}", Status.DEAD, alone.core.members[f"m{at}"].incarnation, "m1") for at in range(2, 26)
+            MemberUpdate(f"m{at}", Status.DEAD, alone.core.members[f"m{at}"].incarnation, "m1")
+            for at in range(2, 26)
         ]
         ping = wire.Ping(0, Status.ALIVE, 0, Status.ALIVE, 0, 0)
-        alone.tell(Heard("m1", ping, notes))
+        alone.tell(Received("m1", ping, notes))
         alone.run(0.01)
     pings = len([s for s in alone.sent if isinstance(s.body, wire.Ping)]) - pings
-    assert pings < CHECKS + 20 * 1 + 60  # checks of a second, rounds, news
+    assert pings < CHECK_BURST + 20 * 1 + 60  # checks of a second, rounds, news
     assert not [c for c in alone.changes if c.after is Status.DEAD]
 
 
@@ -289,7 +303,7 @@
     assert alone.status("m3") is not Status.DEAD
     alone.run(3)
     assert alone.status("m3") is Status.DEAD
-    assert alone.changes[-1].why == "no answer to an own probe" or "three" in alone.changes[-1].why
+    assert alone.changes[-1].reason == "no answer to an own probe" or "three" in alone.changes[-1].reason
 
 
 def test_three_others_that_hold_it_dead_stand_for_an_own_probe():
@@ -343,15 +357,15 @@
     alone.tell(Leave())
     pings = [s for s in alone.sent if isinstance(s.body, wire.Ping)]
     assert pings[-1].body.status is Status.LEFT and alone.core.incarnation == 1
-    alone.tell(Return())
+    alone.tell(Rejoin())
     assert alone.core.status is Status.ALIVE and alone.core.incarnation == 2
 
 
 def test_a_roster_may_change_while_it_runs_and_strangers_are_counted():
     alone = joined(6)
-    alone.tell(Roster(seats(4) + [Seat("m9", "127.0.0.1:99")]))
+    alone.tell(RosterChange(seats(4) + [RosterEntry("m9", "127.0.0.1:99")]))
     assert sorted(alone.core.members) == ["m1", "m2", "m3", "m9"]
-    assert (alone.core.present, alone.core.total) == (3, 5)
+    assert (alone.core.present_count, alone.core.roster_size) == (3, 5)
     alone.tell(accuse("m5", Status.DEAD, 0, "m1"), accuse("m2", Status.ALIVE, 1, "m5"))
     assert alone.core.dropped["stranger"] == 2
     alone.run(5)
@@ -366,57 +380,59 @@
     alone = joined()
     alone.now += 4 * SECOND
     alone.tell()
-    assert alone.core.standing is Standing.IN_DOUBT
+    assert alone.core.quorum_state is QuorumState.UNCERTAIN
     alone.run(4)
-    assert not alone.changes and alone.core.standing is Standing.TOGETHER
+    assert not alone.changes and alone.core.quorum_state is QuorumState.MAJORITY
 
 
-def random_message(chance: random.Random) -> Heard:
+def random_message(chance: random.Random) -> Received:
     name = lambda: f"m{chance.randrange(9)}"  # noqa: E731
     status = lambda: Status(chance.randrange(5))  # noqa: E731
     number = lambda: chance.choice([0, 1, chance.randrange(20), chance.randrange(2**53)])  # noqa: E731
     ballot = wire.Ballot(number(), name())
-    topic = wire.Topic(number(), name(), number(), chance.randrange(2**53), number(), chance.randbytes(9))
-    about = chance.choice([REHEARSAL, REHEARSAL, "other"])
-    height = wire.Height(about, number(), number(), number())
+    topic = wire.TopicState(
+        number(), name(), number(), chance.randrange(2**53), number(), chance.randbytes(9)
+    )
+    about = chance.choice([REHEARSAL_TOPIC, REHEARSAL_TOPIC, "other"])
+    height = wire.TopicProgress(about, number(), number(), number())
     body = chance.choice(
         [
             lambda: wire.Ping(number(), status(), number(), status(), number(), number()),
             lambda: wire.Ack(number(), status(), number(), status(), number(), number()),
-            lambda: wire.Ask(number(), name()),
-            lambda: wire.Relayed(number(), name(), chance.random() < 0.5, number()),
+            lambda: wire.PingRequest(number(), name()),
+            lambda: wire.IndirectAck(number(), name(), chance.random() < 0.5, number()),
             lambda: wire.Table(chance.random() < 0.5, number(), [height]),
             lambda: wire.Prepare(about, ballot),
             lambda: wire.Promise(about, ballot, number(), ballot, topic, number()),
             lambda: wire.Accept(about, ballot, number(), topic),
             lambda: wire.Accepted(about, ballot, number()),
-            lambda: wire.Refused(about, ballot, ballot, chance.random() < 0.5),
-            lambda: wire.Recall(number(), number()),
-            lambda: wire.Recalled(
+            lambda: wire.Nack(about, ballot, ballot, chance.random() < 0.5),
+            lambda: wire.RecallRequest(number(), number()),
+            lambda: wire.RecallReply(
                 number(), number(), True, number(), [(about, ballot, ballot, topic)], True, 0
             ),
-            lambda: wire.Made(about, number(), number(), chance.randbytes(5)),
-            lambda: wire.Confirm(about, number(), number()),
-            lambda: wire.Confirmed(about, number(), number()),
+            lambda: wire.DecisionMade(about, number(), number(), chance.randbytes(5)),
+            lambda: wire.ConfirmRequest(about, number(), number()),
+            lambda: wire.ConfirmReply(about, number(), number()),
         ]
     )()
-    notes = [Note(name(), status(), number(), name()) for _ in range(chance.randrange(4))]
-    return Heard(name(), body, notes)
+    notes = [MemberUpdate(name(), status(), number(), name()) for _ in range(chance.randrange(4))]
+    return Received(name(), body, notes)
 
 
 def sizes(peer: Peer) -> dict[str, int]:
     m = peer.membership
     return {
         "probes": len(m.probes),
-        "news": len(m.news),
-        "checks": len(m.waiting_checks),
+        "news": len(m.pending_updates),
+        "checks": len(m.pending_checks),
         "members": len(m.members),
         "dropped": len(m.dropped),
-        "decided": len(peer.decided),
-        "words": sum(map(len, peer.words.values())),
+        "decided": len(peer.decisions),
+        "words": sum(map(len, peer.unconfirmed.values())),
         "registers": len(peer.elector.registers),
-        "claims": len(peer.claims.claims),
-        "recalled": len(peer.elector.recalled),
+        "claims": len(peer.proposer.claims),
+        "recalled": len(peer.elector.recall_replies),
     }
 
 
@@ -426,13 +442,13 @@
     chance = random.Random(11)
     names = tuple(f"m{at}" for at in range(8))
     now = 1000 * SECOND
-    told = Told("m0", tuple(seats(8)), names[:3], wants=(REHEARSAL,))
+    told = PeerSettings("m0", tuple(seats(8)), names[:3], wanted_topics=(REHEARSAL_TOPIC,))
     peer = Peer(told, 1, 1, now)
     for at in range(FUZZ):
         now += chance.choice([0, 0, 100, 3_000, 20_000])
         peer.step(now, [random_message(chance)])
         if at % 500 == 0:
-            peer.step(now, [Roster(chance.sample(seats(8)[1:], 5) + seats(1))])
+            peer.step(now, [RosterChange(chance.sample(seats(8)[1:], 5) + seats(1))])
         if at % 1000 == 0:
             bounds = {
                 "probes": 64,
@@ -454,5 +470,5 @@
     from pathlib import Path
 
     page = (Path(__file__).parent.parent / "docs" / "peers.md").read_text()
-    for row in TABLE.values():
+    for row in POLICY_TABLE.values():
         assert f"| {row.feature} | {row.alone} | {row.majority} | {row.falls_back} |" in page
--- a/tests/test_peers_processes.py
+++ b/tests/test_peers_processes.py
@@ -17,8 +17,8 @@
 from lupinmill.lab.fleet import Fault, Fleet, Network
 from lupinmill.lab.fleet_sockets import HOST, Rig
 from lupinmill.peers import wire
-from lupinmill.peers.peer import REHEARSAL
-from lupinmill.peers.wire import Note, Status
+from lupinmill.peers.peer import REHEARSAL_TOPIC
+from lupinmill.peers.wire import MemberUpdate, Status
 
 AT_ONCE = 4  # scenarios
 SCENARIOS = {}
@@ -342,21 +342,24 @@
     await lease(rig)
     epoch = max(rig.taken)
     rig.kill("m3")
-    chance, site = random.Random(9), wire.site_of("fleet")
+    chance, site = random.Random(9), wire.site_hash("fleet")
     for at in range(6_000):
         name = f"m{at % 5}"
-        notes = [Note(f"m{n}", Status(2 + at % 3), chance.choice([0, 1, at, 2**50]), name) for n in range(5)]
+        notes = [
+            MemberUpdate(f"m{n}", Status(2 + at % 3), chance.choice([0, 1, at, 2**50]), name)
+            for n in range(5)
+        ]
         body = chance.choice(
             [
                 wire.Ping(at, Status.ALIVE, at, Status.DEAD, at, 0),
                 wire.Ack(at, Status.ALIVE, at, Status.DEAD, 0, 0),
-                wire.Made(REHEARSAL, 99, 99, b"false"),
-                wire.Prepare(REHEARSAL, wire.Ballot(at, "m3:1")),
+                wire.DecisionMade(REHEARSAL_TOPIC, 99, 99, b"false"),
+                wire.Prepare(REHEARSAL_TOPIC, wire.Ballot(at, "m3:1")),
                 wire.Accept(
-                    REHEARSAL,
+                    REHEARSAL_TOPIC,
                     wire.Ballot(at, "m3:1"),
                     1,
-                    wire.Topic(epoch + 9, "m3", 1, 900_000, 9, b"false"),
+                    wire.TopicState(epoch + 9, "m3", 1, 900_000, 9, b"false"),
                 ),
             ]
         )
@@ -394,8 +397,8 @@
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
         for at in range(500):
             ping = wire.Ping(at, Status.ALIVE, 0, Status.DEAD, 9, 0)
-            sock.sendto(wire.encode(wire.site_of("fleet"), ping, []), rig.binds["m0"])
-    ping = wire.encode(wire.site_of("elsewhere"), wire.Ping(1, Status.ALIVE, 0, Status.DEAD, 9, 0), [])
+            sock.sendto(wire.encode(wire.site_hash("fleet"), ping, []), rig.binds["m0"])
+    ping = wire.encode(wire.site_hash("elsewhere"), wire.Ping(1, Status.ALIVE, 0, Status.DEAD, 9, 0), [])
     rig.relays["m1", "m0"].far.sock.sendto(ping, rig.binds["m0"])
     table = await show_of(rig, "m0", lambda table: table["datagrams"]["refused"].get("address", 0) >= 400)
     await show_of(rig, "m0", lambda table: table["datagrams"]["refused"].get("site") == 1)
--- a/tests/test_peers_wire.py
+++ b/tests/test_peers_wire.py
@@ -7,9 +7,9 @@
 from test_peers_members import random_message
 
 from lupinmill.peers import wire
-from lupinmill.peers.wire import Foreign, Note, Status
+from lupinmill.peers.wire import InvalidDatagram, MemberUpdate, Status
 
-SITE = wire.site_of("here")
+SITE = wire.site_hash("here")
 PING = wire.Ping(7, Status.ALIVE, 3, Status.SUSPECT, 2, 12345)
 
 
@@ -17,23 +17,23 @@
     chance = random.Random(3)
     for _ in range(3_000):
         heard = random_message(chance)
-        found = wire.decode(SITE, wire.encode(SITE, heard.body, heard.notes))
-        assert (found.body, found.notes) == (heard.body, heard.notes)
+        found = wire.decode(SITE, wire.encode(SITE, heard.body, heard.updates))
+        assert (found.body, found.updates) == (heard.body, heard.updates)
 
 
 def test_a_datagram_is_never_larger_than_agreed():
-    notes = [Note("n" * 63 + str(at % 10), Status.DEAD, 2**52 + at, "b" * 64) for at in range(24)]
+    notes = [MemberUpdate("n" * 63 + str(at % 10), Status.DEAD, 2**52 + at, "b" * 64) for at in range(24)]
     data = wire.encode(SITE, PING, notes)
-    assert len(data) <= wire.LARGEST and 0 < len(wire.decode(SITE, data).notes) < 24
-    topic = wire.Topic(2**53, "h" * 64, 2**62, 2**53, 2**53, bytes(wire.LARGEST_BODY))
+    assert len(data) <= wire.MAX_DATAGRAM_BYTES and 0 < len(wire.decode(SITE, data).updates) < 24
+    topic = wire.TopicState(2**53, "h" * 64, 2**62, 2**53, 2**53, bytes(wire.MAX_DECISION_BYTES))
     ballot = wire.Ballot(2**53, "n" * 96)
     for body in (
         wire.Promise("t" * 64, ballot, 2**62, ballot, topic, 2**53),
         wire.Accept("t" * 64, ballot, 2**62, topic),
-        wire.Recalled(2**62, 2**53, True, 2**53, [("t" * 64, ballot, ballot, topic)], True, 7),
-        wire.Made("t" * 64, 2**53, 2**53, bytes(wire.LARGEST_BODY)),
+        wire.RecallReply(2**62, 2**53, True, 2**53, [("t" * 64, ballot, ballot, topic)], True, 7),
+        wire.DecisionMade("t" * 64, 2**53, 2**53, bytes(wire.MAX_DECISION_BYTES)),
     ):
-        assert len(wire.encode(SITE, body, [])) <= wire.LARGEST
+        assert len(wire.encode(SITE, body, [])) <= wire.MAX_DATAGRAM_BYTES
 
 
 @pytest.mark.parametrize(
@@ -43,7 +43,7 @@
         (b"\x00" * 1201, "large"),
         (b"\xc1" * 40, "garbled"),
         (b"\x91" * 1100, "garbled"),
-        (wire.encode(wire.site_of("there"), PING, []), "site"),
+        (wire.encode(wire.site_hash("there"), PING, []), "site"),
         (wire.ENCODER.encode(wire.Datagram(2, SITE, PING, [])), "version"),
         (wire.ENCODER.encode([1, SITE, ["p", -1, 1, 0, 1, 0, 0], []]), "garbled"),
         (wire.ENCODER.encode([1, SITE, ["p", 1, 9, 0, 1, 0, 0], []]), "garbled"),
@@ -52,7 +52,7 @@
     ],
 )
 def test_what_can_not_be_read_is_told_apart_by_one_word(data, why):
-    with pytest.raises(Foreign, match=why):
+    with pytest.raises(InvalidDatagram, match=why):
         wire.decode(SITE, data)
 
 
@@ -61,14 +61,14 @@
         [1, SITE, ["p", 7, 1, 3, 2, 2, 12345, "more"], [["a", 1, 0, "b", 5]], "and more"]
     )
     found = wire.decode(SITE, data)
-    assert found.body == PING and found.notes == [Note("a", Status.ALIVE, 0, "b")]
+    assert found.body == PING and found.updates == [MemberUpdate("a", Status.ALIVE, 0, "b")]
 
 
 def test_bytes_of_any_kind_raise_nothing_else():
     """Seeded: good datagrams with flipped bits, cut off or joined, and noise. FUZZ=1000000 reads a
     million."""
     chance, count = random.Random(5), int(os.environ.get("FUZZ", "100000"))
-    good = [wire.encode(SITE, (heard := random_message(chance)).body, heard.notes) for _ in range(200)]
+    good = [wire.encode(SITE, (heard := random_message(chance)).body, heard.updates) for _ in range(200)]
     read = 0
     for at in range(count):
         data = bytearray(good[at % 200])
@@ -84,6 +84,6 @@
         try:
             wire.decode(SITE, bytes(data))
             read += 1
-        except Foreign:
+        except InvalidDatagram:
             pass
     assert 0 < read < count // 2
--- a/tests/test_scale_slopes.py
+++ b/tests/test_scale_slopes.py
@@ -296,7 +296,7 @@
         super().settle()
         membership = self.played[0].peer.membership
         member = membership.members[self.names[-1]]
-        membership.hold(member, Status.DEAD, 9, "", "planted")
+        membership.set_status(member, Status.DEAD, 9, "", "planted")
 
     def run(self, seconds: float) -> None:
         self.played[0].up = False
--- a/tests/test_start_faults.py
+++ b/tests/test_start_faults.py
@@ -382,7 +382,7 @@
 
 def test_a_defect_in_what_is_told_to_peers_does_not_keep_the_program_from_its_end():
     class Peers:
-        leave = come_back = staticmethod(raising)
+        leave = rejoin = staticmethod(raising)
 
     async def check(net: Net):
         net.program.peers = Peers()
