--- a/lupinmill/lab/hand_world.py
+++ b/lupinmill/lab/hand_world.py
@@ -12,7 +12,7 @@
 from itertools import combinations, product
 
 from lupinmill import terms as t
-from lupinmill.takeover.hand import (
+from lupinmill.takeover.claimant import (
     Cleared,
     Ended,
     Fenced,
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -8,8 +8,8 @@
 from lupinmill import terms as t
 from lupinmill.lab import hand_world
 from lupinmill.lab.hand_world import Departure, World, look, schedules, walks
-from lupinmill.takeover import place
-from lupinmill.takeover.hand import (
+from lupinmill.takeover import placement
+from lupinmill.takeover.claimant import (
     RESEND,
     RIPE,
     TRIES,
@@ -271,20 +271,20 @@
     zones = {f"m{n}": "abc"[n % 3] for n in range(12)}
     counts = dict.fromkeys(zones, 0)
     for number in range(3_000):
-        chosen = place.keepers(f"key {number}", zones)
-        assert chosen == place.keepers(f"key {number}", dict(reversed(zones.items())))
+        chosen = placement.keepers(f"key {number}", zones)
+        assert chosen == placement.keepers(f"key {number}", dict(reversed(zones.items())))
         assert len({zones[name] for name in chosen}) == 3
         for name in chosen:
             counts[name] += 1
     assert max(counts.values()) < 1.25 * 750 and min(counts.values()) > 0.75 * 750
-    assert place.keepers("k", {"m0": "a", "m1": "a"}) and len(place.keepers("k", {"m0": "a"})) == 1
+    assert placement.keepers("k", {"m0": "a", "m1": "a"}) and len(placement.keepers("k", {"m0": "a"})) == 1
 
 
 def test_what_a_dead_sidecar_had_is_spread_over_all_others():
     alive = [f"m{n}" for n in range(10)]
-    turns = [place.taker(f"key {n}", alive, "m3") for n in range(2_000)]
+    turns = [placement.taker(f"key {n}", alive, "m3") for n in range(2_000)]
     assert "m3" not in turns and max(turns.count(name) for name in alive) < 1.3 * 2_000 / 9
-    assert place.taker("k", []) is None
+    assert placement.taker("k", []) is None
 
 
 # --- every order of what can happen -------------------------------------------------------------------------
