--- a/lupinmill/lab/hand_world.py
+++ b/lupinmill/lab/hand_world.py
@@ -13,23 +13,23 @@
 
 from lupinmill import terms as t
 from lupinmill.takeover.claimant import (
-    Cleared,
-    Ended,
+    AddIntent,
+    AttemptCleared,
+    AttemptEnded,
+    Claimant,
+    ClaimantEvent,
+    EndStored,
     Fenced,
-    Finish,
-    Hand,
-    Heard,
-    Intend,
-    Kept,
-    Note,
-    Send,
-    Take,
+    FinishRecord,
+    KeeperReply,
+    RecordClaimed,
+    SendRequest,
+    StartRecord,
     TakeOver,
     Unprotected,
-    Won,
 )
-from lupinmill.takeover.keeper import Asking, Keeper
-from lupinmill.takeover.record import Intent, Next, Outcome, Work, onward
+from lupinmill.takeover.keeper import Keeper, Request
+from lupinmill.takeover.record import Intent, NextAction, Outcome, RequestInfo, next_step
 
 MS = 1_000
 LONGEST = 8_000 * MS
@@ -78,7 +78,7 @@
     def __init__(self, repeat: t.Repeat, first_refused: bool, plant: str = "") -> None:
         self.repeat, self.first_refused, self.plant = repeat, first_refused, plant
         self.now = 1_000 * MS
-        self.keepers = {name: Keeper(self.now, LONGEST, 100, 10**6, knows=True) for name in KEEPERS}
+        self.keepers = {name: Keeper(self.now, LONGEST, 100, 10**6, has_memory=True) for name in KEEPERS}
         self.hands = {name: self.hand(f"{name}:1") for name in PROCESSES}
         self.line: list[Event] = []
         self.effects: list[Effect] = []
@@ -91,8 +91,8 @@
         self.taken_over, self.came_again = 0, False
         self.trace: list[str] = []
 
-    def hand(self, process: str) -> Hand:
-        hand = Hand(process, lambda key: KEEPERS)
+    def hand(self, process: str) -> Claimant:
+        hand = Claimant(process, lambda key: KEEPERS)
         if self.plant == "claim by minority":
             hand.majority = lambda count: 1
         return hand
@@ -101,9 +101,11 @@
 
     def play(self, schedule: tuple[Departure, ...]) -> None:
         due = {departure.at: departure for departure in schedule}
-        work = Work(KEY, "bid", self.repeat, WINDOW if self.repeat is t.Repeat.DEDUPLICATED else 0, digest=7)
+        work = RequestInfo(
+            KEY, "bid", self.repeat, WINDOW if self.repeat is t.Repeat.DEDUPLICATED else 0, digest=7
+        )
         self.work = work
-        self.tell("o", Take(work, "e1", GROUPS["e1"]))
+        self.tell("o", StartRecord(work, "e1", GROUPS["e1"]))
         for number in range(MOST_EVENTS):
             if number in due:
                 self.depart(due[number])
@@ -123,7 +125,7 @@
         if "o" in self.stopped and not self.taken_over:
             self.take_over()  # others hold it dead long before it goes on
             return True
-        times = [h.next() for n, h in self.hands.items() if n not in self.down and n not in self.stopped]
+        times = [h.next_due() for n, h in self.hands.items() if n not in self.down and n not in self.stopped]
         times += list(self.stopped.values())
         times = [at for at in times if at is not None]
         if times:
@@ -144,7 +146,7 @@
         """Within the hard limit; what a client asks for long after that is a new thing to do."""
         self.came_again = True
         if self.now - self.began < HARD:
-            self.tell("u", Take(self.work, "e2", GROUPS["e2"]))
+            self.tell("u", StartRecord(self.work, "e2", GROUPS["e2"]))
 
     def take_over(self) -> None:
         """Sooner or later the owner is held dead, and somebody's turn comes."""
@@ -172,7 +174,9 @@
             self.take_over()
         elif what == "restart":
             name = KEEPERS[departure.whom % len(KEEPERS)]
-            self.keepers[name] = Keeper(self.now, LONGEST, 100, 10**6, knows=self.plant == "keeper forgets")
+            self.keepers[name] = Keeper(
+                self.now, LONGEST, 100, 10**6, has_memory=self.plant == "keeper forgets"
+            )
 
     def is_message(self, event: Event) -> bool:
         return event.to in KEEPERS or event.sender in KEEPERS
@@ -184,51 +188,51 @@
             if answer is not None:
                 self.line.append(Event(event.sender, event.to, answer))
         elif event.sender in KEEPERS:
-            self.tell(event.to, Heard(event.sender, event.body))  # type: ignore[arg-type]
+            self.tell(event.to, KeeperReply(event.sender, event.body))  # type: ignore[arg-type]
         elif event.to in self.down:
             return
-        elif isinstance(event.body, Send):
+        elif isinstance(event.body, SendRequest):
             self.line.append(Event(event.body.to, event.to, event.body.body))
-        elif isinstance(event.body, Cleared):
+        elif isinstance(event.body, AttemptCleared):
             self.launch(event.to, event.body)
         elif isinstance(event.body, tuple):
             self.outcome(event.to, *event.body)
 
     # What the program around the cores does.
 
-    def tell(self, name: str, *notes: Note) -> None:
+    def tell(self, name: str, *notes: ClaimantEvent) -> None:
         if name in self.down:
             return
         for order in self.hands[name].step(self.now, list(notes)):
-            if isinstance(order, Send):
+            if isinstance(order, SendRequest):
                 if self.plant == "launch before intent":
                     self.launch_unasked(name, order.body)
                     self.line.append(Event(name, name, order))
                 else:
                     self.line.append(Event(order.to, name, order.body))
-            elif isinstance(order, Cleared):
+            elif isinstance(order, AttemptCleared):
                 if self.plant != "launch before intent":
                     self.cleared[order.intent] = name
                     self.line.append(Event(name, name, order))
-            elif isinstance(order, Won):
+            elif isinstance(order, RecordClaimed):
                 self.go_on(name, order)
             elif isinstance(order, Unprotected):
                 self.answers.setdefault(name, "denied")
-            elif isinstance(order, Kept):
+            elif isinstance(order, EndStored):
                 self.kept = True
             elif isinstance(order, Fenced):
                 self.trace.append(f"{name} is fenced")
 
-    def launch_unasked(self, name: str, body: Asking) -> None:
+    def launch_unasked(self, name: str, body: Request) -> None:
         record = getattr(body, "record", None)
         for intent in sorted(record.intents if record else (), key=lambda i: (i.ballot, i.number)):
             if intent.ballot.process == f"{name}:1" and intent not in self.cleared:
                 self.cleared[intent] = name
-                self.line.append(Event(name, name, Cleared(KEY, intent, self.now + 10**12)))
+                self.line.append(Event(name, name, AttemptCleared(KEY, intent, self.now + 10**12)))
 
-    def launch(self, name: str, order: Cleared) -> None:
+    def launch(self, name: str, order: AttemptCleared) -> None:
         """The last look at the clock is just before the first byte."""
-        if self.now > order.by and self.plant != "stale clearance":
+        if self.now > order.deadline and self.plant != "stale clearance":
             self.trace.append(f"{name} lets {order.intent.number} go: it was cleared too long ago")
             return
         refused = self.first_refused and order.intent.ballot.number == 1 and order.intent.number == 0
@@ -238,22 +242,22 @@
         self.line.append(Event(name, "endpoint", (order.intent, how)))
 
     def outcome(self, name: str, intent: Intent, how: Outcome) -> None:
-        self.tell(name, Ended(intent, KEY, how))
+        self.tell(name, AttemptEnded(intent, KEY, how))
         if how is Outcome.HANDLED:
             self.answers.setdefault(name, "handled")
-            self.tell(name, Finish(KEY, "handled", b"yes"))
+            self.tell(name, FinishRecord(KEY, "handled", b"yes"))
         else:
-            self.tell(name, Intend(KEY, "e2", GROUPS["e2"]))
+            self.tell(name, AddIntent(KEY, "e2", GROUPS["e2"]))
 
-    def go_on(self, name: str, order: Won) -> None:
-        step = onward(order.record, order.oldest, self.began + HARD - self.now + LONGEST, 20 * MS)
-        if step.what is Next.ANYWHERE:
-            self.tell(name, Intend(KEY, "e2", GROUPS["e2"]))
-        elif step.what is Next.IN_GROUP:
+    def go_on(self, name: str, order: RecordClaimed) -> None:
+        step = next_step(order.record, order.oldest_age, self.began + HARD - self.now + LONGEST, 20 * MS)
+        if step.action is NextAction.ANYWHERE:
+            self.tell(name, AddIntent(KEY, "e2", GROUPS["e2"]))
+        elif step.action is NextAction.IN_GROUP:
             endpoint = next(e for e, group in GROUPS.items() if group == step.group)
-            self.tell(name, Intend(KEY, endpoint, step.group))
-        elif step.what is not Next.ENDED:
-            self.tell(name, Finish(KEY, step.what.value))
+            self.tell(name, AddIntent(KEY, endpoint, step.group))
+        elif step.action is not NextAction.ENDED:
+            self.tell(name, FinishRecord(KEY, step.action.value))
 
     # What must hold.
 
--- a/lupinmill/takeover/claimant.py
+++ b/lupinmill/takeover/claimant.py
@@ -15,13 +15,33 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field, replace
 
-from lupinmill.takeover.keeper import Begin, Claim, Full, Held, Promised, Refused, Stored, Write
-from lupinmill.takeover.record import Ages, Ballot, End, Intent, Outcome, Record, Work, merge
+from lupinmill.takeover.keeper import (
+    BallotRefused,
+    BeginRecord,
+    ClaimPromised,
+    ClaimRecord,
+    KeeperFull,
+    RecordHeld,
+    RecordStored,
+    WriteRecord,
+)
+from lupinmill.takeover.record import (
+    Intent,
+    IntentAges,
+    Outcome,
+    OwnerBallot,
+    Record,
+    RecordEnd,
+    RequestInfo,
+    merge,
+)
 
 MS = 1_000
-RESEND = 60 * MS
-TRIES = 4  # sends of one message, then it is given up
-RIPE = 500 * MS  # from asking on a launch must go out in this time, else it is asked for again
+RESEND_INTERVAL_US = 60 * MS
+MAX_SENDS = 4  # sends of one message, then it is given up
+CLEARANCE_LIFETIME_US = (
+    500 * MS
+)  # from asking on a launch must go out in this time, else it is asked for again
 
 
 def majority(count: int) -> int:
@@ -32,16 +52,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Take:
+class StartRecord:
     """A submission has come here, and its first launch is to go to this endpoint."""
 
-    work: Work
+    request: RequestInfo
     endpoint: str
     group: str = ""
 
 
 @dataclass(frozen=True, slots=True)
-class Intend:
+class AddIntent:
     """Another launch by the owner."""
 
     key: str
@@ -50,16 +70,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
+class AttemptEnded:
     intent: Intent
     key: str
-    how: Outcome
+    outcome: Outcome
 
 
 @dataclass(frozen=True, slots=True)
-class Finish:
+class FinishRecord:
     key: str
-    what: str
+    result: str
     answer: bytes = b""
 
 
@@ -71,42 +91,42 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
+class KeeperReply:
     keeper: str
-    body: Stored | Held | Promised | Refused | Full
+    body: RecordStored | RecordHeld | ClaimPromised | BallotRefused | KeeperFull
 
 
-Note = Take | Intend | Ended | Finish | TakeOver | Heard
+ClaimantEvent = StartRecord | AddIntent | AttemptEnded | FinishRecord | TakeOver | KeeperReply
 
 # --- orders ----------------------------------------------------------------------------------------
 
 
 @dataclass(frozen=True, slots=True)
-class Send:
+class SendRequest:
     to: str
-    body: Begin | Write | Claim
+    body: BeginRecord | WriteRecord | ClaimRecord
 
 
 @dataclass(frozen=True, slots=True)
-class Cleared:
+class AttemptCleared:
     """This launch may go out now, and until `by`."""
 
     key: str
     intent: Intent
-    by: int
+    deadline: int
 
 
 @dataclass(frozen=True, slots=True)
-class Won:
+class RecordClaimed:
     """The record is this process's: how to go on is `record.onward`. `oldest` as asked there."""
 
     key: str
     record: Record
-    oldest: int
+    oldest_age: int
 
 
 @dataclass(frozen=True, slots=True)
-class Elsewhere:
+class OwnedElsewhere:
     """Another process has it, or it has ended: who came here again waits there, or hears the end."""
 
     key: str
@@ -126,229 +146,246 @@
     workload."""
 
     key: str
-    why: str
+    reason: str
 
 
 @dataclass(frozen=True, slots=True)
-class Kept:
+class EndStored:
     """Its end is held by a majority."""
 
     key: str
 
 
-Order = Send | Cleared | Won | Elsewhere | Fenced | Unprotected | Kept
+ClaimantCommand = (
+    SendRequest | AttemptCleared | RecordClaimed | OwnedElsewhere | Fenced | Unprotected | EndStored
+)
 
 
 @dataclass(slots=True)
-class Hold:
-    ballot: Ballot
+class OwnershipState:
+    ballot: OwnerBallot
     record: Record | None
     phase: str  # begin, claim, own, fenced, unprotected
     keepers: tuple[str, ...]
-    serial: int = 0  # of the newest version
-    asked: int = 0  # when the newest version was first sent
-    resend: int = 0
-    tries: int = 0
+    version: int = 0  # of the newest version
+    first_sent_at: int = 0  # when the newest version was first sent
+    resend_at: int = 0
+    sends: int = 0
     acks: dict[str, int] = field(
         default_factory=dict
     )  # newest serial that a keeper holds; -1: it has no room
-    promises: dict[str, Promised] = field(default_factory=dict)
-    held: dict[str, Held] = field(default_factory=dict)
-    refused: dict[str, None] = field(default_factory=dict)
-    highest: int = 0  # number of any ballot seen
-    waiting: dict[Intent, int] = field(default_factory=dict)  # not cleared yet: the version that has it
-    ages: Ages = field(default_factory=Ages)
-    launches: int = 0
+    promises: dict[str, ClaimPromised] = field(default_factory=dict)
+    held_elsewhere: dict[str, RecordHeld] = field(default_factory=dict)
+    refusals: dict[str, None] = field(default_factory=dict)
+    highest_seen: int = 0  # number of any ballot seen
+    uncleared: dict[Intent, int] = field(default_factory=dict)  # not cleared yet: the version that has it
+    ages: IntentAges = field(default_factory=IntentAges)
+    attempts: int = 0
 
 
-class Hand:
+class Claimant:
     def __init__(self, process: str, keepers: Callable[[str], tuple[str, ...]]) -> None:
         """`keepers(key)`: names, the same at every member of one roster."""
         self.process, self.keepers_of = process, keepers
-        self.holds: dict[str, Hold] = {}
-        self.orders: list[Order] = []
+        self.states: dict[str, OwnershipState] = {}
+        self.commands: list[ClaimantCommand] = []
         self.now = 0
         self.majority: Callable[[int], int] = majority
 
-    def next(self) -> int | None:
-        return min((hold.resend for hold in self.holds.values() if hold.resend), default=None)
+    def next_due(self) -> int | None:
+        return min((state.resend_at for state in self.states.values() if state.resend_at), default=None)
 
-    def drop(self, key: str) -> None:
-        self.holds.pop(key, None)
+    def forget(self, key: str) -> None:
+        self.states.pop(key, None)
 
-    def step(self, now: int, notes: list[Note]) -> list[Order]:
+    def step(self, now: int, events: list[ClaimantEvent]) -> list[ClaimantCommand]:
         self.now = now
-        for note in notes:
-            if isinstance(note, Take):
-                self.take(note)
-            elif isinstance(note, TakeOver):
-                self.take_over(note)
-            elif isinstance(note, Heard):
-                hold = self.holds.get(note.body.key)
-                if hold is not None and note.keeper in hold.keepers and note.body.ballot == hold.ballot:
-                    self.heard(hold, note.keeper, note.body)
+        for event in events:
+            if isinstance(event, StartRecord):
+                self.start(event)
+            elif isinstance(event, TakeOver):
+                self.take_over(event)
+            elif isinstance(event, KeeperReply):
+                state = self.states.get(event.body.key)
+                if state is not None and event.keeper in state.keepers and event.body.ballot == state.ballot:
+                    self.on_reply(state, event.keeper, event.body)
             else:
-                self.change(note)
-        for key, hold in list(self.holds.items()):
-            if hold.resend and now >= hold.resend:
-                self.send_again(key, hold)
-        orders, self.orders = self.orders, []
-        return orders
+                self.update(event)
+        for key, state in list(self.states.items()):
+            if state.resend_at and now >= state.resend_at:
+                self.send_again(key, state)
+        commands, self.commands = self.commands, []
+        return commands
 
     # What this process wants.
 
-    def take(self, note: Take) -> None:
-        work = note.work
-        if work.key in self.holds:
+    def start(self, event: StartRecord) -> None:
+        request = event.request
+        if request.key in self.states:
             return
-        ballot = Ballot(1, self.process)
-        hold = Hold(ballot, Record(work), "begin", self.keepers_of(work.key))
-        self.holds[work.key] = hold
-        self.intend(hold, note.endpoint, note.group)
-        self.send_all(work.key, hold)
+        ballot = OwnerBallot(1, self.process)
+        state = OwnershipState(ballot, Record(request), "begin", self.keepers_of(request.key))
+        self.states[request.key] = state
+        self.add_intent(state, event.endpoint, event.group)
+        self.send_all(request.key, state)
 
-    def take_over(self, note: TakeOver) -> None:
+    def take_over(self, event: TakeOver) -> None:
         """Also one that was fenced, or is still asking, may: with a higher ballot than any that it has
         seen."""
-        before = self.holds.get(note.key)
+        before = self.states.get(event.key)
         if before is not None and before.phase in ("own", "claim"):
             return
-        number = 2 if before is None else max(before.ballot.number, before.highest) + 1
-        hold = Hold(Ballot(number, self.process), None, "claim", self.keepers_of(note.key))
-        self.holds[note.key] = hold
-        self.send_all(note.key, hold)
-
-    def change(self, note: Intend | Ended | Finish) -> None:
-        hold = self.holds.get(note.key)
-        if hold is None or hold.phase not in ("own", "begin") or hold.record is None:
+        number = 2 if before is None else max(before.ballot.number, before.highest_seen) + 1
+        state = OwnershipState(OwnerBallot(number, self.process), None, "claim", self.keepers_of(event.key))
+        self.states[event.key] = state
+        self.send_all(event.key, state)
+
+    def update(self, event: AddIntent | AttemptEnded | FinishRecord) -> None:
+        state = self.states.get(event.key)
+        if state is None or state.phase not in ("own", "begin") or state.record is None:
             return
-        if isinstance(note, Intend):
-            self.intend(hold, note.endpoint, note.group)
-        elif isinstance(note, Ended):
-            hold.record = replace(hold.record, outcomes=hold.record.outcomes | {(note.intent, note.how)})
+        if isinstance(event, AddIntent):
+            self.add_intent(state, event.endpoint, event.group)
+        elif isinstance(event, AttemptEnded):
+            state.record = replace(
+                state.record, outcomes=state.record.outcomes | {(event.intent, event.outcome)}
+            )
         else:
-            hold.record = replace(hold.record, end=End(hold.ballot, note.what, note.answer))
-        if hold.phase == "own":
-            hold.serial += 1
-            self.send_all(note.key, hold)
-
-    def intend(self, hold: Hold, endpoint: str, group: str) -> None:
-        assert hold.record is not None
-        intent = Intent(hold.ballot, hold.launches, endpoint, group)
-        hold.launches += 1
-        hold.record = replace(hold.record, intents=hold.record.intents | {intent})
-        hold.waiting[intent] = hold.serial + (hold.phase == "own")
+            state.record = replace(state.record, end=RecordEnd(state.ballot, event.result, event.answer))
+        if state.phase == "own":
+            state.version += 1
+            self.send_all(event.key, state)
+
+    def add_intent(self, state: OwnershipState, endpoint: str, group: str) -> None:
+        assert state.record is not None
+        intent = Intent(state.ballot, state.attempts, endpoint, group)
+        state.attempts += 1
+        state.record = replace(state.record, intents=state.record.intents | {intent})
+        state.uncleared[intent] = state.version + (state.phase == "own")
 
     # Messages.
 
-    def send_all(self, key: str, hold: Hold) -> None:
-        hold.asked, hold.tries = self.now, 0
-        self.send(key, hold)
+    def send_all(self, key: str, state: OwnershipState) -> None:
+        state.first_sent_at, state.sends = self.now, 0
+        self.send(key, state)
 
-    def send_again(self, key: str, hold: Hold) -> None:
-        if hold.tries >= TRIES:
-            hold.resend = 0
-            if hold.phase in ("begin", "claim") or hold.waiting:
-                self.give_up(key, hold, "no majority of its keepers answers")
+    def send_again(self, key: str, state: OwnershipState) -> None:
+        if state.sends >= MAX_SENDS:
+            state.resend_at = 0
+            if state.phase in ("begin", "claim") or state.uncleared:
+                self.give_up(key, state, "no majority of its keepers answers")
             return
-        self.send(key, hold)
-
-    def send(self, key: str, hold: Hold) -> None:
-        hold.tries += 1
-        hold.resend = self.now + RESEND
-        for keeper in hold.keepers:
-            if hold.phase == "claim":
-                if keeper not in hold.promises:
-                    self.orders.append(Send(keeper, Claim(key, hold.ballot)))
-            elif hold.phase == "begin" and hold.record is not None:
-                if keeper not in hold.acks and keeper not in hold.held:
-                    self.orders.append(Send(keeper, Begin(key, hold.ballot, hold.record)))
-            elif hold.phase == "own" and hold.record is not None and hold.acks.get(keeper, -1) < hold.serial:
-                self.orders.append(Send(keeper, Write(key, hold.ballot, hold.serial, hold.record)))
-
-    def heard(self, hold: Hold, keeper: str, body: Stored | Held | Promised | Refused | Full) -> None:
-        key, need = body.key, self.majority(len(hold.keepers))
-        if isinstance(body, Refused):
-            hold.highest = max(hold.highest, body.by.number)
-        if hold.phase in ("fenced", "unprotected"):
+        self.send(key, state)
+
+    def send(self, key: str, state: OwnershipState) -> None:
+        state.sends += 1
+        state.resend_at = self.now + RESEND_INTERVAL_US
+        for keeper in state.keepers:
+            if state.phase == "claim":
+                if keeper not in state.promises:
+                    self.commands.append(SendRequest(keeper, ClaimRecord(key, state.ballot)))
+            elif state.phase == "begin" and state.record is not None:
+                if keeper not in state.acks and keeper not in state.held_elsewhere:
+                    self.commands.append(SendRequest(keeper, BeginRecord(key, state.ballot, state.record)))
+            elif (
+                state.phase == "own"
+                and state.record is not None
+                and state.acks.get(keeper, -1) < state.version
+            ):
+                self.commands.append(
+                    SendRequest(keeper, WriteRecord(key, state.ballot, state.version, state.record))
+                )
+
+    def on_reply(
+        self,
+        state: OwnershipState,
+        keeper: str,
+        body: RecordStored | RecordHeld | ClaimPromised | BallotRefused | KeeperFull,
+    ) -> None:
+        key, needed = body.key, self.majority(len(state.keepers))
+        if isinstance(body, BallotRefused):
+            state.highest_seen = max(state.highest_seen, body.promised.number)
+        if state.phase in ("fenced", "unprotected"):
             return
-        if isinstance(body, Refused):
-            hold.refused[keeper] = None
+        if isinstance(body, BallotRefused):
+            state.refusals[keeper] = None
             # Only then can no majority be had; the owner to come reads in any case whatever was accepted.
-            if len(hold.keepers) - len(hold.refused) < need:
-                self.fence(key, hold)
-        elif isinstance(body, Full):
-            hold.acks[keeper] = -1
-            if sum(serial < 0 for serial in hold.acks.values()) > len(hold.keepers) - need:
-                self.give_up(key, hold, "its keepers have no room")
-        elif isinstance(body, Stored):
-            if hold.phase in ("begin", "own"):
-                hold.acks[keeper] = max(body.serial, hold.acks.get(keeper, 0))
-                self.count(key, hold, need)
-        elif isinstance(body, Held):
-            if hold.phase == "begin":
-                hold.held[keeper] = body
-                hold.highest = max(hold.highest, body.by.number)
-                if len(hold.keepers) - len(hold.held) < need:
-                    record = merge(held.record for held in hold.held.values())
-                    hold.phase, hold.resend = "fenced", 0
-                    hold.waiting.clear()
+            if len(state.keepers) - len(state.refusals) < needed:
+                self.fence(key, state)
+        elif isinstance(body, KeeperFull):
+            state.acks[keeper] = -1
+            if sum(version < 0 for version in state.acks.values()) > len(state.keepers) - needed:
+                self.give_up(key, state, "its keepers have no room")
+        elif isinstance(body, RecordStored):
+            if state.phase in ("begin", "own"):
+                state.acks[keeper] = max(body.version, state.acks.get(keeper, 0))
+                self.on_stored(key, state, needed)
+        elif isinstance(body, RecordHeld):
+            if state.phase == "begin":
+                state.held_elsewhere[keeper] = body
+                state.highest_seen = max(state.highest_seen, body.promised.number)
+                if len(state.keepers) - len(state.held_elsewhere) < needed:
+                    record = merge(held_elsewhere.record for held_elsewhere in state.held_elsewhere.values())
+                    state.phase, state.resend_at = "fenced", 0
+                    state.uncleared.clear()
                     assert record is not None
-                    self.orders.append(Elsewhere(key, record))
-        elif isinstance(body, Promised) and hold.phase == "claim":
-            hold.promises[keeper] = body
-            hold.ages.take(dict(body.ages))
-            if len(hold.promises) >= need:
-                self.won(key, hold)
-
-    def count(self, key: str, hold: Hold, need: int) -> None:
-        newest = sorted(hold.acks.values(), reverse=True)
-        if len(newest) < need or newest[need - 1] < 0:
+                    self.commands.append(OwnedElsewhere(key, record))
+        elif isinstance(body, ClaimPromised) and state.phase == "claim":
+            state.promises[keeper] = body
+            state.ages.merge(dict(body.ages))
+            if len(state.promises) >= needed:
+                self.on_claimed(key, state)
+
+    def on_stored(self, key: str, state: OwnershipState, needed: int) -> None:
+        versions = sorted(state.acks.values(), reverse=True)
+        if len(versions) < needed or versions[needed - 1] < 0:
             return
-        sure = newest[need - 1]  # a majority holds this version and all before
-        if hold.phase == "begin":
-            hold.phase = "own"
-            assert hold.record is not None
-            if len(hold.waiting) > 1 or hold.record.end is not None or hold.record.outcomes:
-                hold.serial += 1  # what came meanwhile is not in what they hold
-                first = min(hold.waiting, key=lambda intent: intent.number)
-                for intent in hold.waiting:
+        stored_version = versions[needed - 1]  # a majority holds this version and all before
+        if state.phase == "begin":
+            state.phase = "own"
+            assert state.record is not None
+            if len(state.uncleared) > 1 or state.record.end is not None or state.record.outcomes:
+                state.version += 1  # what came meanwhile is not in what they hold
+                first = min(state.uncleared, key=lambda intent: intent.number)
+                for intent in state.uncleared:
                     if intent != first:
-                        hold.waiting[intent] = hold.serial
-                self.send_all(key, hold)
-        ripe = self.now < hold.asked + RIPE
-        for intent, serial in list(hold.waiting.items()):
-            if serial <= sure:
-                del hold.waiting[intent]
-                if ripe:
-                    self.orders.append(Cleared(key, intent, hold.asked + RIPE))
+                        state.uncleared[intent] = state.version
+                self.send_all(key, state)
+        is_fresh = self.now < state.first_sent_at + CLEARANCE_LIFETIME_US
+        for intent, version in list(state.uncleared.items()):
+            if version <= stored_version:
+                del state.uncleared[intent]
+                if is_fresh:
+                    self.commands.append(
+                        AttemptCleared(key, intent, state.first_sent_at + CLEARANCE_LIFETIME_US)
+                    )
                 else:
                     # Guards against a process that was stopped: what was granted long ago is asked for again.
-                    hold.serial += 1
-                    hold.waiting[intent] = hold.serial
-                    self.send_all(key, hold)
-        if sure >= hold.serial and not hold.waiting:
-            hold.resend = 0
-            if hold.record is not None and hold.record.end is not None:
-                self.orders.append(Kept(key))
-
-    def won(self, key: str, hold: Hold) -> None:
-        record = merge(one.record for one in hold.promises.values() if one.record is not None)
+                    state.version += 1
+                    state.uncleared[intent] = state.version
+                    self.send_all(key, state)
+        if stored_version >= state.version and not state.uncleared:
+            state.resend_at = 0
+            if state.record is not None and state.record.end is not None:
+                self.commands.append(EndStored(key))
+
+    def on_claimed(self, key: str, state: OwnershipState) -> None:
+        record = merge(one.record for one in state.promises.values() if one.record is not None)
         if record is None:
-            hold.resend = 0
-            self.holds.pop(key)  # nobody holds anything of it
+            state.resend_at = 0
+            self.states.pop(key)  # nobody holds anything of it
             return
-        hold.phase, hold.record, hold.serial = "own", record, 1
-        hold.acks.clear()
-        self.orders.append(Won(key, record, hold.ages.oldest(record)))
-        self.send_all(key, hold)
-
-    def give_up(self, key: str, hold: Hold, why: str) -> None:
-        hold.phase, hold.resend = "unprotected", 0
-        hold.waiting.clear()
-        self.orders.append(Unprotected(key, why))
-
-    def fence(self, key: str, hold: Hold) -> None:
-        hold.phase, hold.resend = "fenced", 0
-        hold.waiting.clear()
-        self.orders.append(Fenced(key))
+        state.phase, state.record, state.version = "own", record, 1
+        state.acks.clear()
+        self.commands.append(RecordClaimed(key, record, state.ages.oldest(record)))
+        self.send_all(key, state)
+
+    def give_up(self, key: str, state: OwnershipState, reason: str) -> None:
+        state.phase, state.resend_at = "unprotected", 0
+        state.uncleared.clear()
+        self.commands.append(Unprotected(key, reason))
+
+    def fence(self, key: str, state: OwnershipState) -> None:
+        state.phase, state.resend_at = "fenced", 0
+        state.uncleared.clear()
+        self.commands.append(Fenced(key))
--- a/lupinmill/takeover/keeper.py
+++ b/lupinmill/takeover/keeper.py
@@ -11,169 +11,181 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from lupinmill.takeover.record import Ballot, Intent, Record
+from lupinmill.takeover.record import Intent, OwnerBallot, Record
 
-ENTRY = 400  # bytes that an entry takes beside its body and answer, more or less
+ENTRY_OVERHEAD_BYTES = 400  # bytes that an entry takes beside its body and answer, more or less
 
 
 # --- messages --------------------------------------------------------------------------------------
 
 
 @dataclass(frozen=True, slots=True)
-class Begin:
+class BeginRecord:
     """A key that its sender takes for new, mostly with the first intent."""
 
     key: str
-    ballot: Ballot
+    ballot: OwnerBallot
     record: Record
 
 
 @dataclass(frozen=True, slots=True)
-class Write:
+class WriteRecord:
     """The owner's whole record: `serial` counts its versions."""
 
     key: str
-    ballot: Ballot
-    serial: int
+    ballot: OwnerBallot
+    version: int
     record: Record
 
 
 @dataclass(frozen=True, slots=True)
-class Claim:
+class ClaimRecord:
     key: str
-    ballot: Ballot
+    ballot: OwnerBallot
 
 
 @dataclass(frozen=True, slots=True)
-class Stored:
+class RecordStored:
     """To `Begin` (serial 0) and `Write`: it is held here, under that ballot."""
 
     key: str
-    ballot: Ballot
-    serial: int
+    ballot: OwnerBallot
+    version: int
 
 
 @dataclass(frozen=True, slots=True)
-class Held:
+class RecordHeld:
     """To `Begin`: another has it, or had."""
 
     key: str
-    ballot: Ballot  # of the `Begin`
-    by: Ballot
+    ballot: OwnerBallot  # of the `Begin`
+    promised: OwnerBallot
     record: Record
     ages: tuple[tuple[Intent, int], ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
-class Promised:
+class ClaimPromised:
     """To `Claim`: nobody with a lower ballot writes here any more."""
 
     key: str
-    ballot: Ballot
+    ballot: OwnerBallot
     record: Record | None
     ages: tuple[tuple[Intent, int], ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
-class Refused:
+class BallotRefused:
     """A higher ballot was promised."""
 
     key: str
-    ballot: Ballot
-    by: Ballot
+    ballot: OwnerBallot
+    promised: OwnerBallot
 
 
 @dataclass(frozen=True, slots=True)
-class Full:
+class KeeperFull:
     """No room: this keeper holds nothing of it."""
 
     key: str
-    ballot: Ballot
+    ballot: OwnerBallot
 
 
-Asking = Begin | Write | Claim
-Answer = Stored | Held | Promised | Refused | Full
+Request = BeginRecord | WriteRecord | ClaimRecord
+Reply = RecordStored | RecordHeld | ClaimPromised | BallotRefused | KeeperFull
 
 
 @dataclass(slots=True)
 class Entry:
-    promised: Ballot
+    promised: OwnerBallot
     record: Record | None
-    until: int
-    heard: dict[Intent, int] = field(default_factory=dict)  # when each intent was first heard of
+    expires_at: int
+    first_seen: dict[Intent, int] = field(default_factory=dict)  # when each intent was first heard of
     size: int = 0
 
 
 class Keeper:
-    def __init__(self, now: int, longest: int, most: int, most_bytes: int, knows: bool = False) -> None:
+    def __init__(
+        self, now: int, retention: int, max_entries: int, max_bytes: int, has_memory: bool = False
+    ) -> None:
         """`knows`: nothing can have been promised before, as at the start of a whole site."""
-        self.longest, self.most, self.most_bytes = longest, most, most_bytes
-        self.silent_until = now if knows else now + longest
+        self.retention, self.max_entries, self.max_bytes = retention, max_entries, max_bytes
+        self.silent_until = now if has_memory else now + retention
         self.entries: dict[str, Entry] = {}
         self.size = 0
-        self.refused = 0  # for want of room
+        self.rejected_count = 0  # for want of room
         self.now = now
 
-    def step(self, now: int, message: Asking) -> Answer | None:
+    def step(self, now: int, request: Request) -> Reply | None:
         self.now = now
-        self.forget()
+        self.evict_expired()
         if now < self.silent_until:
             return None
-        entry = self.entries.get(message.key)
-        if isinstance(message, Claim):
-            return self.claim(entry, message)
-        if isinstance(message, Begin) and entry is not None and entry.promised != message.ballot:
+        entry = self.entries.get(request.key)
+        if isinstance(request, ClaimRecord):
+            return self.claim(entry, request)
+        if isinstance(request, BeginRecord) and entry is not None and entry.promised != request.ballot:
             if entry.record is None:  # claimed, and never begun here
-                return Refused(message.key, message.ballot, entry.promised)
-            return Held(message.key, message.ballot, entry.promised, entry.record, self.ages(entry))
-        if entry is not None and message.ballot < entry.promised:
-            return Refused(message.key, message.ballot, entry.promised)
-        return self.store(entry, message)
+                return BallotRefused(request.key, request.ballot, entry.promised)
+            return RecordHeld(request.key, request.ballot, entry.promised, entry.record, self.ages(entry))
+        if entry is not None and request.ballot < entry.promised:
+            return BallotRefused(request.key, request.ballot, entry.promised)
+        return self.store(entry, request)
 
-    def claim(self, entry: Entry | None, message: Claim) -> Answer:
+    def claim(self, entry: Entry | None, request: ClaimRecord) -> Reply:
         if entry is None:
-            if len(self.entries) >= self.most:
-                self.refused += 1
-                return Full(message.key, message.ballot)
-            entry = self.entries[message.key] = Entry(message.ballot, None, 0)
-        elif message.ballot < entry.promised:
-            return Refused(message.key, message.ballot, entry.promised)
-        entry.promised, entry.until = message.ballot, self.now + self.longest
-        self.move_last(message.key)
-        return Promised(message.key, message.ballot, entry.record, self.ages(entry))
-
-    def store(self, entry: Entry | None, message: Begin | Write) -> Answer:
-        record = message.record
+            if len(self.entries) >= self.max_entries:
+                self.rejected_count += 1
+                return KeeperFull(request.key, request.ballot)
+            entry = self.entries[request.key] = Entry(request.ballot, None, 0)
+        elif request.ballot < entry.promised:
+            return BallotRefused(request.key, request.ballot, entry.promised)
+        entry.promised, entry.expires_at = request.ballot, self.now + self.retention
+        self.move_last(request.key)
+        return ClaimPromised(request.key, request.ballot, entry.record, self.ages(entry))
+
+    def store(self, entry: Entry | None, request: BeginRecord | WriteRecord) -> Reply:
+        record = request.record
         if entry is not None and entry.record is not None:
             record = entry.record.merged(record)
-        size = ENTRY + len(record.work.body) + (len(record.end.answer) if record.end is not None else 0)
+        size = (
+            ENTRY_OVERHEAD_BYTES
+            + len(record.request.body)
+            + (len(record.end.answer) if record.end is not None else 0)
+        )
         before = entry.size if entry is not None else 0
-        if entry is None and len(self.entries) >= self.most or self.size - before + size > self.most_bytes:
-            self.refused += 1
-            return Full(message.key, message.ballot)
+        if (
+            entry is None
+            and len(self.entries) >= self.max_entries
+            or self.size - before + size > self.max_bytes
+        ):
+            self.rejected_count += 1
+            return KeeperFull(request.key, request.ballot)
         if entry is None:
-            entry = self.entries[message.key] = Entry(message.ballot, None, 0)
+            entry = self.entries[request.key] = Entry(request.ballot, None, 0)
         self.size += size - before
-        entry.promised, entry.record, entry.size = message.ballot, record, size
-        entry.until = self.now + self.longest
+        entry.promised, entry.record, entry.size = request.ballot, record, size
+        entry.expires_at = self.now + self.retention
         for intent in record.intents:
-            entry.heard.setdefault(intent, self.now)
-        self.move_last(message.key)
-        return Stored(message.key, message.ballot, message.serial if isinstance(message, Write) else 0)
+            entry.first_seen.setdefault(intent, self.now)
+        self.move_last(request.key)
+        return RecordStored(
+            request.key, request.ballot, request.version if isinstance(request, WriteRecord) else 0
+        )
 
     def ages(self, entry: Entry) -> tuple[tuple[Intent, int], ...]:
-        return tuple((intent, self.now - at) for intent, at in entry.heard.items())
+        return tuple((intent, self.now - at) for intent, at in entry.first_seen.items())
 
     def move_last(self, key: str) -> None:
         """Entries stand in the order in which they run out."""
         self.entries[key] = self.entries.pop(key)
 
-    def forget(self) -> None:
-        for key in list(self.run_out()):
+    def evict_expired(self) -> None:
+        for key in list(self.expired_keys()):
             self.size -= self.entries.pop(key).size
 
-    def run_out(self) -> Iterator[str]:
+    def expired_keys(self) -> Iterator[str]:
         for key, entry in self.entries.items():
-            if entry.until > self.now:
+            if entry.expires_at > self.now:
                 return
             yield key
--- a/lupinmill/takeover/placement.py
+++ b/lupinmill/takeover/placement.py
@@ -17,14 +17,14 @@
     return xxhash.xxh64_intdigest(f"{len(key)}:{key}{name}".encode())
 
 
-def order(key: str, names: Iterable[str]) -> list[str]:
+def rank(key: str, names: Iterable[str]) -> list[str]:
     return sorted(names, key=lambda name: (-score(key, name), name))
 
 
-def keepers(key: str, zones: Mapping[str, str], count: int = 3) -> tuple[str, ...]:
+def choose_keepers(key: str, zones: Mapping[str, str], count: int = 3) -> tuple[str, ...]:
     """`zones`: of each member of the roster. In as many zones as there are, so that one lost zone takes no
     majority away where there are three."""
-    ranked = order(key, zones)
+    ranked = rank(key, zones)
     chosen: list[str] = []
     used: dict[str, int] = {}
     while len(chosen) < min(count, len(ranked)):
@@ -35,7 +35,7 @@
     return tuple(chosen)
 
 
-def taker(key: str, alive: Iterable[str], but: str = "") -> str | None:
+def choose_successor(key: str, alive: Iterable[str], excluded: str = "") -> str | None:
     """Whose turn it is, by this one's view: spread by key over all that are there. Two that see it
     differently both claim, and the ballots tell them apart."""
-    return next((name for name in order(f"taker {key}", alive) if name != but), None)
+    return next((name for name in rank(f"taker {key}", alive) if name != excluded), None)
--- a/lupinmill/takeover/record.py
+++ b/lupinmill/takeover/record.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True, slots=True, order=True)
-class Ballot:
+class OwnerBallot:
     """Under which a process owns a record: the fencing token. No two processes ever have the same one."""
 
     number: int = 0
@@ -30,23 +30,23 @@
 class Intent:
     """That a launch is about to be made. `group` names those that drop each other's repeats of it."""
 
-    ballot: Ballot
+    ballot: OwnerBallot
     number: int
     endpoint: str
     group: str = ""
 
 
 @dataclass(frozen=True, slots=True)
-class End:
+class RecordEnd:
     """Of the submission, for its client: once told, what any later one hears who comes with its key."""
 
-    ballot: Ballot
-    what: str  # handled, denied, broken off
+    ballot: OwnerBallot
+    result: str  # handled, denied, broken off
     answer: bytes = b""
 
 
 @dataclass(frozen=True, slots=True)
-class Work:
+class RequestInfo:
     """What a launch needs, and what the rules ask."""
 
     key: str
@@ -60,10 +60,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    work: Work
+    request: RequestInfo
     intents: frozenset[Intent] = frozenset()
     outcomes: frozenset[tuple[Intent, Outcome]] = frozenset()
-    end: End | None = None
+    end: RecordEnd | None = None
 
     def merged(self, other: Record) -> Record:
         end = max((e for e in (self.end, other.end) if e is not None), key=lambda e: e.ballot, default=None)
@@ -76,8 +76,8 @@
 
     def may_have_run(self) -> list[Intent]:
         """Intents that no outcome says never ran, the first one first."""
-        never = {intent for intent, how in self.outcomes if how is Outcome.NEVER_RAN}
-        return sorted(self.intents - never, key=lambda one: (one.ballot, one.number))
+        never = {intent for intent, outcome in self.outcomes if outcome is Outcome.NEVER_RAN}
+        return sorted(self.intents - never, key=lambda intent: (intent.ballot, intent.number))
 
 
 def merge(records: Iterable[Record]) -> Record | None:
@@ -87,7 +87,7 @@
     return found
 
 
-class Next(Enum):
+class NextAction(Enum):
     """How one goes on with a record that it has claimed."""
 
     ENDED = "ended"  # there is an end: it is told to who asks
@@ -98,41 +98,41 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Onward:
-    what: Next
+class NextStep:
+    action: NextAction
     group: str = ""
 
 
-def onward(record: Record, oldest: int, left: int, margin: int) -> Onward:
+def next_step(record: Record, oldest: int, time_left: int, margin: int) -> NextStep:
     """Rule 2 for the next owner. `oldest`: microseconds since the first intent that may have run, at least;
     `left`: to the hard limit; `margin`: what a launch needs of both."""
     if record.end is not None:
-        return Onward(Next.ENDED)
-    ran, work = record.may_have_run(), record.work
-    late = left <= margin
-    if not ran:
-        return Onward(Next.DENIED if late else Next.ANYWHERE)
-    if work.repeat is t.Repeat.IDEMPOTENT:
-        return Onward(Next.DENIED if late else Next.ANYWHERE)
-    groups = {one.group for one in ran}
-    if work.repeat is t.Repeat.DEDUPLICATED and len(groups) == 1 and "" not in groups:
-        if not late and oldest + margin < work.window:
-            return Onward(Next.IN_GROUP, ran[0].group)
-        if work.group_all:
-            return Onward(Next.DENIED)
-    return Onward(Next.BROKEN_OFF)
+        return NextStep(NextAction.ENDED)
+    possibly_ran, request = record.may_have_run(), record.request
+    too_late = time_left <= margin
+    if not possibly_ran:
+        return NextStep(NextAction.DENIED if too_late else NextAction.ANYWHERE)
+    if request.repeat is t.Repeat.IDEMPOTENT:
+        return NextStep(NextAction.DENIED if too_late else NextAction.ANYWHERE)
+    groups = {intent.group for intent in possibly_ran}
+    if request.repeat is t.Repeat.DEDUPLICATED and len(groups) == 1 and "" not in groups:
+        if not too_late and oldest + margin < request.window:
+            return NextStep(NextAction.IN_GROUP, possibly_ran[0].group)
+        if request.group_all:
+            return NextStep(NextAction.DENIED)
+    return NextStep(NextAction.BROKEN_OFF)
 
 
 @dataclass(slots=True)
-class Ages:
+class IntentAges:
     """Microseconds since a keeper first heard of each intent, by its own clock; the largest of several
     counts."""
 
-    of: dict[Intent, int] = field(default_factory=dict)
+    by_intent: dict[Intent, int] = field(default_factory=dict)
 
-    def take(self, other: dict[Intent, int]) -> None:
+    def merge(self, other: dict[Intent, int]) -> None:
         for intent, age in other.items():
-            self.of[intent] = max(age, self.of.get(intent, 0))
+            self.by_intent[intent] = max(age, self.by_intent.get(intent, 0))
 
     def oldest(self, record: Record) -> int:
-        return max((self.of.get(intent, 0) for intent in record.may_have_run()), default=0)
+        return max((self.by_intent.get(intent, 0) for intent in record.may_have_run()), default=0)
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -10,41 +10,51 @@
 from lupinmill.lab.hand_world import Departure, World, look, schedules, walks
 from lupinmill.takeover import placement
 from lupinmill.takeover.claimant import (
-    RESEND,
-    RIPE,
-    TRIES,
-    Cleared,
-    Elsewhere,
-    Ended,
+    CLEARANCE_LIFETIME_US,
+    MAX_SENDS,
+    RESEND_INTERVAL_US,
+    AddIntent,
+    AttemptCleared,
+    AttemptEnded,
+    Claimant,
+    EndStored,
     Fenced,
-    Finish,
-    Hand,
-    Heard,
-    Intend,
-    Kept,
-    Send,
-    Take,
+    FinishRecord,
+    KeeperReply,
+    OwnedElsewhere,
+    RecordClaimed,
+    SendRequest,
+    StartRecord,
     TakeOver,
     Unprotected,
-    Won,
 )
-from lupinmill.takeover.keeper import Begin, Claim, Full, Held, Keeper, Promised, Refused, Stored, Write
+from lupinmill.takeover.keeper import (
+    BallotRefused,
+    BeginRecord,
+    ClaimPromised,
+    ClaimRecord,
+    Keeper,
+    KeeperFull,
+    RecordHeld,
+    RecordStored,
+    WriteRecord,
+)
 from lupinmill.takeover.record import (
-    Ages,
-    Ballot,
-    End,
     Intent,
-    Next,
+    IntentAges,
+    NextAction,
     Outcome,
+    OwnerBallot,
     Record,
-    Work,
+    RecordEnd,
+    RequestInfo,
     merge,
-    onward,
+    next_step,
 )
 
 MS, SECOND = 1_000, 1_000_000
 NAMES = ("k0", "k1", "k2")
-BID = Work("bid-1", "bid", t.Repeat.DEDUPLICATED, 3 * SECOND, digest=7, body=b"x" * 50)
+BID = RequestInfo("bid-1", "bid", t.Repeat.DEDUPLICATED, 3 * SECOND, digest=7, body=b"x" * 50)
 
 
 class Site:
@@ -52,31 +62,31 @@
 
     def __init__(self, most: int = 10, most_bytes: int = 100_000) -> None:
         self.now = SECOND
-        self.keepers = {name: Keeper(0, 10 * SECOND, most, most_bytes, knows=True) for name in NAMES}
+        self.keepers = {name: Keeper(0, 10 * SECOND, most, most_bytes, has_memory=True) for name in NAMES}
         self.away: set[str] = set()
-        self.hands: dict[str, Hand] = {}
+        self.hands: dict[str, Claimant] = {}
         self.orders: dict[str, list] = {}
 
     def step(self, name: str, *notes) -> list:
-        hand = self.hands.setdefault(name, Hand(f"{name}:1", lambda key: NAMES))
+        hand = self.hands.setdefault(name, Claimant(f"{name}:1", lambda key: NAMES))
         told, pending = [], list(notes)
         while True:
             orders = hand.step(self.now, pending)
             pending = []
             for order in orders:
-                if not isinstance(order, Send):
+                if not isinstance(order, SendRequest):
                     told.append(order)
                 elif order.to not in self.away:
                     answer = self.keepers[order.to].step(self.now, order.body)
                     if answer is not None:
-                        pending.append(Heard(order.to, answer))
+                        pending.append(KeeperReply(order.to, answer))
             if not pending:
                 break
         self.orders.setdefault(name, []).extend(told)
         return told
 
-    def take(self, name: str, work: Work = BID) -> list:
-        return self.step(name, Take(work, "e1", "north"))
+    def take(self, name: str, work: RequestInfo = BID) -> list:
+        return self.step(name, StartRecord(work, "e1", "north"))
 
 
 def of(orders: list, kind: type) -> list:
@@ -90,12 +100,12 @@
     site = Site()
     site.away = {"k0"}
     (cleared,) = site.take("o")
-    assert isinstance(cleared, Cleared) and cleared.intent.endpoint == "e1"
+    assert isinstance(cleared, AttemptCleared) and cleared.intent.endpoint == "e1"
     site = Site()
     site.away = {"k0", "k1"}
     assert site.take("o") == []
-    for _ in range(TRIES):
-        site.now += RESEND
+    for _ in range(MAX_SENDS):
+        site.now += RESEND_INTERVAL_US
         told = site.step("o")
     assert [type(order) for order in told] == [Unprotected]
 
@@ -106,11 +116,11 @@
     site.away = set(NAMES)
     site.take("o")
     hand, now = site.hands["o"], site.now
-    sent = Begin(BID.key, Ballot(1, "o:1"), hand.holds[BID.key].record)
-    answers = [Heard(name, site.keepers[name].step(now, sent)) for name in NAMES]
-    site.away, site.now = set(), now + RIPE + 1
+    sent = BeginRecord(BID.key, OwnerBallot(1, "o:1"), hand.states[BID.key].record)
+    answers = [KeeperReply(name, site.keepers[name].step(now, sent)) for name in NAMES]
+    site.away, site.now = set(), now + CLEARANCE_LIFETIME_US + 1
     (cleared,) = site.step("o", *answers)
-    assert cleared.by == site.now + RIPE
+    assert cleared.deadline == site.now + CLEARANCE_LIFETIME_US
 
 
 def test_who_takes_over_sees_what_may_have_run_and_the_old_owner_is_fenced():
@@ -118,32 +128,32 @@
     site.away = {"k2"}
     site.take("o")
     site.away = {"k0"}
-    (won,) = of(site.step("t", TakeOver(BID.key)), Won)
+    (won,) = of(site.step("t", TakeOver(BID.key)), RecordClaimed)
     assert [intent.endpoint for intent in won.record.intents] == ["e1"]
     site.away = set()
-    told = site.step("o", Intend(BID.key, "e2", "south"))
-    assert [type(order) for order in told] == [Fenced] and not of(told, Cleared)
+    told = site.step("o", AddIntent(BID.key, "e2", "south"))
+    assert [type(order) for order in told] == [Fenced] and not of(told, AttemptCleared)
 
 
 def test_two_that_claim_one_after_the_other_have_different_ballots_and_the_later_one_owns():
     site = Site()
     site.take("o")
-    assert of(site.step("t", TakeOver(BID.key)), Won)
-    won = of(site.step("u", TakeOver(BID.key)), Won)
+    assert of(site.step("t", TakeOver(BID.key)), RecordClaimed)
+    won = of(site.step("u", TakeOver(BID.key)), RecordClaimed)
     if not won:  # its ballot was the lower of two alike: it comes again, higher
-        won = of(site.step("u", TakeOver(BID.key)), Won)
+        won = of(site.step("u", TakeOver(BID.key)), RecordClaimed)
     assert won
-    assert not of(site.step("t", Intend(BID.key, "e2", "south")), Cleared)
-    assert of(site.step("u", Intend(BID.key, "e1", "north")), Cleared)
+    assert not of(site.step("t", AddIntent(BID.key, "e2", "south")), AttemptCleared)
+    assert of(site.step("u", AddIntent(BID.key, "e1", "north")), AttemptCleared)
 
 
 def test_a_client_that_comes_again_finds_it_held_and_then_its_end():
     site = Site()
     (cleared,) = site.take("o")
     (found,) = site.take("u")
-    assert isinstance(found, Elsewhere) and found.record.end is None and found.record.work.digest == 7
-    site.step("o", Ended(cleared.intent, BID.key, Outcome.HANDLED))
-    assert of(site.step("o", Finish(BID.key, "handled", b"yes")), Kept)
+    assert isinstance(found, OwnedElsewhere) and found.record.end is None and found.record.request.digest == 7
+    site.step("o", AttemptEnded(cleared.intent, BID.key, Outcome.HANDLED))
+    assert of(site.step("o", FinishRecord(BID.key, "handled", b"yes")), EndStored)
     (found,) = site.take("t")
     assert found.record.end.answer == b"yes"
 
@@ -153,10 +163,10 @@
     site.take("o")
     for name in ("k0", "k1"):
         site.keepers[name] = Keeper(site.now, 10 * SECOND, 10, 100_000)
-    assert not of(site.step("t", TakeOver(BID.key)), Won)
+    assert not of(site.step("t", TakeOver(BID.key)), RecordClaimed)
     site.now += 10 * SECOND
-    (cleared,) = of(site.take("u"), Cleared)
-    assert cleared.intent.ballot == Ballot(1, "u:1")
+    (cleared,) = of(site.take("u"), AttemptCleared)
+    assert cleared.intent.ballot == OwnerBallot(1, "u:1")
 
 
 # --- keepers ------------------------------------------------------------------------------------------------
@@ -165,76 +175,83 @@
 def test_a_keeper_without_room_says_so_and_counts_it():
     site = Site(most=1)
     site.take("o")
-    told = site.take("o", Work("bid-2", "bid", t.Repeat.DEDUPLICATED, SECOND))
-    assert [type(order) for order in told] == [Unprotected] and "room" in told[0].why
-    assert all(keeper.refused == 1 and len(keeper.entries) == 1 for keeper in site.keepers.values())
+    told = site.take("o", RequestInfo("bid-2", "bid", t.Repeat.DEDUPLICATED, SECOND))
+    assert [type(order) for order in told] == [Unprotected] and "room" in told[0].reason
+    assert all(keeper.rejected_count == 1 and len(keeper.entries) == 1 for keeper in site.keepers.values())
     site = Site(most_bytes=100)
     assert [type(order) for order in site.take("o")] == [Unprotected]
 
 
 def test_an_entry_is_given_back_when_it_has_run_out():
-    keeper = Keeper(0, 10 * SECOND, 100, 10**6, knows=True)
+    keeper = Keeper(0, 10 * SECOND, 100, 10**6, has_memory=True)
     for number in range(50):
-        work = Work(f"k{number}", "bid", t.Repeat.DEDUPLICATED, SECOND, body=b"x" * 100)
-        keeper.step(number * SECOND, Begin(work.key, Ballot(1, "o:1"), Record(work)))
+        work = RequestInfo(f"k{number}", "bid", t.Repeat.DEDUPLICATED, SECOND, body=b"x" * 100)
+        keeper.step(number * SECOND, BeginRecord(work.key, OwnerBallot(1, "o:1"), Record(work)))
     assert len(keeper.entries) == 10 and keeper.size == 10 * 500
-    keeper.step(100 * SECOND, Claim("none", Ballot(1, "o:1")))
+    keeper.step(100 * SECOND, ClaimRecord("none", OwnerBallot(1, "o:1")))
     assert len(keeper.entries) == 1 and keeper.size == 0
 
 
 def test_a_keeper_keeps_its_promise_whatever_comes_and_however_often():
-    keeper = Keeper(0, 10 * SECOND, 10, 10**6, knows=True)
-    record = Record(BID, frozenset({Intent(Ballot(1, "o:1"), 0, "e1", "north")}))
-    begin = Begin(BID.key, Ballot(1, "o:1"), record)
-    assert isinstance(keeper.step(0, begin), Stored) and isinstance(keeper.step(1, begin), Stored)
-    promised = keeper.step(SECOND, Claim(BID.key, Ballot(3, "t:1")))
-    assert isinstance(promised, Promised) and dict(promised.ages) == {min(record.intents): SECOND}
-    assert isinstance(keeper.step(2, Write(BID.key, Ballot(1, "o:1"), 1, record)), Refused)
-    assert isinstance(keeper.step(2, Claim(BID.key, Ballot(2, "u:1"))), Refused)
-    assert isinstance(keeper.step(2, begin), Held)
-    assert isinstance(keeper.step(2, Claim(BID.key, Ballot(3, "t:1"))), Promised)
-    full = Keeper(0, SECOND, 0, 10, knows=True)
-    assert isinstance(full.step(0, Claim("x", Ballot(1, "a"))), Full)
+    keeper = Keeper(0, 10 * SECOND, 10, 10**6, has_memory=True)
+    record = Record(BID, frozenset({Intent(OwnerBallot(1, "o:1"), 0, "e1", "north")}))
+    begin = BeginRecord(BID.key, OwnerBallot(1, "o:1"), record)
+    assert isinstance(keeper.step(0, begin), RecordStored) and isinstance(keeper.step(1, begin), RecordStored)
+    promised = keeper.step(SECOND, ClaimRecord(BID.key, OwnerBallot(3, "t:1")))
+    assert isinstance(promised, ClaimPromised) and dict(promised.ages) == {min(record.intents): SECOND}
+    assert isinstance(keeper.step(2, WriteRecord(BID.key, OwnerBallot(1, "o:1"), 1, record)), BallotRefused)
+    assert isinstance(keeper.step(2, ClaimRecord(BID.key, OwnerBallot(2, "u:1"))), BallotRefused)
+    assert isinstance(keeper.step(2, begin), RecordHeld)
+    assert isinstance(keeper.step(2, ClaimRecord(BID.key, OwnerBallot(3, "t:1"))), ClaimPromised)
+    full = Keeper(0, SECOND, 0, 10, has_memory=True)
+    assert isinstance(full.step(0, ClaimRecord("x", OwnerBallot(1, "a"))), KeeperFull)
 
 
 # --- how one goes on ----------------------------------------------------------------------------------------
 
-NORTH = Intent(Ballot(1, "o:1"), 0, "e1", "north")
-SOUTH = Intent(Ballot(1, "o:1"), 1, "e2", "south")
+NORTH = Intent(OwnerBallot(1, "o:1"), 0, "e1", "north")
+SOUTH = Intent(OwnerBallot(1, "o:1"), 1, "e2", "south")
 
 
 @pytest.mark.parametrize(
     "repeat, intents, outcomes, oldest, left, expected",
     [
-        (t.Repeat.UNREPEATABLE, [], [], 0, SECOND, Next.ANYWHERE),
-        (t.Repeat.UNREPEATABLE, [], [], 0, 0, Next.DENIED),
-        (t.Repeat.UNREPEATABLE, [NORTH], [], 0, SECOND, Next.BROKEN_OFF),
-        (t.Repeat.UNREPEATABLE, [NORTH], [(NORTH, Outcome.NEVER_RAN)], 0, SECOND, Next.ANYWHERE),
-        (t.Repeat.UNREPEATABLE, [NORTH, SOUTH], [(NORTH, Outcome.NEVER_RAN)], 0, SECOND, Next.BROKEN_OFF),
-        (t.Repeat.DEDUPLICATED, [NORTH], [], SECOND, SECOND, Next.IN_GROUP),
-        (t.Repeat.DEDUPLICATED, [NORTH], [], 3 * SECOND, SECOND, Next.BROKEN_OFF),
-        (t.Repeat.DEDUPLICATED, [NORTH], [], SECOND, 0, Next.BROKEN_OFF),
-        (t.Repeat.DEDUPLICATED, [NORTH, SOUTH], [], 0, SECOND, Next.BROKEN_OFF),
-        (t.Repeat.DEDUPLICATED, [NORTH, SOUTH], [(NORTH, Outcome.NEVER_RAN)], 0, SECOND, Next.IN_GROUP),
-        (t.Repeat.IDEMPOTENT, [NORTH], [], 9 * SECOND, SECOND, Next.ANYWHERE),
-        (t.Repeat.IDEMPOTENT, [NORTH], [], 0, 0, Next.DENIED),
+        (t.Repeat.UNREPEATABLE, [], [], 0, SECOND, NextAction.ANYWHERE),
+        (t.Repeat.UNREPEATABLE, [], [], 0, 0, NextAction.DENIED),
+        (t.Repeat.UNREPEATABLE, [NORTH], [], 0, SECOND, NextAction.BROKEN_OFF),
+        (t.Repeat.UNREPEATABLE, [NORTH], [(NORTH, Outcome.NEVER_RAN)], 0, SECOND, NextAction.ANYWHERE),
+        (
+            t.Repeat.UNREPEATABLE,
+            [NORTH, SOUTH],
+            [(NORTH, Outcome.NEVER_RAN)],
+            0,
+            SECOND,
+            NextAction.BROKEN_OFF,
+        ),
+        (t.Repeat.DEDUPLICATED, [NORTH], [], SECOND, SECOND, NextAction.IN_GROUP),
+        (t.Repeat.DEDUPLICATED, [NORTH], [], 3 * SECOND, SECOND, NextAction.BROKEN_OFF),
+        (t.Repeat.DEDUPLICATED, [NORTH], [], SECOND, 0, NextAction.BROKEN_OFF),
+        (t.Repeat.DEDUPLICATED, [NORTH, SOUTH], [], 0, SECOND, NextAction.BROKEN_OFF),
+        (t.Repeat.DEDUPLICATED, [NORTH, SOUTH], [(NORTH, Outcome.NEVER_RAN)], 0, SECOND, NextAction.IN_GROUP),
+        (t.Repeat.IDEMPOTENT, [NORTH], [], 9 * SECOND, SECOND, NextAction.ANYWHERE),
+        (t.Repeat.IDEMPOTENT, [NORTH], [], 0, 0, NextAction.DENIED),
     ],
 )
 def test_rule_two_for_the_next_owner(repeat, intents, outcomes, oldest, left, expected):
-    work = Work("k", "w", repeat, 3 * SECOND)
+    work = RequestInfo("k", "w", repeat, 3 * SECOND)
     record = Record(work, frozenset(intents), frozenset(outcomes))
-    found = onward(record, oldest, left, 20 * MS)
-    assert found.what is expected
-    if expected is Next.IN_GROUP:
+    found = next_step(record, oldest, left, 20 * MS)
+    assert found.action is expected
+    if expected is NextAction.IN_GROUP:
         assert found.group == record.may_have_run()[0].group
-    ended = onward(Record(work, end=End(Ballot(1, "o:1"), "handled")), 0, left, 0)
-    assert ended.what is Next.ENDED
+    ended = next_step(Record(work, end=RecordEnd(OwnerBallot(1, "o:1"), "handled")), 0, left, 0)
+    assert ended.action is NextAction.ENDED
 
 
 def test_where_all_drop_repeats_what_may_have_run_may_be_denied():
-    work = Work("k", "w", t.Repeat.DEDUPLICATED, SECOND, group_all=True)
-    record = Record(work, frozenset({Intent(Ballot(1, "o"), 0, "e1", "*")}))
-    assert onward(record, 2 * SECOND, SECOND, 0).what is Next.DENIED
+    work = RequestInfo("k", "w", t.Repeat.DEDUPLICATED, SECOND, group_all=True)
+    record = Record(work, frozenset({Intent(OwnerBallot(1, "o"), 0, "e1", "*")}))
+    assert next_step(record, 2 * SECOND, SECOND, 0).action is NextAction.DENIED
 
 
 parts = st.builds(
@@ -242,7 +259,7 @@
         BID,
         frozenset(i),
         frozenset((one, Outcome.NEVER_RAN) for one in o),
-        End(Ballot(e, "p"), f"end {e}") if e else None,
+        RecordEnd(OwnerBallot(e, "p"), f"end {e}") if e else None,
     ),
     st.lists(st.sampled_from([NORTH, SOUTH]), max_size=2),
     st.lists(st.sampled_from([NORTH, SOUTH]), max_size=2),
@@ -257,9 +274,9 @@
 
 
 def test_the_oldest_age_that_any_keeper_knows_counts():
-    ages = Ages()
-    ages.take({NORTH: 5, SOUTH: 9})
-    ages.take({NORTH: 7})
+    ages = IntentAges()
+    ages.merge({NORTH: 5, SOUTH: 9})
+    ages.merge({NORTH: 7})
     assert ages.oldest(Record(BID, frozenset({NORTH}))) == 7
     assert ages.oldest(Record(BID, frozenset({NORTH, SOUTH}))) == 9 and ages.oldest(Record(BID)) == 0
 
@@ -271,20 +288,23 @@
     zones = {f"m{n}": "abc"[n % 3] for n in range(12)}
     counts = dict.fromkeys(zones, 0)
     for number in range(3_000):
-        chosen = placement.keepers(f"key {number}", zones)
-        assert chosen == placement.keepers(f"key {number}", dict(reversed(zones.items())))
+        chosen = placement.choose_keepers(f"key {number}", zones)
+        assert chosen == placement.choose_keepers(f"key {number}", dict(reversed(zones.items())))
         assert len({zones[name] for name in chosen}) == 3
         for name in chosen:
             counts[name] += 1
     assert max(counts.values()) < 1.25 * 750 and min(counts.values()) > 0.75 * 750
-    assert placement.keepers("k", {"m0": "a", "m1": "a"}) and len(placement.keepers("k", {"m0": "a"})) == 1
+    assert (
+        placement.choose_keepers("k", {"m0": "a", "m1": "a"})
+        and len(placement.choose_keepers("k", {"m0": "a"})) == 1
+    )
 
 
 def test_what_a_dead_sidecar_had_is_spread_over_all_others():
     alive = [f"m{n}" for n in range(10)]
-    turns = [placement.taker(f"key {n}", alive, "m3") for n in range(2_000)]
+    turns = [placement.choose_successor(f"key {n}", alive, "m3") for n in range(2_000)]
     assert "m3" not in turns and max(turns.count(name) for name in alive) < 1.3 * 2_000 / 9
-    assert placement.taker("k", []) is None
+    assert placement.choose_successor("k", []) is None
 
 
 # --- every order of what can happen -------------------------------------------------------------------------
