--- a/lupinmill/peers/__init__.py
+++ b/lupinmill/peers/__init__.py
@@ -1,2 +1,2 @@
-"""Who is there and who has failed, and decisions by majority. Off unless the operator's file switches it
-on."""
+"""Membership, failure detection, leases and decisions by majority among sidecars. Off unless the operators' file
+enables it."""
--- a/lupinmill/peers/driver.py
+++ b/lupinmill/peers/driver.py
@@ -1,9 +1,9 @@
-"""The driver of the peers: one UDP socket, one timer, the file of promises. It decides nothing.
+"""The peers' I/O: one UDP socket, one timer and the electors' stable storage. It makes no decisions.
 
-Owns the socket and the `Promises`, both given back in `Driver.serve`, and the queue of what waits for the
-disk (`MOST_KEPT` answers). What comes from no known address costs one `recvfrom` and a look in a table; what
-one address sends beyond its rate costs no more; a batch is followed by a pause, so that a flood can't have
-the loop."""
+Owns the socket and the `StableStore`, both closed in `Driver.serve`, and the queue of replies that wait for
+the disk (at most `MAX_UNWRITTEN_REPLIES`). A datagram from an unknown address costs one `recvfrom` and one
+dictionary lookup, and so does one beyond the rate limit of its address. A pause follows each full batch, so
+that a flood can't monopolize the event loop."""
 
 from __future__ import annotations
 
@@ -46,26 +46,24 @@
 from lupinmill.transport.connection import split_address
 
 RECEIVE_BATCH = 64  # datagrams between two pauses
-BATCH_PAUSE_S = 0.004  # seconds after a whole batch
-DATAGRAMS_PER_SECOND, DATAGRAM_BURST = (
-    150.0,
-    300.0,
-)  # datagrams a second from one address, and at once: some ten times what is usual
-LOG_LINES_PER_SECOND, LOG_LINE_BURST = 10.0, 200.0  # in the log a second, and at once
-BIND_RETRY_S = 0.05  # seconds between two tries for an address that the process before this one still has
-RECEIVE_BUFFER_BYTES = 256 * 1024  # bytes in the kernel
+BATCH_PAUSE_S = 0.004
+# Per address; about ten times the usual rate.
+DATAGRAMS_PER_SECOND, DATAGRAM_BURST = 150.0, 300.0
+LOG_LINES_PER_SECOND, LOG_LINE_BURST = 10.0, 200.0
+BIND_RETRY_S = 0.05  # while the previous process still has the address
+RECEIVE_BUFFER_BYTES = 256 * 1024  # SO_RCVBUF
 MAX_UNWRITTEN_REPLIES = 256
-RESIGN_TIMEOUT_US = 400_000  # microseconds for giving leases up before the address is
-BIND_WARNING_S = 30.0  # seconds for the process before this one to give the address back
+RESIGN_TIMEOUT_US = 400_000  # for releasing leases before the address
+BIND_WARNING_S = 30.0  # waiting time for the previous process before a warning is logged
 
 
 def now() -> int:
-    """Microseconds that go on while the machine sleeps: what ran out meanwhile has run out."""
+    """Microseconds of a clock that goes on while the machine sleeps, so that leases expire meanwhile."""
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1000
 
 
 class TokenBucket:
-    """So many a second, so many at once."""
+    """A rate limiter with a rate per second and a burst."""
 
     def __init__(self, rate: float, burst: float) -> None:
         self.rate, self.burst = rate, burst
@@ -81,6 +79,8 @@
 
 
 class Driver:
+    """Runs one member: feeds its core with datagrams and timers, and executes the core's commands."""
+
     def __init__(self, settings: PeerSettings, site: str, bind: str, directory: str | None, log: Log) -> None:
         self.settings, self.site, self.bind, self.directory, self.log = (
             settings,
@@ -93,7 +93,7 @@
         self.sock: socket.socket | None = None
         self.store: StableStore | None = None
         self.log_bucket = TokenBucket(LOG_LINES_PER_SECOND, LOG_LINE_BURST)
-        self.suppressed_lines = 0  # lines
+        self.suppressed_lines = 0
         self.sent = self.received = self.bytes_out = self.bytes_in = 0
         self.refused: dict[str, int] = {}
         self.addresses: dict[str, tuple[str, int]] = {}
@@ -102,14 +102,14 @@
         self.inbox: list[Event] = []
         self.stepping = False
         self.woken = anyio.Event()
-        self.address_wanted = anyio.Event()  # this process has the peers' address, or is to have it
+        self.address_wanted = anyio.Event()  # set unless another process of this sidecar is the member
         self.address_wanted.set()
         self.serve_scope: anyio.CancelScope | None = None
         self.unwritten: tuple[bytes, list[Send]] | None = None
         self.write_requested = anyio.Event()
-        self.resign_deadline: int | None = None  # while another process of this sidecar waits for the address
-        self.has_left = False  # left, or drained
-        # Features that go by peers, by topic: each is told the orders that are about it.
+        self.resign_deadline: int | None = None  # set while this process hands the address over
+        self.has_left = False  # shutting down, or drained
+        # Handlers of the features that depend on peers, by topic. Each gets the commands on its topic.
         self.features: dict[str, Callable[[Command], None]] = {}
         self.set_roster(settings)
 
@@ -126,10 +126,10 @@
             for name in self.addresses
         }
 
-    # The life of it.
+    # Lifecycle.
 
     async def run(self, wait: bool) -> None:
-        """`wait`: the process before this one still has the address, and gives it back when it yields."""
+        """`wait`: the previous process still has the address, and releases it in the handover."""
         while True:
             await self.address_wanted.wait()
             with anyio.CancelScope() as self.serve_scope:
@@ -193,10 +193,10 @@
             raise
         return sock
 
-    # What the program tells.
+    # Calls by the program.
 
     def leave(self) -> None:
-        """It ends, or is drained: leaving is not failing."""
+        """Announces that this sidecar shuts down or is drained, so that it doesn't count as failed."""
         if not self.has_left:
             self.has_left = True
             self.handle(Leave())
@@ -207,7 +207,7 @@
             self.handle(Rejoin())
 
     def resign(self) -> None:
-        """The next process of this sidecar is this member from now on: leases are given up, then the
+        """Hands the member over to the next process of this sidecar: releases its leases, then the
         address."""
         self.address_wanted = anyio.Event()
         self.resign_deadline = now() + RESIGN_TIMEOUT_US
@@ -215,24 +215,25 @@
         self.finish_resigning()
 
     def finish_resigning(self) -> None:
-        """Once the electors have heard of it, or have had time to."""
+        """Stops serving once the leases are released, or at the deadline for it."""
         if self.resign_deadline is not None and self.serve_scope is not None:
             if self.peer is None or not self.peer.proposer.claims or now() >= self.resign_deadline:
                 self.resign_deadline = None
                 self.serve_scope.cancel()
 
     def resume(self) -> None:
-        """The next one has gone. Also where this one was just giving up: it begins anew."""
+        """Takes the member back after the next process has gone, even during a handover, as a new member
+        process."""
         self.address_wanted.set()
 
     def change_settings(self, settings: PeerSettings) -> None:
-        """Another roster, from now on."""
+        """Applies a changed roster."""
         self.set_roster(settings)
         if self.peer is not None:
             self.peer.settings = settings
             self.handle(RosterChange(list(settings.roster)))
 
-    # Notes in, orders out.
+    # Events and commands of the core.
 
     def handle(self, *events: Event) -> None:
         if self.peer is None:
@@ -248,7 +249,7 @@
                 for command in self.peer.step(now(), batch):
                     self.execute(command)
                 pending = bool(self.inbox)
-        except Exception as error:  # a defect costs this core, never the program: it begins anew
+        except Exception as error:  # a defect restarts this core, not the program
             self.log("task_failed", task="peers", **defect(error))
             if self.serve_scope is not None:
                 self.serve_scope.cancel()
@@ -269,21 +270,21 @@
             if feature is not None:
                 feature(command)
 
-    # What features ask of it.
+    # Calls by features.
 
     def send_feature_message(self, topic: str, to: str, payload: bytes) -> None:
-        """One datagram to another member, or to this one itself; it may be lost."""
+        """Sends one datagram to a member, which may be this one; it may be lost."""
         if to == self.settings.name:
             self.features[topic](FeatureMessageReceived(topic, to, payload))
         elif self.peer is not None:
             self.send(Send(to, wire.FeatureMessage(topic, payload), []))
 
     def held_epoch(self, topic: str) -> int:
-        """The epoch under which this process may act at this moment; 0: it may not."""
+        """The epoch of the lease if this process holds it now, else 0."""
         return self.peer.held_epoch(topic, now()) if self.peer is not None else 0
 
     def decide(self, topic: str, body: bytes) -> bool:
-        """False where it does not hold the topic now, or its last decision is still on its way."""
+        """Returns False if this process doesn't hold the lease now, or its last decision is still pending."""
         if self.peer is None or not self.held_epoch(topic):
             return False
         self.peer.proposer.now = now()
@@ -295,8 +296,7 @@
         return self.peer.membership.quorum_state if self.peer is not None else QuorumState.ISOLATED
 
     def present(self) -> list[str]:
-        """Members that are there in this one's view, itself first; none where another process is the
-        member."""
+        """The present members in this view, this one first; empty if another process is the member."""
         if self.peer is None:
             return []
         members = self.peer.membership.members
@@ -315,7 +315,7 @@
             self.sent += 1
             self.bytes_out += len(data)
         except OSError:
-            self.count_refused("unsent")  # a full buffer is a lost datagram
+            self.count_refused("unsent")  # a full send buffer is treated as loss
 
     def count_refused(self, reason: str) -> None:
         self.refused[reason] = self.refused.get(reason, 0) + 1
@@ -331,7 +331,7 @@
                 except BlockingIOError:
                     break
                 except OSError:
-                    count = RECEIVE_BATCH  # whatever it is, it must not spin
+                    count = RECEIVE_BATCH  # pause after any error, so as not to spin
                     break
                 count += 1
                 self.receive_datagram(data, address)
@@ -367,11 +367,11 @@
                 with anyio.move_on_after(wait / SECOND):
                     await self.woken.wait()
                     continue
-            # What lies unread was there before the timers: it is heard first.
+            # Unread datagrams precede the timers: read them first.
             await anyio.sleep(0)
             self.handle()
 
-    # Promises are on disk before anybody hears of them.
+    # Promises are written to disk before they are sent.
 
     def persist(self, command: Persist) -> None:
         if self.store is None:
@@ -394,26 +394,26 @@
                 continue
             (data, replies), self.unwritten = self.unwritten, None
             try:
-                with anyio.CancelScope(shield=True):  # the directory's lock is held until the disk is done
+                with anyio.CancelScope(shield=True):  # keep the lock until the write is done
                     await anyio.to_thread.run_sync(self.store.write, data)
             except OSError as error:
                 self.count_refused("disk")
                 if not failing:
                     self.log(
                         "peers",
-                        text="promises can't be kept, so this elector gives no vote",
+                        text="promises can't be written to disk: this elector abstains from voting",
                         error=f"{self.directory}: {error.strerror}",
                     )
                 failing = True
                 continue
             if failing:
-                self.log("peers", text="promises are kept again; this elector votes")
+                self.log("peers", text="promises are written to disk again: this elector votes")
                 failing = False
             for send in replies:
                 self.send(send)
             self.handle()
 
-    # For people.
+    # Logs and the operators' view.
 
     def log_command(self, command: Command) -> None:
         if not self.log_bucket.take(now()):
@@ -456,7 +456,8 @@
             )
 
     def rehearse(self) -> bool:
-        """A decision that says nothing, for drills; False where this sidecar doesn't hold the topic."""
+        """Makes a decision without content, for drills. Returns False if this sidecar doesn't hold the
+        lease."""
         done = self.decide(REHEARSAL_TOPIC, f"{self.settings.name} {now()}".encode())
         self.handle()
         return done
--- a/lupinmill/peers/elector.py
+++ b/lupinmill/peers/elector.py
@@ -1,13 +1,13 @@
-"""An elector's half of the decisions in common: one Paxos register a topic (CASPaxos, Rystsov 2018), with
-leases in the manner of PaxosLease (Trencseni, Gazso, Reinhardt 2012). Pure.
+"""The acceptor of leases and decisions: one Paxos register per topic (CASPaxos, Rystsov 2018), with leases
+in the manner of PaxosLease (Trencseni, Gazso, Reinhardt 2012). No I/O.
 
-What it answers rests on what it keeps: each answer that a promise or an acceptance stands behind goes out in
-a `Keep` order, which the driver writes down first and only then sends. An elector that forgot (no directory
-told, or its file is gone) is silent until every lease of its former life has run out, and begins from what a
-majority of the others remembers. An acceptance is for the life that promised, so nobody's promise outlives
-the memory of it.
+A promise or an acceptance must be durable before anybody learns of it: such an answer is part of a
+`Persist` command, which the driver first writes to disk and only then sends. An elector without memory (no
+directory is configured, or its file is lost) abstains until every lease that it may have granted has
+expired, and then starts from what a majority of the other electors remembers. An acceptance names the
+elector process that promised, so no promise outlives the memory of it.
 
-Owns the registers (`MOST_TOPICS` at most; topics are never forgotten: their epochs must only grow)."""
+Owns the registers, at most `MAX_TOPICS`. They are never removed, as their epochs must only grow."""
 
 from __future__ import annotations
 
@@ -20,12 +20,10 @@
 from lupinmill.peers.wire import Ballot, TopicState
 
 MAX_TOPICS = 8
-CLOCK_DRIFT_DIVISOR = 100  # clocks of two members run apart by less than one part in so many
-MAX_BALLOT_JUMP = (
-    2**32
-)  # by which one ballot may go beyond the last: a liar can't drive the numbers to their end
+CLOCK_DRIFT_DIVISOR = 100  # the clocks of two members drift apart by less than 1/100
+MAX_BALLOT_JUMP = 2**32  # per ballot, so that a lying member can't exhaust the number range
 RECALL_INTERVAL_US = 300 * MS
-MAX_RECALL_PARTS = MAX_TOPICS  # of what another remembers: one register may fill a datagram
+MAX_RECALL_PARTS = MAX_TOPICS  # one register per datagram, as one may fill it
 NO_BALLOT = Ballot()
 
 
@@ -33,18 +31,19 @@
     promised: Ballot = NO_BALLOT
     accepted: Ballot = NO_BALLOT
     value: TopicState = TopicState()
-    lease_until: int = 0  # by this elector's clock, when the lease in `value` has run out
+    lease_until: int = 0  # expiry of the lease in `value`, by this elector's clock
 
 
 class Memory(msgspec.Struct, array_like=True):
-    """What is kept on disk. No times: clocks begin anew, so after a start each lease runs its whole span."""
+    """The state on disk. It has no times, as clocks restart: after a start each lease runs its whole
+    length."""
 
     registers: list[tuple[str, Ballot, Ballot, TopicState]] = []
 
 
 @dataclass(slots=True)
 class Persist:
-    """Write `data` down, then send `then`; where writing fails, send nothing."""
+    """Write `data` to disk, then send `then_send`; if the write fails, send nothing."""
 
     data: bytes
     then_send: list[Send]
@@ -72,19 +71,19 @@
             instance_id,
             now,
         )
-        self.max_lease = lease  # of a lease, the same at all members
+        self.max_lease = lease  # the same at all members
         self.silence_period = lease + 2 * lease // CLOCK_DRIFT_DIVISOR
         self.registers: dict[str, Register] = {}
         self.has_memory = memory is not None
         self.started_at, self.next_recall_at = now, now
-        self.recall_round, self.recall_started_at = 0, now  # tries, and when the last one began
+        self.recall_round, self.recall_started_at = 0, now
         self.commands: list[Send | Persist] = []
-        self.recall_replies: dict[str, dict[int, wire.RecallReply]] = {}  # by elector and part
+        self.recall_replies: dict[str, dict[int, wire.RecallReply]] = {}  # by elector and part number
         if memory is not None:
             for topic, promised, accepted, value in memory.registers[:MAX_TOPICS]:
                 self.registers[topic] = Register(promised, accepted, value, self.lease_expiry(value))
         if len(electors) == 1:
-            self.has_memory = True  # there is nobody to ask, and nobody else to agree with
+            self.has_memory = True  # no other elector exists to ask or to agree with
 
     def lease_expiry(self, value: TopicState) -> int:
         return self.now + value.lease + value.lease // CLOCK_DRIFT_DIVISOR if value.lease else 0
@@ -127,10 +126,10 @@
         return self.registers[topic]
 
     def lease_remaining(self, register: Register) -> int:
-        """Microseconds that the lease in it still runs, by this elector's own monotonic clock."""
+        """Microseconds until the lease expires, by this elector's monotonic clock."""
         return max(0, register.lease_until - self.now)
 
-    # Votes.
+    # Promises and acceptances.
 
     def prepare(self, sender: str, body: wire.Prepare) -> None:
         nack = wire.Nack(body.topic, body.ballot, NO_BALLOT, True)
@@ -160,14 +159,14 @@
             return
         if body.ballot > register.promised or not self.is_valid_change(register, sender, body.value):
             return
-        if body.ballot != register.accepted:  # told twice, the lease still runs from the first time
+        if body.ballot != register.accepted:  # a duplicate doesn't extend the lease
             register.accepted, register.value = body.ballot, body.value
             register.lease_until = self.lease_expiry(body.value)
         self.persist_and_send(sender, wire.Accepted(body.topic, body.ballot, self.instance_id))
 
     def is_valid_change(self, register: Register, sender: str, value: TopicState) -> bool:
-        """What an honest asker's value always is: without these looks a member that lies could take a lease
-        that runs, or set an epoch back."""
+        """Whether an honest proposer could send this value. Without the check a lying member could take a
+        running lease or lower an epoch."""
         before = register.value
         if value.holder not in ("", sender) or value.lease > self.max_lease:
             return False
@@ -180,11 +179,11 @@
             return value.holder == "" and sender == before.holder and value.epoch == before.epoch
         return True
 
-    # Memory, among electors.
+    # Recovery of lost memory.
 
     def on_recall_request(self, sender: str, body: wire.RecallRequest) -> None:
-        """First it promises more than all before, so that nothing can be accepted here any more that the one
-        who forgot may have voted for in a former life."""
+        """Raises every promise before it answers, so that nothing can be accepted here any more that the
+        recovering elector may have voted for before it lost its memory."""
         if sender not in self.electors:
             return
         for register in self.registers.values():
@@ -210,11 +209,11 @@
         ]
         if self.has_memory:
             self.commands.append(Persist(self.encode_memory(), sends))
-        else:  # nothing is written before it remembers: after a restart the file would pass for its memory
+        else:  # never write without memory: after a restart the file would be taken for it
             self.commands += sends
 
     def start_recall(self) -> None:
-        """Guards against an elector's old word beside its new one: each try counts alone."""
+        """Starts a new round. Replies to earlier rounds don't count, as they may be outdated."""
         self.next_recall_at, self.recall_started_at = self.now + RECALL_INTERVAL_US, self.now
         self.recall_round += 1
         self.recall_replies.clear()
@@ -247,10 +246,12 @@
         self.commands.append(Persist(self.encode_memory(), []))
 
     def majority_forgot(self, complete: list[dict[int, wire.RecallReply]]) -> bool:
-        """So many had forgotten at one moment that no majority can remember, whatever is waited for: begin
-        anew from the newest that anybody holds. Guards against taking words of different moments for one: an
-        elector that remembers meanwhile may have been the last to know what was decided. That moment lies
-        before this try began and after each of them did."""
+        """Whether so many electors lacked memory at one moment that no majority can remember, however long
+        this one waits. It then starts from the newest state that any elector holds.
+
+        The moment lies before this round began and after each of them lost its memory. Guards against
+        combining replies of different moments: an elector that regained its memory meanwhile may have been
+        the last to know a decision."""
         slack = (self.now - self.recall_started_at) + (self.now - self.started_at) // CLOCK_DRIFT_DIVISOR
         forgot = sum(not parts[0].has_memory and parts[0].forgotten_for > slack for parts in complete)
         return len(self.electors) - 1 - forgot < majority(len(self.electors))
--- a/lupinmill/peers/live_count.py
+++ b/lupinmill/peers/live_count.py
@@ -1,11 +1,12 @@
-"""How many sidecars share the endpoints now, in place of the figure told at the start. Pure.
+"""The number of sidecars that share the endpoints now, in place of the configured one. No I/O.
 
-A rise counts at once: caps of all are smaller then, which harms nothing. A fall counts after `HOLD`, as one
-that restarts is back before; and only while this sidecar sees a majority. Who is cut off can't tell the dead
-from the others' side of the cut: it goes back to the told figure, by as much as what it last knew has aged.
-So two sides of a partition together never act as more than twice the fleet, and mostly as the fleet.
+A rise counts at once, as it makes everyone's caps smaller, which is harmless. A fall counts after
+`FALL_DELAY_US`, as a restarting sidecar is back before, and only while a majority is present. A sidecar cut
+off from the majority can't tell failed members from those beyond the partition: it returns to the
+configured number in step with the age of its last known one. So two sides of a partition together never act
+as more than twice the fleet, and mostly as the fleet.
 
-Owns the counts of the last `HOLD`, one a step at most `KEPT`."""
+Owns the counts of the last `FALL_DELAY_US`, at most `MAX_SAMPLES`."""
 
 from __future__ import annotations
 
@@ -25,8 +26,8 @@
         self.known, self.known_at = self.configured, now - TRUST_US
 
     def step(self, now: int, has_quorum: bool, live: int) -> int:
-        """`live`: members there in this one's view, itself among them. Gives the count to go by; the told one
-        where nothing is known."""
+        """Returns the count to use. `live`: the present members in this view, including this one. Without any
+        known count it is the configured one."""
         if has_quorum:
             self.recent.append((now, max(1, live)))
             while self.recent and now - self.recent[0][0] > FALL_DELAY_US:
--- a/lupinmill/peers/membership.py
+++ b/lupinmill/peers/membership.py
@@ -1,12 +1,14 @@
-"""Who is there: SWIM (Das, Gupta, Motivala 2002) with Lifeguard's additions (Dadgar, Phillips, Currey 2018).
-Pure: `step(now, notes)` gives orders, times are microseconds of a monotonic clock, chance is an LCG.
+"""Failure detection and membership: SWIM (Das, Gupta, Motivala 2002) with Lifeguard's additions (Dadgar,
+Phillips, Currey 2018). No I/O: `step(now, events)` returns commands, times are microseconds of a monotonic
+clock, and random numbers come from a seeded LCG.
 
-Departures, for members that lie (docs/design/peers.md): nobody is held dead or gone on hearsay alone. What
-others say starts an own probe, and only where that fails, or three others say so from their own, is it
-believed.
+Differences from SWIM, for members that lie (docs/design/peers.md): no member is marked dead or left on
+hearsay alone. A report by others starts an own probe. It is believed only if that probe fails or three
+other members report the same from their own addresses.
 
-Owns the table of members (the roster's names and no others), outstanding probes (`Probe`, given back by
-answer or at their round's end, a fixed number) and the queue of news (one entry a name at most)."""
+Owns the table of members (the names in the roster and no others), the outstanding probes (at most
+`MAX_PROBES`, each released by its ack or its timeout) and the queue of updates to gossip (at most one per
+name)."""
 
 from __future__ import annotations
 
@@ -35,33 +37,34 @@
 from lupinmill.peers.wire import MemberUpdate, Status
 from lupinmill.workings import Chance
 
-MAX_PROBES = 64  # outstanding at a time, helpers' errands among them
-CHECK_BURST, CHECKS_PER_SECOND = 8.0, 20.0  # own probes for what others say, at once and by the second
-REQUIRED_DEATH_REPORTS = (
-    3  # others that hold a member dead stand for an own probe; one liar is at most one of them
-)
-MAX_INCARNATION_JUMP = 2**32  # by which one word may raise an incarnation: a liar can't drive it to its end
-RETRANSMIT_FACTOR = 4  # times log10 of the roster, for which news is told
-UPDATES_PER_DATAGRAM = 10  # news
-GOSSIP_FANOUT = 2  # told between rounds while there is news
-DISAGREEMENT_LIMIT_US = 2 * SECOND  # after so long with nobody of the same view a sidecar is in doubt
-TABLE_SYNC_ROUNDS = 10  # rounds between two exchanges, ...
-JOIN_ROUNDS = 20  # ... but one in each of the first ones, some more in a large fleet
-SILENCE_ROUNDS = 10  # rounds in which nothing at all is heard, where some two datagrams a round are usual
-UNCERTAIN_HEALTH_SCORE = 3  # a sidecar that is as late as this doubts itself
-UNCERTAIN_ROUNDS = 5  # after a pause
+MAX_PROBES = 64  # outstanding at a time, including those on behalf of other members
+CHECK_BURST, CHECKS_PER_SECOND = 8.0, 20.0  # token bucket for own probes that verify reports by others
+# So many other members' reports replace an own probe; a single lying member counts as one of them at most.
+REQUIRED_DEATH_REPORTS = 3
+MAX_INCARNATION_JUMP = 2**32  # per message, so that a lying member can't exhaust the number range
+RETRANSMIT_FACTOR = 4  # times log10 of the roster size: sends of each update
+UPDATES_PER_DATAGRAM = 10
+GOSSIP_FANOUT = 2  # members per gossip between rounds, while updates are pending
+DISAGREEMENT_LIMIT_US = 2 * SECOND  # time without another member of the same view until `UNCERTAIN`
+TABLE_SYNC_ROUNDS = 10  # rounds between two exchanges of tables
+JOIN_ROUNDS = 20  # first rounds, each with an exchange of tables; a large fleet has some more of them
+SILENCE_ROUNDS = 10  # rounds without any datagram until `ISOLATED`; about two per round are usual
+UNCERTAIN_HEALTH_SCORE = 3  # own health score at which this sidecar is `UNCERTAIN`
+UNCERTAIN_ROUNDS = 5  # after this process was paused
 
 
 @dataclass(slots=True)
 class Probe:
+    """An outstanding ping."""
+
     target: str
     deadline: int
-    helpers_asked: bool = False  # helpers were asked
-    requester: str = ""  # an errand: who asked, and under which serial
+    helpers_asked: bool = False
+    requester: str = ""  # member that sent the ping request; empty: an own probe
     request_serial: int = 0
-    nacks: int = 0  # helpers that are there but heard nothing either
+    nacks: int = 0  # helpers that answered that they got no ack either
     helper_count: int = 0
-    rediscovery: bool = False  # at one that is not present: nothing follows from silence
+    rediscovery: bool = False  # of a member that is not present: its timeout has no effect
 
 
 class Membership:
@@ -73,15 +76,15 @@
         self.status, self.incarnation = Status.ALIVE, 0
         self.commands: list[Send | MemberChanged | QuorumChanged] = []
         self.probes: dict[int, Probe] = {}
-        self.pending_updates: dict[str, int] = {}  # names, and how often each was told
+        self.pending_updates: dict[str, int] = {}  # sends so far, by name
         self.timers: list[tuple[int, int, Callable[..., None], tuple]] = []
         self.serial = self.timer_serial = 0
         self.health_score = 0
         self.now, self.resumed_at = now, -(2**60)
         self.present_count = self.suspect_count = self.left_count = 0
         self.digest_sum = 0
-        self.agreed_at = now  # when another's view was last the same
-        self.last_received_at = now  # when anything was last heard
+        self.agreed_at = now  # last time that another member had the same view
+        self.last_received_at = now
         self.quorum_state, self.quorum_state_since = QuorumState.ISOLATED, now
         self.probe_order: list[str] = []
         self.rediscovery_order: list[str] = []
@@ -91,7 +94,8 @@
         self.table_position = 0
         self.dropped: dict[str, int] = {}  # by cause
         self.gossip_scheduled = False
-        self.topic_progress: Callable[[], list[wire.TopicProgress]] = list  # decisions known, for the tables
+        # Progress of decisions by topic, exchanged with the tables.
+        self.topic_progress: Callable[[], list[wire.TopicProgress]] = list
         self.on_progress: Callable[[str, list[wire.TopicProgress]], None] = lambda sender, progress: None
         self.set_roster(entries)
         self.schedule(now + int(timing.round * self.chance.draw() / 4), self.run_round)
@@ -108,8 +112,8 @@
     def step(
         self, now: int, events: list[Received | Leave | Rejoin | RosterChange]
     ) -> list[Send | MemberChanged | QuorumChanged]:
-        """What was heard comes before what is due: answers that lay unread while this process was stopped
-        count."""
+        """Handles received datagrams before due timers, so that acks left unread while this process was
+        paused still count."""
         self.now = now
         late = now - self.timers[0][0]
         if late > self.timing.round:
@@ -129,8 +133,8 @@
         return commands
 
     def on_late_wakeup(self, late: int) -> None:
-        """Guards against a process that was stopped or starved and accuses everyone: silence that it slept
-        through says nothing, so open probes count for nothing and suspicions last as much longer."""
+        """Discards open probes and extends suspicions by the delay, as silence during its own pause proves
+        nothing. Guards against a paused or starved process that suspects all other members."""
         self.resumed_at = self.now
         self.health_score = min(self.timing.max_health_score, self.health_score + 1)
         self.probes.clear()
@@ -145,7 +149,7 @@
     # The roster.
 
     def set_roster(self, entries: list[RosterEntry]) -> None:
-        """Names that went are forgotten whole; those that stay keep what is known of them."""
+        """Drops all state of removed members; the others keep theirs."""
         wanted = {entry.name: entry for entry in entries if entry.name != self.name}
         for name in [name for name in self.members if name not in wanted]:
             member = self.members.pop(name)
@@ -176,7 +180,7 @@
     def random_members(
         self, count: int, but: tuple[str, ...] = (), status: tuple[Status, ...] = PRESENT
     ) -> list[str]:
-        """A few by chance, in a bounded number of draws."""
+        """Up to `count` random members, from a bounded number of draws."""
         found: dict[str, None] = {}
         for _ in range(count * 4 if self.names else 0):
             name = self.names[self.chance.upto(len(self.names) - 1)]
@@ -189,7 +193,7 @@
     # Probes.
 
     def run_round(self) -> None:
-        """One member asked, one that is not there knocked at, and at every tenth the tables compared."""
+        """Probes one present and one absent member; every tenth round also exchanges tables."""
         span = self.timing.round * (self.health_score + 1)
         self.schedule(self.now + span, self.run_round)
         self.round_number += 1
@@ -205,8 +209,8 @@
             self.send_table(some[0], True)
 
     def next_in_rotation(self, order: list[str], status: tuple[Status, ...]) -> str | None:
-        """Everyone once in an order by chance, then in another one: the time to a failed one's turn is
-        bounded."""
+        """The next member with that status. Each pass visits all in a new random order, which bounds the time
+        until a failed member is probed."""
         if not order:
             order.extend(self.names)
             for at in range(len(order) - 1, 0, -1):
@@ -219,7 +223,7 @@
         return None
 
     def start_probe(self, target: str, span: int, rediscovery: bool = False) -> int:
-        if len(self.probes) >= MAX_PROBES:  # more than rounds and checks can have out
+        if len(self.probes) >= MAX_PROBES:  # more than rounds and checks can have outstanding
             self.count_dropped("probes")
             return 0
         self.serial += 1
@@ -259,7 +263,7 @@
         member = self.members.get(probe.target)
         if probe.rediscovery or member is None:
             return
-        if probe.nacks < probe.helper_count:  # helpers that don't answer either: the fault may be here
+        if probe.nacks < probe.helper_count:  # helpers are silent too: the fault may be local
             self.health_score = min(self.timing.max_health_score, self.health_score + 1)
         elif probe.helper_count:
             self.health_score = max(0, self.health_score - 1)
@@ -267,17 +271,17 @@
             member.check_serial = 0
             if member.status is Status.SUSPECT:
                 self.set_status(
-                    member, member.reported_status, member.incarnation, self.name, "no answer to an own probe"
+                    member, member.reported_status, member.incarnation, self.name, "own probe timed out"
                 )
         elif member.status is Status.ALIVE:
-            self.suspect(member, member.incarnation, self.name, "no answer, nor by helpers")
+            self.suspect(member, member.incarnation, self.name, "no direct or indirect ack")
         elif member.status is Status.SUSPECT:
             self.add_suspector(member, self.name)
 
     def on_probe_answer(self, serial: int, sender: str) -> None:
         probe = self.probes.get(serial)
         if probe is None or probe.target != sender:
-            return  # late, doubled or invented
+            return  # late, duplicated or forged
         del self.probes[serial]
         member = self.members[sender]
         member.last_ack_at = self.now
@@ -296,10 +300,11 @@
                 self.clear_suspicion(member)
 
     def clear_suspicion(self, member: Member) -> None:
-        """It answers this sidecar: what others say of it has no more weight here until they say it anew."""
-        self.set_status(member, Status.ALIVE, member.incarnation, self.name, "answers an own probe")
+        """The member answers this sidecar, so earlier reports by others are discarded."""
+        self.set_status(member, Status.ALIVE, member.incarnation, self.name, "answered an own probe")
 
-    # Checks of what others say: paced, so that nobody can make this sidecar send without bound.
+    # Checks of reports by others. They are rate-limited, so that no member can make this one send without
+    # bound.
 
     def request_check(self, member: Member) -> None:
         if not member.check_serial:
@@ -343,7 +348,7 @@
             self.schedule(self.now + self.timing.round // 4, self.gossip)
 
     def gossip(self) -> None:
-        """Between rounds, only while there is news: a bounded number of datagrams in any case."""
+        """Sends pending updates between rounds, in a bounded number of datagrams."""
         self.gossip_scheduled = bool(self.pending_updates)
         if not self.gossip_scheduled:
             return
@@ -379,13 +384,13 @@
         if member is None or member.status is not Status.SUSPECT or member.incarnation != incarnation:
             return
         if not 0 <= member.suspicion_ends_at <= self.now:
-            return  # it lasts longer meanwhile
+            return  # the suspicion was extended meanwhile
         if member.last_ack_at > member.suspected_at:
             self.clear_suspicion(member)
         else:
             self.request_check(member)
 
-    # What comes in.
+    # Received messages.
 
     def receive(self, received: Received) -> None:
         sender = self.members.get(received.sender)
@@ -416,7 +421,7 @@
             self.apply_update(update, received.sender)
 
     def apply_sender_status(self, sender: Member, body: wire.Ping | wire.Ack) -> None:
-        """By its own word, from its own address."""
+        """Applies the status that a member reports of itself, from its own address."""
         if body.status not in (Status.ALIVE, Status.LEFT):
             self.count_dropped("false")
             return
@@ -427,10 +432,14 @@
         name = sender.entry.name
         if body.status is Status.LEFT:
             if sender.status is not Status.LEFT and (newer or body.incarnation == sender.incarnation):
-                self.set_status(sender, Status.LEFT, body.incarnation, name, "by its own word")
+                self.set_status(sender, Status.LEFT, body.incarnation, name, "own report")
         elif newer or sender.status is Status.UNKNOWN:
             self.set_status(
-                sender, Status.ALIVE, max(body.incarnation, sender.incarnation), name, "by its own word"
+                sender,
+                Status.ALIVE,
+                max(body.incarnation, sender.incarnation),
+                name,
+                "own report",
             )
         if body.known_status is not Status.UNKNOWN:
             self.refute(body.known_status, body.known_incarnation)
@@ -462,7 +471,7 @@
             probe.nacks += 1
 
     def apply_update(self, update: MemberUpdate, reporter: str) -> None:
-        """One word of another's. Each branch says what a liar can gain by it: at most own probes."""
+        """Applies an update by another member. At most, a lying member can cause own probes by it."""
         if update.name == self.name:
             self.refute(update.status, update.incarnation)
             return
@@ -478,31 +487,35 @@
         if update.status is Status.ALIVE:
             if newer or member.status is Status.UNKNOWN:
                 self.set_status(
-                    member, Status.ALIVE, update.incarnation, update.source, f"told by {reporter}"
+                    member, Status.ALIVE, update.incarnation, update.source, f"reported by {reporter}"
                 )
         elif update.status is Status.SUSPECT:
             if member.status is Status.ALIVE and (newer or same):
                 if same and member.last_ack_at >= self.now - self.timing.round:
-                    return  # it answered here a moment ago; it refutes that by itself
-                self.suspect(member, update.incarnation, update.source, f"told by {reporter}")
+                    return  # it answered within the last round, and refutes the suspicion itself
+                self.suspect(member, update.incarnation, update.source, f"reported by {reporter}")
             elif member.status is Status.SUSPECT and (newer or same):
                 member.incarnation = update.incarnation
                 self.add_suspector(member, update.source)
         elif update.status in (Status.DEAD, Status.LEFT):
             if member.status is Status.UNKNOWN:
                 self.set_status(
-                    member, update.status, update.incarnation, update.source, f"told by {reporter}"
+                    member, update.status, update.incarnation, update.source, f"reported by {reporter}"
                 )
             elif member.status in PRESENT and (newer or same):
                 self.on_reported_gone(member, update, reporter)
 
     def on_reported_gone(self, member: Member, update: MemberUpdate, reporter: str) -> None:
-        """Hearsay of an end: suspect at most, until an own probe or three others have said so."""
+        """Marks the member suspect at most, until an own probe fails or three other members report the
+        same."""
         if member.last_ack_at >= self.now - self.timing.round and update.incarnation == member.incarnation:
-            return  # it answered here a moment ago
+            return  # it answered within the last round
         if member.status is Status.ALIVE:
             self.suspect(
-                member, update.incarnation, update.source, f"{reporter} holds it {update.status.name.lower()}"
+                member,
+                update.incarnation,
+                update.source,
+                f"{reporter} reports {update.status.name.lower()}",
             )
         member.incarnation = max(member.incarnation, update.incarnation)
         member.reported_status = update.status
@@ -510,13 +523,13 @@
             member.death_reporters.append(reporter)
         if member.last_ack_at < member.suspected_at and len(member.death_reporters) >= REQUIRED_DEATH_REPORTS:
             self.set_status(
-                member, update.status, member.incarnation, update.source, "three others hold it so"
+                member, update.status, member.incarnation, update.source, "reported by three other members"
             )
         else:
             self.request_check(member)
 
     def refute(self, status: Status, incarnation: int) -> None:
-        """What is said of this sidecar itself, also of a former life of its process."""
+        """Refutes a report about this sidecar itself, including its former processes."""
         if incarnation < self.incarnation or incarnation > self.incarnation + MAX_INCARNATION_JUMP:
             return
         if status in (Status.UNKNOWN, self.status) and incarnation == self.incarnation:
@@ -532,7 +545,7 @@
     # Tables.
 
     def send_table(self, to: str, wanted: bool, at: int | None = None) -> None:
-        """A part that fits one datagram, the next one next time, whatever the size of the fleet."""
+        """Sends the part of the table that fits one datagram; the next call sends the next part."""
         start = self.table_position if at is None else at
         updates = []
         for step in range(min(wire.MAX_UPDATES, len(self.names))):
@@ -567,8 +580,8 @@
         self.commands.append(Send(to, body, self.take_updates(to)))
 
     def take_updates(self, to: str) -> list[MemberUpdate]:
-        """What was told least goes first; what was told often enough leaves the queue. Who is suspected hears
-        it from everyone (Lifeguard's buddies: `held` in each ping)."""
+        """The least-sent updates; one that was sent often enough leaves the queue. A suspected member
+        learns of it from each ping (`known_status`; the buddy system of Lifeguard)."""
         if not self.pending_updates:
             return []
         max_sends = RETRANSMIT_FACTOR * ceil(log10(self.roster_size + 1))
@@ -590,24 +603,27 @@
         return updates
 
     def update_quorum_state(self) -> None:
-        """Two of five that left by their own word don't make the other three a minority; those that failed
-        do."""
+        """Members that left on their own don't count towards the roster; failed ones do. So three of five are
+        a majority after two have left, and two are a minority after three have failed."""
         expected = self.roster_size - self.left_count
         seen = self.present_count + 1
         after, reason = QuorumState.MAJORITY, f"sees {seen} of {expected}"
         silent = self.now - max(self.last_received_at, self.resumed_at) > SILENCE_ROUNDS * self.timing.round
         if self.roster_size > 1 and (self.present_count == 0 or silent):
-            after, reason = QuorumState.ISOLATED, "hears nobody" if silent else "sees nobody"
+            after, reason = (
+                QuorumState.ISOLATED,
+                "no datagram received" if silent else "no member present",
+            )
         elif seen * 2 <= expected:
             after = QuorumState.MINORITY
         elif self.now - self.resumed_at < UNCERTAIN_ROUNDS * self.timing.round:
-            after, reason = QuorumState.UNCERTAIN, "was stopped itself"
+            after, reason = QuorumState.UNCERTAIN, "this process was paused"
         elif self.health_score >= UNCERTAIN_HEALTH_SCORE:
-            after, reason = QuorumState.UNCERTAIN, "is late itself, or hears badly"
+            after, reason = QuorumState.UNCERTAIN, "this process is late or loses datagrams"
         elif self.suspect_count * 3 > seen:
             after, reason = QuorumState.UNCERTAIN, f"suspects {self.suspect_count} of {seen}"
         elif self.present_count and self.now - self.agreed_at > DISAGREEMENT_LIMIT_US:
-            after, reason = QuorumState.UNCERTAIN, "no other has the same view"
+            after, reason = QuorumState.UNCERTAIN, "no other member has the same view"
         if after is not self.quorum_state:
             self.commands.append(QuorumChanged(self.quorum_state, after, reason))
             self.quorum_state, self.quorum_state_since = after, self.now
--- a/lupinmill/peers/partition_policy.py
+++ b/lupinmill/peers/partition_policy.py
@@ -1,7 +1,7 @@
-"""What a sidecar may do while the others can't be heard, as one table. Pure.
+"""What a sidecar may do while it can't reach the other members, as one table. No I/O.
 
-Each feature that goes by peers registers a row; `lupinmill check` and docs/peers.md print it, and a test
-holds the page to it. The four rules are in no row: they never need a peer."""
+Each feature that depends on peers registers a row. `lupinmill check` and docs/peers.md print the table, and
+a test compares the page with it. The four rules have no row, as they never depend on a peer."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 @dataclass(frozen=True, slots=True)
 class PolicyRow:
     feature: str
-    alone: str  # what a member may do by itself, in any standing
-    majority: str  # what it does only with a majority
-    falls_back: str  # what it goes back to without
-    after_s: float  # how long what was decided counts, at most
+    alone: str  # allowed in any quorum state
+    majority: str  # allowed only with a majority
+    falls_back: str  # behaviour without a majority
+    after_s: float  # longest time for which a decision stays in force
 
 
 POLICY_TABLE: dict[str, PolicyRow] = {}
@@ -27,7 +27,7 @@
 
 
 def may_request_lease(state: QuorumState) -> bool:
-    """For others. A member in doubt that holds a lease keeps it, but asks for no new one."""
+    """Whether a member may request leases. One that is `UNCERTAIN` keeps a held lease, but requests none."""
     return state is QuorumState.MAJORITY
 
 
--- a/lupinmill/peers/peer.py
+++ b/lupinmill/peers/peer.py
@@ -1,8 +1,9 @@
-"""One member's whole core: who is there, its vote if it is an elector, its claims, and what was decided.
-Pure: `step(now, notes)` gives orders, `next()` the latest moment of the following step. The driver, the
-virtual fleet and the explorer all run this one.
+"""The whole core of one member: membership, its elector (if it is one), its proposer, and the decisions
+that it has adopted. No I/O: `step(now, events)` returns commands, and `next_due()` the latest time of the
+next step. The driver, the virtual fleet and the explorer all run this core.
 
-Owns the decisions known (one a topic) and hearsay of newer ones (`WORDS` a topic)."""
+Owns the adopted decisions (one per topic) and the unconfirmed newer ones (at most `MAX_UNCONFIRMED` per
+topic)."""
 
 from __future__ import annotations
 
@@ -31,32 +32,32 @@
 )
 from lupinmill.peers.wire import ConfirmReply, ConfirmRequest, DecisionMade, Status, TopicProgress
 
-REHEARSAL_TOPIC = "rehearsal"  # a topic that carries nothing: for drills of the operators and for tests
-MAX_UNCONFIRMED = 4  # hearsay of newer decisions, a topic
-MAX_PROGRESS_JUMP = 1_000_000  # by which one word may raise a height
-CONFIRM_INTERVAL_US = 100 * MS  # a topic: nobody can make this member ask more often
-SPREAD_DATAGRAMS = 8  # datagrams in which one member tells a new decision, FAN at a time
+REHEARSAL_TOPIC = "rehearsal"  # a topic without a feature, for operators' drills and for tests
+MAX_UNCONFIRMED = 4  # unconfirmed decisions per topic
+MAX_PROGRESS_JUMP = 1_000_000  # of an epoch or a version, per message
+CONFIRM_INTERVAL_US = 100 * MS  # per topic; bounds the requests that other members can cause
+SPREAD_DATAGRAMS = 8  # sends of a new decision by one member, SPREAD_FANOUT at a time
 SPREAD_FANOUT = 2
 MAX_DROP_CAUSES = 16
 
 
 @dataclass(frozen=True, slots=True)
 class PeerSettings:
-    """What the operator's file says for the core."""
+    """The settings of the core, from the operators' file; times in microseconds."""
 
     name: str
     roster: tuple[RosterEntry, ...]
     electors: tuple[str, ...] = ()
     topics: tuple[str, ...] = (REHEARSAL_TOPIC,)
-    wanted_topics: tuple[str, ...] = ()  # topics whose lease this member asks for
+    wanted_topics: tuple[str, ...] = ()  # topics whose lease this member requests
     lease: int = 6 * SECOND
-    decision_ttl: int = 30 * SECOND  # after so long cut off a decision is forgotten
+    decision_ttl: int = 30 * SECOND  # time without a majority after which a decision expires
     timing: MembershipTiming = MembershipTiming()
 
 
 @dataclass(slots=True)
 class DecisionAdopted:
-    """A decision that this member goes by from now on."""
+    """A decision that this member follows from now on."""
 
     topic: str
     epoch: int
@@ -66,7 +67,7 @@
 
 @dataclass(slots=True)
 class UnconfirmedDecision:
-    """A newer decision by another's word, until a majority of the electors has confirmed it."""
+    """A newer decision reported by another member and not yet confirmed by a majority of the electors."""
 
     decision: DecisionMade
     confirmed_by: dict[str, None] = field(default_factory=dict)
@@ -74,7 +75,7 @@
 
 @dataclass(slots=True)
 class FeatureMessageReceived:
-    """A feature's words from another member, for the same feature here."""
+    """A message from the same feature of another member."""
 
     topic: str
     sender: str
@@ -118,15 +119,14 @@
             settings.name, electors, settings.lease, instance_id, seed ^ 0x9E3779B97F4A7C15, now
         )
         self.decisions: dict[str, DecisionMade] = {}
-        self.unconfirmed: dict[
-            str, dict[tuple[int, int], UnconfirmedDecision]
-        ] = {}  # by topic, then version and mark
+        # By topic, then by version and CRC-32 of the body.
+        self.unconfirmed: dict[str, dict[tuple[int, int], UnconfirmedDecision]] = {}
         self.last_confirm_at: dict[str, int] = {}
-        self.progress: dict[str, tuple[int, int]] = {}  # epoch and version ever heard of, by topic
+        self.progress: dict[str, tuple[int, int]] = {}  # highest known epoch and version, by topic
         self.resigned = False
-        self.spreading: dict[str, int] = {}  # topics, and how often each is still told
+        self.spreading: dict[str, int] = {}  # remaining sends, by topic
         self.next_spread_at = now
-        self.last_majority_at = now  # when this member last saw a majority
+        self.last_majority_at = now
         self.commands: list[Command] = []
         self.membership.topic_progress = self.topic_progress
         self.membership.on_progress = self.on_progress
@@ -162,7 +162,7 @@
                     membership_events.append(event)
                     continue
                 if event.sender != self.name:
-                    membership_events.append(event)  # who is there shows in every datagram
+                    membership_events.append(event)  # every datagram shows that its sender is alive
             else:
                 self.apply_lifecycle_event(event)
                 if not isinstance(event, Resign):
@@ -199,11 +199,12 @@
     # Leases and decisions.
 
     def update_claims(self) -> None:
-        """Only who sees a majority asks for a lease; one that is held stays until it runs out."""
+        """Requests leases only while a majority is present; a held lease stays until it expires."""
         may_ask = may_request_lease(self.membership.quorum_state) and self.membership.status is Status.ALIVE
         self.proposer.now = self.now
         if self.membership.quorum_state in (QuorumState.MINORITY, QuorumState.ISOLATED):
-            # Even where the electors are on this side: who sees a minority decides nothing for the others.
+            # A member in a minority decides nothing for others, even if a majority of the electors is with
+            # it.
             for topic in list(self.proposer.claims):
                 if self.proposer.held_epoch(topic, self.now):
                     self.proposer.release(topic)
@@ -227,7 +228,7 @@
         self.adopt_decision(decision)
 
     def adopt_decision(self, decision: DecisionMade) -> None:
-        """Versions only grow, whoever the holder is: they tell which decision is newer."""
+        """Adopts a decision if it is newer. Versions grow across all holders, so they order the decisions."""
         current = self.decisions.get(decision.topic)
         if current is not None and current.version >= decision.version:
             return
@@ -256,8 +257,8 @@
             self.commands.append(FeatureMessageReceived(body.topic, sender, body.payload))
 
     def on_decision_made(self, sender: str, decision: DecisionMade) -> None:
-        """Hearsay until a majority of the electors says that it has accepted just that. Guards against a
-        member that lies about what was decided, its maker among them."""
+        """Adopts the decision only after a majority of the electors confirms that it accepted exactly this
+        one. Guards against a member that lies about a decision, including the one that proposed it."""
         current = self.decisions.get(decision.topic)
         if current is not None and decision.version <= current.version:
             return
@@ -312,7 +313,7 @@
         return found
 
     def progress_of(self, topic: str) -> tuple[int, int]:
-        """How far epochs and versions have gone, as far as this member ever heard, also as an elector."""
+        """The highest epoch and version of a topic that this member knows, also as an elector."""
         epoch, version = self.progress.get(topic, (0, 0))
         if self.elector is not None and topic in self.elector.registers:
             value = self.elector.registers[topic].value
@@ -325,7 +326,7 @@
             self.progress[topic] = max(before[0], epoch), max(before[1], version)
 
     def on_progress(self, sender: str, progress: list[TopicProgress]) -> None:
-        """Two tables were compared: who lacks a decision is told it."""
+        """Sends the decisions that another member lacks, after an exchange of tables."""
         their_versions = {}
         for one in progress:
             if one.topic in self.settings.topics:
@@ -336,19 +337,19 @@
                 self.commands.append(Send(sender, decision, []))
 
     def expire_decisions(self) -> None:
-        """Cut off, what was decided counts for a while and no longer."""
+        """Drops adopted decisions after too long without a majority."""
         if self.membership.quorum_state.value in ("together", "in doubt"):
             self.last_majority_at = self.now
         elif self.decisions and self.now - self.last_majority_at >= self.settings.decision_ttl:
             for topic in list(self.decisions):
                 del self.decisions[topic]
                 self.spreading.pop(topic, None)
-                self.commands.append(DecisionExpired(topic, "no majority was seen for too long"))
+                self.commands.append(DecisionExpired(topic, "no majority for too long"))
 
-    # For operators.
+    # Operators' view.
 
     def show(self) -> dict[str, object]:
-        """A plain table. Times are seconds ago."""
+        """The state as a plain table; times are seconds before now."""
         membership = self.membership
 
         def ago(at: int) -> float | None:
--- a/lupinmill/peers/proposer.py
+++ b/lupinmill/peers/proposer.py
@@ -1,13 +1,12 @@
-"""The asking half of the decisions in common: a member that wants a lease on a topic, keeps it, and decides
-under it. Pure. The argument that it is safe, and what it rests on, is in docs/design/peers.md.
+"""The proposer of leases and decisions: acquires, renews and releases a lease on a topic, and makes decisions
+under it. No I/O. The safety argument and its assumptions are in docs/design/peers.md.
 
-Each change is one Paxos round in two steps: promises of a majority of electors, then the new value, computed
-from the newest value that any of them had accepted, accepted by a majority. A lease counts for this process
-from the moment before it asked for acceptance; an elector's clock begins later and runs longer, so nobody
-else is given one meanwhile. Only the monotonic clock is used, and `holds` looks at it each time.
+Each change is one Paxos round: promises from a majority of the electors, then acceptance by a majority of the
+new value, which is computed from the newest value that any of them had accepted. For this process, a lease
+starts just before it asks for acceptance. An elector's lease timer starts later and runs longer, so no other
+member gets the lease meanwhile. Only the monotonic clock is used, and `held_epoch` reads it on each call.
 
-Owns one `Claim` a topic that this process wants; a claim has one attempt out at a time, given back at its
-end."""
+Owns one `LeaseClaim` for each requested topic; a claim has at most one `Proposal` outstanding."""
 
 from __future__ import annotations
 
@@ -20,9 +19,9 @@
 from lupinmill.peers.wire import Accepted, Ballot, Nack, Promise, TopicState
 from lupinmill.workings import Chance
 
-PROPOSAL_TIMEOUT_US = SECOND  # a round that lasts longer is given up
+PROPOSAL_TIMEOUT_US = SECOND
 RESEND_INTERVAL_US = 120 * MS
-RETRY_DELAY_US = 300 * MS  # between two attempts that failed, up to four times as long, by chance
+RETRY_DELAY_US = 300 * MS  # after a failed proposal, plus a random delay of up to four times as long
 
 
 def no_progress(topic: str) -> tuple[int, int]:
@@ -31,7 +30,7 @@
 
 @dataclass(slots=True)
 class LeaseAcquired:
-    """This process holds the lease from now on, under this epoch."""
+    """This process holds the lease from now on; the epoch is its fencing token."""
 
     topic: str
     epoch: int
@@ -46,7 +45,7 @@
 
 @dataclass(slots=True)
 class DecisionAccepted:
-    """A decision that a majority has accepted; others are told."""
+    """A decision that a majority of the electors has accepted."""
 
     topic: str
     epoch: int
@@ -56,29 +55,33 @@
 
 @dataclass(slots=True)
 class Proposal:
+    """One Paxos round of a claim."""
+
     ballot: Ballot
     deadline: int
     resend_at: int
     promises: dict[str, Promise] = field(default_factory=dict)
-    value: TopicState | None = None  # once acceptance is asked for
-    accept_sent_at: int = 0  # when it was
+    value: TopicState | None = None  # set in the second phase
+    accept_sent_at: int = 0  # start of the second phase
     accepted_by: dict[str, None] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
 class LeaseClaim:
+    """A lease that this process requests, holds or releases."""
+
     topic: str
     lease: int
-    next_attempt_at: int  # when to try, or to renew
+    next_attempt_at: int  # of a first proposal, a retry or a renewal
     failures: int = 0
-    epoch: int = 0  # under which it holds, else 0
-    version: int = 0  # of the newest decision that it knows as made
+    epoch: int = 0  # of the held lease; 0: not held
+    version: int = 0  # of the newest decision known to be accepted
     held_until: int = 0
     releasing: bool = False
-    pending_decision: bytes | None = None  # a decision to be made
+    pending_decision: bytes | None = None  # a decision that is not accepted yet
     highest_seen: Ballot = Ballot()
     proposal: Proposal | None = None
-    current_holder: str = ""  # who holds it, as far as known
+    current_holder: str = ""  # another member that holds the lease, if known
 
 
 class Proposer:
@@ -89,40 +92,41 @@
         self.lease = lease
         self.chance = Chance(seed)
         self.claims: dict[str, LeaseClaim] = {}
-        self.ballot_numbers: dict[
-            str, int
-        ] = {}  # of ballots, by topic: none is used again while this process lives
+        # The last ballot number by topic; a process never reuses one.
+        self.ballot_numbers: dict[str, int] = {}
         self.commands: list[Send | LeaseAcquired | LeaseLost | DecisionAccepted] = []
         self.majority: Callable[[int], int] = majority
-        # Epoch and version of a topic that this member ever heard of, from whomever.
+        # Highest epoch and version of a topic that this member ever learned, from any source.
         self.progress: Callable[[str], tuple[int, int]] = no_progress
 
-    # What others of this process ask for.
+    # Requests by other parts of this process.
 
     def request(self, topic: str) -> None:
-        """One that is just being given up is wanted anew only once that is over: its attempt is a release."""
+        """Requests the lease; has no effect while a release of it is in progress."""
         if topic not in self.claims:
             self.claims[topic] = LeaseClaim(topic, self.lease, self.now + self.chance.upto(RETRY_DELAY_US))
 
     def release(self, topic: str) -> None:
-        """From this moment on it is not held; the electors hear of it, else it runs out."""
+        """Stops holding the lease at once and notifies the electors; if that fails, the lease expires
+        there."""
         claim = self.claims.get(topic)
         if claim is None:
             return
         if claim.epoch:
-            self.end_lease(claim, "given up")
+            self.end_lease(claim, "released")
             claim.releasing, claim.next_attempt_at = True, self.now
         elif not claim.releasing:
             del self.claims[topic]
 
     def cancel_request(self, topic: str) -> None:
-        """What is held stays until it runs out; what is only asked for is let go of."""
+        """Drops a claim that holds no lease; a held lease stays until it expires."""
         claim = self.claims.get(topic)
         if claim is not None and not claim.epoch and not claim.releasing:
             del self.claims[topic]
 
     def decide(self, topic: str, body: bytes) -> bool:
-        """False where this process doesn't hold the topic, or its last decision is still on its way."""
+        """Returns False if this process doesn't hold the lease, its last decision is still pending, or the
+        body is too long."""
         claim = self.claims.get(topic)
         if claim is None or not self.held_epoch(topic, self.now) or claim.pending_decision is not None:
             return False
@@ -134,11 +138,11 @@
         return True
 
     def held_epoch(self, topic: str, now: int) -> int:
-        """The epoch under which this process may act at this moment; 0: it may not."""
+        """The epoch of the lease if it is held at `now`, else 0."""
         claim = self.claims.get(topic)
         return claim.epoch if claim is not None and now < claim.held_until else 0
 
-    # The core.
+    # The protocol.
 
     def next_due(self) -> int | None:
         times = []
@@ -158,7 +162,7 @@
         self.now = now
         for claim in list(self.claims.values()):
             if claim.epoch and now >= claim.held_until:
-                self.end_lease(claim, "it ran out")
+                self.end_lease(claim, "expired")
         for event in events:
             body = event.body
             if not isinstance(body, Promise | Accepted | Nack) or event.sender not in self.electors:
@@ -189,7 +193,7 @@
             self.send_requests(claim, proposal)
 
     def start_proposal(self, claim: LeaseClaim) -> None:
-        # Guards against one ballot with two values: a claim given up is forgotten, its ballots are not.
+        # Numbers outlive their claims, as one ballot must never carry two values.
         number = max(claim.highest_seen.number, self.ballot_numbers.get(claim.topic, 0)) + 1
         self.ballot_numbers[claim.topic] = number
         ballot = Ballot(number, f"{self.name}:{self.instance_id:x}")
@@ -215,7 +219,7 @@
             self.now + RETRY_DELAY_US + self.chance.upto(RETRY_DELAY_US * min(4, claim.failures))
         )
         if claim.releasing and claim.failures > 2:
-            del self.claims[claim.topic]  # it runs out by itself
+            del self.claims[claim.topic]  # the lease expires at the electors
 
     def on_nack(self, claim: LeaseClaim, body: Nack) -> None:
         claim.highest_seen = max(claim.highest_seen, body.promised)
@@ -224,7 +228,7 @@
 
     def on_promise(self, claim: LeaseClaim, proposal: Proposal, sender: str, body: Promise) -> None:
         if proposal.value is not None:
-            return  # a majority was enough; later promises are of no use
+            return  # a majority has promised already
         proposal.promises[sender] = body
         if len(proposal.promises) < self.majority(len(self.electors)):
             return
@@ -237,8 +241,8 @@
         self.send_requests(claim, proposal)
 
     def next_value(self, claim: LeaseClaim, value: TopicState, proposal: Proposal) -> TopicState | None:
-        """The change, on the newest value. None, and the attempt is over: another holds it, or this one was
-        fenced."""
+        """The value to propose, based on the newest accepted one. None ends the proposal: another member
+        holds the lease, or this process was fenced."""
         if claim.releasing:
             if (value.holder, value.instance_id) != (self.name, self.instance_id):
                 del self.claims[claim.topic]
@@ -250,7 +254,7 @@
                 self.end_lease(claim, f"{value.holder or 'nobody'} has epoch {value.epoch}")
                 return None
             if claim.pending_decision is not None:
-                # Only this process decides under its epoch: a newer one found is its own earlier try.
+                # Only this process decides under its epoch, so a newer version is its own earlier proposal.
                 return TopicState(
                     value.epoch,
                     self.name,
@@ -263,7 +267,7 @@
                 value.epoch, self.name, self.instance_id, claim.lease, value.version, value.body
             )
         for promise in proposal.promises.values():
-            # Any elector that says it runs is enough: the newest value may be one that only a few accepted.
+            # A running lease at any single elector counts, as the newest value may lack a majority.
             held = promise.value
             if promise.remaining and (held.holder, held.instance_id) != (self.name, self.instance_id):
                 claim.current_holder = held.holder
@@ -273,8 +277,9 @@
                     self.now + min(promise.remaining, claim.lease) + self.chance.upto(RETRY_DELAY_US)
                 )
                 return None
-        # Where too many electors forgot, numbers that others still go by must not be given out again: they
-        # would take what is new for old. A liar's false height costs numbers, never what electors remember.
+        # If too many electors lost their memory, epochs and versions that members still know must not be
+        # reused: members would take new decisions for old ones. A false progress report by a lying member
+        # only skips numbers, and never affects the electors' memory.
         epoch, version = self.progress(claim.topic)
         version = value.version if value.version >= version else version + 1
         return TopicState(
@@ -293,16 +298,16 @@
             return
         is_new = not claim.epoch
         claim.epoch = value.epoch
-        # Two parts of drift: this clock may be slow while an elector's is fast.
+        # Twice the drift, as this clock may be slow while an elector's is fast.
         claim.held_until = proposal.accept_sent_at + claim.lease - 2 * claim.lease // CLOCK_DRIFT_DIVISOR
         if self.now >= claim.held_until:
-            self.end_lease(claim, "it ran out before it was told")
+            self.end_lease(claim, "expired before it was accepted")
             return
         claim.next_attempt_at = proposal.accept_sent_at + claim.lease // 3
         if is_new:
             self.commands.append(LeaseAcquired(claim.topic, value.epoch))
         if value.version and (is_new or value.version > claim.version):
-            # A new holder tells what it found too: its maker may have died before it could.
+            # A new holder also announces the decision that it found, as its proposer may have failed before.
             self.commands.append(DecisionAccepted(claim.topic, value.epoch, value.version, value.body))
             if not is_new:
                 claim.pending_decision = None
@@ -311,8 +316,8 @@
             claim.next_attempt_at = self.now
 
     def end_lease(self, claim: LeaseClaim, reason: str) -> None:
-        """Its attempt goes with it: what a late one might still win counts as nobody's until it has run
-        out."""
+        """Also drops the open proposal. If electors still accept it, the lease belongs to no process until it
+        expires there."""
         self.commands.append(LeaseLost(claim.topic, claim.epoch, reason))
         claim.epoch, claim.held_until, claim.pending_decision, claim.proposal = 0, 0, None, None
         claim.next_attempt_at = self.now + self.chance.upto(RETRY_DELAY_US)
--- a/lupinmill/peers/stable_store.py
+++ b/lupinmill/peers/stable_store.py
@@ -1,7 +1,8 @@
-"""What an elector promised, on disk: one small file, replaced whole. Owns the directory's lock while open.
+"""Stable storage of an elector's state: one small file, replaced atomically. Owns the lock on the directory
+while open.
 
-A file holds an 8-byte xxhash of the rest, then the msgpack `Memory`. Damage counts as having forgotten: the
-elector is then silent and asks the others, which is always safe."""
+The file holds a format tag, an 8-byte xxhash of the rest, and `Memory` as msgpack. A damaged file counts as
+lost memory: the elector then abstains and asks the others, which is always safe."""
 
 from __future__ import annotations
 
@@ -20,10 +21,12 @@
 
 
 class StoreError(Exception):
-    """The directory can't be used; the text says why."""
+    """The directory can't be used, for the cause in the text."""
 
 
 class StableStore:
+    """The state file of an elector in its own directory."""
+
     def __init__(self, directory: str) -> None:
         self.directory = Path(directory)
         try:
@@ -35,10 +38,10 @@
             fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError as error:
             os.close(self.lock)
-            raise StoreError(f"{directory}: another process has it") from error
+            raise StoreError(f"{directory}: another process holds the lock") from error
 
     def read(self) -> Memory | None:
-        """None: nothing was kept, or it can't be trusted."""
+        """Returns None if there is no file or it is damaged."""
         try:
             data = (self.directory / FILE_NAME).read_bytes()
         except OSError:
@@ -51,7 +54,8 @@
             return None
 
     def write(self, body: bytes) -> None:
-        """Raises OSError, and then the file is as before. Blocks for the disk: not for an event loop."""
+        """Replaces the file and syncs it. On OSError the old file is unchanged. Blocks: not for an event
+        loop."""
         path, temporary = self.directory / FILE_NAME, self.directory / f"{FILE_NAME}.new"
         descriptor = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
         try:
--- a/lupinmill/peers/view.py
+++ b/lupinmill/peers/view.py
@@ -1,6 +1,6 @@
-"""What one sidecar holds of the others, and of itself: the types. Pure.
+"""Types of the membership view, and the events and commands that the peer cores share. No I/O.
 
-Owns nothing; `Membership` owns the table of `Member`, one entry for each name of the roster and no other."""
+`Membership` owns the table of `Member`, which has exactly one entry for each name in the roster."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 
 
 class QuorumState(Enum):
-    """Of this sidecar among the others."""
+    """How much of the roster this sidecar can reach, in its own view."""
 
-    MAJORITY = "together"  # sees a majority of the roster
-    UNCERTAIN = "in doubt"  # views disagree, or it is late itself
-    MINORITY = "cut off"  # sees a minority
-    ISOLATED = "alone"  # sees nobody
+    MAJORITY = "together"  # a majority of the roster is present
+    UNCERTAIN = "in doubt"  # views disagree, or this process itself is late
+    MINORITY = "cut off"  # only a minority is present
+    ISOLATED = "alone"  # no other member is present
 
 
 @dataclass(frozen=True, slots=True)
 class RosterEntry:
-    """A member as the roster tells it."""
+    """A member as configured in the operators' file."""
 
     name: str
     address: str
@@ -35,15 +35,17 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipTiming:
-    """Microseconds. Suspicion lasts `patience * log10(members)` rounds, up to `doubt` times as long while few
-    share it (Lifeguard, sections IV.A to C)."""
+    """Timing of the failure detector; times in microseconds.
+
+    A suspicion lasts `suspicion_factor * log10(members)` rounds, and up to `max_suspicion_factor` times as
+    long while few members confirm it (Lifeguard, sections IV.A to C)."""
 
     round: int = 200 * MS
     suspicion_factor: float = 3.0
     max_suspicion_factor: float = 6.0
-    required_confirmations: int = 3  # others whose suspicion makes one as short as it gets
-    indirect_probes: int = 3  # asked to ping for one that hears nothing
-    direct_share: float = 0.4  # part of a round for the direct answer
+    required_confirmations: int = 3  # suspecting members at which the timeout reaches its minimum
+    indirect_probes: int = 3  # helpers asked after a direct probe gets no ack
+    direct_share: float = 0.4  # fraction of a round to wait for the direct ack
     max_health_score: int = 4
 
     def suspicion_timeout(self, members: int, confirmations: int) -> int:
@@ -61,30 +63,32 @@
     status: Status = Status.UNKNOWN
     incarnation: int = 0
     since: int = 0
-    source: str = ""  # who told
-    last_ack_at: int = -1  # its last answer to a probe of this sidecar, direct or by a helper
-    suspected_at: int = 0  # since when
-    suspected_by: list[str] = field(default_factory=list)  # who suspects it, a few at most
-    death_reporters: list[str] = field(
-        default_factory=list
-    )  # who told, from its own, that it is dead or left
-    suspicion_ends_at: int = -1  # when the suspicion ends
-    check_serial: int = 0  # serial of an own probe that decides on it
-    reported_status: Status = Status.DEAD  # what it is when the check fails
+    source: str = ""  # member that reported the status
+    last_ack_at: int = -1  # last ack to a probe of this sidecar, direct or indirect
+    suspected_at: int = 0
+    suspected_by: list[str] = field(default_factory=list)  # a bounded number of names
+    # Members that reported it dead or left from their own addresses.
+    death_reporters: list[str] = field(default_factory=list)
+    suspicion_ends_at: int = -1  # -1: not suspected
+    check_serial: int = 0  # serial of the own probe that decides on the suspicion; 0: none
+    reported_status: Status = Status.DEAD  # status that it gets if that probe fails
 
     def update(self, turn: int = 0) -> MemberUpdate:
-        """Who shares a suspicion is told in turn: each shortens it for those that hear."""
+        """The update to gossip. Suspecting members are named in turn, as each confirmation shortens the
+        suspicion at the receivers."""
         source = self.source or self.entry.name
         if self.status is Status.SUSPECT and self.suspected_by:
             source = self.suspected_by[turn % len(self.suspected_by)]
         return MemberUpdate(self.entry.name, self.status, self.incarnation, source)
 
 
-# --- notes and orders of the cores ---------------------------------------------------------------
+# --- events and commands of the cores ------------------------------------------------------------
 
 
 @dataclass(slots=True)
 class Received:
+    """A datagram from another member, or a message of this member to itself."""
+
     sender: str
     body: Body
     updates: list[MemberUpdate] = field(default_factory=list)
@@ -92,18 +96,18 @@
 
 @dataclass(slots=True)
 class Leave:
-    """This sidecar goes, or is drained by an operator."""
+    """This sidecar shuts down, or an operator drains it."""
 
 
 @dataclass(slots=True)
 class Resign:
-    """Another process of this sidecar is the member from now on: leases are given up, others hear of
-    nothing."""
+    """Another process of this sidecar becomes the member: leases are released, and no status change is
+    announced."""
 
 
 @dataclass(slots=True)
 class Rejoin:
-    """A drained one serves again."""
+    """A drained sidecar serves again."""
 
 
 @dataclass(slots=True)
@@ -120,7 +124,7 @@
 
 @dataclass(slots=True)
 class MemberChanged:
-    """A member is something else in this view now. For the log."""
+    """The status of a member changed in this view; for the log."""
 
     name: str
     before: Status
--- a/lupinmill/peers/wire.py
+++ b/lupinmill/peers/wire.py
@@ -1,8 +1,8 @@
-"""What sidecars say to one another: msgspec structs as msgpack, one datagram each. Pure.
+"""The messages between sidecars: msgspec structs as msgpack, one per datagram. No I/O.
 
-A datagram is `[version, site, body, notes]`. Structs are arrays, so a later version may add fields at an end
-and is still read by this one; another version number, site or shape is refused. Every length has a bound
-here, so what decodes can be kept."""
+A datagram is `[version, site, body, updates]`. Structs are encoded as arrays, so a later version may append
+fields and this one still reads them; another version number, site or shape is rejected. Every length is
+bounded here, so whatever decodes is safe to store."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from msgspec import Meta, Struct
 
 VERSION = 1
-MAX_DATAGRAM_BYTES = 1_200  # bytes of a datagram
-MAX_UPDATES = 24  # on the members, in one datagram
-MAX_DECISION_BYTES = 700  # bytes of a decision
-MAX_FEATURE_BYTES = 1_000  # bytes that a feature says in one datagram
-PAYLOAD_BYTES = MAX_DATAGRAM_BYTES - 60  # bytes for the notes and the body; the rest is their frame
+MAX_DATAGRAM_BYTES = 1_200
+MAX_UPDATES = 24  # member updates per datagram
+MAX_DECISION_BYTES = 700
+MAX_FEATURE_BYTES = 1_000  # payload of a feature message
+PAYLOAD_BYTES = MAX_DATAGRAM_BYTES - 60  # for the body and the updates; the rest is framing
 
 Counter = Annotated[int, Meta(ge=0, le=2**53)]
 Name = Annotated[str, Meta(min_length=1, max_length=64)]
@@ -28,7 +28,7 @@
 
 
 class Status(IntEnum):
-    """Of one member as another holds it. Of two with one incarnation the later in this order goes before."""
+    """The status of a member in another member's view. At the same incarnation the higher value wins."""
 
     UNKNOWN = 0
     ALIVE = 1
@@ -38,21 +38,21 @@
 
 
 class MemberUpdate(Struct, array_like=True, frozen=True):
-    """One member by another's word."""
+    """The status of a member, as reported by another member."""
 
     name: Name
     status: Status
     incarnation: Counter
-    source: Name  # who found it so
+    source: Name  # member that first reported the status
 
 
 class Ping(Struct, array_like=True, tag="p", frozen=True):
     serial: Counter
-    status: Status  # of the sender, by its own word
+    status: Status  # the sender's own
     incarnation: Counter
-    known_status: Status  # what the sender holds of who is asked, so that it can refute it
+    known_status: Status  # the receiver's status in the sender's view, so that it can refute it
     known_incarnation: Counter
-    digest: Counter  # of who is present in the sender's view
+    digest: Counter  # of the present members in the sender's view
 
 
 class Ack(Struct, array_like=True, tag="a", frozen=True):
@@ -65,14 +65,14 @@
 
 
 class PingRequest(Struct, array_like=True, tag="q", frozen=True):
-    """Ping `name` for me, I don't hear it."""
+    """Asks a helper to ping `name`, which sent the sender no ack (ping-req in SWIM)."""
 
     serial: Counter
     name: Name
 
 
 class IndirectAck(Struct, array_like=True, tag="r", frozen=True):
-    """What came of an `Ask`: it answered, or (`answered` false) it did not, but the helper is there."""
+    """The reply to a `PingRequest`; with `answered` false, a nack: the helper got no ack either."""
 
     serial: Counter
     name: Name
@@ -81,16 +81,16 @@
 
 
 class TopicProgress(Struct, array_like=True, frozen=True):
-    """How far things have gone on a topic, as far as the sender ever heard, and what it goes by itself."""
+    """The highest epoch and version of a topic that the sender knows, and the version that it follows."""
 
     topic: Name
     epoch: Counter
     version: Counter
-    decided: Counter  # version that the sender goes by; 0: none
+    decided: Counter  # version that the sender follows; 0: none
 
 
 class Table(Struct, array_like=True, tag="t", frozen=True):
-    """Part of the sender's whole table, in the notes; `wanted`: send yours from `at` on."""
+    """A part of the sender's member table, in the updates; with `wanted`, a request for the receiver's."""
 
     wanted: bool
     position: Counter
@@ -98,19 +98,19 @@
 
 
 class TopicState(Struct, array_like=True, frozen=True):
-    """The value of one register: who holds the lease on a topic, and the newest decision on it."""
+    """The value of a register: the holder of the lease on a topic, and the newest decision on it."""
 
-    epoch: Counter = 0  # grows with each holder: the fencing token
+    epoch: Counter = 0  # fencing token; grows with each holder
     holder: Annotated[str, Meta(max_length=64)] = ""
     instance_id: InstanceId = 0  # of the holder's process
-    lease: Counter = 0  # microseconds from acceptance that the lease runs at an elector
-    version: Counter = 0  # of the decision; grows by one
+    lease: Counter = 0  # microseconds that the lease runs at an elector, from its acceptance
+    version: Counter = 0  # of the decision; grows by one with each
     body: DecisionBody = b""
 
 
 class Ballot(Struct, array_like=True, frozen=True, order=True):
     number: Counter = 0
-    name: Annotated[str, Meta(max_length=96)] = ""  # of the asking process: name and life, never used again
+    name: Annotated[str, Meta(max_length=96)] = ""  # proposer and its instance ID; unique to a process
 
 
 class Prepare(Struct, array_like=True, tag="P", frozen=True):
@@ -121,10 +121,10 @@
 class Promise(Struct, array_like=True, tag="Q", frozen=True):
     topic: Name
     ballot: Ballot
-    instance_id: InstanceId  # of the elector: only this life may accept under this promise
+    instance_id: InstanceId  # of the elector; only this process may accept under the promise
     accepted: Ballot
     value: TopicState
-    remaining: Counter  # microseconds that the lease in `value` still runs by the elector's clock
+    remaining: Counter  # microseconds until the lease in `value` expires, by the elector's clock
 
 
 class Accept(Struct, array_like=True, tag="A", frozen=True):
@@ -141,7 +141,7 @@
 
 
 class Nack(Struct, array_like=True, tag="N", frozen=True):
-    """A ballot came too late; `highest` is what was promised. `silent`: the elector gives no vote yet."""
+    """The ballot is lower than the promised one, or the elector abstains as it lost its memory."""
 
     topic: Name
     ballot: Ballot
@@ -150,25 +150,25 @@
 
 
 class RecallRequest(Struct, array_like=True, tag="R", frozen=True):
-    """An elector that forgot asks another for what it holds; who answers is bound by a higher promise
-    first."""
+    """An elector without memory asks another one for its state. The other raises its promises before it
+    answers."""
 
     instance_id: InstanceId
     round: Counter
 
 
 class RecallReply(Struct, array_like=True, tag="S", frozen=True):
-    instance_id: InstanceId  # of who asked, ...
-    round: Counter  # ... and in which try
-    has_memory: bool  # false: it forgot as well, and its word counts only where too few remember
-    forgotten_for: Counter  # for how long it has not known by now, microseconds
+    instance_id: InstanceId  # of the elector that asked
+    round: Counter  # of its request
+    has_memory: bool  # false: the sender lost its memory too, and counts only if too few remember
+    forgotten_for: Counter  # microseconds for which it has been without memory
     registers: Annotated[list[tuple[Name, Ballot, Ballot, TopicState]], Meta(max_length=16)]
-    last: bool  # no more parts come
+    last: bool
     part: Counter
 
 
 class DecisionMade(Struct, array_like=True, tag="M", frozen=True):
-    """A decision that a majority has accepted, by the sender's word."""
+    """A decision that a majority has accepted, as claimed by the sender."""
 
     topic: Name
     epoch: Counter
@@ -177,15 +177,15 @@
 
 
 class ConfirmRequest(Struct, array_like=True, tag="C", frozen=True):
-    """Has this elector accepted decision `version` with that body?"""
+    """Asks an elector whether it has accepted decision `version` with that body."""
 
     topic: Name
     version: Counter
-    body_crc: Counter  # CRC-32 of the body
+    body_crc: Counter  # CRC-32
 
 
 class ConfirmReply(Struct, array_like=True, tag="D", frozen=True):
-    """It has, and holds it now."""
+    """The elector has accepted the decision, and holds it now."""
 
     topic: Name
     version: Counter
@@ -193,8 +193,8 @@
 
 
 class FeatureMessage(Struct, array_like=True, tag="x", frozen=True):
-    """What a feature that goes by peers says to the same feature of another member. It may be lost,
-    doubled and late; the feature reads its words itself."""
+    """A message between the same features of two members. It may be lost, duplicated or late; the feature
+    decodes the payload itself."""
 
     topic: Name
     payload: FeaturePayload
@@ -228,7 +228,7 @@
 
 
 class InvalidDatagram(Exception):
-    """Not for this sidecar; the text says why, in one word that is counted."""
+    """The datagram is not acceptable here; the text is the one-word cause that is counted."""
 
 
 ENCODER = msgspec.msgpack.Encoder()
@@ -240,7 +240,7 @@
 
 
 def encode(site: int, body: Body, updates: list[MemberUpdate]) -> bytes:
-    """At most `LARGEST` bytes: notes that find no room are left out, the last ones first."""
+    """Encodes at most `MAX_DATAGRAM_BYTES`; updates that don't fit are dropped from the end."""
     while True:
         data = ENCODER.encode(Datagram(VERSION, site, body, updates[:MAX_UPDATES]))
         if len(data) <= MAX_DATAGRAM_BYTES or not updates:
@@ -249,7 +249,7 @@
 
 
 def decode(site: int, data: bytes) -> Datagram:
-    """Raises Foreign."""
+    """Raises InvalidDatagram."""
     if len(data) > MAX_DATAGRAM_BYTES:
         raise InvalidDatagram("large")
     try:
--- a/tests/test_peers_decisions.py
+++ b/tests/test_peers_decisions.py
@@ -310,7 +310,7 @@
     elector = Elector("a", NAMES, [TOPIC], SECOND, 1, 0, Memory())
     prepared(elector, 0, 7)
     promises.write(elector.encode_memory())
-    with pytest.raises(StoreError, match="another process"):
+    with pytest.raises(StoreError, match="another process holds the lock"):
         StableStore(str(tmp_path / "own"))
     promises.close()
     again = StableStore(str(tmp_path / "own"))
--- a/tests/test_peers_members.py
+++ b/tests/test_peers_members.py
@@ -303,7 +303,7 @@
     assert alone.status("m3") is not Status.DEAD
     alone.run(3)
     assert alone.status("m3") is Status.DEAD
-    assert alone.changes[-1].reason == "no answer to an own probe" or "three" in alone.changes[-1].reason
+    assert alone.changes[-1].reason == "own probe timed out" or "three" in alone.changes[-1].reason
 
 
 def test_three_others_that_hold_it_dead_stand_for_an_own_probe():
--- a/tests/test_peers_processes.py
+++ b/tests/test_peers_processes.py
@@ -289,10 +289,10 @@
     def said(text: str):
         return lambda: any(text in str(line.get("text")) for line in rig.lines[bad])
 
-    await rig.until("it says that it gives no vote", said("gives no vote"))
+    await rig.until("it says that it gives no vote", said("abstains from voting"))
     fresh.rmdir()
     assert (await rig.call(holder, "resume", "PUT"))[0] == 200
-    await rig.until("it says that it votes again", said("kept again"))
+    await rig.until("it says that it votes again", said("written to disk again"))
     await rig.until("all agree", rig.agreed)
 
 
@@ -369,7 +369,7 @@
         if at % 20 == 0:
             await asyncio.sleep(0.01)
     honest = ["m0", "m1", "m2", "m4"]
-    own = {"no answer to an own probe", "three others hold it so"}
+    own = {"own probe timed out", "reported by three other members"}
     assert {e.why for e in rig.result.events if e.what == "peer" and e.state == "dead"} <= own
     for name in honest:  # by asking: of so many changes not all are in the log
         await show_of(
