--- a/lupinmill/peers/proposer.py
+++ b/lupinmill/peers/proposer.py
@@ -113,7 +113,7 @@
         if claim is None:
             return
         if claim.epoch:
-            self.end_lease(claim, "released")
+            self.end_lease(claim, "lease released")
             claim.releasing, claim.next_attempt_at = True, self.now
         elif not claim.releasing:
             del self.claims[topic]
@@ -162,7 +162,7 @@
         self.now = now
         for claim in list(self.claims.values()):
             if claim.epoch and now >= claim.held_until:
-                self.end_lease(claim, "expired")
+                self.end_lease(claim, "lease expired")
         for event in events:
             body = event.body
             if not isinstance(body, Promise | Accepted | Nack) or event.sender not in self.electors:
@@ -301,7 +301,7 @@
         # Twice the drift, as this clock may be slow while an elector's is fast.
         claim.held_until = proposal.accept_sent_at + claim.lease - 2 * claim.lease // CLOCK_DRIFT_DIVISOR
         if self.now >= claim.held_until:
-            self.end_lease(claim, "expired before it was accepted")
+            self.end_lease(claim, "lease expired before it was accepted")
             return
         claim.next_attempt_at = proposal.accept_sent_at + claim.lease // 3
         if is_new:
--- a/lupinmill/takeover/__init__.py
+++ b/lupinmill/takeover/__init__.py
@@ -1,2 +1,2 @@
-"""Work in hand that survives the loss of its sidecar: records at other members, claims that fence, and how
-one that takes over goes on. Pure cores so far."""
+"""Takeover of open requests after the loss of their sidecar: replicated records, ownership claims that
+fence the old owner, and the rules for going on. Pure cores; no driver yet."""
--- a/lupinmill/takeover/claimant.py
+++ b/lupinmill/takeover/claimant.py
@@ -1,14 +1,16 @@
-"""One process's side of the records: what it owns, what it asks to own, and what it was fenced from. Pure;
-`step(now, notes)` gives orders.
+"""One process's side of the records: those that it owns, claims, or was fenced from. No I/O: `step(now,
+events)` returns commands.
 
-The argument for once. A launch whose effect matters goes out only after `Cleared`: a majority of the record's
-keepers holds its intent under this process's ballot, none of them having promised a higher one. Who takes
-over claims with a higher ballot and goes on only after a majority has promised it. Any two majorities share a
-keeper. If that keeper accepted the intent before it promised, the new owner reads it; if it promised before,
-it refused the intent, and the old owner was not cleared. So the new owner sees every launch that was or will
-ever be made under a lower ballot, in whatever order messages come and however long anybody is stopped.
+Why a request takes effect at most once. An attempt with side effects is sent only after `AttemptCleared`: a
+majority of the record's keepers holds its intent under this process's ballot, and none of them has promised
+a higher one. A process that takes over claims the record with a higher ballot, and goes on only after a
+majority has promised it. Any two majorities share a keeper. If that keeper accepted the intent before it
+promised, the new owner reads the intent. If it promised before, it refused the intent, and the old owner's
+attempt was not cleared. So the new owner sees every attempt that was or will ever be sent under a lower
+ballot, whatever the order of messages and however long any process is paused.
 
-Owns one `Hold` a key, given back by `drop` once its end is held by a majority or nothing more can be done."""
+Owns one `OwnershipState` per key, released by `forget` once a majority holds the record's end or nothing
+more can be done."""
 
 from __future__ import annotations
 
@@ -38,22 +40,20 @@
 
 MS = 1_000
 RESEND_INTERVAL_US = 60 * MS
-MAX_SENDS = 4  # sends of one message, then it is given up
-CLEARANCE_LIFETIME_US = (
-    500 * MS
-)  # from asking on a launch must go out in this time, else it is asked for again
+MAX_SENDS = 4  # of one message without a majority of replies
+CLEARANCE_LIFETIME_US = 500 * MS  # from the write request to the send; later, clearance is requested again
 
 
 def majority(count: int) -> int:
     return count // 2 + 1
 
 
-# --- notes -----------------------------------------------------------------------------------------
+# --- events ----------------------------------------------------------------------------------------
 
 
 @dataclass(frozen=True, slots=True)
 class StartRecord:
-    """A submission has come here, and its first launch is to go to this endpoint."""
+    """A request was received here, and its first attempt is to go to this endpoint."""
 
     request: RequestInfo
     endpoint: str
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AddIntent:
-    """Another launch by the owner."""
+    """The owner plans another attempt."""
 
     key: str
     endpoint: str
@@ -85,7 +85,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TakeOver:
-    """Its owner is held dead, cut off or leaving, and this process is the one whose turn it is."""
+    """The owner is dead, cut off or leaving in this view, and this process is the chosen successor."""
 
     key: str
 
@@ -98,7 +98,7 @@
 
 ClaimantEvent = StartRecord | AddIntent | AttemptEnded | FinishRecord | TakeOver | KeeperReply
 
-# --- orders ----------------------------------------------------------------------------------------
+# --- commands --------------------------------------------------------------------------------------
 
 
 @dataclass(frozen=True, slots=True)
@@ -109,7 +109,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptCleared:
-    """This launch may go out now, and until `by`."""
+    """The attempt may be sent from now until `deadline`."""
 
     key: str
     intent: Intent
@@ -118,7 +118,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordClaimed:
-    """The record is this process's: how to go on is `record.onward`. `oldest` as asked there."""
+    """This process owns the record now; `oldest_age` is the argument for `record.next_step`."""
 
     key: str
     record: Record
@@ -127,7 +127,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OwnedElsewhere:
-    """Another process has it, or it has ended: who came here again waits there, or hears the end."""
+    """Another process owns the record, or it has ended; a retrying client waits there or gets the end."""
 
     key: str
     record: Record
@@ -135,15 +135,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Fenced:
-    """Another owns it from now on: nothing more is launched here."""
+    """Another process owns the record from now on: this one sends no more attempts."""
 
     key: str
 
 
 @dataclass(frozen=True, slots=True)
 class Unprotected:
-    """No majority of its keepers answers or has room: whether it goes out all the same is told by
-    workload."""
+    """No majority of the keepers answers or has room. The workload's settings say whether the request is sent
+    unprotected."""
 
     key: str
     reason: str
@@ -151,7 +151,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndStored:
-    """Its end is held by a majority."""
+    """A majority of the keepers holds the record's end."""
 
     key: str
 
@@ -163,29 +163,32 @@
 
 @dataclass(slots=True)
 class OwnershipState:
+    """What this process knows of one record and its keepers' replies."""
+
     ballot: OwnerBallot
     record: Record | None
     phase: str  # begin, claim, own, fenced, unprotected
     keepers: tuple[str, ...]
-    version: int = 0  # of the newest version
-    first_sent_at: int = 0  # when the newest version was first sent
+    version: int = 0  # of the record
+    first_sent_at: int = 0  # first send of the newest version
     resend_at: int = 0
     sends: int = 0
-    acks: dict[str, int] = field(
-        default_factory=dict
-    )  # newest serial that a keeper holds; -1: it has no room
+    # The newest version that each keeper holds; -1: it has no room.
+    acks: dict[str, int] = field(default_factory=dict)
     promises: dict[str, ClaimPromised] = field(default_factory=dict)
     held_elsewhere: dict[str, RecordHeld] = field(default_factory=dict)
     refusals: dict[str, None] = field(default_factory=dict)
-    highest_seen: int = 0  # number of any ballot seen
-    uncleared: dict[Intent, int] = field(default_factory=dict)  # not cleared yet: the version that has it
+    highest_seen: int = 0  # highest ballot number in any reply
+    uncleared: dict[Intent, int] = field(default_factory=dict)  # version of the record that has the intent
     ages: IntentAges = field(default_factory=IntentAges)
     attempts: int = 0
 
 
 class Claimant:
+    """Owns and claims records for one process."""
+
     def __init__(self, process: str, keepers: Callable[[str], tuple[str, ...]]) -> None:
-        """`keepers(key)`: names, the same at every member of one roster."""
+        """`keepers(key)`: names of the keepers, the same at every member with the same roster."""
         self.process, self.keepers_of = process, keepers
         self.states: dict[str, OwnershipState] = {}
         self.commands: list[ClaimantCommand] = []
@@ -217,7 +220,7 @@
         commands, self.commands = self.commands, []
         return commands
 
-    # What this process wants.
+    # Events of this process.
 
     def start(self, event: StartRecord) -> None:
         request = event.request
@@ -230,8 +233,8 @@
         self.send_all(request.key, state)
 
     def take_over(self, event: TakeOver) -> None:
-        """Also one that was fenced, or is still asking, may: with a higher ballot than any that it has
-        seen."""
+        """Claims the record with a ballot higher than any seen; also after being fenced, or during an open
+        start."""
         before = self.states.get(event.key)
         if before is not None and before.phase in ("own", "claim"):
             return
@@ -273,7 +276,7 @@
         if state.sends >= MAX_SENDS:
             state.resend_at = 0
             if state.phase in ("begin", "claim") or state.uncleared:
-                self.give_up(key, state, "no majority of its keepers answers")
+                self.give_up(key, state, "no majority of the keepers answers")
             return
         self.send(key, state)
 
@@ -309,13 +312,13 @@
             return
         if isinstance(body, BallotRefused):
             state.refusals[keeper] = None
-            # Only then can no majority be had; the owner to come reads in any case whatever was accepted.
+            # Fenced once no majority is possible; the next owner reads whatever was accepted in any case.
             if len(state.keepers) - len(state.refusals) < needed:
                 self.fence(key, state)
         elif isinstance(body, KeeperFull):
             state.acks[keeper] = -1
             if sum(version < 0 for version in state.acks.values()) > len(state.keepers) - needed:
-                self.give_up(key, state, "its keepers have no room")
+                self.give_up(key, state, "the keepers have no room")
         elif isinstance(body, RecordStored):
             if state.phase in ("begin", "own"):
                 state.acks[keeper] = max(body.version, state.acks.get(keeper, 0))
@@ -340,12 +343,12 @@
         versions = sorted(state.acks.values(), reverse=True)
         if len(versions) < needed or versions[needed - 1] < 0:
             return
-        stored_version = versions[needed - 1]  # a majority holds this version and all before
+        stored_version = versions[needed - 1]  # a majority holds this version and all earlier ones
         if state.phase == "begin":
             state.phase = "own"
             assert state.record is not None
             if len(state.uncleared) > 1 or state.record.end is not None or state.record.outcomes:
-                state.version += 1  # what came meanwhile is not in what they hold
+                state.version += 1  # the keepers lack the changes made meanwhile
                 first = min(state.uncleared, key=lambda intent: intent.number)
                 for intent in state.uncleared:
                     if intent != first:
@@ -360,7 +363,7 @@
                         AttemptCleared(key, intent, state.first_sent_at + CLEARANCE_LIFETIME_US)
                     )
                 else:
-                    # Guards against a process that was stopped: what was granted long ago is asked for again.
+                    # Guards against a process that was paused: a stale clearance is requested again.
                     state.version += 1
                     state.uncleared[intent] = state.version
                     self.send_all(key, state)
@@ -373,7 +376,7 @@
         record = merge(one.record for one in state.promises.values() if one.record is not None)
         if record is None:
             state.resend_at = 0
-            self.states.pop(key)  # nobody holds anything of it
+            self.states.pop(key)  # no keeper has the record
             return
         state.phase, state.record, state.version = "own", record, 1
         state.acks.clear()
--- a/lupinmill/takeover/keeper.py
+++ b/lupinmill/takeover/keeper.py
@@ -1,10 +1,10 @@
-"""One keeper of records: it promises, accepts and refuses. Pure; `step(now, sender, message)` gives the
-answers.
+"""One keeper of records: it promises, stores and refuses. No I/O: `step(now, request)` returns the reply.
 
-A keeper that restarted without its records says nothing until every record that it may have promised for has
-run out (`longest`): an answer from one that forgot would hide an intent from the next owner.
+A keeper that restarted without its records doesn't reply until every record that it may have promised for
+has expired (`retention`): a reply without memory would hide an intent from the next owner.
 
-Owns its entries, at most `most` and `most_bytes`; each is given back `longest` after it was last accepted."""
+Owns its entries, at most `max_entries` and `max_bytes`; each expires `retention` after it was last
+accepted."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 from lupinmill.takeover.record import Intent, OwnerBallot, Record
 
-ENTRY_OVERHEAD_BYTES = 400  # bytes that an entry takes beside its body and answer, more or less
+ENTRY_OVERHEAD_BYTES = 400  # approximate size of an entry besides its body and answer
 
 
 # --- messages --------------------------------------------------------------------------------------
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BeginRecord:
-    """A key that its sender takes for new, mostly with the first intent."""
+    """Starts the record of a key that is new to the sender, usually with the first intent."""
 
     key: str
     ballot: OwnerBallot
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteRecord:
-    """The owner's whole record: `serial` counts its versions."""
+    """Replaces the owner's whole record; `version` counts its versions."""
 
     key: str
     ballot: OwnerBallot
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordStored:
-    """To `Begin` (serial 0) and `Write`: it is held here, under that ballot."""
+    """The reply to `BeginRecord` (version 0) and `WriteRecord`: the record is stored under that ballot."""
 
     key: str
     ballot: OwnerBallot
@@ -55,10 +55,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordHeld:
-    """To `Begin`: another has it, or had."""
+    """The reply to `BeginRecord` if another process owns the record, or owned it."""
 
     key: str
-    ballot: OwnerBallot  # of the `Begin`
+    ballot: OwnerBallot  # of the `BeginRecord`
     promised: OwnerBallot
     record: Record
     ages: tuple[tuple[Intent, int], ...] = ()
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimPromised:
-    """To `Claim`: nobody with a lower ballot writes here any more."""
+    """The reply to `ClaimRecord`: this keeper refuses lower ballots from now on."""
 
     key: str
     ballot: OwnerBallot
@@ -76,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BallotRefused:
-    """A higher ballot was promised."""
+    """The reply to a request whose ballot is lower than the promised one."""
 
     key: str
     ballot: OwnerBallot
@@ -85,7 +85,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KeeperFull:
-    """No room: this keeper holds nothing of it."""
+    """The keeper has no room, and stored nothing of the record."""
 
     key: str
     ballot: OwnerBallot
@@ -100,20 +100,24 @@
     promised: OwnerBallot
     record: Record | None
     expires_at: int
-    first_seen: dict[Intent, int] = field(default_factory=dict)  # when each intent was first heard of
+    first_seen: dict[Intent, int] = field(
+        default_factory=dict
+    )  # time at which each intent was first received
     size: int = 0
 
 
 class Keeper:
+    """A replica that stores records and guards them by ballots."""
+
     def __init__(
         self, now: int, retention: int, max_entries: int, max_bytes: int, has_memory: bool = False
     ) -> None:
-        """`knows`: nothing can have been promised before, as at the start of a whole site."""
+        """`has_memory`: no earlier promise can exist, as at the first start of a site."""
         self.retention, self.max_entries, self.max_bytes = retention, max_entries, max_bytes
         self.silent_until = now if has_memory else now + retention
         self.entries: dict[str, Entry] = {}
         self.size = 0
-        self.rejected_count = 0  # for want of room
+        self.rejected_count = 0  # for lack of room
         self.now = now
 
     def step(self, now: int, request: Request) -> Reply | None:
@@ -125,7 +129,7 @@
         if isinstance(request, ClaimRecord):
             return self.claim(entry, request)
         if isinstance(request, BeginRecord) and entry is not None and entry.promised != request.ballot:
-            if entry.record is None:  # claimed, and never begun here
+            if entry.record is None:  # claimed, but never stored here
                 return BallotRefused(request.key, request.ballot, entry.promised)
             return RecordHeld(request.key, request.ballot, entry.promised, entry.record, self.ages(entry))
         if entry is not None and request.ballot < entry.promised:
@@ -177,7 +181,7 @@
         return tuple((intent, self.now - at) for intent, at in entry.first_seen.items())
 
     def move_last(self, key: str) -> None:
-        """Entries stand in the order in which they run out."""
+        """Keeps the entries in the order of their expiry."""
         self.entries[key] = self.entries.pop(key)
 
     def evict_expired(self) -> None:
--- a/lupinmill/takeover/placement.py
+++ b/lupinmill/takeover/placement.py
@@ -1,10 +1,10 @@
-"""Which members keep a record, and whose turn it is to take one over. Pure.
+"""Placement of records on keepers, and the choice of a successor. No I/O.
 
-By rendezvous hashing over the roster, not over the live view: every member finds the same keepers whatever it
-believes of the others, nothing moves when views change, and a majority of a record's keepers is the same set
-for the old owner and the new one. Weighed against the live view, which keeps three living keepers at any
-time: there two views give two sets whose majorities need not meet, which is what the argument for once stands
-on."""
+Keepers are chosen by rendezvous hashing over the roster, not over the live view. So every member finds the
+same keepers whatever its view, nothing moves when views change, and a majority of a record's keepers is the
+same set for the old owner and the new one. The live view would always give three living keepers, but two
+different views give two sets whose majorities need not intersect, and the safety argument of `claimant`
+rests on that."""
 
 from __future__ import annotations
 
@@ -22,8 +22,10 @@
 
 
 def choose_keepers(key: str, zones: Mapping[str, str], count: int = 3) -> tuple[str, ...]:
-    """`zones`: of each member of the roster. In as many zones as there are, so that one lost zone takes no
-    majority away where there are three."""
+    """The keepers of a key, in as many zones as possible: with three zones, the loss of one leaves a
+    majority.
+
+    `zones`: the zone of each member of the roster."""
     ranked = rank(key, zones)
     chosen: list[str] = []
     used: dict[str, int] = {}
@@ -36,6 +38,6 @@
 
 
 def choose_successor(key: str, alive: Iterable[str], excluded: str = "") -> str | None:
-    """Whose turn it is, by this one's view: spread by key over all that are there. Two that see it
-    differently both claim, and the ballots tell them apart."""
+    """The member that takes a record over, in this view; keys are spread over all present members. With
+    different views two members may both claim, and their ballots decide."""
     return next((name for name in rank(f"taker {key}", alive) if name != excluded), None)
--- a/lupinmill/takeover/record.py
+++ b/lupinmill/takeover/record.py
@@ -1,7 +1,7 @@
-"""What is kept of one submission in hand, and how two versions of it become one. Pure; values.
+"""The replicated record of one open request, and the merge of its versions. Pure values.
 
-A record only ever grows: intents, their outcomes, one end. Merging is the union of both, so whoever reads a
-majority of its keepers sees everything that a majority was ever told."""
+A record only grows: intents, their outcomes, one end. A merge is the union of both, so a reader of a
+majority of the keepers sees everything that a majority was ever sent."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class OwnerBallot:
-    """Under which a process owns a record: the fencing token. No two processes ever have the same one."""
+    """The fencing token under which a process owns a record; unique to that process."""
 
     number: int = 0
-    process: str = ""  # name and life
+    process: str = ""  # member name and instance ID
 
 
 class Outcome(Enum):
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Intent:
-    """That a launch is about to be made. `group` names those that drop each other's repeats of it."""
+    """An attempt about to be sent. `group`: the endpoints that drop each other's repeats of it."""
 
     ballot: OwnerBallot
     number: int
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordEnd:
-    """Of the submission, for its client: once told, what any later one hears who comes with its key."""
+    """The final answer of a request for its client; a later request with the same key gets the same one."""
 
     ballot: OwnerBallot
     result: str  # handled, denied, broken off
@@ -47,14 +47,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestInfo:
-    """What a launch needs, and what the rules ask."""
+    """What an attempt and the retry rules need to know of a request."""
 
     key: str
     workload: str
     repeat: t.Repeat
     window: int = 0  # microseconds in which a group drops repeats
     group_all: bool = False
-    digest: int = 0  # of the body: the same key with another one is another's
+    digest: int = 0  # of the body; the same key with another digest is a different request
     body: bytes = b""
 
 
@@ -75,7 +75,7 @@
         )
 
     def may_have_run(self) -> list[Intent]:
-        """Intents that no outcome says never ran, the first one first."""
+        """The intents without a `NEVER_RAN` outcome, in order."""
         never = {intent for intent, outcome in self.outcomes if outcome is Outcome.NEVER_RAN}
         return sorted(self.intents - never, key=lambda intent: (intent.ballot, intent.number))
 
@@ -88,12 +88,12 @@
 
 
 class NextAction(Enum):
-    """How one goes on with a record that it has claimed."""
+    """How the owner of a claimed record goes on."""
 
-    ENDED = "ended"  # there is an end: it is told to who asks
-    ANYWHERE = "anywhere"  # as new
-    IN_GROUP = "in group"  # again only where repeats are dropped, and only within the window
-    DENIED = "denied"  # never ran, too late to launch: trying again is safe
+    ENDED = "ended"  # the record has an end, which clients get
+    ANYWHERE = "anywhere"  # like a new request
+    IN_GROUP = "in group"  # retry only in the group that drops repeats, and within its window
+    DENIED = "denied"  # never ran, and too late for an attempt: the client may safely retry
     BROKEN_OFF = "broken off"  # may have run
 
 
@@ -104,8 +104,10 @@
 
 
 def next_step(record: Record, oldest: int, time_left: int, margin: int) -> NextStep:
-    """Rule 2 for the next owner. `oldest`: microseconds since the first intent that may have run, at least;
-    `left`: to the hard limit; `margin`: what a launch needs of both."""
+    """Rule 2 for the next owner. All times are in microseconds.
+
+    `oldest`: since the first intent that may have run, at least; `time_left`: until the hard limit;
+    `margin`: the part of both that an attempt needs."""
     if record.end is not None:
         return NextStep(NextAction.ENDED)
     possibly_ran, request = record.may_have_run(), record.request
@@ -125,7 +127,7 @@
 
 @dataclass(slots=True)
 class IntentAges:
-    """Microseconds since a keeper first heard of each intent, by its own clock; the largest of several
+    """Microseconds since a keeper first received each intent, by its own clock; the largest of several
     counts."""
 
     by_intent: dict[Intent, int] = field(default_factory=dict)
