--- a/tests/test_peers_members.py
+++ b/tests/test_peers_members.py
@@ -1,4 +1,4 @@
-"""Who is there, in virtual time: the very cores under a simulated network, from told seeds."""
+"""Membership in virtual time: the real cores under a simulated network, from fixed seeds."""
 
 import os
 import random
@@ -31,7 +31,7 @@
 FUZZ = int(os.environ.get("FUZZ", "30000"))  # messages
 
 
-def played(members=7, seconds=20.0, seed=3, fault=(), **more) -> VirtualFleet:
+def run_fleet(members=7, seconds=20.0, seed=3, fault=(), **more) -> VirtualFleet:
     fleet = VirtualFleet(Fleet("test", seconds, members, fault=list(fault), **more), seed)
     fleet.play()
     assert not fleet.result.broken
@@ -42,7 +42,7 @@
     return [e for e in fleet.result.events if e.what == "peer" and e.state == "dead" and e.at >= after]
 
 
-def standings(fleet: VirtualFleet) -> dict[str, str]:
+def quorum_states(fleet: VirtualFleet) -> dict[str, str]:
     return {
         name: h.peer.membership.quorum_state.value for name, h in fleet.hosts.items() if h.peer is not None
     }
@@ -50,8 +50,8 @@
 
 @pytest.mark.parametrize("members", [2, 3, 8, 40])
 def test_all_that_start_find_one_another_and_stay_together(members):
-    fleet = played(members, 10.0, electors=0)
-    assert fleet.agreed() and set(standings(fleet).values()) == {"together"} and not deaths(fleet)
+    fleet = run_fleet(members, 10.0, electors=0)
+    assert fleet.agreed() and set(quorum_states(fleet).values()) == {"together"} and not deaths(fleet)
 
 
 @pytest.mark.parametrize(
@@ -65,29 +65,29 @@
     ],
 )
 def test_no_false_death_while_datagrams_are_lost_doubled_and_late(network):
-    fleet = played(12, 30.0, network=network)
+    fleet = run_fleet(12, 30.0, network=network)
     assert not deaths(fleet) and fleet.agreed()
 
 
 @pytest.mark.parametrize("seed", range(2))
 def test_a_killed_one_is_held_dead_by_all_and_by_its_name_again_when_it_returns(seed):
-    fleet = played(20, 40.0, seed, [Fault("kill", 10.0, 25.0, members=[5])])
-    told = {e.who: e.at for e in deaths(fleet) if e.about == "m5"}
-    assert len(told) == 19 and max(told.values()) < 14.0
+    fleet = run_fleet(20, 40.0, seed, [Fault("kill", 10.0, 25.0, members=[5])])
+    reported_at = {e.who: e.at for e in deaths(fleet) if e.about == "m5"}
+    assert len(reported_at) == 19 and max(reported_at.values()) < 14.0
     assert {e.about for e in deaths(fleet)} == {"m5"} and fleet.agreed()
 
 
 def test_one_that_a_cut_keeps_from_hearing_one_other_is_vouched_for_by_helpers():
-    """A hears B, B does not hear A."""
-    fleet = played(8, 40.0, fault=[Fault("cut", 8.0, members=[0], to=[1])])
+    """An asymmetric cut: one direction between two members loses everything."""
+    fleet = run_fleet(8, 40.0, fault=[Fault("cut", 8.0, members=[0], to=[1])])
     assert not deaths(fleet) and fleet.agreed()
 
 
 def test_one_that_nobody_hears_is_held_dead_and_stands_cut_off():
-    """It hears all; its own words reach no one. Nobody answers its probes either."""
-    fleet = played(8, 40.0, fault=[Fault("cut", 8.0, members=[0])])
+    """The member receives everything, but nothing that it sends arrives, so its probes get no ack."""
+    fleet = run_fleet(8, 40.0, fault=[Fault("cut", 8.0, members=[0])])
     assert {e.about for e in deaths(fleet) if e.who != "m0"} == {"m0"}
-    assert standings(fleet)["m0"] in ("cut off", "alone", "in doubt")
+    assert quorum_states(fleet)["m0"] in ("cut off", "alone", "in doubt")
 
 
 @pytest.mark.parametrize(
@@ -104,61 +104,61 @@
 
     def look(_):
         seen.update({h.name: h.peer.membership.present_count + 1 for h in fleet.hosts.values()})
-        seen["standing"] = standings(fleet)
+        seen["standing"] = quorum_states(fleet)
 
     fleet.do_look = look
     fleet.put(19 * SECOND, "look", None)
     result = fleet.play()
-    assert not result.broken and fleet.agreed() and set(standings(fleet).values()) == {"together"}
+    assert not result.broken and fleet.agreed() and set(quorum_states(fleet).values()) == {"together"}
     standing = seen.pop("standing")
     assert {1 if standing[name] == "alone" else size for name, size in seen.items()} == sizes
     for name, size in seen.items():
-        size = 1 if standing[name] == "alone" else size  # deaf, it need not have given up each
+        size = 1 if standing[name] == "alone" else size  # an isolated member may still list others as present
         expected = "alone" if size == 1 else "together" if size > 4 else "cut off"
         assert standing[name] == expected, (name, size)
 
 
 def test_one_stopped_for_three_seconds_accuses_nobody_when_it_goes_on():
     for seed in range(2):
-        fleet = played(9, 30.0, seed, [Fault("pause", 10.0, 13.0, members=[4])])
+        fleet = run_fleet(9, 30.0, seed, [Fault("pause", 10.0, 13.0, members=[4])])
         assert not [e for e in deaths(fleet) if e.who == "m4"]
-        assert fleet.agreed() and standings(fleet)["m4"] == "together"
+        assert fleet.agreed() and quorum_states(fleet)["m4"] == "together"
         doubts = [e for e in fleet.result.events if e.who == "m4" and e.state == "in doubt" and e.at >= 13.0]
-        assert doubts, "it slept and did not doubt itself"
+        assert doubts, "was paused and never uncertain"
 
 
 def test_starved_ones_are_not_taken_for_dead():
-    """Stopped for 400 ms at a time: slower than a round, faster than a suspicion."""
-    fleet = played(20, 40.0, fault=[Fault("starve", 8.0, 30.0, members=[3], stop_ms=400)])
+    """Paused for 400 ms at a time: longer than a round, shorter than a suspicion."""
+    fleet = run_fleet(20, 40.0, fault=[Fault("starve", 8.0, 30.0, members=[3], stop_ms=400)])
     assert not [e for e in deaths(fleet) if e.about != "m3"] and fleet.agreed()
 
 
 def test_93_percent_restarted_within_a_second_find_one_another_again():
-    fleet = played(30, 30.0, fault=[Fault("restart", 10.0, share=0.93)])
-    assert fleet.agreed() and set(standings(fleet).values()) == {"together"}
+    fleet = run_fleet(30, 30.0, fault=[Fault("restart", 10.0, share=0.93)])
+    assert fleet.agreed() and set(quorum_states(fleet).values()) == {"together"}
 
 
 def test_one_that_flaps_ends_as_what_it_is():
     faults = [Fault("kill", 6.0 + 2 * at, 7.0 + 2 * at, members=[2]) for at in range(8)]
-    fleet = played(9, 45.0, fault=faults)
+    fleet = run_fleet(9, 45.0, fault=faults)
     assert fleet.agreed() and {e.about for e in deaths(fleet)} <= {"m2"}
 
 
 def test_leaving_is_not_failing():
-    fleet = played(5, 20.0, fault=[Fault("leave", 8.0, members=[1]), Fault("leave", 8.0, members=[2])])
+    fleet = run_fleet(5, 20.0, fault=[Fault("leave", 8.0, members=[1]), Fault("leave", 8.0, members=[2])])
     held = [view for name, view in fleet.views().items()]
     assert len(held) == 3 and all(view["m1"] is view["m2"] is Status.LEFT for view in held)
-    assert not deaths(fleet) and set(standings(fleet).values()) == {"together"}
+    assert not deaths(fleet) and set(quorum_states(fleet).values()) == {"together"}
 
 
 def test_three_that_failed_leave_two_cut_off():
-    fleet = played(5, 25.0, fault=[Fault("kill", 8.0, members=[1, 2, 3])])
-    assert set(standings(fleet).values()) == {"cut off"}
+    fleet = run_fleet(5, 25.0, fault=[Fault("kill", 8.0, members=[1, 2, 3])])
+    assert set(quorum_states(fleet).values()) == {"cut off"}
 
 
 def test_the_load_a_member_does_not_grow_with_the_fleet():
-    """Measured after the join. Theory: a probe and a knock's place a round, answered: 2 / 0.2 s sent, as much
-    again on helpers and tables; at 100 the figure of 10 and no more than a fifth above it."""
+    """Counted after the join. Expected: a probe and a rediscovery probe per round with their acks, 2 / 0.2
+    s sent, and as much again for helpers and tables; with 100 members at most a fifth more than with 10."""
 
     def quiet(members):
         fleet = VirtualFleet(Fleet("test", 60.0, members, electors=0), 2)
@@ -179,8 +179,8 @@
 
 @pytest.mark.parametrize("liar", [False, True])
 def test_every_schedule_with_one_departure_refutes_and_agrees(liar):
-    """Three members, 0.4 s: loss, doubling, any order, restarts, stops, words of a liar; then a quiet
-    network. A refuted suspicion never ends as a death, and all agree in the end."""
+    """Three members for 0.4 s with loss, duplication, reordering, restarts, pauses and false reports, then
+    a quiet network. A refuted suspicion never ends in a death, and all members agree in the end."""
     outcome = explore(partial(MembershipWorld, liar=liar), 1)
     assert outcome.found is None and outcome.whole and outcome.states > 2_000
 
@@ -198,15 +198,15 @@
     assert replay(make, found.text()) == found.wrong
 
 
-# --- one core by hand --------------------------------------------------------------------------------------
+# --- a single core ----------------------------------------------------------------------------------------
 
 
 def seats(count: int) -> list[RosterEntry]:
     return [RosterEntry(f"m{at}", f"127.0.0.1:{at + 1}") for at in range(count)]
 
 
-class Alone:
-    """One core; the others answer or not, as told."""
+class SingleMember:
+    """One core; `answering` says which of the others answer."""
 
     def __init__(self, count: int = 6) -> None:
         self.now = 1000 * SECOND
@@ -215,50 +215,50 @@
         self.changes: list[MemberChanged] = []
         self.sent: list[Send] = []
 
-    def tell(self, *notes):
-        inbox = list(notes)
+    def deliver(self, *events):
+        inbox = list(events)
         while True:
-            orders, inbox = self.core.step(self.now, inbox), []
-            for order in orders:
-                if isinstance(order, MemberChanged):
-                    self.changes.append(order)
-                elif isinstance(order, Send):
-                    self.sent.append(order)
-                    inbox += self.reply(order)
+            commands, inbox = self.core.step(self.now, inbox), []
+            for command in commands:
+                if isinstance(command, MemberChanged):
+                    self.changes.append(command)
+                elif isinstance(command, Send):
+                    self.sent.append(command)
+                    inbox += self.reply(command)
             if not inbox:
                 return
 
-    def reply(self, order: Send) -> list[Received]:
-        inc = self.answering.get(order.to)
-        body = order.body
-        if inc is None:
+    def reply(self, command: Send) -> list[Received]:
+        incarnation = self.answering.get(command.to)
+        body = command.body
+        if incarnation is None:
             return []
         if isinstance(body, wire.Ping):
-            if body.known_status in (Status.SUSPECT, Status.DEAD) and body.known_incarnation >= inc:
-                inc = self.answering[order.to] = body.known_incarnation + 1
+            if body.known_status in (Status.SUSPECT, Status.DEAD) and body.known_incarnation >= incarnation:
+                incarnation = self.answering[command.to] = body.known_incarnation + 1
             if body.serial:
-                ack = wire.Ack(body.serial, Status.ALIVE, inc, Status.ALIVE, 0, body.digest)
-                return [Received(order.to, ack)]
+                ack = wire.Ack(body.serial, Status.ALIVE, incarnation, Status.ALIVE, 0, body.digest)
+                return [Received(command.to, ack)]
         return []
 
     def run(self, seconds: float) -> None:
         ends = self.now + int(seconds * SECOND)
         while self.core.next_due() <= ends:
             self.now = max(self.now, self.core.next_due())
-            self.tell()
+            self.deliver()
         self.now = ends
 
     def status(self, name: str) -> Status:
         return self.core.members[name].status
 
 
-def joined(count: int = 6) -> Alone:
-    alone = Alone(count)
-    alone.run(8)
-    assert all(alone.status(name) is Status.ALIVE for name in alone.answering)
-    alone.changes.clear()
-    alone.sent.clear()
-    return alone
+def joined_member(count: int = 6) -> SingleMember:
+    single = SingleMember(count)
+    single.run(8)
+    assert all(single.status(name) is Status.ALIVE for name in single.answering)
+    single.changes.clear()
+    single.sent.clear()
+    return single
 
 
 def accuse(name: str, status: Status, incarnation: int, sender: str, by: str = "") -> Received:
@@ -269,120 +269,120 @@
 @pytest.mark.parametrize("status", [Status.SUSPECT, Status.DEAD, Status.LEFT])
 @pytest.mark.parametrize("ahead", [0, 1, 1000])
 def test_a_liar_can_not_have_one_declared_gone_that_answers(status, ahead):
-    """Whatever it says and however often, under any names it likes."""
-    alone = joined()
+    """A lying member repeats false reports under any names, and own probes refute each of them."""
+    single = joined_member()
     for at in range(300):
-        incarnation = alone.core.members["m3"].incarnation + ahead
-        alone.tell(accuse("m3", status, incarnation, "m1", f"m{at % 6}"))
-        alone.run(0.037)
-    alone.run(3)
-    assert not [c for c in alone.changes if c.after in (Status.DEAD, Status.LEFT)]
-    assert alone.status("m3") is Status.ALIVE
+        incarnation = single.core.members["m3"].incarnation + ahead
+        single.deliver(accuse("m3", status, incarnation, "m1", f"m{at % 6}"))
+        single.run(0.037)
+    single.run(3)
+    assert not [c for c in single.changes if c.after in (Status.DEAD, Status.LEFT)]
+    assert single.status("m3") is Status.ALIVE
 
 
 def test_a_liar_that_accuses_all_gets_no_more_probes_than_the_pace_allows():
-    alone = joined(40)
-    pings = len([s for s in alone.sent if isinstance(s.body, wire.Ping)])
+    single = joined_member(40)
+    pings = len([s for s in single.sent if isinstance(s.body, wire.Ping)])
     for _ in range(100):
-        notes = [
-            MemberUpdate(f"m{at}", Status.DEAD, alone.core.members[f"m{at}"].incarnation, "m1")
+        updates = [
+            MemberUpdate(f"m{at}", Status.DEAD, single.core.members[f"m{at}"].incarnation, "m1")
             for at in range(2, 26)
         ]
         ping = wire.Ping(0, Status.ALIVE, 0, Status.ALIVE, 0, 0)
-        alone.tell(Received("m1", ping, notes))
-        alone.run(0.01)
-    pings = len([s for s in alone.sent if isinstance(s.body, wire.Ping)]) - pings
-    assert pings < CHECK_BURST + 20 * 1 + 60  # checks of a second, rounds, news
-    assert not [c for c in alone.changes if c.after is Status.DEAD]
+        single.deliver(Received("m1", ping, updates))
+        single.run(0.01)
+    pings = len([s for s in single.sent if isinstance(s.body, wire.Ping)]) - pings
+    assert pings < CHECK_BURST + 20 * 1 + 60  # checks of one second, rounds, gossip
+    assert not [c for c in single.changes if c.after is Status.DEAD]
 
 
 def test_one_that_does_not_answer_is_given_up_only_after_an_own_probe():
-    alone = joined()
-    del alone.answering["m3"]
-    alone.tell(accuse("m3", Status.DEAD, 0, "m1"))
-    assert alone.status("m3") is not Status.DEAD
-    alone.run(3)
-    assert alone.status("m3") is Status.DEAD
-    assert alone.changes[-1].reason == "own probe timed out" or "three" in alone.changes[-1].reason
+    single = joined_member()
+    del single.answering["m3"]
+    single.deliver(accuse("m3", Status.DEAD, 0, "m1"))
+    assert single.status("m3") is not Status.DEAD
+    single.run(3)
+    assert single.status("m3") is Status.DEAD
+    assert single.changes[-1].reason == "own probe timed out" or "three" in single.changes[-1].reason
 
 
 def test_three_others_that_hold_it_dead_stand_for_an_own_probe():
-    alone = joined(8)
-    del alone.answering["m3"]
-    alone.run(0.3)  # the last answer is older than a round
+    single = joined_member(8)
+    del single.answering["m3"]
+    single.run(0.3)  # the last answer is older than a round
     for sender in ("m1", "m2"):
-        alone.tell(accuse("m3", Status.DEAD, 0, sender))
-        assert alone.status("m3") is not Status.DEAD
-    alone.tell(accuse("m3", Status.DEAD, 0, "m4"))
-    assert alone.status("m3") is Status.DEAD
+        single.deliver(accuse("m3", Status.DEAD, 0, sender))
+        assert single.status("m3") is not Status.DEAD
+    single.deliver(accuse("m3", Status.DEAD, 0, "m4"))
+    assert single.status("m3") is Status.DEAD
 
 
 def test_a_refuted_suspicion_never_ends_as_a_death():
-    alone = joined()
-    alone.tell(accuse("m3", Status.SUSPECT, 7, "m1"))
-    assert alone.status("m3") is Status.SUSPECT
-    alone.tell(accuse("m3", Status.ALIVE, 8, "m2"))
-    assert alone.status("m3") is Status.ALIVE
-    alone.run(10)
-    assert not [c for c in alone.changes if c.after is Status.DEAD]
+    single = joined_member()
+    single.deliver(accuse("m3", Status.SUSPECT, 7, "m1"))
+    assert single.status("m3") is Status.SUSPECT
+    single.deliver(accuse("m3", Status.ALIVE, 8, "m2"))
+    assert single.status("m3") is Status.ALIVE
+    single.run(10)
+    assert not [c for c in single.changes if c.after is Status.DEAD]
 
 
 def test_old_words_change_nothing():
-    alone = joined()
-    alone.tell(accuse("m3", Status.ALIVE, 9, "m2"))
+    single = joined_member()
+    single.deliver(accuse("m3", Status.ALIVE, 9, "m2"))
     for status in (Status.SUSPECT, Status.DEAD, Status.LEFT):
-        alone.tell(accuse("m3", status, 8, "m1"))
-    assert alone.status("m3") is Status.ALIVE and len(alone.changes) == 0
+        single.deliver(accuse("m3", status, 8, "m1"))
+    assert single.status("m3") is Status.ALIVE and len(single.changes) == 0
 
 
 def test_it_refutes_what_is_said_of_itself_also_of_a_former_life():
-    alone = joined()
-    alone.tell(accuse("m0", Status.DEAD, 41, "m1"))
-    assert alone.core.incarnation == 42
-    alone.tell(accuse("m0", Status.ALIVE, 50, "m1"))
-    assert alone.core.incarnation == 51
-    alone.tell(accuse("m0", Status.SUSPECT, 50, "m1"))
-    assert alone.core.incarnation == 51
+    single = joined_member()
+    single.deliver(accuse("m0", Status.DEAD, 41, "m1"))
+    assert single.core.incarnation == 42
+    single.deliver(accuse("m0", Status.ALIVE, 50, "m1"))
+    assert single.core.incarnation == 51
+    single.deliver(accuse("m0", Status.SUSPECT, 50, "m1"))
+    assert single.core.incarnation == 51
 
 
 def test_a_jump_that_would_end_the_numbers_is_dropped():
-    alone = joined()
-    alone.tell(accuse("m0", Status.DEAD, 2**53, "m1"), accuse("m3", Status.ALIVE, 2**53, "m1"))
-    assert alone.core.incarnation == 0 and alone.core.members["m3"].incarnation == 0
-    assert alone.core.dropped["jump"] == 1
+    single = joined_member()
+    single.deliver(accuse("m0", Status.DEAD, 2**53, "m1"), accuse("m3", Status.ALIVE, 2**53, "m1"))
+    assert single.core.incarnation == 0 and single.core.members["m3"].incarnation == 0
+    assert single.core.dropped["jump"] == 1
 
 
 def test_a_drained_one_is_left_and_comes_back():
-    alone = joined()
-    alone.tell(Leave())
-    pings = [s for s in alone.sent if isinstance(s.body, wire.Ping)]
-    assert pings[-1].body.status is Status.LEFT and alone.core.incarnation == 1
-    alone.tell(Rejoin())
-    assert alone.core.status is Status.ALIVE and alone.core.incarnation == 2
+    single = joined_member()
+    single.deliver(Leave())
+    pings = [s for s in single.sent if isinstance(s.body, wire.Ping)]
+    assert pings[-1].body.status is Status.LEFT and single.core.incarnation == 1
+    single.deliver(Rejoin())
+    assert single.core.status is Status.ALIVE and single.core.incarnation == 2
 
 
 def test_a_roster_may_change_while_it_runs_and_strangers_are_counted():
-    alone = joined(6)
-    alone.tell(RosterChange(seats(4) + [RosterEntry("m9", "127.0.0.1:99")]))
-    assert sorted(alone.core.members) == ["m1", "m2", "m3", "m9"]
-    assert (alone.core.present_count, alone.core.roster_size) == (3, 5)
-    alone.tell(accuse("m5", Status.DEAD, 0, "m1"), accuse("m2", Status.ALIVE, 1, "m5"))
-    assert alone.core.dropped["stranger"] == 2
-    alone.run(5)
-    assert alone.status("m9") is Status.UNKNOWN
-    alone.answering["m9"] = 0
-    alone.run(5)
-    assert alone.status("m9") is Status.ALIVE
+    single = joined_member(6)
+    single.deliver(RosterChange(seats(4) + [RosterEntry("m9", "127.0.0.1:99")]))
+    assert sorted(single.core.members) == ["m1", "m2", "m3", "m9"]
+    assert (single.core.present_count, single.core.roster_size) == (3, 5)
+    single.deliver(accuse("m5", Status.DEAD, 0, "m1"), accuse("m2", Status.ALIVE, 1, "m5"))
+    assert single.core.dropped["stranger"] == 2
+    single.run(5)
+    assert single.status("m9") is Status.UNKNOWN
+    single.answering["m9"] = 0
+    single.run(5)
+    assert single.status("m9") is Status.ALIVE
 
 
 def test_what_was_slept_through_says_nothing():
-    """All stop answering while this process is stopped; it goes on, hears them, and suspects none."""
-    alone = joined()
-    alone.now += 4 * SECOND
-    alone.tell()
-    assert alone.core.quorum_state is QuorumState.UNCERTAIN
-    alone.run(4)
-    assert not alone.changes and alone.core.quorum_state is QuorumState.MAJORITY
+    """Silence during a pause of this process is no evidence: it suspects nobody when it goes on."""
+    single = joined_member()
+    single.now += 4 * SECOND
+    single.deliver()
+    assert single.core.quorum_state is QuorumState.UNCERTAIN
+    single.run(4)
+    assert not single.changes and single.core.quorum_state is QuorumState.MAJORITY
 
 
 def random_message(chance: random.Random) -> Received:
@@ -416,11 +416,11 @@
             lambda: wire.ConfirmReply(about, number(), number()),
         ]
     )()
-    notes = [MemberUpdate(name(), status(), number(), name()) for _ in range(chance.randrange(4))]
-    return Received(name(), body, notes)
+    updates = [MemberUpdate(name(), status(), number(), name()) for _ in range(chance.randrange(4))]
+    return Received(name(), body, updates)
 
 
-def sizes(peer: Peer) -> dict[str, int]:
+def table_sizes(peer: Peer) -> dict[str, int]:
     m = peer.membership
     return {
         "probes": len(m.probes),
@@ -437,13 +437,13 @@
 
 
 def test_a_mad_member_makes_nothing_grow_and_nothing_fail():
-    """Seeded; well-formed messages of any content from any member, at any time. FUZZ=1000000 plays a
-    million."""
+    """Seeded fuzzing: well-formed messages of any content, from any member, at any time. FUZZ=1000000 runs
+    a million of them."""
     chance = random.Random(11)
     names = tuple(f"m{at}" for at in range(8))
     now = 1000 * SECOND
-    told = PeerSettings("m0", tuple(seats(8)), names[:3], wanted_topics=(REHEARSAL_TOPIC,))
-    peer = Peer(told, 1, 1, now)
+    settings = PeerSettings("m0", tuple(seats(8)), names[:3], wanted_topics=(REHEARSAL_TOPIC,))
+    peer = Peer(settings, 1, 1, now)
     for at in range(FUZZ):
         now += chance.choice([0, 0, 100, 3_000, 20_000])
         peer.step(now, [random_message(chance)])
@@ -462,7 +462,7 @@
                 "claims": 1,
                 "recalled": 2,
             }
-            assert all(count <= bounds[what] for what, count in sizes(peer).items()), sizes(peer)
+            assert all(count <= bounds[what] for what, count in table_sizes(peer).items()), table_sizes(peer)
     assert len(peer.membership.timers) < 2_000
 
 
--- a/tests/test_peers_processes.py
+++ b/tests/test_peers_processes.py
@@ -1,8 +1,9 @@
-"""Real processes with faults between them: five or more sidecars a scenario, a relay of this test between
-every two.
+"""Real processes with faults between them: each scenario starts five or more sidecars, with a relay of this
+test between every two.
 
-Judges states that are reached, with generous limits, never how fast. The scenarios run some at a time, as
-they mostly wait; each is one test. Every process that is started is ended by its rig, whatever happens."""
+The scenarios check states that are reached, with generous time limits, not how fast. Several run
+concurrently, as they mostly wait; each is one test. Each rig ends the processes that it started, whatever
+happens."""
 
 import asyncio
 import os
@@ -20,7 +21,7 @@
 from lupinmill.peers.peer import REHEARSAL_TOPIC
 from lupinmill.peers.wire import MemberUpdate, Status
 
-AT_ONCE = 4  # scenarios
+CONCURRENT_SCENARIOS = 4
 SCENARIOS = {}
 LEASE = 1.0
 
@@ -33,16 +34,16 @@
     return add
 
 
-async def play(check, fleet: dict, places: asyncio.Semaphore, starting: asyncio.Lock) -> None:
-    usual = {"title": check.__name__, "seconds": 0.0, "members": 5, "lease_s": LEASE}
-    async with places:
-        rig = Rig(Fleet(**(usual | fleet)), sum(map(ord, check.__name__)))
+async def play(check, fleet: dict, slots: asyncio.Semaphore, starting: asyncio.Lock) -> None:
+    defaults = {"title": check.__name__, "seconds": 0.0, "members": 5, "lease_s": LEASE}
+    async with slots:
+        rig = Rig(Fleet(**(defaults | fleet)), sum(map(ord, check.__name__)))
         try:
-            async with starting:  # a start takes a core: others' rounds would suffer
+            async with starting:  # a start takes a whole core, which would delay the rounds of the others
                 await rig.__aenter__()
             await rig.until("all found one another", rig.agreed)
-            for name in rig.electors:  # one that starts without a memory votes once it has asked the others
-                await show_of(rig, name, lambda table: table["elector"]["votes"])
+            for name in rig.electors:  # one without memory votes after it has recovered from the others
+                await wait_for_table(rig, name, lambda table: table["elector"]["votes"])
             await check(rig)
             crashes = [crash for process in rig.members.values() for crash in process.crashes]
             assert not crashes and not rig.result.broken, (crashes, rig.result.broken)
@@ -55,9 +56,9 @@
 @pytest.fixture(scope="module")
 def outcomes():
     async def all_of_them():
-        places, starting = asyncio.Semaphore(AT_ONCE), asyncio.Lock()
-        works = [play(check, fleet, places, starting) for check, fleet in SCENARIOS.values()]
-        return await asyncio.gather(*works, return_exceptions=True)
+        slots, starting = asyncio.Semaphore(CONCURRENT_SCENARIOS), asyncio.Lock()
+        runs = [play(check, fleet, slots, starting) for check, fleet in SCENARIOS.values()]
+        return await asyncio.gather(*runs, return_exceptions=True)
 
     return dict(zip(SCENARIOS, asyncio.run(all_of_them())))
 
@@ -65,7 +66,7 @@
 # --- what is asked of a rig --------------------------------------------------------------------------------
 
 
-def held(rig: Rig, status: str, about: str, by: list[str]):
+def status_held(rig: Rig, status: str, about: str, by: list[str]):
     return lambda: all(rig.views[name].get(about) == status for name in by)
 
 
@@ -73,19 +74,19 @@
     return [name for name in rig.running() if name not in names]
 
 
-def ever(rig: Rig, state: str, who: str = "") -> set[str]:
+def reported(rig: Rig, state: str, who: str = "") -> set[str]:
     return {
         e.about for e in rig.result.events if e.what == "peer" and e.state == state and who in ("", e.who)
     }
 
 
-async def lease(rig: Rig, but: str = "") -> str:
-    """Who holds it now: one alone, and not `but`."""
-    await rig.until("one holds the lease", lambda: len(rig.leases) == 1 and but not in rig.leases)
+async def lease(rig: Rig, other_than: str = "") -> str:
+    """Waits until a single member holds the lease, other than `other_than`."""
+    await rig.until("one holds the lease", lambda: len(rig.leases) == 1 and other_than not in rig.leases)
     return next(iter(rig.leases))
 
 
-async def show_of(rig: Rig, name: str, holds, limit: float = 60.0) -> dict:
+async def wait_for_table(rig: Rig, name: str, holds, limit: float = 60.0) -> dict:
     ends = rig.loop.time() + limit
     while not holds(table := await rig.show(name)):
         assert rig.loop.time() < ends, table
@@ -98,37 +99,38 @@
 
 @scenario()
 async def killed_returns_and_leaves(rig: Rig):
-    """A kill is a death, SIGTERM is a leave, and both come back under their names."""
+    """SIGKILL is seen as a failure and SIGTERM as a leave; both members return under their names."""
     rig.kill("m2")
-    await rig.until("m2 is held dead", held(rig, "dead", "m2", others(rig)))
+    await rig.until("m2 is held dead", status_held(rig, "dead", "m2", others(rig)))
     assert rig.stand("together")
     await rig.start_again("m2")
     await rig.until("m2 is back", rig.agreed)
     assert await rig.leave("m4") == 0
-    await rig.until("m4 has left", held(rig, "left", "m4", others(rig)))
-    assert "m4" not in ever(rig, "dead")
+    await rig.until("m4 has left", status_held(rig, "left", "m4", others(rig)))
+    assert "m4" not in reported(rig, "dead")
     await rig.start_again("m4")
     await rig.until("m4 is back", rig.agreed)
 
 
 @scenario()
 async def drained_and_resumed(rig: Rig):
-    """An operator's drain is told as leaving; a drained elector gives its lease up."""
+    """A drain by an operator is announced as a leave, and a drained elector releases its lease."""
     holder = await lease(rig)
     assert (await rig.call(holder, "quiesce", "PUT"))[0] == 200
-    await rig.until("it has left", held(rig, "left", holder, others(rig, holder)))
+    await rig.until("it has left", status_held(rig, "left", holder, others(rig, holder)))
     await lease(rig, holder)
     assert (await rig.call(holder, "resume", "PUT"))[0] == 200
     await rig.until("it is back", rig.agreed)
-    assert holder not in ever(rig, "dead")
+    assert holder not in reported(rig, "dead")
 
 
 @scenario(network=Network(loss=0.2, double=0.1, late=0.1))
 async def lost_doubled_and_late(rig: Rig):
-    """A fifth of the datagrams lost, a tenth doubled, a tenth late: a death is still told from a silence."""
+    """With a fifth of the datagrams lost, a tenth duplicated and a tenth late, only a real failure is
+    reported."""
     holder = await lease(rig)
     rig.kill(holder)
-    await rig.until("it is held dead", held(rig, "dead", holder, others(rig)))
+    await rig.until("it is held dead", status_held(rig, "dead", holder, others(rig)))
     await lease(rig, holder)
     await rig.start_again(holder)
     await rig.until("it is back", rig.agreed)
@@ -136,8 +138,7 @@
 
 @scenario()
 async def cut_in_halves(rig: Rig):
-    """Three go on together and decide, two stand cut off; the old holder, on the wrong side, does not go
-    on."""
+    """A majority of three goes on and decides; the minority of two loses the lease that one of them held."""
     holder = await lease(rig)
     minority = [holder, next(name for name in rig.names if name not in rig.electors)]
     majority = [name for name in rig.names if name not in minority]
@@ -157,7 +158,7 @@
 
 @scenario(network=Network(loss=0.1))
 async def decisions_pass_through_kills_and_cuts(rig: Rig):
-    """Each one that was told as made has a number of its own, and all go by the newest in the end."""
+    """Each accepted decision has its own version, and all members follow the newest in the end."""
     for at in range(4):
         holder = await lease(rig)
         made = len(rig.decisions)
@@ -177,19 +178,19 @@
         await rig.until("all agree", rig.agreed)
     newest = max(rig.decisions)
     for name in rig.names:
-        await show_of(rig, name, lambda table: [d["version"] for d in table["decisions"]] == [newest])
+        await wait_for_table(rig, name, lambda table: [d["version"] for d in table["decisions"]] == [newest])
 
 
 @scenario(members=7)
 async def cut_in_three(rig: Rig):
-    """No part has a majority: nobody holds a lease in the end, and none is taken while it lasts."""
+    """No part has a majority, so the lease expires and nobody acquires it during the partition."""
     await lease(rig)
     parts = Fault("partition", 0.0, into=3)
     rig.begin(parts)
     await rig.until("nobody stands together", lambda: rig.stand("cut off"))
     await rig.until("nobody holds the lease", lambda: not rig.leases)
     taken = dict(rig.taken)
-    await asyncio.sleep(3 * LEASE)  # long enough for a wrong one to be taken; nothing is judged by it
+    await asyncio.sleep(3 * LEASE)  # long enough for a wrong lease to be acquired
     assert rig.taken == taken
     rig.end(parts)
     await rig.until("it heals", rig.agreed)
@@ -198,7 +199,7 @@
 
 @scenario()
 async def healing_in_an_election(rig: Rig):
-    """Cut and healed over and over while electors ask for the lease: epochs only grow, one holds it in the
+    """Repeated cuts while electors request the lease: epochs only grow, and one member holds it in the
     end."""
     for _ in range(4):
         holder = await lease(rig)
@@ -213,44 +214,44 @@
 
 @scenario()
 async def heard_by_none_of_two(rig: Rig):
-    """m0 hears m1 and m2, they don't hear m0; the two others vouch for it."""
+    """m1 and m2 get nothing from m0 directly; the other two confirm to them that it is alive."""
     rig.begin(Fault("cut", 0.0, members=[0], to=[1, 2]))
     rig.kill("m4")
-    await rig.until("another's death is noticed by all", held(rig, "dead", "m4", others(rig)))
-    assert ever(rig, "dead") == {"m4"}
+    await rig.until("another's death is noticed by all", status_held(rig, "dead", "m4", others(rig)))
+    assert reported(rig, "dead") == {"m4"}
     assert "m0" in rig.sees("m1") | rig.sees("m1", "suspect")
 
 
 @scenario()
 async def stopped_and_goes_on(rig: Rig):
-    """The holder is stopped for longer than its lease: it goes on, accuses nobody, holds nothing any more."""
+    """The holder is paused for longer than its lease: afterwards it holds no lease and suspects nobody."""
     holder = await lease(rig)
     first = rig.leases[holder]
     rig.stop(holder)
-    await rig.until("it is held dead", held(rig, "dead", holder, others(rig, holder)))
+    await rig.until("it is held dead", status_held(rig, "dead", holder, others(rig, holder)))
     await rig.until("another has the lease", lambda: len(rig.leases) == 2)
     rig.go_on(holder)
     await rig.until("it knows that it holds nothing", lambda: holder not in rig.leases)
     await rig.until("all agree again", rig.agreed)
-    assert not ever(rig, "dead", holder)
+    assert not reported(rig, "dead", holder)
     assert max(rig.taken) > first and rig.taken[first] == holder
 
 
 @scenario()
 async def starved_of_cpu(rig: Rig):
-    """Stopped for 0.3 s of each 0.35: it may be suspected, but the others are not accused by it."""
+    """Paused for 0.3 s of each 0.35 s: the member may be suspected, but reports no other as failed."""
     rig.begin(starving := Fault("starve", 0.0, members=[1], stop_ms=300))
     rig.kill("m3")
-    await rig.until("a death is noticed", held(rig, "dead", "m3", others(rig, "m1")))
+    await rig.until("a death is noticed", status_held(rig, "dead", "m3", others(rig, "m1")))
     rig.end(starving)
     await rig.start_again("m3")
     await rig.until("all agree again", rig.agreed)
-    assert ever(rig, "dead", "m1") <= {"m3"}
+    assert reported(rig, "dead", "m1") <= {"m3"}
 
 
 @scenario()
 async def all_electors_restarted_at_once(rig: Rig):
-    """What they promised is on disk: the next epoch is higher than any before."""
+    """Promises survive on disk, so the next epoch is higher than any before."""
     await lease(rig)
     before = max(rig.taken)
     for name in rig.electors:
@@ -263,26 +264,27 @@
 
 @scenario(keep=False)
 async def electors_without_a_directory(rig: Rig):
-    """One that restarts asks the others what it knew, and votes only then."""
+    """A restarted elector recovers its state from the others before it votes."""
     await lease(rig)
     before = max(rig.taken)
     for name in rig.electors:
         rig.kill(name)
         await rig.start_again(name)
-        await show_of(rig, name, lambda table: table["elector"]["votes"])
+        await wait_for_table(rig, name, lambda table: table["elector"]["votes"])
     await lease(rig)
     assert max(rig.taken) > before and list(rig.taken) == sorted(rig.taken)
 
 
 @scenario()
 async def a_directory_that_refuses_writes(rig: Rig):
-    """One elector can't keep its promises, so it gives none; two of three are enough. Then it can again."""
+    """An elector that can't write to its directory abstains, and two of three are enough; later it votes
+    again."""
     holder = await lease(rig)
     bad = next(name for name in rig.electors if name != holder)
     folder = rig.folder / "promises" / bad
     fresh = folder / "promises.new"
     fresh.unlink(missing_ok=True)
-    fresh.mkdir()  # also root can't open a directory for writing
+    fresh.mkdir()  # even root can't open a directory for writing
     assert (await rig.call(holder, "quiesce", "PUT"))[0] == 200
     await lease(rig, holder)
 
@@ -306,14 +308,15 @@
 
 @scenario()
 async def roster_changed_by_sighup_at_some_first(rig: Rig):
-    """m4 goes from the rosters of two, then of all; those that still have it don't disturb the others."""
+    """m4 is removed from the rosters of two members, then of all; those that still list it don't disturb
+    the others."""
     rest = [name for name in rig.names if name != "m4"]
     for some in (rest[:2], rest[2:]):
         for name in some:
             rig.write_file(name, rest)
             rig.members[name].signal(signal.SIGHUP)
         for name in some:
-            await show_of(rig, name, lambda table: table["of"] == 4)
+            await wait_for_table(rig, name, lambda table: table["of"] == 4)
     await rig.until("the rest stands together", lambda: rig.stand("together", rest))
     table = await rig.show("m0")
     assert [row["name"] for row in table["members"]] == ["m1", "m2", "m3"]
@@ -336,8 +339,8 @@
 
 @scenario()
 async def one_is_mad(rig: Rig):
-    """m3's place is taken by this test: it accuses all of all, claims to be all, repeats itself and
-    floods."""
+    """The test replaces m3 by a sender of false reports, forged decisions and ballots, repeats and a
+    flood."""
     victim_cpu = rig.members["m0"].cpu()
     await lease(rig)
     epoch = max(rig.taken)
@@ -345,7 +348,7 @@
     chance, site = random.Random(9), wire.site_hash("fleet")
     for at in range(6_000):
         name = f"m{at % 5}"
-        notes = [
+        updates = [
             MemberUpdate(f"m{n}", Status(2 + at % 3), chance.choice([0, 1, at, 2**50]), name)
             for n in range(5)
         ]
@@ -363,7 +366,7 @@
                 ),
             ]
         )
-        data = wire.encode(site, body, notes) if at % 7 else chance.randbytes(100)
+        data = wire.encode(site, body, updates) if at % 7 else chance.randbytes(100)
         for hearer in ("m0", "m1", "m2", "m4"):
             rig.relays["m3", hearer].far.sock.sendto(data, rig.binds[hearer])
         if at % 20 == 0:
@@ -371,8 +374,8 @@
     honest = ["m0", "m1", "m2", "m4"]
     own = {"own probe timed out", "reported by three other members"}
     assert {e.why for e in rig.result.events if e.what == "peer" and e.state == "dead"} <= own
-    for name in honest:  # by asking: of so many changes not all are in the log
-        await show_of(
+    for name in honest:  # not from the log, which is rate-limited
+        await wait_for_table(
             rig,
             name,
             lambda table, name=name: (
@@ -391,7 +394,7 @@
 
 @scenario()
 async def strangers_and_noise(rig: Rig):
-    """Datagrams from no known address, and of another site, are counted and change nothing."""
+    """Datagrams from unknown addresses and of another site are counted and have no effect."""
     import socket
 
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
@@ -400,18 +403,19 @@
             sock.sendto(wire.encode(wire.site_hash("fleet"), ping, []), rig.binds["m0"])
     ping = wire.encode(wire.site_hash("elsewhere"), wire.Ping(1, Status.ALIVE, 0, Status.DEAD, 9, 0), [])
     rig.relays["m1", "m0"].far.sock.sendto(ping, rig.binds["m0"])
-    table = await show_of(rig, "m0", lambda table: table["datagrams"]["refused"].get("address", 0) >= 400)
-    await show_of(rig, "m0", lambda table: table["datagrams"]["refused"].get("site") == 1)
-    # Believed, the noise would raise it beyond 9; a loaded machine alone may raise it by one or two.
+    table = await wait_for_table(
+        rig, "m0", lambda table: table["datagrams"]["refused"].get("address", 0) >= 400
+    )
+    await wait_for_table(rig, "m0", lambda table: table["datagrams"]["refused"].get("site") == 1)
+    # If accepted, the noise would raise it above 9; a loaded machine alone may raise it by one or two.
     assert table["incarnation"] < 9 and rig.agreed()
 
 
 @scenario()
 async def an_upgrade_is_one_member(rig: Rig):
-    """Two processes of m1 one after the other, with a handover between: nobody holds it dead, one has the
-    address."""
+    """A handover between two processes of m1: no member reports it dead or left."""
     old = rig.members["m1"]
-    rig.kill("m1")  # the others have no directory in common with a next process; m1 gets one
+    rig.kill("m1")  # only m1 gets a directory that it shares with its next process
     old.environ["TMPDIR"] = str(rig.folder)
     await rig.start_again("m1")
     await rig.until("all agree", rig.agreed)
@@ -455,7 +459,7 @@
 
 @scenario()
 async def two_with_one_name(rig: Rig):
-    """A second m1 at the same address does not get it, says so, and disturbs nobody."""
+    """A second process of m1 can't bind its address, logs that, and disturbs nobody."""
     second = rig.folder / "second.json"
     second.write_bytes(
         orjson.dumps(rig.told(rig.members["m1"]) | {"listen": f"{HOST}:0", "operator": f"{HOST}:0"})
@@ -478,7 +482,7 @@
     finally:
         process.kill()
         await process.wait()
-    assert rig.agreed() and not ever(rig, "dead")
+    assert rig.agreed() and not reported(rig, "dead")
 
 
 @pytest.mark.parametrize("name", list(SCENARIOS))
--- a/tests/test_peers_wire.py
+++ b/tests/test_peers_wire.py
@@ -1,4 +1,4 @@
-"""The messages between sidecars: sizes, versions, and bytes of any kind."""
+"""The messages between sidecars: sizes, versions, and arbitrary bytes."""
 
 import os
 import random
@@ -17,12 +17,14 @@
     chance = random.Random(3)
     for _ in range(3_000):
         heard = random_message(chance)
-        found = wire.decode(SITE, wire.encode(SITE, heard.body, heard.updates))
-        assert (found.body, found.updates) == (heard.body, heard.updates)
+        decoded = wire.decode(SITE, wire.encode(SITE, heard.body, heard.updates))
+        assert (decoded.body, decoded.updates) == (heard.body, heard.updates)
 
 
 def test_a_datagram_is_never_larger_than_agreed():
-    notes = [MemberUpdate("n" * 63 + str(at % 10), Status.DEAD, 2**52 + at, "b" * 64) for at in range(24)]
+    notes = [
+        MemberUpdate("n" * 63 + str(index % 10), Status.DEAD, 2**52 + index, "b" * 64) for index in range(24)
+    ]
     data = wire.encode(SITE, PING, notes)
     assert len(data) <= wire.MAX_DATAGRAM_BYTES and 0 < len(wire.decode(SITE, data).updates) < 24
     topic = wire.TopicState(2**53, "h" * 64, 2**62, 2**53, 2**53, bytes(wire.MAX_DECISION_BYTES))
@@ -37,7 +39,7 @@
 
 
 @pytest.mark.parametrize(
-    "data, why",
+    "data, cause",
     [
         (b"", "garbled"),
         (b"\x00" * 1201, "large"),
@@ -51,8 +53,8 @@
         (wire.ENCODER.encode([1, SITE, ["p", 1, 1, 0, 1, 0, 0], [["a", 1, 0, "a"]] * 25]), "garbled"),
     ],
 )
-def test_what_can_not_be_read_is_told_apart_by_one_word(data, why):
-    with pytest.raises(InvalidDatagram, match=why):
+def test_what_can_not_be_read_is_told_apart_by_one_word(data, cause):
+    with pytest.raises(InvalidDatagram, match=cause):
         wire.decode(SITE, data)
 
 
@@ -60,19 +62,19 @@
     data = wire.ENCODER.encode(
         [1, SITE, ["p", 7, 1, 3, 2, 2, 12345, "more"], [["a", 1, 0, "b", 5]], "and more"]
     )
-    found = wire.decode(SITE, data)
-    assert found.body == PING and found.updates == [MemberUpdate("a", Status.ALIVE, 0, "b")]
+    decoded = wire.decode(SITE, data)
+    assert decoded.body == PING and decoded.updates == [MemberUpdate("a", Status.ALIVE, 0, "b")]
 
 
 def test_bytes_of_any_kind_raise_nothing_else():
-    """Seeded: good datagrams with flipped bits, cut off or joined, and noise. FUZZ=1000000 reads a
-    million."""
+    """Seeded fuzzing: valid datagrams with flipped bits, truncated or joined, and noise. FUZZ=1000000 runs
+    a million of them."""
     chance, count = random.Random(5), int(os.environ.get("FUZZ", "100000"))
     good = [wire.encode(SITE, (heard := random_message(chance)).body, heard.updates) for _ in range(200)]
     read = 0
-    for at in range(count):
-        data = bytearray(good[at % 200])
-        kind = at % 4
+    for index in range(count):
+        data = bytearray(good[index % 200])
+        kind = index % 4
         if kind == 0:
             data[chance.randrange(len(data))] ^= 1 << chance.randrange(8)
         elif kind == 1:
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -1,5 +1,5 @@
-"""Work in hand: records, keepers, claims and how one goes on, and every order of what can happen to them in a
-small world. The planted faults show that the explorer finds what it is for."""
+"""Takeover of open requests: records, keepers, claims and the choice of the next step, and the explorer
+over a small world. The planted faults show that the explorer finds what it is meant to find."""
 
 import pytest
 from hypothesis import given, settings
@@ -58,39 +58,39 @@
 
 
 class Site:
-    """Three keepers and some hands; messages arrive at once unless a keeper is away."""
+    """Three keepers and some claimants; messages arrive at once, unless a keeper is unreachable."""
 
     def __init__(self, most: int = 10, most_bytes: int = 100_000) -> None:
         self.now = SECOND
         self.keepers = {name: Keeper(0, 10 * SECOND, most, most_bytes, has_memory=True) for name in NAMES}
         self.away: set[str] = set()
-        self.hands: dict[str, Claimant] = {}
-        self.orders: dict[str, list] = {}
+        self.claimants: dict[str, Claimant] = {}
+        self.commands: dict[str, list] = {}
 
-    def step(self, name: str, *notes) -> list:
-        hand = self.hands.setdefault(name, Claimant(f"{name}:1", lambda key: NAMES))
-        told, pending = [], list(notes)
+    def step(self, name: str, *events) -> list:
+        claimant = self.claimants.setdefault(name, Claimant(f"{name}:1", lambda key: NAMES))
+        outcomes, pending = [], list(events)
         while True:
-            orders = hand.step(self.now, pending)
+            commands = claimant.step(self.now, pending)
             pending = []
-            for order in orders:
-                if not isinstance(order, SendRequest):
-                    told.append(order)
-                elif order.to not in self.away:
-                    answer = self.keepers[order.to].step(self.now, order.body)
+            for command in commands:
+                if not isinstance(command, SendRequest):
+                    outcomes.append(command)
+                elif command.to not in self.away:
+                    answer = self.keepers[command.to].step(self.now, command.body)
                     if answer is not None:
-                        pending.append(KeeperReply(order.to, answer))
+                        pending.append(KeeperReply(command.to, answer))
             if not pending:
                 break
-        self.orders.setdefault(name, []).extend(told)
-        return told
+        self.commands.setdefault(name, []).extend(outcomes)
+        return outcomes
 
     def take(self, name: str, work: RequestInfo = BID) -> list:
         return self.step(name, StartRecord(work, "e1", "north"))
 
 
-def of(orders: list, kind: type) -> list:
-    return [order for order in orders if isinstance(order, kind)]
+def of_type(commands: list, kind: type) -> list:
+    return [command for command in commands if isinstance(command, kind)]
 
 
 # --- once ---------------------------------------------------------------------------------------------------
@@ -106,17 +106,17 @@
     assert site.take("o") == []
     for _ in range(MAX_SENDS):
         site.now += RESEND_INTERVAL_US
-        told = site.step("o")
-    assert [type(order) for order in told] == [Unprotected]
+        commands = site.step("o")
+    assert [type(command) for command in commands] == [Unprotected]
 
 
 def test_a_late_majority_clears_nothing_that_went_stale():
-    """Guards against a process that was stopped: what was granted to it long ago is asked for again."""
+    """Guards against a process that was paused: it requests a stale clearance again."""
     site = Site()
     site.away = set(NAMES)
     site.take("o")
-    hand, now = site.hands["o"], site.now
-    sent = BeginRecord(BID.key, OwnerBallot(1, "o:1"), hand.states[BID.key].record)
+    claimant, now = site.claimants["o"], site.now
+    sent = BeginRecord(BID.key, OwnerBallot(1, "o:1"), claimant.states[BID.key].record)
     answers = [KeeperReply(name, site.keepers[name].step(now, sent)) for name in NAMES]
     site.away, site.now = set(), now + CLEARANCE_LIFETIME_US + 1
     (cleared,) = site.step("o", *answers)
@@ -128,23 +128,23 @@
     site.away = {"k2"}
     site.take("o")
     site.away = {"k0"}
-    (won,) = of(site.step("t", TakeOver(BID.key)), RecordClaimed)
+    (won,) = of_type(site.step("t", TakeOver(BID.key)), RecordClaimed)
     assert [intent.endpoint for intent in won.record.intents] == ["e1"]
     site.away = set()
-    told = site.step("o", AddIntent(BID.key, "e2", "south"))
-    assert [type(order) for order in told] == [Fenced] and not of(told, AttemptCleared)
+    commands = site.step("o", AddIntent(BID.key, "e2", "south"))
+    assert [type(command) for command in commands] == [Fenced] and not of_type(commands, AttemptCleared)
 
 
 def test_two_that_claim_one_after_the_other_have_different_ballots_and_the_later_one_owns():
     site = Site()
     site.take("o")
-    assert of(site.step("t", TakeOver(BID.key)), RecordClaimed)
-    won = of(site.step("u", TakeOver(BID.key)), RecordClaimed)
-    if not won:  # its ballot was the lower of two alike: it comes again, higher
-        won = of(site.step("u", TakeOver(BID.key)), RecordClaimed)
+    assert of_type(site.step("t", TakeOver(BID.key)), RecordClaimed)
+    won = of_type(site.step("u", TakeOver(BID.key)), RecordClaimed)
+    if not won:  # of two ballots with one number its was the lower, so it retries with a higher one
+        won = of_type(site.step("u", TakeOver(BID.key)), RecordClaimed)
     assert won
-    assert not of(site.step("t", AddIntent(BID.key, "e2", "south")), AttemptCleared)
-    assert of(site.step("u", AddIntent(BID.key, "e1", "north")), AttemptCleared)
+    assert not of_type(site.step("t", AddIntent(BID.key, "e2", "south")), AttemptCleared)
+    assert of_type(site.step("u", AddIntent(BID.key, "e1", "north")), AttemptCleared)
 
 
 def test_a_client_that_comes_again_finds_it_held_and_then_its_end():
@@ -153,7 +153,7 @@
     (found,) = site.take("u")
     assert isinstance(found, OwnedElsewhere) and found.record.end is None and found.record.request.digest == 7
     site.step("o", AttemptEnded(cleared.intent, BID.key, Outcome.HANDLED))
-    assert of(site.step("o", FinishRecord(BID.key, "handled", b"yes")), EndStored)
+    assert of_type(site.step("o", FinishRecord(BID.key, "handled", b"yes")), EndStored)
     (found,) = site.take("t")
     assert found.record.end.answer == b"yes"
 
@@ -163,9 +163,9 @@
     site.take("o")
     for name in ("k0", "k1"):
         site.keepers[name] = Keeper(site.now, 10 * SECOND, 10, 100_000)
-    assert not of(site.step("t", TakeOver(BID.key)), RecordClaimed)
+    assert not of_type(site.step("t", TakeOver(BID.key)), RecordClaimed)
     site.now += 10 * SECOND
-    (cleared,) = of(site.take("u"), AttemptCleared)
+    (cleared,) = of_type(site.take("u"), AttemptCleared)
     assert cleared.intent.ballot == OwnerBallot(1, "u:1")
 
 
@@ -175,11 +175,11 @@
 def test_a_keeper_without_room_says_so_and_counts_it():
     site = Site(most=1)
     site.take("o")
-    told = site.take("o", RequestInfo("bid-2", "bid", t.Repeat.DEDUPLICATED, SECOND))
-    assert [type(order) for order in told] == [Unprotected] and "room" in told[0].reason
+    commands = site.take("o", RequestInfo("bid-2", "bid", t.Repeat.DEDUPLICATED, SECOND))
+    assert [type(command) for command in commands] == [Unprotected] and "room" in commands[0].reason
     assert all(keeper.rejected_count == 1 and len(keeper.entries) == 1 for keeper in site.keepers.values())
     site = Site(most_bytes=100)
-    assert [type(order) for order in site.take("o")] == [Unprotected]
+    assert [type(command) for command in site.take("o")] == [Unprotected]
 
 
 def test_an_entry_is_given_back_when_it_has_run_out():
@@ -207,7 +207,7 @@
     assert isinstance(full.step(0, ClaimRecord("x", OwnerBallot(1, "a"))), KeeperFull)
 
 
-# --- how one goes on ----------------------------------------------------------------------------------------
+# --- the next step ------------------------------------------------------------------------------------------
 
 NORTH = Intent(OwnerBallot(1, "o:1"), 0, "e1", "north")
 SOUTH = Intent(OwnerBallot(1, "o:1"), 1, "e2", "south")
@@ -281,7 +281,7 @@
     assert ages.oldest(Record(BID, frozenset({NORTH, SOUTH}))) == 9 and ages.oldest(Record(BID)) == 0
 
 
-# --- where records are --------------------------------------------------------------------------------------
+# --- placement ----------------------------------------------------------------------------------------------
 
 
 def test_keepers_are_the_same_everywhere_in_different_zones_and_spread_alike():
@@ -310,36 +310,36 @@
 # --- every order of what can happen -------------------------------------------------------------------------
 
 
-def told(found) -> str:
+def describe(found) -> str:
     return "\n".join(f"{schedule}: {broken}\n" + "\n".join(trace) for schedule, broken, trace in found.broken)
 
 
 def test_every_schedule_with_one_departure_keeps_once_and_is_brought_to_an_end():
     found = look(schedules(1, 36))
-    assert found.played > 2_000 and not found.broken, told(found)
+    assert found.played > 2_000 and not found.broken, describe(found)
     assert not found.stuck, found.stuck[:3]
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_walks_with_many_departures_keep_once(seed):
     found = look(walks(seed, 250, 45))
-    assert not found.broken, told(found)
+    assert not found.broken, describe(found)
     assert not found.stuck, found.stuck[:3]
 
 
-@pytest.mark.parametrize("plant", hand_world.PLANTS[1:])
-def test_planted_faults_are_found_and_played_again(plant):
-    found = look(schedules(1, 30), plant)
+@pytest.mark.parametrize("planted", hand_world.PLANTS[1:])
+def test_planted_faults_are_found_and_played_again(planted):
+    found = look(schedules(1, 30), planted)
     if not found.broken:
-        found = look(walks(1, 1_500, 40), plant)
-    assert found.broken, f"{plant} was not found"
+        found = look(walks(1, 1_500, 40), planted)
+    assert found.broken, f"{planted} was not found"
     schedule, broken, _ = found.broken[0]
-    again = [World(repeat, refused, plant) for repeat, refused in hand_world.WORLDS]
+    again = [World(repeat, refused, planted) for repeat, refused in hand_world.WORLDS]
     for world in again:
         world.play(schedule)
     assert broken in [world.broken() for world in again]
-    whole = [World(repeat, refused) for repeat, refused in hand_world.WORLDS]
-    for world in whole:
+    sound = [World(repeat, refused) for repeat, refused in hand_world.WORLDS]
+    for world in sound:
         world.play(schedule)
         assert not world.broken(), "the same schedule is harmless without the plant"
 
