--- a/lupinmill/peers/__init__.py
+++ b/lupinmill/peers/__init__.py
@@ -1,2 +1,2 @@
-"""Membership, failure detection, leases and decisions by majority among sidecars. Off unless the operators' file
-enables it."""
+"""Membership, failure detection, leases and decisions by majority among sidecars. Off unless the operators'
+file enables it."""
--- a/lupinmill/peers/driver.py
+++ b/lupinmill/peers/driver.py
@@ -141,9 +141,9 @@
         try:
             await self.acquire(wait)
             self.inbox.clear()
-            life = int.from_bytes(os.urandom(7), "big")
+            instance_id = int.from_bytes(os.urandom(7), "big")
             memory = self.store.read() if self.store is not None else None
-            self.peer = Peer(self.settings, life, life ^ 0x5851F42D4C957F2D, now(), memory)
+            self.peer = Peer(self.settings, instance_id, instance_id ^ 0x5851F42D4C957F2D, now(), memory)
             self.log(
                 "peers",
                 text=f"{len(self.settings.roster)} sidecars in the roster, "
@@ -167,7 +167,7 @@
                 self.store = None
 
     async def acquire(self, wait: bool) -> None:
-        began = anyio.current_time()
+        waiting_since = anyio.current_time()
         while True:
             try:
                 if self.sock is None:
@@ -176,10 +176,10 @@
                     self.store = StableStore(self.directory)
                 return
             except (OSError, StoreError) as error:
-                if not wait or anyio.current_time() - began > BIND_WARNING_S:
+                if not wait or anyio.current_time() - waiting_since > BIND_WARNING_S:
                     wait = True
                     self.log("peers_wait", error=f"{self.bind}: {error}")
-                    began = anyio.current_time()
+                    waiting_since = anyio.current_time()
                 await anyio.sleep(BIND_RETRY_S)
 
     def open_socket(self) -> socket.socket:
@@ -300,7 +300,7 @@
         if self.peer is None:
             return []
         members = self.peer.membership.members
-        return [self.settings.name, *(name for name, one in members.items() if one.status in PRESENT)]
+        return [self.settings.name, *(name for name, member in members.items() if member.status in PRESENT)]
 
     def send(self, command: Send) -> None:
         if command.to == self.settings.name:
--- a/lupinmill/peers/elector.py
+++ b/lupinmill/peers/elector.py
@@ -112,7 +112,10 @@
         return self.has_memory
 
     def encode_memory(self) -> bytes:
-        rows = [(t, r.promised, r.accepted, r.value) for t, r in self.registers.items()]
+        rows = [
+            (topic, register.promised, register.accepted, register.value)
+            for topic, register in self.registers.items()
+        ]
         return msgspec.msgpack.encode(Memory(rows))
 
     def persist_and_send(self, to: str, body: wire.Body) -> None:
@@ -142,9 +145,9 @@
             self.commands.append(Send(sender, nack, []))
             return
         register.promised = body.ballot
-        running = self.lease_remaining(register)
+        remaining = self.lease_remaining(register)
         promise = wire.Promise(
-            body.topic, body.ballot, self.instance_id, register.accepted, register.value, running
+            body.topic, body.ballot, self.instance_id, register.accepted, register.value, remaining
         )
         self.persist_and_send(sender, promise)
 
@@ -189,8 +192,11 @@
         for register in self.registers.values():
             if self.has_memory:
                 register.promised = Ballot(register.promised.number + 1, sender)
-        rows = [(t, r.promised, r.accepted, r.value) for t, r in self.registers.items()]
-        parts = [rows[at : at + 1] for at in range(len(rows))] or [[]]
+        rows = [
+            (topic, register.promised, register.accepted, register.value)
+            for topic, register in self.registers.items()
+        ]
+        parts = [rows[index : index + 1] for index in range(len(rows))] or [[]]
         sends = [
             Send(
                 sender,
@@ -200,12 +206,12 @@
                     self.has_memory,
                     self.now - self.started_at,
                     part,
-                    at == len(parts) - 1,
-                    at,
+                    index == len(parts) - 1,
+                    index,
                 ),
                 [],
             )
-            for at, part in enumerate(parts)
+            for index, part in enumerate(parts)
         ]
         if self.has_memory:
             self.commands.append(Persist(self.encode_memory(), sends))
@@ -267,5 +273,5 @@
 
 
 def is_complete(parts: dict[int, wire.RecallReply]) -> bool:
-    last = [at for at, part in parts.items() if part.last]
-    return bool(last) and all(at in parts for at in range(last[0] + 1))
+    last = [index for index, part in parts.items() if part.last]
+    return bool(last) and all(index in parts for index in range(last[0] + 1))
--- a/lupinmill/peers/membership.py
+++ b/lupinmill/peers/membership.py
@@ -115,9 +115,9 @@
         """Handles received datagrams before due timers, so that acks left unread while this process was
         paused still count."""
         self.now = now
-        late = now - self.timers[0][0]
-        if late > self.timing.round:
-            self.on_late_wakeup(late)
+        delay = now - self.timers[0][0]
+        if delay > self.timing.round:
+            self.on_late_wakeup(delay)
         for event in events:
             if isinstance(event, Received):
                 self.receive(event)
@@ -132,7 +132,7 @@
         commands, self.commands = self.commands, []
         return commands
 
-    def on_late_wakeup(self, late: int) -> None:
+    def on_late_wakeup(self, delay: int) -> None:
         """Discards open probes and extends suspicions by the delay, as silence during its own pause proves
         nothing. Guards against a paused or starved process that suspects all other members."""
         self.resumed_at = self.now
@@ -141,7 +141,7 @@
         for member in self.members.values():
             member.check_serial = 0
             if member.suspicion_ends_at >= 0:
-                member.suspicion_ends_at += late
+                member.suspicion_ends_at += delay
                 self.schedule(
                     member.suspicion_ends_at, self.on_suspicion_timeout, member.entry.name, member.incarnation
                 )
@@ -156,7 +156,7 @@
             self.adjust_counts(member.status, name, -1)
             self.pending_updates.pop(name, None)
             self.pending_checks.pop(name, None)
-        self.probes = {serial: one for serial, one in self.probes.items() if one.target in wanted}
+        self.probes = {serial: probe for serial, probe in self.probes.items() if probe.target in wanted}
         for name, entry in wanted.items():
             if name in self.members:
                 self.members[name].entry = entry
@@ -178,13 +178,13 @@
         return (self.digest_sum + own) & 0xFFFFFFFF
 
     def random_members(
-        self, count: int, but: tuple[str, ...] = (), status: tuple[Status, ...] = PRESENT
+        self, count: int, excluded: tuple[str, ...] = (), status: tuple[Status, ...] = PRESENT
     ) -> list[str]:
         """Up to `count` random members, from a bounded number of draws."""
         found: dict[str, None] = {}
         for _ in range(count * 4 if self.names else 0):
             name = self.names[self.chance.upto(len(self.names) - 1)]
-            if name not in but and name in self.members and self.members[name].status in status:
+            if name not in excluded and name in self.members and self.members[name].status in status:
                 found[name] = None
                 if len(found) == count:
                     break
@@ -205,17 +205,17 @@
             self.start_probe(absent, span, rediscovery=True)
         self.run_checks()
         joining = self.round_number < JOIN_ROUNDS + 2 * len(self.names) // wire.MAX_UPDATES
-        if (joining or self.round_number % TABLE_SYNC_ROUNDS == 0) and (some := self.random_members(1)):
-            self.send_table(some[0], True)
+        if (joining or self.round_number % TABLE_SYNC_ROUNDS == 0) and (partners := self.random_members(1)):
+            self.send_table(partners[0], True)
 
     def next_in_rotation(self, order: list[str], status: tuple[Status, ...]) -> str | None:
         """The next member with that status. Each pass visits all in a new random order, which bounds the time
         until a failed member is probed."""
         if not order:
             order.extend(self.names)
-            for at in range(len(order) - 1, 0, -1):
-                other = self.chance.upto(at)
-                order[at], order[other] = order[other], order[at]
+            for index in range(len(order) - 1, 0, -1):
+                other = self.chance.upto(index)
+                order[index], order[other] = order[other], order[index]
         while order:
             name = order.pop()
             if name in self.members and self.members[name].status in status:
@@ -237,10 +237,12 @@
         return self.serial
 
     def send_ping(self, target: str, serial: int) -> None:
-        held = self.members[target]
+        member = self.members[target]
         self.send(
             target,
-            wire.Ping(serial, self.status, self.incarnation, held.status, held.incarnation, self.digest()),
+            wire.Ping(
+                serial, self.status, self.incarnation, member.status, member.incarnation, self.digest()
+            ),
         )
 
     def send_indirect_probes(self, serial: int) -> None:
@@ -402,11 +404,16 @@
         if isinstance(body, wire.Ping | wire.Ack):
             self.apply_sender_status(sender, body)
         if isinstance(body, wire.Ping) and body.serial:
-            held = sender
+            member = sender
             self.send(
                 received.sender,
                 wire.Ack(
-                    body.serial, self.status, self.incarnation, held.status, held.incarnation, self.digest()
+                    body.serial,
+                    self.status,
+                    self.incarnation,
+                    member.status,
+                    member.incarnation,
+                    self.digest(),
                 ),
             )
         elif isinstance(body, wire.Ack):
@@ -435,11 +442,7 @@
                 self.set_status(sender, Status.LEFT, body.incarnation, name, "own report")
         elif newer or sender.status is Status.UNKNOWN:
             self.set_status(
-                sender,
-                Status.ALIVE,
-                max(body.incarnation, sender.incarnation),
-                name,
-                "own report",
+                sender, Status.ALIVE, max(body.incarnation, sender.incarnation), name, "own report"
             )
         if body.known_status is not Status.UNKNOWN:
             self.refute(body.known_status, body.known_incarnation)
@@ -512,10 +515,7 @@
             return  # it answered within the last round
         if member.status is Status.ALIVE:
             self.suspect(
-                member,
-                update.incarnation,
-                update.source,
-                f"{reporter} reports {update.status.name.lower()}",
+                member, update.incarnation, update.source, f"{reporter} reports {update.status.name.lower()}"
             )
         member.incarnation = max(member.incarnation, update.incarnation)
         member.reported_status = update.status
@@ -544,9 +544,9 @@
 
     # Tables.
 
-    def send_table(self, to: str, wanted: bool, at: int | None = None) -> None:
+    def send_table(self, to: str, wanted: bool, position: int | None = None) -> None:
         """Sends the part of the table that fits one datagram; the next call sends the next part."""
-        start = self.table_position if at is None else at
+        start = self.table_position if position is None else position
         updates = []
         for step in range(min(wire.MAX_UPDATES, len(self.names))):
             member = self.members[self.names[(start + step) % len(self.names)]]
@@ -603,17 +603,14 @@
         return updates
 
     def update_quorum_state(self) -> None:
-        """Members that left on their own don't count towards the roster; failed ones do. So three of five are
-        a majority after two have left, and two are a minority after three have failed."""
+        """Members that left on their own don't count towards the roster; failed ones do. So two of five are a
+        majority after the other three have left, and a minority after they have failed."""
         expected = self.roster_size - self.left_count
         seen = self.present_count + 1
         after, reason = QuorumState.MAJORITY, f"sees {seen} of {expected}"
         silent = self.now - max(self.last_received_at, self.resumed_at) > SILENCE_ROUNDS * self.timing.round
         if self.roster_size > 1 and (self.present_count == 0 or silent):
-            after, reason = (
-                QuorumState.ISOLATED,
-                "no datagram received" if silent else "no member present",
-            )
+            after, reason = QuorumState.ISOLATED, "no datagram received" if silent else "no member present"
         elif seen * 2 <= expected:
             after = QuorumState.MINORITY
         elif self.now - self.resumed_at < UNCERTAIN_ROUNDS * self.timing.round:
--- a/lupinmill/peers/peer.py
+++ b/lupinmill/peers/peer.py
@@ -140,7 +140,7 @@
         ]
         if self.spreading:
             times.append(self.next_spread_at)
-        return min(at for at in times if at is not None)
+        return min(time for time in times if time is not None)
 
     def step(self, now: int, events: list[Event]) -> list[Command]:
         self.now = now
@@ -169,8 +169,8 @@
                     membership_events.append(event)
         self.commands += self.membership.step(now, membership_events)
         if self.elector is not None:
-            known = [event for event in elector_messages if self.is_member(event.sender)]
-            self.commands += self.elector.step(now, known)
+            from_members = [event for event in elector_messages if self.is_member(event.sender)]
+            self.commands += self.elector.step(now, from_members)
         elif elector_messages:
             self.membership.count_dropped("votes")
         self.update_claims()
@@ -200,7 +200,9 @@
 
     def update_claims(self) -> None:
         """Requests leases only while a majority is present; a held lease stays until it expires."""
-        may_ask = may_request_lease(self.membership.quorum_state) and self.membership.status is Status.ALIVE
+        may_request = (
+            may_request_lease(self.membership.quorum_state) and self.membership.status is Status.ALIVE
+        )
         self.proposer.now = self.now
         if self.membership.quorum_state in (QuorumState.MINORITY, QuorumState.ISOLATED):
             # A member in a minority decides nothing for others, even if a majority of the electors is with
@@ -209,7 +211,7 @@
                 if self.proposer.held_epoch(topic, self.now):
                     self.proposer.release(topic)
         for topic in self.settings.wanted_topics if self.settings.electors else ():
-            if may_ask and not self.resigned:
+            if may_request and not self.resigned:
                 self.proposer.request(topic)
             else:
                 self.proposer.cancel_request(topic)
@@ -271,18 +273,18 @@
         if self.now - self.last_confirm_at.get(decision.topic, -CONFIRM_INTERVAL_US) < CONFIRM_INTERVAL_US:
             return
         self.last_confirm_at[decision.topic] = self.now
-        confirm = ConfirmRequest(decision.topic, decision.version, body_crc)
+        request = ConfirmRequest(decision.topic, decision.version, body_crc)
         for elector in self.settings.electors:
             if elector != self.name:
-                self.commands.append(Send(elector, confirm, []))
-        if self.has_accepted(confirm):
+                self.commands.append(Send(elector, request, []))
+        if self.has_accepted(request):
             self.on_confirmation(self.name, ConfirmReply(decision.topic, decision.version, body_crc))
 
-    def has_accepted(self, asked: ConfirmRequest) -> bool:
-        register = self.elector.registers.get(asked.topic) if self.elector is not None else None
+    def has_accepted(self, request: ConfirmRequest) -> bool:
+        register = self.elector.registers.get(request.topic) if self.elector is not None else None
         if register is None:
             return False
-        return (register.value.version, crc32(register.value.body)) == (asked.version, asked.body_crc)
+        return (register.value.version, crc32(register.value.body)) == (request.version, request.body_crc)
 
     def on_confirmation(self, elector: str, body: ConfirmReply) -> None:
         unconfirmed = self.unconfirmed.get(body.topic, {}).get((body.version, body.body_crc))
@@ -328,10 +330,10 @@
     def on_progress(self, sender: str, progress: list[TopicProgress]) -> None:
         """Sends the decisions that another member lacks, after an exchange of tables."""
         their_versions = {}
-        for one in progress:
-            if one.topic in self.settings.topics:
-                self.raise_progress(one.topic, one.epoch, one.version)
-                their_versions[one.topic] = one.decided
+        for entry in progress:
+            if entry.topic in self.settings.topics:
+                self.raise_progress(entry.topic, entry.epoch, entry.version)
+                their_versions[entry.topic] = entry.decided
         for decision in self.decisions.values():
             if their_versions.get(decision.topic, 0) < decision.version:
                 self.commands.append(Send(sender, decision, []))
@@ -352,22 +354,22 @@
         """The state as a plain table; times are seconds before now."""
         membership = self.membership
 
-        def ago(at: int) -> float | None:
-            return round((self.now - at) / SECOND, 1) if at >= 0 else None
+        def ago(time: int) -> float | None:
+            return round((self.now - time) / SECOND, 1) if time >= 0 else None
 
         members = [
             {
                 "name": name,
-                "status": one.status.name.lower(),
-                "since_s": ago(one.since),
-                "by": one.source,
-                "incarnation": one.incarnation,
-                "answered_s": ago(one.last_ack_at),
-                "zone": one.entry.zone,
-                "region": one.entry.region,
+                "status": member.status.name.lower(),
+                "since_s": ago(member.since),
+                "by": member.source,
+                "incarnation": member.incarnation,
+                "answered_s": ago(member.last_ack_at),
+                "zone": member.entry.zone,
+                "region": member.entry.region,
                 "elector": name in self.settings.electors,
             }
-            for name, one in sorted(membership.members.items())
+            for name, member in sorted(membership.members.items())
         ]
         leases = [
             {
--- a/lupinmill/takeover/claimant.py
+++ b/lupinmill/takeover/claimant.py
@@ -235,10 +235,10 @@
     def take_over(self, event: TakeOver) -> None:
         """Claims the record with a ballot higher than any seen; also after being fenced, or during an open
         start."""
-        before = self.states.get(event.key)
-        if before is not None and before.phase in ("own", "claim"):
+        previous = self.states.get(event.key)
+        if previous is not None and previous.phase in ("own", "claim"):
             return
-        number = 2 if before is None else max(before.ballot.number, before.highest_seen) + 1
+        number = 2 if previous is None else max(previous.ballot.number, previous.highest_seen) + 1
         state = OwnershipState(OwnerBallot(number, self.process), None, "claim", self.keepers_of(event.key))
         self.states[event.key] = state
         self.send_all(event.key, state)
@@ -373,7 +373,7 @@
                 self.commands.append(EndStored(key))
 
     def on_claimed(self, key: str, state: OwnershipState) -> None:
-        record = merge(one.record for one in state.promises.values() if one.record is not None)
+        record = merge(promise.record for promise in state.promises.values() if promise.record is not None)
         if record is None:
             state.resend_at = 0
             self.states.pop(key)  # no keeper has the record
