--- a/lupinmill/takeover/keeper.py
+++ b/lupinmill/takeover/keeper.py
@@ -1,179 +1,195 @@
-"""One keeper of records: it promises, accepts and refuses. Pure; `step(now, sender, message)` gives the
-answers.
+"""One keeper of records: it promises, stores and refuses. No I/O: `step(now, request)` returns the reply.
 
-A keeper that restarted without its records says nothing until every record that it may have promised for has
-run out (`longest`): an answer from one that forgot would hide an intent from the next owner.
+A keeper that restarted without its records doesn't reply until every record that it may have promised for
+has expired (`retention`): a reply without memory would hide an intent from the next owner.
 
-Owns its entries, at most `most` and `most_bytes`; each is given back `longest` after it was last accepted."""
+Owns its entries, at most `max_entries` and `max_bytes`; each expires `retention` after it was last
+accepted."""
 
 from __future__ import annotations
 
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from lupinmill.takeover.record import Ballot, Intent, Record
+from lupinmill.takeover.record import Intent, OwnerBallot, Record
 
-ENTRY = 400  # bytes that an entry takes beside its body and answer, more or less
+ENTRY_OVERHEAD_BYTES = 400  # approximate size of an entry besides its body and answer
 
 
 # --- messages --------------------------------------------------------------------------------------
 
 
 @dataclass(frozen=True, slots=True)
-class Begin:
-    """A key that its sender takes for new, mostly with the first intent."""
+class BeginRecord:
+    """Starts the record of a key that is new to the sender, usually with the first intent."""
 
     key: str
-    ballot: Ballot
+    ballot: OwnerBallot
     record: Record
 
 
 @dataclass(frozen=True, slots=True)
-class Write:
-    """The owner's whole record: `serial` counts its versions."""
+class WriteRecord:
+    """Replaces the owner's whole record; `version` counts its versions."""
 
     key: str
-    ballot: Ballot
-    serial: int
+    ballot: OwnerBallot
+    version: int
     record: Record
 
 
 @dataclass(frozen=True, slots=True)
-class Claim:
+class ClaimRecord:
     key: str
-    ballot: Ballot
+    ballot: OwnerBallot
 
 
 @dataclass(frozen=True, slots=True)
-class Stored:
-    """To `Begin` (serial 0) and `Write`: it is held here, under that ballot."""
+class RecordStored:
+    """The reply to `BeginRecord` (version 0) and `WriteRecord`: the record is stored under that ballot."""
 
     key: str
-    ballot: Ballot
-    serial: int
+    ballot: OwnerBallot
+    version: int
 
 
 @dataclass(frozen=True, slots=True)
-class Held:
-    """To `Begin`: another has it, or had."""
+class RecordHeld:
+    """The reply to `BeginRecord` if another process owns the record, or owned it."""
 
     key: str
-    ballot: Ballot  # of the `Begin`
-    by: Ballot
+    ballot: OwnerBallot  # of the `BeginRecord`
+    promised: OwnerBallot
     record: Record
     ages: tuple[tuple[Intent, int], ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
-class Promised:
-    """To `Claim`: nobody with a lower ballot writes here any more."""
+class ClaimPromised:
+    """The reply to `ClaimRecord`: this keeper refuses lower ballots from now on."""
 
     key: str
-    ballot: Ballot
+    ballot: OwnerBallot
     record: Record | None
     ages: tuple[tuple[Intent, int], ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
-class Refused:
-    """A higher ballot was promised."""
+class BallotRefused:
+    """The reply to a request whose ballot is lower than the promised one."""
 
     key: str
-    ballot: Ballot
-    by: Ballot
+    ballot: OwnerBallot
+    promised: OwnerBallot
 
 
 @dataclass(frozen=True, slots=True)
-class Full:
-    """No room: this keeper holds nothing of it."""
+class KeeperFull:
+    """The keeper has no room, and stored nothing of the record."""
 
     key: str
-    ballot: Ballot
+    ballot: OwnerBallot
 
 
-Asking = Begin | Write | Claim
-Answer = Stored | Held | Promised | Refused | Full
+Request = BeginRecord | WriteRecord | ClaimRecord
+Reply = RecordStored | RecordHeld | ClaimPromised | BallotRefused | KeeperFull
 
 
 @dataclass(slots=True)
 class Entry:
-    promised: Ballot
+    promised: OwnerBallot
     record: Record | None
-    until: int
-    heard: dict[Intent, int] = field(default_factory=dict)  # when each intent was first heard of
+    expires_at: int
+    first_seen: dict[Intent, int] = field(
+        default_factory=dict
+    )  # time at which each intent was first received
     size: int = 0
 
 
 class Keeper:
-    def __init__(self, now: int, longest: int, most: int, most_bytes: int, knows: bool = False) -> None:
-        """`knows`: nothing can have been promised before, as at the start of a whole site."""
-        self.longest, self.most, self.most_bytes = longest, most, most_bytes
-        self.silent_until = now if knows else now + longest
+    """A replica that stores records and guards them by ballots."""
+
+    def __init__(
+        self, now: int, retention: int, max_entries: int, max_bytes: int, has_memory: bool = False
+    ) -> None:
+        """`has_memory`: no earlier promise can exist, as at the first start of a site."""
+        self.retention, self.max_entries, self.max_bytes = retention, max_entries, max_bytes
+        self.silent_until = now if has_memory else now + retention
         self.entries: dict[str, Entry] = {}
         self.size = 0
-        self.refused = 0  # for want of room
+        self.rejected_count = 0  # for lack of room
         self.now = now
 
-    def step(self, now: int, message: Asking) -> Answer | None:
+    def step(self, now: int, request: Request) -> Reply | None:
         self.now = now
-        self.forget()
+        self.evict_expired()
         if now < self.silent_until:
             return None
-        entry = self.entries.get(message.key)
-        if isinstance(message, Claim):
-            return self.claim(entry, message)
-        if isinstance(message, Begin) and entry is not None and entry.promised != message.ballot:
-            if entry.record is None:  # claimed, and never begun here
-                return Refused(message.key, message.ballot, entry.promised)
-            return Held(message.key, message.ballot, entry.promised, entry.record, self.ages(entry))
-        if entry is not None and message.ballot < entry.promised:
-            return Refused(message.key, message.ballot, entry.promised)
-        return self.store(entry, message)
-
-    def claim(self, entry: Entry | None, message: Claim) -> Answer:
+        entry = self.entries.get(request.key)
+        if isinstance(request, ClaimRecord):
+            return self.claim(entry, request)
+        if isinstance(request, BeginRecord) and entry is not None and entry.promised != request.ballot:
+            if entry.record is None:  # claimed, but never stored here
+                return BallotRefused(request.key, request.ballot, entry.promised)
+            return RecordHeld(request.key, request.ballot, entry.promised, entry.record, self.ages(entry))
+        if entry is not None and request.ballot < entry.promised:
+            return BallotRefused(request.key, request.ballot, entry.promised)
+        return self.store(entry, request)
+
+    def claim(self, entry: Entry | None, request: ClaimRecord) -> Reply:
         if entry is None:
-            if len(self.entries) >= self.most:
-                self.refused += 1
-                return Full(message.key, message.ballot)
-            entry = self.entries[message.key] = Entry(message.ballot, None, 0)
-        elif message.ballot < entry.promised:
-            return Refused(message.key, message.ballot, entry.promised)
-        entry.promised, entry.until = message.ballot, self.now + self.longest
-        self.move_last(message.key)
-        return Promised(message.key, message.ballot, entry.record, self.ages(entry))
-
-    def store(self, entry: Entry | None, message: Begin | Write) -> Answer:
-        record = message.record
+            if len(self.entries) >= self.max_entries:
+                self.rejected_count += 1
+                return KeeperFull(request.key, request.ballot)
+            entry = self.entries[request.key] = Entry(request.ballot, None, 0)
+        elif request.ballot < entry.promised:
+            return BallotRefused(request.key, request.ballot, entry.promised)
+        entry.promised, entry.expires_at = request.ballot, self.now + self.retention
+        self.move_last(request.key)
+        return ClaimPromised(request.key, request.ballot, entry.record, self.ages(entry))
+
+    def store(self, entry: Entry | None, request: BeginRecord | WriteRecord) -> Reply:
+        record = request.record
         if entry is not None and entry.record is not None:
             record = entry.record.merged(record)
-        size = ENTRY + len(record.work.body) + (len(record.end.answer) if record.end is not None else 0)
+        size = (
+            ENTRY_OVERHEAD_BYTES
+            + len(record.request.body)
+            + (len(record.end.answer) if record.end is not None else 0)
+        )
         before = entry.size if entry is not None else 0
-        if entry is None and len(self.entries) >= self.most or self.size - before + size > self.most_bytes:
-            self.refused += 1
-            return Full(message.key, message.ballot)
+        if (
+            entry is None
+            and len(self.entries) >= self.max_entries
+            or self.size - before + size > self.max_bytes
+        ):
+            self.rejected_count += 1
+            return KeeperFull(request.key, request.ballot)
         if entry is None:
-            entry = self.entries[message.key] = Entry(message.ballot, None, 0)
+            entry = self.entries[request.key] = Entry(request.ballot, None, 0)
         self.size += size - before
-        entry.promised, entry.record, entry.size = message.ballot, record, size
-        entry.until = self.now + self.longest
+        entry.promised, entry.record, entry.size = request.ballot, record, size
+        entry.expires_at = self.now + self.retention
         for intent in record.intents:
-            entry.heard.setdefault(intent, self.now)
-        self.move_last(message.key)
-        return Stored(message.key, message.ballot, message.serial if isinstance(message, Write) else 0)
+            entry.first_seen.setdefault(intent, self.now)
+        self.move_last(request.key)
+        return RecordStored(
+            request.key, request.ballot, request.version if isinstance(request, WriteRecord) else 0
+        )
 
     def ages(self, entry: Entry) -> tuple[tuple[Intent, int], ...]:
-        return tuple((intent, self.now - at) for intent, at in entry.heard.items())
+        return tuple((intent, self.now - at) for intent, at in entry.first_seen.items())
 
     def move_last(self, key: str) -> None:
-        """Entries stand in the order in which they run out."""
+        """Keeps the entries in the order of their expiry."""
         self.entries[key] = self.entries.pop(key)
 
-    def forget(self) -> None:
-        for key in list(self.run_out()):
+    def evict_expired(self) -> None:
+        for key in list(self.expired_keys()):
             self.size -= self.entries.pop(key).size
 
-    def run_out(self) -> Iterator[str]:
+    def expired_keys(self) -> Iterator[str]:
         for key, entry in self.entries.items():
-            if entry.until > self.now:
+            if entry.expires_at > self.now:
                 return
             yield key
--- a/lupinmill/takeover/record.py
+++ b/lupinmill/takeover/record.py
@@ -1,7 +1,7 @@
-"""What is kept of one submission in hand, and how two versions of it become one. Pure; values.
+"""The replicated record of one open request, and the merge of its versions. Pure values.
 
-A record only ever grows: intents, their outcomes, one end. Merging is the union of both, so whoever reads a
-majority of its keepers sees everything that a majority was ever told."""
+A record only grows: intents, their outcomes, one end. A merge is the union of both, so a reader of a
+majority of the keepers sees everything that a majority was ever sent."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 
 @dataclass(frozen=True, slots=True, order=True)
-class Ballot:
-    """Under which a process owns a record: the fencing token. No two processes ever have the same one."""
+class OwnerBallot:
+    """The fencing token under which a process owns a record; unique to that process."""
 
     number: int = 0
-    process: str = ""  # name and life
+    process: str = ""  # member name and instance ID
 
 
 class Outcome(Enum):
@@ -28,42 +28,42 @@
 
 @dataclass(frozen=True, slots=True)
 class Intent:
-    """That a launch is about to be made. `group` names those that drop each other's repeats of it."""
+    """An attempt about to be sent. `group`: the endpoints that drop each other's repeats of it."""
 
-    ballot: Ballot
+    ballot: OwnerBallot
     number: int
     endpoint: str
     group: str = ""
 
 
 @dataclass(frozen=True, slots=True)
-class End:
-    """Of the submission, for its client: once told, what any later one hears who comes with its key."""
+class RecordEnd:
+    """The final answer of a request for its client; a later request with the same key gets the same one."""
 
-    ballot: Ballot
-    what: str  # handled, denied, broken off
+    ballot: OwnerBallot
+    result: str  # handled, denied, broken off
     answer: bytes = b""
 
 
 @dataclass(frozen=True, slots=True)
-class Work:
-    """What a launch needs, and what the rules ask."""
+class RequestInfo:
+    """What an attempt and the retry rules need to know of a request."""
 
     key: str
     workload: str
     repeat: t.RepeatPolicy
     window: int = 0  # microseconds in which a group drops repeats
     group_all: bool = False
-    digest: int = 0  # of the body: the same key with another one is another's
+    digest: int = 0  # of the body; the same key with another digest is a different request
     body: bytes = b""
 
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    work: Work
+    request: RequestInfo
     intents: frozenset[Intent] = frozenset()
     outcomes: frozenset[tuple[Intent, Outcome]] = frozenset()
-    end: End | None = None
+    end: RecordEnd | None = None
 
     def merged(self, other: Record) -> Record:
         end = max((e for e in (self.end, other.end) if e is not None), key=lambda e: e.ballot, default=None)
@@ -75,9 +75,9 @@
         )
 
     def may_have_run(self) -> list[Intent]:
-        """Intents that no outcome says never ran, the first one first."""
-        never = {intent for intent, how in self.outcomes if how is Outcome.NEVER_RAN}
-        return sorted(self.intents - never, key=lambda one: (one.ballot, one.number))
+        """The intents without a `NEVER_RAN` outcome, in order."""
+        never = {intent for intent, outcome in self.outcomes if outcome is Outcome.NEVER_RAN}
+        return sorted(self.intents - never, key=lambda intent: (intent.ballot, intent.number))
 
 
 def merge(records: Iterable[Record]) -> Record | None:
@@ -87,52 +87,54 @@
     return found
 
 
-class Next(Enum):
-    """How one goes on with a record that it has claimed."""
+class NextAction(Enum):
+    """How the owner of a claimed record goes on."""
 
-    ENDED = "ended"  # there is an end: it is told to who asks
-    ANYWHERE = "anywhere"  # as new
-    IN_GROUP = "in group"  # again only where repeats are dropped, and only within the window
-    DENIED = "denied"  # never ran, too late to launch: trying again is safe
+    ENDED = "ended"  # the record has an end, which clients get
+    ANYWHERE = "anywhere"  # like a new request
+    IN_GROUP = "in group"  # retry only in the group that drops repeats, and within its window
+    DENIED = "denied"  # never ran, and too late for an attempt: the client may safely retry
     BROKEN_OFF = "broken off"  # may have run
 
 
 @dataclass(frozen=True, slots=True)
-class Onward:
-    what: Next
+class NextStep:
+    action: NextAction
     group: str = ""
 
 
-def onward(record: Record, oldest: int, left: int, margin: int) -> Onward:
-    """Rule 2 for the next owner. `oldest`: microseconds since the first intent that may have run, at least;
-    `left`: to the hard limit; `margin`: what a launch needs of both."""
+def next_step(record: Record, oldest: int, time_left: int, margin: int) -> NextStep:
+    """Rule 2 for the next owner. All times are in microseconds.
+
+    `oldest`: since the first intent that may have run, at least; `time_left`: until the hard limit;
+    `margin`: the part of both that an attempt needs."""
     if record.end is not None:
-        return Onward(Next.ENDED)
-    ran, work = record.may_have_run(), record.work
-    late = left <= margin
-    if not ran:
-        return Onward(Next.DENIED if late else Next.ANYWHERE)
-    if work.repeat is t.RepeatPolicy.IDEMPOTENT:
-        return Onward(Next.DENIED if late else Next.ANYWHERE)
-    groups = {one.group for one in ran}
-    if work.repeat is t.RepeatPolicy.DEDUPLICATED and len(groups) == 1 and "" not in groups:
-        if not late and oldest + margin < work.window:
-            return Onward(Next.IN_GROUP, ran[0].group)
-        if work.group_all:
-            return Onward(Next.DENIED)
-    return Onward(Next.BROKEN_OFF)
+        return NextStep(NextAction.ENDED)
+    possibly_ran, request = record.may_have_run(), record.request
+    too_late = time_left <= margin
+    if not possibly_ran:
+        return NextStep(NextAction.DENIED if too_late else NextAction.ANYWHERE)
+    if request.repeat is t.RepeatPolicy.IDEMPOTENT:
+        return NextStep(NextAction.DENIED if too_late else NextAction.ANYWHERE)
+    groups = {intent.group for intent in possibly_ran}
+    if request.repeat is t.RepeatPolicy.DEDUPLICATED and len(groups) == 1 and "" not in groups:
+        if not too_late and oldest + margin < request.window:
+            return NextStep(NextAction.IN_GROUP, possibly_ran[0].group)
+        if request.group_all:
+            return NextStep(NextAction.DENIED)
+    return NextStep(NextAction.BROKEN_OFF)
 
 
 @dataclass(slots=True)
-class Ages:
-    """Microseconds since a keeper first heard of each intent, by its own clock; the largest of several
+class IntentAges:
+    """Microseconds since a keeper first received each intent, by its own clock; the largest of several
     counts."""
 
-    of: dict[Intent, int] = field(default_factory=dict)
+    by_intent: dict[Intent, int] = field(default_factory=dict)
 
-    def take(self, other: dict[Intent, int]) -> None:
+    def merge(self, other: dict[Intent, int]) -> None:
         for intent, age in other.items():
-            self.of[intent] = max(age, self.of.get(intent, 0))
+            self.by_intent[intent] = max(age, self.by_intent.get(intent, 0))
 
     def oldest(self, record: Record) -> int:
-        return max((self.of.get(intent, 0) for intent in record.may_have_run()), default=0)
+        return max((self.by_intent.get(intent, 0) for intent in record.may_have_run()), default=0)
