--- a/lupinmill/lab/commons.py
+++ b/lupinmill/lab/commons.py
@@ -20,12 +20,12 @@
 from lupinmill.peers.peer import Peer, Told
 from lupinmill.peers.view import PRESENT, Heard, Seat, Send, Standing
 from lupinmill.zones import member
-from lupinmill.zones.evidence import Picture, State
-from lupinmill.zones.map import Map, Workload, Zone
+from lupinmill.zones.reports import Picture, State
+from lupinmill.zones.zone_map import Map, Workload, Zone
 from lupinmill.zones.member import Member
 from lupinmill.zones.plan import Drains, aim
-from lupinmill.zones.tally import Tally, watch
-from lupinmill.zones.words import mark_of, read_plan
+from lupinmill.zones.traffic_monitor import Tally, watch
+from lupinmill.zones.messages import mark_of, read_plan
 
 TOPIC = "zones"
 COUNTS = 3 * SECOND
--- a/lupinmill/lab/scale/computed.py
+++ b/lupinmill/lab/scale/computed.py
@@ -9,7 +9,7 @@
 from lupinmill.lab.scale.tables import CELLS, CONFIG, ROSTERS
 from lupinmill.lab.scale.target import Target
 from lupinmill.program import operators_file
-from lupinmill.zones import driver, evidence, member
+from lupinmill.zones import driver, member, reports
 
 
 def rows(target: Target) -> list[Row]:
@@ -70,7 +70,7 @@
 
 
 def evidence_told(target: Target) -> list[Row]:
-    fleet, life = target.fleet.sidecars, evidence.AGE / 1e6
+    fleet, life = target.fleet.sidecars, reports.AGE / 1e6
     every = driver.PERIOD * max(1.0, fleet / driver.MOST_LARGE)
     heard = life / member.HEARD_OF
     size, counts = driver.MOST_LARGE / driver.PERIOD, member.COUNTS / 1e6
@@ -84,7 +84,7 @@
         ),
         row(
             "words", "holder", "time between two words of a member, each of which counts for 6 s", "s", every,
-            life, Bound("at", life * size), "lupinmill/zones/evidence.py", (CELLS,), False,
+            life, Bound("at", life * size), "lupinmill/zones/reports.py", (CELLS,), False,
             "members tell every N/250 s (`MOST_LARGE`), each word counts for `AGE`; from there on a word "
             "has run out before the next comes",
         ),
--- a/lupinmill/lab/scale/holder.py
+++ b/lupinmill/lab/scale/holder.py
@@ -19,10 +19,10 @@
 from lupinmill.peers.peer import Told
 from lupinmill.peers.view import SECOND, Heard
 from lupinmill.peers.wire import Status
-from lupinmill.zones import member, words
+from lupinmill.zones import member, messages
 from lupinmill.zones.driver import TOPIC, Zoning
-from lupinmill.zones.evidence import Report, Seen
-from lupinmill.zones.map import Map, Workload, Zone
+from lupinmill.zones.reports import Report, Seen
+from lupinmill.zones.zone_map import Map, Workload, Zone
 
 LOOKS = 3  # zones that one member sends to
 SECONDS = 12.0  # of one run, twice the age at which evidence counts no more
@@ -167,8 +167,8 @@
                 counts.append(min(1.0, lasts / self.zoning.period))
                 fresh.append(len(self.zoning.core.evidence.reports) / len(self.seats))
             else:
-                telling = words.telling(self.map, words_of[at], self.clock, 0)
-                body = wire.Carried(TOPIC, words.say(telling))
+                telling = messages.telling(self.map, words_of[at], self.clock, 0)
+                body = wire.Carried(TOPIC, messages.say(telling))
                 data = wire.encode(SITE, body, [])
                 began = time.thread_time_ns()
                 self.hear(tellers[at].name, data)
@@ -198,7 +198,7 @@
         reports = [report(s.name, s.zone, self.map, self.chance) for s in self.seats]
         tracemalloc.start()
         for one in reports:
-            again = words.report(self.map, one.member, words.telling(self.map, one, 1, 0))
+            again = messages.report(self.map, one.member, messages.telling(self.map, one, 1, 0))
             core.evidence.hear(self.clock, again)
         memory = tracemalloc.get_traced_memory()[0]
         tracemalloc.stop()
--- a/lupinmill/lab/scale/tables.py
+++ b/lupinmill/lab/scale/tables.py
@@ -243,7 +243,7 @@
 
 CORE, CHANGES = "part of a core", "changes a second"
 MEMBERS, FILES = "lupinmill/peers/membership.py", "lupinmill/program/operators_file.py"
-ZONES, LIST = "lupinmill/zones/evidence.py", "lupinmill/protocol/lists.py"
+ZONES, LIST = "lupinmill/zones/reports.py", "lupinmill/protocol/lists.py"
 WATCH, FANNED = "lupinmill/discovery/", "lupinmill/config/"
 
 KINDS: tuple[Kind, ...] = (
--- a/lupinmill/program/operators_file.py
+++ b/lupinmill/program/operators_file.py
@@ -20,7 +20,7 @@
 from lupinmill.peers.peer import REHEARSAL, Told
 from lupinmill.peers.view import MS, SECOND, Seat, Timing
 from lupinmill.terms import Deployment
-from lupinmill.zones.map import BadMap, Map, Workload, Zone
+from lupinmill.zones.zone_map import BadMap, Map, Workload, Zone
 
 LARGEST = 2**20  # bytes of the file
 MOST_MEMBERS = 2_000
--- a/lupinmill/zones/driver.py
+++ b/lupinmill/zones/driver.py
@@ -15,11 +15,11 @@
 from lupinmill.peers.driver import Driver
 from lupinmill.routing.engine import Engine, Log
 from lupinmill.zones import member
-from lupinmill.zones.evidence import SECOND
-from lupinmill.zones.map import Map
+from lupinmill.zones.reports import SECOND
+from lupinmill.zones.zone_map import Map
 from lupinmill.zones.member import Member
-from lupinmill.zones.tally import Tally, watch
-from lupinmill.zones.words import mark_of
+from lupinmill.zones.traffic_monitor import Tally, watch
+from lupinmill.zones.messages import mark_of
 
 TOPIC = "zones"
 PERIOD = 1.0  # seconds
--- a/lupinmill/zones/follow.py
+++ b/lupinmill/zones/follower.py
@@ -12,8 +12,8 @@
 
 from dataclasses import dataclass
 
-from lupinmill.zones.evidence import SECOND
-from lupinmill.zones.map import Map
+from lupinmill.zones.reports import SECOND
+from lupinmill.zones.zone_map import Map
 from lupinmill.zones.plan import Plan, Shares
 
 FRESH, FADED = 10 * SECOND, 60 * SECOND
--- a/lupinmill/zones/member.py
+++ b/lupinmill/zones/member.py
@@ -14,12 +14,12 @@
 from dataclasses import dataclass, field
 
 from lupinmill import terms as t
-from lupinmill.zones import words
-from lupinmill.zones.evidence import AGE, SECOND, Evidence, Picture, Report, State
-from lupinmill.zones.follow import Follower
-from lupinmill.zones.map import Map
+from lupinmill.zones import messages
+from lupinmill.zones.reports import AGE, SECOND, Evidence, Picture, Report, State
+from lupinmill.zones.follower import Follower
+from lupinmill.zones.zone_map import Map
 from lupinmill.zones.plan import LastGoodZone, Plan, Planner
-from lupinmill.zones.words import Granted, Strange, Summary, Telling, Wish
+from lupinmill.zones.messages import Granted, Strange, Summary, Telling, Wish
 
 MOST_WISHES = 8
 WISH_TIME = 5 * SECOND
@@ -192,8 +192,8 @@
 
     def own(self, note: Own, present: list[str]) -> None:
         self.serial = max(self.serial + 1, self.now)
-        telling = words.telling(self.map, note.report, self.serial, self.follower.plan.version)
-        data = words.say(telling)
+        telling = messages.telling(self.map, note.report, self.serial, self.follower.plan.version)
+        data = messages.say(telling)
         for elector in self.electors:
             if elector != self.name:
                 self.orders.append(Say(elector, data))
@@ -223,7 +223,7 @@
             return
         plan = holding.planner.step(self.now, holding.picture)
         if plan is not None:
-            self.orders.append(Decide(words.write_plan(self.map, plan)))
+            self.orders.append(Decide(messages.write_plan(self.map, plan)))
 
     def take_brakes(self, brakes: dict[int, float]) -> None:
         self.brakes, self.brakes_at = brakes, self.now
@@ -232,7 +232,7 @@
 
     def heard(self, note: Heard) -> None:
         try:
-            found = words.hear(note.data)
+            found = messages.hear(note.data)
             if isinstance(found, Telling):
                 self.tell(note.sender, found)
             elif isinstance(found, Summary):
@@ -240,7 +240,9 @@
             elif isinstance(found, Wish):
                 if (granted := self.grant(found)) is not None:
                     done, text = granted
-                    self.orders.append(Say(note.sender, words.say(Granted(found.serial, done, text[:200]))))
+                    self.orders.append(
+                        Say(note.sender, messages.say(Granted(found.serial, done, text[:200])))
+                    )
             elif (pending := self.wishes.pop(found.serial, None)) is not None:
                 self.orders.append(Done(pending.wish.serial, found.done, found.text))
         except Strange as error:
@@ -248,7 +250,7 @@
 
     def tell(self, sender: str, telling: Telling) -> None:
         """Evidence; one that is older than what is known of that member, or the same again, says nothing."""
-        report = words.report(self.map, sender, telling)
+        report = messages.report(self.map, sender, telling)
         last, at = self.serials.get(sender, (-1, self.now))
         if telling.serial <= last and self.now - at < AGE:  # later its clock may have been set back
             raise Strange("old")
@@ -256,11 +258,11 @@
         self.applied[sender] = telling.version
         self.evidence.hear(self.now, report)
         if self.holding is not None and sender != self.name:
-            least = sorted(self.holding.brakes.items(), key=lambda row: row[1])[: words.MOST_BRAKES]
-            brakes = [(mark, round(part * words.PART)) for mark, part in least]
+            least = sorted(self.holding.brakes.items(), key=lambda row: row[1])[: messages.MOST_BRAKES]
+            brakes = [(mark, round(part * messages.PART)) for mark, part in least]
             version = self.follower.plan.version
             answer = Summary(self.map.mark(), telling.serial, self.holding.epoch, version, brakes)
-            self.orders.append(Say(sender, words.say(answer)))
+            self.orders.append(Say(sender, messages.say(answer)))
 
     def answered(self, sender: str, summary: Summary) -> None:
         """By the holder, of what was told just now. One that only claims to hold it can make this member
@@ -272,14 +274,14 @@
         self.holder, self.holder_at, self.holder_epoch = sender, self.now, summary.epoch
         if summary.version == self.follower.plan.version:
             self.follower.confirmed = self.now
-        self.take_brakes({mark: max(0.1, parts / words.PART) for mark, parts in summary.brakes})
+        self.take_brakes({mark: max(0.1, parts / messages.PART) for mark, parts in summary.brakes})
 
     def holder_known(self) -> bool:
         return self.now - self.holder_at < HOLDER_QUIET
 
     def decided(self, note: Decided) -> None:
         try:
-            plan = words.read_plan(self.map, note.version, note.body)
+            plan = messages.read_plan(self.map, note.version, note.body)
         except Strange as error:
             self.dropped[str(error)] = self.dropped.get(str(error), 0) + 1
             return
@@ -317,7 +319,7 @@
             elif self.now >= pending.again:
                 pending.again = self.now + WISH_AGAIN
                 if self.holding is None:
-                    self.orders.append(Say(self.holder, words.say(pending.wish)))
+                    self.orders.append(Say(self.holder, messages.say(pending.wish)))
                 elif (granted := self.grant(pending.wish)) is not None:
                     del self.wishes[serial]
                     self.orders.append(Done(serial, *granted))
--- a/lupinmill/zones/words.py
+++ b/lupinmill/zones/messages.py
@@ -13,8 +13,8 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from lupinmill.zones.evidence import Report, Seen
-from lupinmill.zones.map import Map
+from lupinmill.zones.reports import Report, Seen
+from lupinmill.zones.zone_map import Map
 from lupinmill.zones.plan import Plan, Rows
 
 MOST_ZONES, MOST_WORKLOADS = 16, 16
--- a/lupinmill/zones/plan.py
+++ b/lupinmill/zones/plan.py
@@ -17,8 +17,8 @@
 
 from dataclasses import dataclass, field, replace
 
-from lupinmill.zones.evidence import SECOND, Picture, State
-from lupinmill.zones.map import Map, Workload, Zone
+from lupinmill.zones.reports import SECOND, Picture, State
+from lupinmill.zones.zone_map import Map, Workload, Zone
 
 PERIOD = SECOND
 OUT, BACK_HOME = 0.1, 0.03  # of a zone's traffic a second
--- a/lupinmill/zones/evidence.py
+++ b/lupinmill/zones/reports.py
@@ -13,7 +13,7 @@
 from enum import Enum
 from statistics import median
 
-from lupinmill.zones.map import Map
+from lupinmill.zones.zone_map import Map
 
 SECOND = 1_000_000
 AGE = 6 * SECOND  # a report counts less and less until then
--- a/lupinmill/zones/tally.py
+++ b/lupinmill/zones/traffic_monitor.py
@@ -10,9 +10,9 @@
 from lupinmill import terms as t
 from lupinmill.rules import Sidecar
 from lupinmill.workings import Ring
-from lupinmill.zones.evidence import SECOND, SPAN, Report, Seen
-from lupinmill.zones.map import Map
-from lupinmill.zones.words import MOST_COLD, mark_of
+from lupinmill.zones.reports import SECOND, SPAN, Report, Seen
+from lupinmill.zones.zone_map import Map
+from lupinmill.zones.messages import MOST_COLD, mark_of
 
 BUCKETS, WIDTH = 6, int(SPAN * SECOND) // 6
 SHORT = 0.02  # part of own traffic that was denied: a zone that denies has little more room than it used
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -6,9 +6,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lupinmill.zones.evidence import AGE, SECOND, Evidence, Picture, Report, Seen, State, middle
-from lupinmill.zones.follow import ALONE, FADED, FRESH, Follower
-from lupinmill.zones.map import BadMap, Map, Workload, Zone
+from lupinmill.zones.reports import AGE, SECOND, Evidence, Picture, Report, Seen, State, middle
+from lupinmill.zones.follower import ALONE, FADED, FRESH, Follower
+from lupinmill.zones.zone_map import BadMap, Map, Workload, Zone
 from lupinmill.zones.plan import FULL, LEVELS, OUT, TRIAL, LastGoodZone, Plan, Planner, aim
 
 BID, VIEW = Workload("bid", 4.0), Workload("view", 1.0)
--- a/tests/test_zones_member.py
+++ b/tests/test_zones_member.py
@@ -12,14 +12,14 @@
 from lupinmill.lab import commons, scenario
 from lupinmill.lab.virtual import VirtualRun
 from lupinmill.rules import Sidecar
-from lupinmill.zones import member, words
-from lupinmill.zones.evidence import AGE, SECOND, Evidence, Report, Seen, State
-from lupinmill.zones.follow import FADED, FRESH
-from lupinmill.zones.map import Map, Workload, Zone
+from lupinmill.zones import member, messages
+from lupinmill.zones.reports import AGE, SECOND, Evidence, Report, Seen, State
+from lupinmill.zones.follower import FADED, FRESH
+from lupinmill.zones.zone_map import Map, Workload, Zone
 from lupinmill.zones.member import Member
 from lupinmill.zones.plan import Plan
-from lupinmill.zones.tally import SHORT, Tally, watch
-from lupinmill.zones.words import LARGEST_PLAN, Strange
+from lupinmill.zones.traffic_monitor import SHORT, Tally, watch
+from lupinmill.zones.messages import LARGEST_PLAN, Strange
 
 MAP = Map((Zone("a"), Zone("b"), Zone("c")), (Workload("view", 1.0), Workload("bid", 4.0, breaks=True)))
 NAMES = [f"m{n}" for n in range(9)]
@@ -103,11 +103,11 @@
 def test_only_the_holder_answers_evidence_and_plans():
     fleet = Fleet()
     fleet.second(3)
-    assert all(isinstance(words.hear(order.data), words.Telling) for _, order in fleet.said)
+    assert all(isinstance(messages.hear(order.data), messages.Telling) for _, order in fleet.said)
     assert fleet.version == 0
     fleet.take("m0")
     fleet.second(2)
-    answers = [name for name, order in fleet.said if isinstance(words.hear(order.data), words.Summary)]
+    answers = [name for name, order in fleet.said if isinstance(messages.hear(order.data), messages.Summary)]
     assert set(answers) == {"m0"} and fleet.cores["m8"].holder == "m0"
 
 
@@ -286,8 +286,8 @@
 
 def test_old_and_doubled_evidence_says_nothing():
     fleet = fleet_with_holder()
-    telling = words.telling(MAP, report("m4", 500.0), 5, 0)
-    fleet.step("m0", member.Heard("m4", words.say(telling)))
+    telling = messages.telling(MAP, report("m4", 500.0), 5, 0)
+    fleet.step("m0", member.Heard("m4", messages.say(telling)))
     assert fleet.cores["m0"].dropped["old"] == 1
     assert fleet.cores["m0"].evidence.reports["m4"][1].traffic["view"] < 20
 
@@ -297,13 +297,13 @@
     fleet = fleet_with_holder()
     core = fleet.cores["m8"]
     before = core.follower.plan
-    lie = words.Summary(MAP.mark(), core.serial, 10**9, 99, [(1, 0)])
-    fleet.step("m8", member.Heard("m2", words.say(lie)))
+    lie = messages.Summary(MAP.mark(), core.serial, 10**9, 99, [(1, 0)])
+    fleet.step("m8", member.Heard("m2", messages.say(lie)))
     assert core.follower.plan is before and core.brakes == {1: 0.1}, "never cut to nothing"
-    fleet.step("m8", member.Heard("m7", words.say(lie)))
+    fleet.step("m8", member.Heard("m7", messages.say(lie)))
     assert core.dropped["map"] == 1, "no elector"
-    old = words.Summary(MAP.mark(), core.serial - 5, 10**9, 99, [])
-    fleet.step("m8", member.Heard("m2", words.say(old)))
+    old = messages.Summary(MAP.mark(), core.serial - 5, 10**9, 99, [])
+    fleet.step("m8", member.Heard("m2", messages.say(old)))
     assert core.dropped["old"] == 1
 
 
@@ -311,10 +311,13 @@
     fleet = fleet_with_holder()
     core, chance = fleet.cores["m0"], random.Random(5)
     other = Map((Zone("a"), Zone("b")), (Workload("view"),))
-    telling = words.telling(other, Report("m4", "a", {"view": 1.0}, {}), core.now + SECOND, 0)
-    fleet.step("m0", member.Heard("m4", words.say(telling)))
+    telling = messages.telling(other, Report("m4", "a", {"view": 1.0}, {}), core.now + SECOND, 0)
+    fleet.step("m0", member.Heard("m4", messages.say(telling)))
     assert core.dropped["map"] == 1
-    good = [words.say(words.telling(MAP, report("m4"), 1, 0)), words.write_plan(MAP, core.follower.plan)]
+    good = [
+        messages.say(messages.telling(MAP, report("m4"), 1, 0)),
+        messages.write_plan(MAP, core.follower.plan),
+    ]
     version = core.follower.plan.version
     for _ in range(20_000):
         data = bytearray(chance.choice(good) if chance.random() < 0.8 else chance.randbytes(60))
@@ -335,9 +338,9 @@
 @given(st.lists(figures, min_size=8, max_size=8), figures, st.lists(st.tuples(figures, figures), max_size=40))
 def test_any_figures_pass_the_wire_and_fit_a_datagram(seen, traffic, cold):
     told = Report("m1", "b", {"view": traffic}, {"a": Seen(*seen)}, dict(enumerate(cold)))
-    data = words.say(words.telling(MAP, told, 1, 0))
+    data = messages.say(messages.telling(MAP, told, 1, 0))
     assert len(data) < 1000
-    back = words.report(MAP, "m1", words.hear(data))
+    back = messages.report(MAP, "m1", messages.hear(data))
     assert back.zone == "b" and all(0 <= rate <= 2**40 for rate in back.traffic.values())
     evidence = Evidence(MAP)
     evidence.hear(0, back)
@@ -359,8 +362,8 @@
         scaled[zone] = 1 - sum(share for to, share in scaled.items() if to != zone)
         rows.setdefault(zone, {})["view" if number < 3 else "bid"] = scaled
     plan = Plan(4, rows, why, {"a": {"bid": {"b": 0.25}}}, ("c",), True)
-    data = words.write_plan(MAP, plan)
-    back = words.read_plan(MAP, 4, data)
+    data = messages.write_plan(MAP, plan)
+    back = messages.read_plan(MAP, 4, data)
     assert len(data) <= LARGEST_PLAN and back.drained == ("c",) and back.pinned
     assert back.ways == {"a": {"bid": {"b": 0.25}}}
     for zone, by in rows.items():
@@ -377,12 +380,12 @@
         z: {f"w{n}": {z: 0.5, zones[(at + 1) % 16]: 0.3, zones[(at + 2) % 16]: 0.2} for n in range(16)}
         for at, z in enumerate(zones)
     }
-    data = words.write_plan(map_, Plan(1, rows, "x" * 400, rows))
+    data = messages.write_plan(map_, Plan(1, rows, "x" * 400, rows))
     assert len(data) <= LARGEST_PLAN
-    back = words.read_plan(map_, 1, data)
+    back = messages.read_plan(map_, 1, data)
     assert back.rows and all(0.3 in one.values() for by in back.rows.values() for one in by.values())
     with pytest.raises(Strange):
-        words.read_plan(MAP, 1, data)
+        messages.read_plan(MAP, 1, data)
 
 
 # --- the tally ----------------------------------------------------------------------------------------------
@@ -441,7 +444,7 @@
             sidecar.step(now, [t.Ended(f"s{number}", 0, t.How.HANDLED, 5_000, True)])
     told = tally.report(now, "m", sidecar)
     ((mark, (rate, warmth)),) = told.cold.items()
-    assert mark == words.mark_of("a9") and rate > 0 and 0.3 <= warmth < 1
+    assert mark == messages.mark_of("a9") and rate > 0 and 0.3 <= warmth < 1
     evidence = Evidence(MAP)
     for n in range(9):
         evidence.hear(0, Report(f"m{n}", "abc"[n % 3], {}, report(f"m{n}").seen, {mark: (30.0, 0.3)}))
