--- a/lupinmill/cli/fleets.py
+++ b/lupinmill/cli/fleets.py
@@ -83,7 +83,7 @@
         if wrong := [mode for mode in chosen if mode not in commons.MODES]:
             raise ValueError(f"--modes {wrong[0]}: one of {', '.join(commons.MODES)}")
         pairs = tuple((key.strip(), value.strip()) for key, _, value in (c.partition("=") for c in changes))
-        found = zones_measure.table(
+        found = zones_measure.compare_modes(
             name, chosen, list(range(1, seeds + 1)), pairs, jobs or os.cpu_count() or 1, click.echo
         )
     except (BadScenario, ValueError) as error:
--- a/lupinmill/lab/commons.py
+++ b/lupinmill/lab/commons.py
@@ -20,12 +20,12 @@
 from lupinmill.peers.peer import Peer, Told
 from lupinmill.peers.view import PRESENT, Heard, Seat, Send, Standing
 from lupinmill.zones import member
-from lupinmill.zones.reports import Picture, State
-from lupinmill.zones.zone_map import Map, Workload, Zone
 from lupinmill.zones.member import Member
-from lupinmill.zones.plan import Drains, aim
-from lupinmill.zones.traffic_monitor import Tally, watch
-from lupinmill.zones.messages import mark_of, read_plan
+from lupinmill.zones.messages import decode_plan, endpoint_hash
+from lupinmill.zones.plan import Drains, compute_target
+from lupinmill.zones.reports import AggregateView, ZoneState
+from lupinmill.zones.traffic_monitor import TrafficMonitor, attach_monitor
+from lupinmill.zones.zone_map import Workload, Zone, ZoneMap
 
 TOPIC = "zones"
 COUNTS = 3 * SECOND
@@ -33,13 +33,13 @@
 MOST_LARGE = 250
 
 
-def map_of(run: Any, **more: Any) -> Map:
+def map_of(run: Any, **more: Any) -> ZoneMap:
     """As an operator would write it of this site: bids out of a lost zone may break their budget."""
     world = run.world
     zones = tuple(Zone(name, world.network.regions[name], more.get("spare", 0.1)) for name in world.zones)
     most = max(w.terms.value for w in world.classes)
     loads = tuple(Workload(w.name, w.terms.value, breaks=w.terms.value == most) for w in world.classes)
-    return Map(zones, loads)
+    return ZoneMap(zones, loads)
 
 
 class Post:
@@ -50,7 +50,7 @@
         self.disk: bytes | None = None
         self.peer: Peer | None = None
         self.member: Member | None = None
-        self.tally: Tally | None = None
+        self.tally: TrafficMonitor | None = None
         self.count: LiveCount | None = None
         self.life = 0
         self.wakes = -1
@@ -74,9 +74,9 @@
         self.peer = Peer(told, seed, seed ^ 0x5851F42D, now, memory)
         map_ = self.commons.map
         self.member = Member(map_, self.name, self.seat.zone, electors, tuple(run.world.zones), now)
-        self.tally = Tally(map_, self.seat.zone, now)
+        self.tally = TrafficMonitor(map_, self.seat.zone, now)
         self.count = LiveCount(run.instances[0], now)
-        watch(self.seat.module, self.tally)
+        attach_monitor(self.seat.module, self.tally)
         self.wake(self.life)
         run.timeline.after(1 + int(self.commons.chance.integers(SECOND // 20)), self.look, self.life)
 
@@ -122,33 +122,33 @@
                 self.carry_out(send, inbox)
         elif getattr(order, "topic", "") == TOPIC:
             if isinstance(order, peer.Said):
-                self.tell(member.Heard(order.sender, order.words))
+                self.tell(member.MessageReceived(order.sender, order.words))
             elif isinstance(order, peer.Known):
                 self.commons.note_known(self, order)
-                self.tell(member.Decided(order.version, order.body))
+                self.tell(member.PlanDecided(order.version, order.body))
             elif isinstance(order, claims.Took):
                 self.commons.note_took(self, order)
-                self.tell(member.Took(order.epoch))
+                self.tell(member.LeaseAcquired(order.epoch))
             elif isinstance(order, claims.Lost):
-                self.tell(member.Lost())
+                self.tell(member.LeaseLost())
             elif isinstance(order, peer.Forgot):
-                self.tell(member.Forgot())
+                self.tell(member.PlanExpired())
 
     # The zones' core.
 
-    def tell(self, *notes: member.Note) -> None:
+    def tell(self, *notes: member.Event) -> None:
         if self.member is None or self.peer is None:
             return
         now = self.commons.run.timeline.now
         decide = None
         for order in self.member.step(now, list(notes), self.peer.holds(TOPIC, now), self.present()):
-            if isinstance(order, member.Say):
+            if isinstance(order, member.SendMessage):
                 self.commons.send(self, Send(order.to, wire.Carried(TOPIC, order.data), []))
-            elif isinstance(order, member.Decide):
+            elif isinstance(order, member.ProposePlan):
                 decide = order.body
-            elif isinstance(order, member.Go):
+            elif isinstance(order, member.ApplyPlan):
                 self.go(order)
-            elif isinstance(order, member.Done):
+            elif isinstance(order, member.RequestFinished):
                 self.commons.done.append((now, order.done, order.text))
         if decide is not None:
             self.peer.claims.now = now
@@ -167,20 +167,24 @@
         run = self.commons.run
         desk = self.seat.module.desk
         report = self.tally.report(run.timeline.now, self.name, self.seat.module)
-        self.tell(member.Own(report, dict(desk.open_in)))
+        self.tell(member.OwnReport(report, dict(desk.open_in)))
         run.timeline.after(self.commons.period, self.look, life)
 
-    def go(self, order: member.Go) -> None:
+    def go(self, order: member.ApplyPlan) -> None:
         assert self.peer is not None and self.count is not None
         seats, marks = self.seat.module.desk.seats, order.brakes
-        brakes = {name: marks[mark_of(name)] for name in seats if mark_of(name) in marks} if marks else {}
+        brakes = (
+            {name: marks[endpoint_hash(name)] for name in seats if endpoint_hash(name) in marks}
+            if marks
+            else {}
+        )
         sidecars = 0
         if self.commons.live:
             together = self.peer.membership.standing in (Standing.TOGETHER, Standing.IN_DOUBT)
             sidecars = self.count.step(self.commons.run.timeline.now, together, len(self.present()))
         assert self.tally is not None
         self.seat.tell(
-            t.Common(sidecars, order.plan, brakes, self.tally.listed(self.seat.module), order.until)
+            t.Common(sidecars, order.plan, brakes, self.tally.listed_by_zone(self.seat.module), order.until)
         )
 
 
@@ -255,7 +259,7 @@
         now = self.run.timeline.now
         force = self.versions.get(order.version)
         if force is None:
-            plan = read_plan(self.map, order.version, order.body)
+            plan = decode_plan(self.map, order.version, order.body)
             left = tuple(
                 zone.name
                 for zone in self.map.zones
@@ -333,8 +337,10 @@
         for a in world.zones:
             for b in world.zones:
                 cut = world.network.blocked(a, b) or world.network.blocked(b, a)
-                state[a, b] = State.DOWN if not able[b] else State.CUT if cut else State.WELL
-        self.rows = aim(self.map, Picture(traffic, able, state), Drains())
+                state[a, b] = (
+                    ZoneState.DOWN if not able[b] else ZoneState.UNREACHABLE if cut else ZoneState.HEALTHY
+                )
+        self.rows = compute_target(self.map, AggregateView(traffic, able, state), Drains())
         run.timeline.after(SECOND // 4, self.see)
 
 
--- a/lupinmill/lab/scale/computed.py
+++ b/lupinmill/lab/scale/computed.py
@@ -70,28 +70,33 @@
 
 
 def evidence_told(target: Target) -> list[Row]:
-    fleet, life = target.fleet.sidecars, reports.AGE / 1e6
-    every = driver.PERIOD * max(1.0, fleet / driver.MOST_LARGE)
-    heard = life / member.HEARD_OF
-    size, counts = driver.MOST_LARGE / driver.PERIOD, member.COUNTS / 1e6
+    fleet, life = target.fleet.sidecars, reports.REPORT_LIFETIME / 1e6
+    every = driver.REPORT_PERIOD_S * max(1.0, fleet / driver.MAX_MEMBERS_AT_FULL_RATE)
+    heard = life / member.REPORT_QUORUM
+    size, counts = (
+        driver.MAX_MEMBERS_AT_FULL_RATE / driver.REPORT_PERIOD_S,
+        member.APPLIED_PLAN_LIFETIME / 1e6,
+    )
     return [
         row(
             "plan counts", "sidecar", "time between two looks at the plan, each of which counts for 3 s", "s",
             every, counts, Bound("at", counts * size), "lupinmill/zones/driver.py", (CELLS,), True,
-            "the module hears of the plan as often as the member tells, every N/250 s (`MOST_LARGE`), and"
-            " goes by "
-            "it for `COUNTS`; for the rest of the time it goes as without zones",
+            "the module hears of the plan as often as the member tells, every N/250 s "
+            "(`MAX_MEMBERS_AT_FULL_RATE`), and goes by "
+            "it for `APPLIED_PLAN_LIFETIME`; for the rest of the time it goes as without zones",
         ),
         row(
             "words", "holder", "time between two words of a member, each of which counts for 6 s", "s", every,
             life, Bound("at", life * size), "lupinmill/zones/reports.py", (CELLS,), False,
-            "members tell every N/250 s (`MOST_LARGE`), each word counts for `AGE`; from there on a word "
+            "members tell every N/250 s (`MAX_MEMBERS_AT_FULL_RATE`), each word counts for "
+            "`REPORT_LIFETIME`; from there on a word "
             "has run out before the next comes",
         ),
         row(
             "half heard", "holder", "time between two words of a member, where the holder wants half of them",
             "s", every, heard, Bound("at", heard * size), "lupinmill/zones/member.py", (CELLS,), True,
-            "`HEARD_OF`; from there on there is no plan: a lost zone is left by each sidecar's own evidence",
+            "`REPORT_QUORUM`; from there on there is no plan: a lost zone is left by each sidecar's own "
+            "evidence",
         ),
     ]  # fmt: skip
 
--- a/lupinmill/lab/scale/holder.py
+++ b/lupinmill/lab/scale/holder.py
@@ -1,5 +1,5 @@
 """The holder of the plan and the electors beside it, as the members' evidence reaches them: the very
-`Driver`, `Peer`, `Zoning` and words of a sidecar, in virtual time, without sockets and clients.
+`Driver`, `Peer`, `ZoneDriver` and words of a sidecar, in virtual time, without sockets and clients.
 
 The lease is given by hand, and so are the reports: each member tells of `LOOKS` zones that it sends to and of
 endpoints in all. What the peers' own probes cost is measured apart (`hollow`), so the peers' clock stands."""
@@ -20,9 +20,9 @@
 from lupinmill.peers.view import SECOND, Heard
 from lupinmill.peers.wire import Status
 from lupinmill.zones import member, messages
-from lupinmill.zones.driver import TOPIC, Zoning
-from lupinmill.zones.reports import Report, Seen
-from lupinmill.zones.zone_map import Map, Workload, Zone
+from lupinmill.zones.driver import TOPIC, ZoneDriver
+from lupinmill.zones.reports import Report, ZoneObservation
+from lupinmill.zones.zone_map import Workload, Zone, ZoneMap
 
 LOOKS = 3  # zones that one member sends to
 SECONDS = 12.0  # of one run, twice the age at which evidence counts no more
@@ -52,20 +52,22 @@
         return True
 
 
-def zone_map(zones: int) -> Map:
+def zone_map(zones: int) -> ZoneMap:
     """20 zones in 7 regions, as near to equal as it goes."""
     rows = tuple(Zone(f"z{at}", f"r{at * REGIONS // zones}") for at in range(zones))
-    return Map(rows, (Workload("view"), Workload("buy", 2.0)))
+    return ZoneMap(rows, (Workload("view"), Workload("buy", 2.0)))
 
 
-def report(name: str, zone: str, map_: Map, chance: random.Random) -> Report:
+def report(name: str, zone: str, map_: ZoneMap, chance: random.Random) -> Report:
     """285 calls a second, most of them at home, over three seconds."""
     names = [one.name for one in map_.zones]
     sends = [zone, *chance.sample([one for one in names if one != zone], min(LOOKS, len(names)) - 1)]
-    seen = {one: Seen(ready=24.0 / len(names), listed=24.0 / len(names)) for one in names}
+    seen = {one: ZoneObservation(ready=24.0 / len(names), listed=24.0 / len(names)) for one in names}
     for at, one in enumerate(sends):
         tried = chance.uniform(700, 900) if at == 0 else chance.uniform(10, 60)
-        seen[one] = Seen(tried, tried / 500, 0.0, chance.uniform(1.0, 1.6), tried / 2, 0.0, 8.0, 8.0)
+        seen[one] = ZoneObservation(
+            tried, tried / 500, 0.0, chance.uniform(1.0, 1.6), tried / 2, 0.0, 8.0, 8.0
+        )
     return Report(name, zone, {w.name: chance.uniform(120, 160) for w in map_.workloads}, seen)
 
 
@@ -104,10 +106,10 @@
         engine: Any = SimpleNamespace(
             clock=SimpleNamespace(now=lambda: self.clock), sidecar=SimpleNamespace(step=None)
         )
-        self.zoning = Zoning(self.map, self.told, self.driver, engine, lambda *a, **k: None)
+        self.zone_driver = ZoneDriver(self.map, self.told, self.driver, engine, lambda *a, **k: None)
         if holds:
             self.driver.epoch = 1
-            self.zoning.tell(member.Took(1))
+            self.zone_driver.process(member.LeaseAcquired(1))
 
     def peer(self) -> Any:
         """It has heard of all; its clock stands from here on."""
@@ -128,16 +130,16 @@
         assert self.driver.peer is not None
         for order in self.driver.peer.step(BEGAN, [Heard(sender, found.body, found.notes)]):
             if getattr(order, "topic", "") == TOPIC:
-                self.zoning.heard(order)
+                self.zone_driver.on_peer_event(order)
 
-    def own(self) -> member.Own:
+    def own(self) -> member.OwnReport:
         seat = next(seat for seat in self.seats if seat.name == self.told.name)
-        return member.Own(report(seat.name, seat.zone, self.map, self.chance), {seat.zone: 8})
+        return member.OwnReport(report(seat.name, seat.zone, self.map, self.chance), {seat.zone: 8})
 
     def play(self, seconds: float = SECONDS) -> Played:
         """Each member tells once a period, at its own moment; this one looks once a period."""
-        found = Played(period=self.zoning.period)
-        period = int(self.zoning.period * SECOND)
+        found = Played(period=self.zone_driver.period)
+        period = int(self.zone_driver.period * SECOND)
         events: list[tuple[int, int]] = []
         chance = self.chance
         span = max(int(seconds * SECOND), min(2 * period, int(2 * seconds * SECOND)))
@@ -158,17 +160,17 @@
             if at < 0:
                 note, sent = self.own(), self.driver.bytes_out
                 began = time.thread_time_ns()
-                self.zoning.tell(note)
+                self.zone_driver.process(note)
                 took = time.thread_time_ns() - began
                 found.own_bytes += self.driver.bytes_out - sent
                 look_ns, looked = look_ns + took, looked + 1
-                assert self.zoning.found is not None
-                lasts = (self.zoning.found.until - self.clock) / SECOND
-                counts.append(min(1.0, lasts / self.zoning.period))
-                fresh.append(len(self.zoning.core.evidence.reports) / len(self.seats))
+                assert self.zone_driver.applied is not None
+                lasts = (self.zone_driver.applied.until - self.clock) / SECOND
+                counts.append(min(1.0, lasts / self.zone_driver.period))
+                fresh.append(len(self.zone_driver.core.aggregator.reports) / len(self.seats))
             else:
-                telling = messages.telling(self.map, words_of[at], self.clock, 0)
-                body = wire.Carried(TOPIC, messages.say(telling))
+                telling = messages.report_message(self.map, words_of[at], self.clock, 0)
+                body = wire.Carried(TOPIC, messages.encode(telling))
                 data = wire.encode(SITE, body, [])
                 began = time.thread_time_ns()
                 self.hear(tellers[at].name, data)
@@ -180,7 +182,7 @@
         found.look = look_ns / max(1, looked) / 1e9
         found.telling = tell_ns / max(1, told) / 1e9
         # By the rate at which looks are due: a run of a few looks has one more or less of them.
-        found.cpu = tell_ns / 1e9 / whole + found.look / self.zoning.period
+        found.cpu = tell_ns / 1e9 / whole + found.look / self.zone_driver.period
         found.peak = max(by_second) / 1e9
         found.fresh = sum(fresh) / max(1, len(fresh))
         found.counts = sum(counts) / max(1, len(counts))
@@ -188,36 +190,38 @@
         found.own_bytes /= whole
         found.messages_in = told / whole
         found.messages_out, found.bytes_out = self.driver.sent / whole, self.driver.bytes_out / whole
-        found.dropped = sum(self.zoning.core.dropped.values())
+        found.dropped = sum(self.zone_driver.core.dropped.values())
         found.plans = self.driver.decided
         return found
 
     def all_heard(self) -> tuple[float, float]:
         """Seconds of one look, and bytes of its evidence, were all members' words fresh."""
-        core = self.zoning.core
+        core = self.zone_driver.core
         reports = [report(s.name, s.zone, self.map, self.chance) for s in self.seats]
         tracemalloc.start()
         for one in reports:
-            again = messages.report(self.map, one.member, messages.telling(self.map, one, 1, 0))
-            core.evidence.hear(self.clock, again)
+            again = messages.report_from_message(
+                self.map, one.member, messages.report_message(self.map, one, 1, 0)
+            )
+            core.aggregator.add(self.clock, again)
         memory = tracemalloc.get_traced_memory()[0]
         tracemalloc.stop()
         note = self.own()
         began = time.thread_time_ns()
-        self.zoning.tell(note)
+        self.zone_driver.process(note)
         return (time.thread_time_ns() - began) / 1e9, float(memory)
 
     def look_by_hand(self, times: int = 5) -> float:
         """Seconds of one look with all reports fresh, put in past the words and their cap on zones; the
         median of several."""
-        core = self.zoning.core
+        core = self.zone_driver.core
         took = []
         for at in range(times):
             self.clock = BEGAN + (at + 1) * SECOND
             for seat in self.seats:
-                core.evidence.hear(self.clock, report(seat.name, seat.zone, self.map, self.chance))
+                core.aggregator.add(self.clock, report(seat.name, seat.zone, self.map, self.chance))
             note = self.own()
             began = time.thread_time_ns()
-            self.zoning.tell(note)
+            self.zone_driver.process(note)
             took.append((time.thread_time_ns() - began) / 1e9)
         return sorted(took)[times // 2]
--- a/lupinmill/lab/scale/loopback.py
+++ b/lupinmill/lab/scale/loopback.py
@@ -1,5 +1,5 @@
-"""Hollow sidecars over real loopback sockets, many in one process: the very `Driver`, `Engine`, `Zoning` and
-`Common` that `program.sidecar` puts together from the same operators' file, without listeners and clients.
+"""Hollow sidecars over real loopback sockets, many in one process: the very `Driver`, `Engine`, `ZoneDriver`
+and `Common` that `program.sidecar` puts together from the same operators' file, without listeners and clients.
 
 Owns the sockets and tasks of the fleet, given back at the end of `Fleet.run`."""
 
@@ -26,7 +26,7 @@
 from lupinmill.program.common import Common
 from lupinmill.protocol import settings as protocol_settings
 from lupinmill.routing.engine import Clock, Engine
-from lupinmill.zones.driver import Zoning
+from lupinmill.zones.driver import ZoneDriver
 
 ELECTORS = 5
 WINDOW = 100  # rounds that are counted: whole exchanges of tables, of which there is one in ten
@@ -109,8 +109,8 @@
             self.engine.carriers[kind] = lambda order: None
         self.driver = Driver(told, file.site, operators_file.bind(file, name), None, self.log)
         map_ = operators_file.zone_map(file.zones, {w.name: w.value for w in deployment.workloads})
-        zoning = Zoning(map_, told, self.driver, self.engine, self.log)
-        self.common = Common(self.engine, self.driver, 1, True, zoning, self.log)
+        zone_driver = ZoneDriver(map_, told, self.driver, self.engine, self.log)
+        self.common = Common(self.engine, self.driver, 1, True, zone_driver, self.log)
 
     def log(self, event: str, **fields: Any) -> None:
         if event in ("task_failed", "module_failed", "order_failed", "peers_wait"):
--- a/lupinmill/lab/zones_measure.py
+++ b/lupinmill/lab/zones_measure.py
@@ -77,7 +77,7 @@
     return f"{name:6} " + "  ".join(parts)
 
 
-def table(
+def compare_modes(
     scenario: str,
     modes: list[str],
     seeds: list[int],
--- a/lupinmill/program/common.py
+++ b/lupinmill/program/common.py
@@ -16,7 +16,7 @@
 from lupinmill.routing.engine import Engine, Log
 
 if TYPE_CHECKING:
-    from lupinmill.zones.driver import Zoning
+    from lupinmill.zones.driver import ZoneDriver
 
 PERIOD = 1.0  # seconds
 COUNTS = 3 * SECOND
@@ -24,16 +24,16 @@
 
 class Common:
     def __init__(
-        self, engine: Engine, peers: Driver, told: int, live: bool, zoning: Zoning | None, log: Log
+        self, engine: Engine, peers: Driver, told: int, live: bool, zone_driver: ZoneDriver | None, log: Log
     ) -> None:
-        self.engine, self.peers, self.zoning, self.log = engine, peers, zoning, log
+        self.engine, self.peers, self.zone_driver, self.log = engine, peers, zone_driver, log
         self.live = LiveCount(told, engine.clock.now()) if live else None
         self.count = told
 
     async def run(self) -> None:
         while True:
             self.look()
-            await anyio.sleep(self.zoning.period if self.zoning is not None else PERIOD)
+            await anyio.sleep(self.zone_driver.period if self.zone_driver is not None else PERIOD)
 
     def look(self) -> None:
         now, sidecars = self.engine.clock.now(), 0
@@ -44,9 +44,9 @@
                 self.log("mode", text=f"{sidecars} sidecars share the endpoints, {self.count} before")
                 self.count = sidecars
         found = t.Common(until=now + COUNTS)
-        if self.zoning is not None:
-            self.zoning.look()
-            found = self.zoning.common(now)
+        if self.zone_driver is not None:
+            self.zone_driver.send_report()
+            found = self.zone_driver.current_plan(now)
         found.sidecars = sidecars
         self.engine.tell(found)
 
--- a/lupinmill/program/operators_file.py
+++ b/lupinmill/program/operators_file.py
@@ -20,7 +20,7 @@
 from lupinmill.peers.peer import REHEARSAL, Told
 from lupinmill.peers.view import MS, SECOND, Seat, Timing
 from lupinmill.terms import Deployment
-from lupinmill.zones.zone_map import BadMap, Map, Workload, Zone
+from lupinmill.zones.zone_map import InvalidZoneMap, Workload, Zone, ZoneMap
 
 LARGEST = 2**20  # bytes of the file
 MOST_MEMBERS = 2_000
@@ -246,7 +246,7 @@
     zone_map(zones, {name: 1.0 for name in zones.workloads} or {"any": 1.0})
 
 
-def zone_map(zones: Zones, values: dict[str, float]) -> Map:
+def zone_map(zones: Zones, values: dict[str, float]) -> ZoneMap:
     """`values`: of the workloads that the platform tells. Raises BadFile."""
     workloads = []
     for name, value in values.items():
@@ -261,8 +261,8 @@
     costs = {(a, b): cost for a, entry in zones.map.items() for b, cost in entry.costs.items()}
     try:
         rows = tuple(Zone(name, entry.region, entry.spare) for name, entry in zones.map.items())
-        return Map(rows, tuple(workloads), costs, zones.near, zones.far)
-    except BadMap as error:
+        return ZoneMap(rows, tuple(workloads), costs, zones.near, zones.far)
+    except InvalidZoneMap as error:
         text = str(error)
         for key in ("zones.", "costs."):
             if text.startswith(key):
--- a/lupinmill/program/sidecar.py
+++ b/lupinmill/program/sidecar.py
@@ -146,15 +146,17 @@
         from lupinmill.program import operators_file
         from lupinmill.program.common import Common
 
-        zoning, deployment = None, self.told.deployment
+        zone_driver, deployment = None, self.told.deployment
         if file.zones is not None:
-            from lupinmill.zones.driver import Zoning
+            from lupinmill.zones.driver import ZoneDriver
 
             map_ = operators_file.zone_map(file.zones, {w.name: w.value for w in deployment.workloads})
-            zoning = Zoning(map_, operators_file.told(file, self.told.name), peers, self.engine, self.log)
-            self.office.zones, self.office.move_zones = zoning.show, zoning.ask
+            zone_driver = ZoneDriver(
+                map_, operators_file.told(file, self.told.name), peers, self.engine, self.log
+            )
+            self.office.zones, self.office.move_zones = zone_driver.show, zone_driver.request_action
         live = file.peers.live_count
-        self.common = Common(self.engine, peers, deployment.instances, live, zoning, self.log)
+        self.common = Common(self.engine, peers, deployment.instances, live, zone_driver, self.log)
 
     def mode_changed(self) -> None:
         self.to_close.set()
@@ -382,8 +384,8 @@
 
         peers = operators_file.told(told.operators, told.name)
         self.peers.change(peers)
-        if self.common is not None and self.common.zoning is not None:
-            self.common.zoning.change(peers)
+        if self.common is not None and self.common.zone_driver is not None:
+            self.common.zone_driver.update_members(peers)
 
     async def leave(self, listener: Listener, take_in: TakeIn) -> None:
         """Clients go on using the connections that they have, and where this is their only sidecar they have
--- a/lupinmill/zones/driver.py
+++ b/lupinmill/zones/driver.py
@@ -15,64 +15,64 @@
 from lupinmill.peers.driver import Driver
 from lupinmill.routing.engine import Engine, Log
 from lupinmill.zones import member
-from lupinmill.zones.reports import SECOND
-from lupinmill.zones.zone_map import Map
 from lupinmill.zones.member import Member
-from lupinmill.zones.traffic_monitor import Tally, watch
-from lupinmill.zones.messages import mark_of
+from lupinmill.zones.messages import endpoint_hash
+from lupinmill.zones.reports import SECOND
+from lupinmill.zones.traffic_monitor import TrafficMonitor, attach_monitor
+from lupinmill.zones.zone_map import ZoneMap
 
 TOPIC = "zones"
-PERIOD = 1.0  # seconds
-MOST_LARGE = 250  # members, above which each tells its evidence less often
+REPORT_PERIOD_S = 1.0  # seconds
+MAX_MEMBERS_AT_FULL_RATE = 250  # members, above which each tells its evidence less often
 
 
-class Zoning:
-    def __init__(self, map_: Map, told: peer.Told, peers: Driver, engine: Engine, log: Log) -> None:
+class ZoneDriver:
+    def __init__(self, map_: ZoneMap, told: peer.Told, peers: Driver, engine: Engine, log: Log) -> None:
         self.map, self.peers, self.engine, self.log = map_, peers, engine, log
         now = engine.clock.now()
         seats = {seat.name: seat for seat in told.seats}
         home = seats[told.name].zone
         peopled = tuple(zone.name for zone in map_.zones if any(s.zone == zone.name for s in told.seats))
         self.core = Member(map_, told.name, home, told.electors, peopled, now)
-        self.tally = Tally(map_, home, now)
-        self.period = PERIOD * max(1.0, len(told.seats) / MOST_LARGE)
-        self.found: member.Go | None = None  # what the module is to hear of
+        self.tally = TrafficMonitor(map_, home, now)
+        self.period = REPORT_PERIOD_S * max(1.0, len(told.seats) / MAX_MEMBERS_AT_FULL_RATE)
+        self.applied: member.ApplyPlan | None = None  # what the module is to hear of
         self.waiting: dict[int, Callable[[bool, str], None]] = {}
         self.serial = now
-        self.inbox: list[member.Note] = []
+        self.inbox: list[member.Event] = []
         self.stepping = False
-        peers.features[TOPIC] = self.heard
-        watch(engine.sidecar, self.tally)
+        peers.features[TOPIC] = self.on_peer_event
+        attach_monitor(engine.sidecar, self.tally)
 
-    def change(self, told: peer.Told) -> None:
+    def update_members(self, told: peer.Told) -> None:
         """Another roster, from now on."""
         zones = {seat.zone for seat in told.seats}
-        self.core.evidence.peopled = tuple(zone.name for zone in self.map.zones if zone.name in zones)
+        self.core.aggregator.peopled = tuple(zone.name for zone in self.map.zones if zone.name in zones)
 
     # From the peers.
 
-    def heard(self, order: peer.Order) -> None:
+    def on_peer_event(self, order: peer.Order) -> None:
         if isinstance(order, peer.Said):
-            self.tell(member.Heard(order.sender, order.words))
+            self.process(member.MessageReceived(order.sender, order.words))
         elif isinstance(order, peer.Known):
-            self.tell(member.Decided(order.version, order.body))
+            self.process(member.PlanDecided(order.version, order.body))
         elif isinstance(order, claims.Took):
-            self.tell(member.Took(order.epoch))
+            self.process(member.LeaseAcquired(order.epoch))
         elif isinstance(order, claims.Lost):
-            self.tell(member.Lost())
+            self.process(member.LeaseLost())
         elif isinstance(order, peer.Forgot):
-            self.tell(member.Forgot())
+            self.process(member.PlanExpired())
 
     # Once a period.
 
-    def look(self) -> None:
+    def send_report(self) -> None:
         sidecar, now = self.engine.sidecar, self.engine.clock.now()
         report = self.tally.report(now, self.core.name, sidecar)
-        self.tell(member.Own(report, dict(sidecar.desk.open_in)))
+        self.process(member.OwnReport(report, dict(sidecar.desk.open_in)))
 
     # Notes in, orders out.
 
-    def tell(self, *notes: member.Note) -> None:
+    def process(self, *notes: member.Event) -> None:
         self.inbox += notes
         if self.stepping:
             return
@@ -87,32 +87,32 @@
         finally:
             self.stepping = False
 
-    def carry_out(self, order: member.Order) -> None:
-        if isinstance(order, member.Say):
+    def carry_out(self, order: member.Command) -> None:
+        if isinstance(order, member.SendMessage):
             self.peers.carry(TOPIC, order.to, order.data)
-        elif isinstance(order, member.Decide):
+        elif isinstance(order, member.ProposePlan):
             self.peers.decide(TOPIC, order.body)  # refused or lost: the next look computes it anew
-        elif isinstance(order, member.Go):
-            self.found = order
-        elif isinstance(order, member.Moved):
+        elif isinstance(order, member.ApplyPlan):
+            self.applied = order
+        elif isinstance(order, member.PlanChanged):
             if self.core.holding is not None:
                 self.log("zones", version=order.version, text=order.why)
         elif (answer := self.waiting.pop(order.serial, None)) is not None:
             answer(order.done, order.text)
 
-    def common(self, now: int) -> t.Common:
+    def current_plan(self, now: int) -> t.Common:
         """For the module: plan by workload, brakes by endpoint, and until when they count."""
-        if self.found is None:
+        if self.applied is None:
             return t.Common(until=now + 1)
-        marks = self.found.brakes
+        marks = self.applied.brakes
         names = self.engine.sidecar.desk.seats if marks else ()
-        brakes = {name: marks[mark_of(name)] for name in names if mark_of(name) in marks}
-        listed = self.tally.listed(self.engine.sidecar)
-        return t.Common(0, self.found.plan, brakes, listed, max(now + 1, self.found.until))
+        brakes = {name: marks[endpoint_hash(name)] for name in names if endpoint_hash(name) in marks}
+        listed = self.tally.listed_by_zone(self.engine.sidecar)
+        return t.Common(0, self.applied.plan, brakes, listed, max(now + 1, self.applied.until))
 
     # Operators.
 
-    async def ask(self, what: str, zone: str, force: bool) -> tuple[bool, str]:
+    async def request_action(self, what: str, zone: str, force: bool) -> tuple[bool, str]:
         self.serial += 1
         serial, answered, found = self.serial, anyio.Event(), []
 
@@ -122,13 +122,13 @@
 
         self.waiting[serial] = answer
         try:
-            self.tell(member.Asked(serial, what, zone, force))
-            with anyio.move_on_after(member.WISH_TIME / SECOND + 1):
+            self.process(member.OperatorRequested(serial, what, zone, force))
+            with anyio.move_on_after(member.REQUEST_TIMEOUT / SECOND + 1):
                 while not answered.is_set():
-                    with anyio.move_on_after(member.WISH_AGAIN / SECOND):
+                    with anyio.move_on_after(member.REQUEST_RETRY_INTERVAL / SECOND):
                         await answered.wait()
                         break
-                    self.tell()  # a wish that waits is asked again
+                    self.process()  # a wish that waits is asked again
         finally:
             self.waiting.pop(serial, None)
         return found[0] if found else (False, "no answer")
--- a/lupinmill/zones/follower.py
+++ b/lupinmill/zones/follower.py
@@ -12,9 +12,9 @@
 
 from dataclasses import dataclass
 
-from lupinmill.zones.reports import SECOND
-from lupinmill.zones.zone_map import Map
 from lupinmill.zones.plan import Plan, Shares
+from lupinmill.zones.reports import SECOND
+from lupinmill.zones.zone_map import ZoneMap
 
 FRESH, FADED = 10 * SECOND, 60 * SECOND
 ALONE = 0.1
@@ -22,7 +22,7 @@
 
 @dataclass(slots=True)
 class Follower:
-    map: Map
+    map: ZoneMap
     home: str
     plan: Plan
     confirmed: int  # when a majority was last known to stand behind it
--- a/lupinmill/zones/member.py
+++ b/lupinmill/zones/member.py
@@ -15,19 +15,26 @@
 
 from lupinmill import terms as t
 from lupinmill.zones import messages
-from lupinmill.zones.reports import AGE, SECOND, Evidence, Picture, Report, State
+from lupinmill.zones.reports import (
+    REPORT_LIFETIME,
+    SECOND,
+    ReportAggregator,
+    AggregateView,
+    Report,
+    ZoneState,
+)
 from lupinmill.zones.follower import Follower
-from lupinmill.zones.zone_map import Map
+from lupinmill.zones.messages import ActionReply, ActionRequest, InvalidMessage, ReportAck, ReportMessage
 from lupinmill.zones.plan import LastGoodZone, Plan, Planner
-from lupinmill.zones.messages import Granted, Strange, Summary, Telling, Wish
+from lupinmill.zones.zone_map import ZoneMap
 
 MOST_WISHES = 8
-WISH_TIME = 5 * SECOND
-WISH_AGAIN = SECOND // 4
-COUNTS = 3 * SECOND  # for so long the module goes by what it was told last
+REQUEST_TIMEOUT = 5 * SECOND
+REQUEST_RETRY_INTERVAL = SECOND // 4
+APPLIED_PLAN_LIFETIME = 3 * SECOND  # for so long the module goes by what it was told last
 HOLDER_QUIET = 3 * SECOND  # after so long without an answer nobody is known to hold the lease
 BRAKES_COUNT = 3 * SECOND
-HEARD_OF = 0.5  # share of those present whose evidence a holder wants before it plans
+REPORT_QUORUM = 0.5  # share of those present whose evidence a holder wants before it plans
 ACTIONS = ("drain", "restore", "pin", "unpin")
 
 
@@ -35,7 +42,7 @@
 
 
 @dataclass(slots=True)
-class Own:
+class OwnReport:
     """This sidecar's own evidence, once a second."""
 
     report: Report
@@ -43,13 +50,13 @@
 
 
 @dataclass(slots=True)
-class Heard:
+class MessageReceived:
     sender: str
     data: bytes
 
 
 @dataclass(slots=True)
-class Decided:
+class PlanDecided:
     """A majority of the electors has this plan."""
 
     version: int
@@ -57,22 +64,22 @@
 
 
 @dataclass(slots=True)
-class Took:
+class LeaseAcquired:
     epoch: int
 
 
 @dataclass(slots=True)
-class Lost:
+class LeaseLost:
     """The lease has ended for this process."""
 
 
 @dataclass(slots=True)
-class Forgot:
+class PlanExpired:
     """Cut off for too long: what was decided counts no more."""
 
 
 @dataclass(slots=True)
-class Asked:
+class OperatorRequested:
     """By an operator at this sidecar; answered by a `Done` of the same serial."""
 
     serial: int
@@ -81,24 +88,26 @@
     force: bool = False
 
 
-Note = Own | Heard | Decided | Took | Lost | Forgot | Asked
+Event = (
+    OwnReport | MessageReceived | PlanDecided | LeaseAcquired | LeaseLost | PlanExpired | OperatorRequested
+)
 
 # --- orders ----------------------------------------------------------------------------------------
 
 
 @dataclass(slots=True)
-class Say:
+class SendMessage:
     to: str
     data: bytes
 
 
 @dataclass(slots=True)
-class Decide:
+class ProposePlan:
     body: bytes
 
 
 @dataclass(slots=True)
-class Go:
+class ApplyPlan:
     """For the module: by workload, shares by plan and where the home is lost; brakes by endpoint's mark."""
 
     plan: dict[str, tuple[t.Shares, t.Shares]]
@@ -107,26 +116,26 @@
 
 
 @dataclass(slots=True)
-class Done:
+class RequestFinished:
     serial: int
     done: bool
     text: str
 
 
 @dataclass(slots=True)
-class Moved:
+class PlanChanged:
     """Another plan is in force here. For the log."""
 
     version: int
     why: str
 
 
-Order = Say | Decide | Go | Done | Moved
+Command = SendMessage | ProposePlan | ApplyPlan | RequestFinished | PlanChanged
 
 
 @dataclass(slots=True)
 class Pending:
-    wish: Wish
+    wish: ActionRequest
     ends: int
     again: int
 
@@ -138,16 +147,22 @@
     epoch: int
     planner: Planner
     began: int
-    picture: Picture | None = None
+    picture: AggregateView | None = None
     brakes: dict[int, float] = field(default_factory=dict)
 
 
 class Member:
     def __init__(
-        self, map_: Map, name: str, home: str, electors: tuple[str, ...], peopled: tuple[str, ...], now: int
+        self,
+        map_: ZoneMap,
+        name: str,
+        home: str,
+        electors: tuple[str, ...],
+        peopled: tuple[str, ...],
+        now: int,
     ) -> None:
         self.map, self.name, self.home, self.electors, self.now = map_, name, home, electors, now
-        self.evidence = Evidence(map_, peopled)
+        self.aggregator = ReportAggregator(map_, peopled)
         self.follower = Follower(map_, home, Plan(), now)
         self.holding: Holding | None = None
         self.serials: dict[str, tuple[int, int]] = {}  # of the last evidence heard, and when, by member
@@ -158,29 +173,29 @@
         self.brakes_at = now
         self.wishes: dict[int, Pending] = {}
         self.dropped: dict[str, int] = {}
-        self.orders: list[Order] = []
+        self.orders: list[Command] = []
         self.moves = 0  # plans that this member has gone over to
 
-    def step(self, now: int, notes: list[Note], epoch: int, present: list[str]) -> list[Order]:
+    def step(self, now: int, notes: list[Event], epoch: int, present: list[str]) -> list[Command]:
         """`epoch`: of the lease that this process holds at this moment, else 0. `present`: members that are
         there in its view."""
         self.now = now
         if self.holding is not None and self.holding.epoch != epoch:
             self.holding = None  # whatever was told or not: the clock of the lease decides
         for note in notes:
-            if isinstance(note, Own):
+            if isinstance(note, OwnReport):
                 self.own(note, present)
-            elif isinstance(note, Heard):
+            elif isinstance(note, MessageReceived):
                 self.heard(note)
-            elif isinstance(note, Decided):
+            elif isinstance(note, PlanDecided):
                 self.decided(note)
-            elif isinstance(note, Took):
+            elif isinstance(note, LeaseAcquired):
                 if note.epoch == epoch:
                     self.holding = Holding(epoch, Planner(self.map), now)
                     self.holding.planner.take_over(self.follower.plan, now)
-            elif isinstance(note, Lost):
+            elif isinstance(note, LeaseLost):
                 self.holding = None
-            elif isinstance(note, Forgot):
+            elif isinstance(note, PlanExpired):
                 self.follower.plan, self.follower.confirmed = Plan(), now
             else:
                 self.asked(note)
@@ -190,13 +205,13 @@
 
     # Once a second.
 
-    def own(self, note: Own, present: list[str]) -> None:
+    def own(self, note: OwnReport, present: list[str]) -> None:
         self.serial = max(self.serial + 1, self.now)
-        telling = messages.telling(self.map, note.report, self.serial, self.follower.plan.version)
-        data = messages.say(telling)
+        telling = messages.report_message(self.map, note.report, self.serial, self.follower.plan.version)
+        data = messages.encode(telling)
         for elector in self.electors:
             if elector != self.name:
-                self.orders.append(Say(elector, data))
+                self.orders.append(SendMessage(elector, data))
         if self.name in self.electors:
             self.tell(self.name, telling)
         if self.holding is not None:
@@ -209,85 +224,87 @@
             for w in self.map.workloads
         }
         brakes = self.brakes if self.now - self.brakes_at < BRAKES_COUNT else {}
-        self.orders.append(Go(plan, brakes, self.now + COUNTS))
+        self.orders.append(ApplyPlan(plan, brakes, self.now + APPLIED_PLAN_LIFETIME))
 
     def hold(self, holding: Holding, present: set[str]) -> None:
         """Guards against a plan by a few: a holder that has heard of less than half of those that are there
         goes on standing behind the plan in force."""
-        self.evidence.forget(self.now, present)
-        holding.picture = self.evidence.picture(self.now, present)
-        holding.brakes = self.evidence.brakes(self.now)
+        self.aggregator.forget(self.now, present)
+        holding.picture = self.aggregator.picture(self.now, present)
+        holding.brakes = self.aggregator.brakes(self.now)
         self.follower.confirmed = self.now
         self.take_brakes(holding.brakes)
-        if len(self.evidence.reports) < HEARD_OF * len(present):
+        if len(self.aggregator.reports) < REPORT_QUORUM * len(present):
             return
         plan = holding.planner.step(self.now, holding.picture)
         if plan is not None:
-            self.orders.append(Decide(messages.write_plan(self.map, plan)))
+            self.orders.append(ProposePlan(messages.encode_plan(self.map, plan)))
 
     def take_brakes(self, brakes: dict[int, float]) -> None:
         self.brakes, self.brakes_at = brakes, self.now
 
     # What others say.
 
-    def heard(self, note: Heard) -> None:
+    def heard(self, note: MessageReceived) -> None:
         try:
-            found = messages.hear(note.data)
-            if isinstance(found, Telling):
+            found = messages.decode(note.data)
+            if isinstance(found, ReportMessage):
                 self.tell(note.sender, found)
-            elif isinstance(found, Summary):
+            elif isinstance(found, ReportAck):
                 self.answered(note.sender, found)
-            elif isinstance(found, Wish):
+            elif isinstance(found, ActionRequest):
                 if (granted := self.grant(found)) is not None:
                     done, text = granted
                     self.orders.append(
-                        Say(note.sender, messages.say(Granted(found.serial, done, text[:200])))
+                        SendMessage(note.sender, messages.encode(ActionReply(found.serial, done, text[:200])))
                     )
             elif (pending := self.wishes.pop(found.serial, None)) is not None:
-                self.orders.append(Done(pending.wish.serial, found.done, found.text))
-        except Strange as error:
+                self.orders.append(RequestFinished(pending.wish.serial, found.done, found.text))
+        except InvalidMessage as error:
             self.dropped[str(error)] = self.dropped.get(str(error), 0) + 1
 
-    def tell(self, sender: str, telling: Telling) -> None:
+    def tell(self, sender: str, telling: ReportMessage) -> None:
         """Evidence; one that is older than what is known of that member, or the same again, says nothing."""
-        report = messages.report(self.map, sender, telling)
+        report = messages.report_from_message(self.map, sender, telling)
         last, at = self.serials.get(sender, (-1, self.now))
-        if telling.serial <= last and self.now - at < AGE:  # later its clock may have been set back
-            raise Strange("old")
+        if (
+            telling.serial <= last and self.now - at < REPORT_LIFETIME
+        ):  # later its clock may have been set back
+            raise InvalidMessage("old")
         self.serials[sender] = (telling.serial, self.now)
         self.applied[sender] = telling.version
-        self.evidence.hear(self.now, report)
+        self.aggregator.add(self.now, report)
         if self.holding is not None and sender != self.name:
-            least = sorted(self.holding.brakes.items(), key=lambda row: row[1])[: messages.MOST_BRAKES]
-            brakes = [(mark, round(part * messages.PART)) for mark, part in least]
+            least = sorted(self.holding.brakes.items(), key=lambda row: row[1])[: messages.MAX_BRAKES]
+            brakes = [(mark, round(part * messages.SHARE_UNITS)) for mark, part in least]
             version = self.follower.plan.version
-            answer = Summary(self.map.mark(), telling.serial, self.holding.epoch, version, brakes)
-            self.orders.append(Say(sender, messages.say(answer)))
+            answer = ReportAck(self.map.mark(), telling.serial, self.holding.epoch, version, brakes)
+            self.orders.append(SendMessage(sender, messages.encode(answer)))
 
-    def answered(self, sender: str, summary: Summary) -> None:
+    def answered(self, sender: str, summary: ReportAck) -> None:
         """By the holder, of what was told just now. One that only claims to hold it can make this member
         trust for longer a plan that a majority did decide, and slow it down at cold endpoints: no more."""
         if sender not in self.electors or summary.mark != self.map.mark():
-            raise Strange("map")
+            raise InvalidMessage("map")
         if summary.serial != self.serial or summary.epoch < self.holder_epoch and self.holder_known():
-            raise Strange("old")
+            raise InvalidMessage("old")
         self.holder, self.holder_at, self.holder_epoch = sender, self.now, summary.epoch
         if summary.version == self.follower.plan.version:
             self.follower.confirmed = self.now
-        self.take_brakes({mark: max(0.1, parts / messages.PART) for mark, parts in summary.brakes})
+        self.take_brakes({mark: max(0.1, parts / messages.SHARE_UNITS) for mark, parts in summary.brakes})
 
     def holder_known(self) -> bool:
         return self.now - self.holder_at < HOLDER_QUIET
 
-    def decided(self, note: Decided) -> None:
+    def decided(self, note: PlanDecided) -> None:
         try:
-            plan = messages.read_plan(self.map, note.version, note.body)
-        except Strange as error:
+            plan = messages.decode_plan(self.map, note.version, note.body)
+        except InvalidMessage as error:
             self.dropped[str(error)] = self.dropped.get(str(error), 0) + 1
             return
         if self.follower.hear(self.now, plan):
             self.moves += 1
-            self.orders.append(Moved(plan.version, plan.why))
+            self.orders.append(PlanChanged(plan.version, plan.why))
         if self.holding is not None:
             planner = self.holding.planner
             if planner.next == 0:
@@ -299,32 +316,32 @@
 
     # Operators.
 
-    def asked(self, note: Asked) -> None:
+    def asked(self, note: OperatorRequested) -> None:
         """Done is said only of what stands in a plan that a majority has: the holder, this one or another, is
         asked until it does."""
-        wish = Wish(note.serial, note.what, note.zone, note.force)
+        wish = ActionRequest(note.serial, note.what, note.zone, note.force)
         if self.holding is None and not self.holder_known():
-            self.orders.append(Done(note.serial, False, "nobody is known to hold the plan now"))
+            self.orders.append(RequestFinished(note.serial, False, "nobody is known to hold the plan now"))
         elif len(self.wishes) >= MOST_WISHES:
-            self.orders.append(Done(note.serial, False, "too many calls wait for the holder"))
+            self.orders.append(RequestFinished(note.serial, False, "too many calls wait for the holder"))
         else:
-            self.wishes[note.serial] = Pending(wish, self.now + WISH_TIME, self.now)
+            self.wishes[note.serial] = Pending(wish, self.now + REQUEST_TIMEOUT, self.now)
 
     def go_on_asking(self) -> None:
         for serial, pending in list(self.wishes.items()):
             if self.now >= pending.ends:
                 del self.wishes[serial]
                 text = "no majority has accepted it in time; it may still be done: look at `zones show`"
-                self.orders.append(Done(serial, False, text))
+                self.orders.append(RequestFinished(serial, False, text))
             elif self.now >= pending.again:
-                pending.again = self.now + WISH_AGAIN
+                pending.again = self.now + REQUEST_RETRY_INTERVAL
                 if self.holding is None:
-                    self.orders.append(Say(self.holder, messages.say(pending.wish)))
+                    self.orders.append(SendMessage(self.holder, messages.encode(pending.wish)))
                 elif (granted := self.grant(pending.wish)) is not None:
                     del self.wishes[serial]
-                    self.orders.append(Done(serial, *granted))
+                    self.orders.append(RequestFinished(serial, *granted))
 
-    def grant(self, wish: Wish) -> tuple[bool, str] | None:
+    def grant(self, wish: ActionRequest) -> tuple[bool, str] | None:
         """None: on its way to a majority. Doubled by the network or not, the same wish leads to the same
         state."""
         if self.holding is None:
@@ -387,6 +404,6 @@
                 table["lost"] = [
                     {"from": a, "zone": b, "state": state.value}
                     for (a, b), state in sorted(picture.state.items())
-                    if state in (State.CUT, State.DOWN)
+                    if state in (ZoneState.UNREACHABLE, ZoneState.DOWN)
                 ]
         return table
--- a/lupinmill/zones/plan.py
+++ b/lupinmill/zones/plan.py
@@ -17,8 +17,8 @@
 
 from dataclasses import dataclass, field, replace
 
-from lupinmill.zones.reports import SECOND, Picture, State
-from lupinmill.zones.zone_map import Map, Workload, Zone
+from lupinmill.zones.reports import SECOND, AggregateView, ZoneState
+from lupinmill.zones.zone_map import Workload, Zone, ZoneMap
 
 PERIOD = SECOND
 OUT, BACK_HOME = 0.1, 0.03  # of a zone's traffic a second
@@ -72,13 +72,13 @@
     """The text is for the operator."""
 
 
-def usable(map_: Map, picture: Picture, drains: Drains) -> dict[str, float]:
+def usable(map_: ZoneMap, picture: AggregateView, drains: Drains) -> dict[str, float]:
     """Launches a second that each zone may get: nothing where it is down or drained."""
     found = {}
     for zone in map_.zones:
         name = zone.name
         down = all(
-            picture.state.get((origin.name, name)) is State.DOWN
+            picture.state.get((origin.name, name)) is ZoneState.DOWN
             for origin in map_.zones
             if (origin.name, name) in picture.state
         ) and any((origin.name, name) in picture.state for origin in map_.zones)
@@ -91,7 +91,7 @@
     return min(level, 1 - zone.spare)
 
 
-def aim(map_: Map, picture: Picture, drains: Drains) -> Rows:
+def compute_target(map_: ZoneMap, picture: AggregateView, drains: Drains) -> Rows:
     """Where all should go, had it time. Level by level, so that no zone is filled up while its neighbour has
     room to spare; in each level by worth: a workload is placed before one worth less, at home, then with the
     nearest that have room at that level. Those that want the same room share it by what they still have to
@@ -125,7 +125,7 @@
     }
 
 
-def ways_out(map_: Map, picture: Picture, drains: Drains, rows: Rows) -> Rows:
+def ways_out(map_: ZoneMap, picture: AggregateView, drains: Drains, rows: Rows) -> Rows:
     """For each zone, where its traffic may go at once should it be lost, before anybody has decided anything:
     the worthiest first, into what the others have spare now, of which each zone may take one part of as many
     as there are others. So whichever zones are lost together, or take each other for lost from two sides of a
@@ -159,8 +159,8 @@
 
 
 def place(
-    map_: Map,
-    picture: Picture,
+    map_: ZoneMap,
+    picture: AggregateView,
     workload: Workload,
     level: float,
     rows: Rows,
@@ -210,7 +210,7 @@
     """`step(now, picture)` gives the next plan, or None where the one in force stays. It is in force once it
     is given back to `accept`: until a majority has it, it is nobody's."""
 
-    def __init__(self, map_: Map) -> None:
+    def __init__(self, map_: ZoneMap) -> None:
         self.map = map_
         self.plan = Plan()
         self.drains = Drains()
@@ -263,13 +263,13 @@
             self.lost.add(zone)  # it comes back as a lost one does: by a trial, slowly
             self.well_since.pop(zone, None)
 
-    def step(self, now: int, picture: Picture) -> Plan | None:
+    def step(self, now: int, picture: AggregateView) -> Plan | None:
         if now < self.next:
             return None
         self.next = now + PERIOD
         picture = self.smooth(picture)
         self.look(now, picture)
-        wanted = aim(self.map, picture, self.drains)
+        wanted = compute_target(self.map, picture, self.drains)
         rows = {
             zone.name: {
                 w.name: self.towards(zone.name, w, wanted[zone.name][w.name], picture, now)
@@ -304,7 +304,7 @@
     def drained(self) -> tuple[str, ...]:
         return tuple(sorted(self.drains.zones))
 
-    def leave_unheard(self, rows: Rows, picture: Picture) -> None:
+    def leave_unheard(self, rows: Rows, picture: AggregateView) -> None:
         """Guards against a zone that comes back from behind a cut to a plan that calls it lost: nothing is
         decided for those of whom nothing is heard, they go by their own evidence."""
         for zone, by in rows.items():
@@ -322,7 +322,7 @@
             for to, share in {**dict.fromkeys(before.get(zone, {}).get(workload, {}), 0.0), **shares}.items()
         )
 
-    def smooth(self, picture: Picture) -> Picture:
+    def smooth(self, picture: AggregateView) -> AggregateView:
         """Guards against a plan that turns with the noise of what thin members see: a jump in a sum over them
         is believed by parts, a small one by smaller parts. A zone that is down takes nothing whatever it once
         took (`usable`)."""
@@ -355,12 +355,12 @@
             abs(shares.get(z, 0.0) - 1) < SMALL for z, by in rows.items() for shares in by.values()
         )
 
-    def look(self, now: int, picture: Picture) -> None:
+    def look(self, now: int, picture: AggregateView) -> None:
         """Which zones were lost, and since when those are well again. Harm sets the clock back."""
         for zone in self.map.zones:
             name = zone.name
-            states = [picture.state.get((origin.name, name), State.UNSEEN) for origin in self.map.zones]
-            if State.DOWN in states or name in self.drains.zones or not picture.reaches(name, name):
+            states = [picture.state.get((origin.name, name), ZoneState.UNKNOWN) for origin in self.map.zones]
+            if ZoneState.DOWN in states or name in self.drains.zones or not picture.reaches(name, name):
                 lately = now - self.back_at.get(name, now - FORGIVEN) < FORGIVEN
                 if name in self.well_since or name not in self.lost and lately:
                     self.relapses[name] = min(MOST_RELAPSES, self.relapses.get(name, 0) + 1)
@@ -368,10 +368,12 @@
                     self.relapses.pop(name, None)
                 self.lost.add(name)
                 self.well_since.pop(name, None)
-            elif name in self.lost and State.WELL in states:
+            elif name in self.lost and ZoneState.HEALTHY in states:
                 self.well_since.setdefault(name, now)
 
-    def towards(self, home: str, workload: Workload, wanted: Shares, picture: Picture, now: int) -> Shares:
+    def towards(
+        self, home: str, workload: Workload, wanted: Shares, picture: AggregateView, now: int
+    ) -> Shares:
         """One bounded step. Out of a zone that takes nothing all moves at once: what it gets is lost
         anyway."""
         current = self.plan.shares(home, workload.name)
@@ -402,17 +404,17 @@
         found = {zone: share for zone, share in found.items() if share > SMALL}
         return {**found, home: max(0.0, 1 - sum(found.values()))}
 
-    def needed(self, home: str, picture: Picture) -> bool:
+    def needed(self, home: str, picture: AggregateView) -> bool:
         """The other zones alone can't do what comes to all: what waits outside is mostly denied there."""
         room = usable(self.map, picture, self.drains)
         whole = sum(rate for rates in picture.traffic.values() for rate in rates.values())
         return whole > FULL * sum(able for name, able in room.items() if name != home)
 
-    def wait(self, home: str, picture: Picture) -> int:
+    def wait(self, home: str, picture: AggregateView) -> int:
         relapses = self.relapses.get(home, 0)
         return 0 if not relapses and self.needed(home, picture) else WAIT << relapses
 
-    def homeward(self, home: str, stays: float, now: int, picture: Picture) -> float:
+    def homeward(self, home: str, stays: float, now: int, picture: AggregateView) -> float:
         """Home to a zone that was lost: a wait, a trial share, then slowly; quicker where it is needed and
         nothing speaks against it. Each relapse doubles the wait."""
         needed, wait = self.needed(home, picture), self.wait(home, picture)
@@ -429,7 +431,7 @@
             self.back_at[home] = now
         return back
 
-    def bound(self, rows: Rows, picture: Picture) -> None:
+    def bound(self, rows: Rows, picture: AggregateView) -> None:
         """The sum that comes to a zone from others never exceeds what it has spare now, nor rises by more
         than `OUT` of its capacity a second: cold endpoints there are not pushed over by all sidecars together
         (rule 4). What may not go stays at home."""
--- a/lupinmill/zones/reports.py
+++ b/lupinmill/zones/reports.py
@@ -13,10 +13,10 @@
 from enum import Enum
 from statistics import median
 
-from lupinmill.zones.zone_map import Map
+from lupinmill.zones.zone_map import ZoneMap
 
 SECOND = 1_000_000
-AGE = 6 * SECOND  # a report counts less and less until then
+REPORT_LIFETIME = 6 * SECOND  # a report counts less and less until then
 CLIP = 2.0
 ENOUGH = 8.0  # launches behind a word on a zone, over all who saw it from one place
 QUICK = 1.5  # pace up to which a zone may well take more than it was seen to
@@ -24,12 +24,12 @@
 BROKEN, BACK = 0.5, 0.2  # share of launches that failed: a zone is lost above, and well again below
 SLOW, MOST_PRESSED = 3.0, 1.25  # times its uncrowded answer time: its capacity counts for as much less
 MOST_FIGURE = 1e9
-SPAN = 3.0  # seconds over which members count
+REPORT_WINDOW_S = 3.0  # seconds over which members count
 OVER, LEAST_BRAKE = 1.25, 0.1  # beyond the part by warmth a cold endpoint's sum is cut, never below
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
+class ZoneObservation:
     """Of one zone, by one member."""
 
     tried: float = 0.0  # launches that ended
@@ -47,28 +47,28 @@
     member: str
     zone: str  # where the member is
     traffic: dict[str, float]  # submissions a second that came to it, by workload
-    seen: dict[str, Seen]
+    seen: dict[str, ZoneObservation]
     cold: dict[int, tuple[float, float]] = field(default_factory=dict)  # endpoint's mark: launches/s, warmth
 
 
-class State(Enum):
-    WELL = "well"
-    CUT = "cut"  # reached from its own zone or others, not from here
+class ZoneState(Enum):
+    HEALTHY = "well"
+    UNREACHABLE = "cut"  # reached from its own zone or others, not from here
     DOWN = "down"  # failing from wherever it is seen
-    UNSEEN = "unseen"  # nobody has sent there of late
+    UNKNOWN = "unseen"  # nobody has sent there of late
 
 
 @dataclass(slots=True)
-class Picture:
+class AggregateView:
     """What is held in common at a moment."""
 
     traffic: dict[str, dict[str, float]]  # by zone and workload, a second
     capacity: dict[str, float]  # launches a second that a zone takes, warm ones counted
-    state: dict[tuple[str, str], State]  # from zone, of zone
+    state: dict[tuple[str, str], ZoneState]  # from zone, of zone
     observers: dict[str, int] = field(default_factory=dict)
 
     def reaches(self, a: str, b: str) -> bool:
-        return self.state.get((a, b), State.UNSEEN) in (State.WELL, State.UNSEEN)
+        return self.state.get((a, b), ZoneState.UNKNOWN) in (ZoneState.HEALTHY, ZoneState.UNKNOWN)
 
 
 def sane(value: float) -> float:
@@ -76,28 +76,28 @@
     return min(MOST_FIGURE, value) if value > 0 else 0.0
 
 
-class Evidence:
-    def __init__(self, map_: Map, peopled: tuple[str, ...] = ()) -> None:
+class ReportAggregator:
+    def __init__(self, map_: ZoneMap, peopled: tuple[str, ...] = ()) -> None:
         self.map = map_
         self.peopled = peopled  # zones in which the roster has members
         self.reports: dict[str, tuple[int, Report]] = {}
         self.lost: set[tuple[str, str]] = set()  # (from, of) that were lost at the last look: hysteresis
 
-    def hear(self, at: int, report: Report) -> None:
+    def add(self, at: int, report: Report) -> None:
         names = {zone.name for zone in self.map.zones}
         if report.zone in names:
             self.reports[report.member] = (at, report)
 
     def forget(self, now: int, present: set[str] | None = None) -> None:
         for name, (at, _) in list(self.reports.items()):
-            if now - at >= AGE or present is not None and name not in present:
+            if now - at >= REPORT_LIFETIME or present is not None and name not in present:
                 del self.reports[name]
 
-    def picture(self, now: int, present: set[str] | None = None) -> Picture:
+    def picture(self, now: int, present: set[str] | None = None) -> AggregateView:
         self.forget(now, present)
-        fresh = [(1 - (now - at) / AGE, report) for at, report in self.reports.values()]
+        fresh = [(1 - (now - at) / REPORT_LIFETIME, report) for at, report in self.reports.values()]
         states = self.states(fresh)
-        return Picture(
+        return AggregateView(
             self.traffic(fresh),
             self.capacities(fresh, states),
             states,
@@ -105,7 +105,7 @@
         )
 
     def capacities(
-        self, fresh: list[tuple[float, Report]], states: dict[tuple[str, str], State]
+        self, fresh: list[tuple[float, Report]], states: dict[tuple[str, str], ZoneState]
     ) -> dict[str, float]:
         """A zone that little goes to is taken for able to do, an endpoint, most of what others were seen to:
         guards against spare that nobody ever finds because nobody is sent there."""
@@ -117,7 +117,7 @@
         for name in seen:
             if name in self.peopled and name not in heard:
                 continue
-            well = states.get((name, name)) in (State.WELL, State.UNSEEN)
+            well = states.get((name, name)) in (ZoneState.HEALTHY, ZoneState.UNKNOWN)
             if well and ready[name] >= 1 and self.pace(fresh, name) < QUICK:
                 seen[name] = max(seen[name], LIKE * each * ready[name] * (1 - self.cold(fresh, name)))
         return seen
@@ -129,20 +129,20 @@
         return median([sane(seen.ready) for _, seen in own or told]) if told else -1.0
 
     def pace(self, fresh: list[tuple[float, Report]], zone: str) -> float:
-        return middle([(w, sane(seen.pace)) for w, _, seen in self.weights(fresh, zone)])
+        return weighted_median([(w, sane(seen.pace)) for w, _, seen in self.weights(fresh, zone)])
 
     def cold(self, fresh: list[tuple[float, Report]], zone: str) -> float:
         rows = [(age, min(1.0, sane(r.seen[zone].cold))) for age, r in fresh if zone in r.seen]
-        return middle(rows)
+        return weighted_median(rows)
 
     def brakes(self, now: int) -> dict[int, float]:
         """By mark, what part of their launches at a cold endpoint all should go on with: those whose sum is
         beyond the mean of all endpoints times its warmth (rule 4 for the sum of all sidecars)."""
-        fresh = [report for at, report in self.reports.values() if now - at < AGE]
+        fresh = [report for at, report in self.reports.values() if now - at < REPORT_LIFETIME]
         ready = sum(max(0.0, self.ready([(1.0, r) for r in fresh], zone.name)) for zone in self.map.zones)
         if ready < 1:
             return {}
-        mean = sum(sane(seen.tried) for r in fresh for seen in r.seen.values()) / SPAN / ready
+        mean = sum(sane(seen.tried) for r in fresh for seen in r.seen.values()) / REPORT_WINDOW_S / ready
         marks = sorted({mark for report in fresh for mark in report.cold})
         found = {}
         for mark in marks:
@@ -165,7 +165,9 @@
                 found[report.zone][workload.name] += min(rate, most)
         return found
 
-    def weights(self, fresh: list[tuple[float, Report]], zone: str) -> list[tuple[float, Report, Seen]]:
+    def weights(
+        self, fresh: list[tuple[float, Report]], zone: str
+    ) -> list[tuple[float, Report, ZoneObservation]]:
         """Launches of each observer, aged, and clipped by the median of those in the same zone: those that
         only spill there are thinner than those that live there, and neither shall silence the other."""
         found = []
@@ -191,11 +193,11 @@
             if rooms:
                 most = 2 * CLIP * median(rooms)
                 whole += sum(min(most, room) for room in rooms)
-        pace = middle([(weight, sane(seen.pace)) for weight, _, seen in rows])
+        pace = weighted_median([(weight, sane(seen.pace)) for weight, _, seen in rows])
         return whole / min(MOST_PRESSED, max(1.0, pace / SLOW))
 
-    def states(self, fresh: list[tuple[float, Report]]) -> dict[tuple[str, str], State]:
-        found: dict[tuple[str, str], State] = {}
+    def states(self, fresh: list[tuple[float, Report]]) -> dict[tuple[str, str], ZoneState]:
+        found: dict[tuple[str, str], ZoneState] = {}
         heard = {report.zone for _, report in fresh}
         for zone in self.map.zones:
             rows = self.weights(fresh, zone.name)
@@ -221,11 +223,13 @@
                     # Nobody here has tried: what all that did say is better than nothing. Of a zone whose own
                     # members are not heard nothing is known: it is not for spill to find out.
                     unheard = zone.name in self.peopled and zone.name not in heard and origin is not zone
-                    found[pair] = State.DOWN if all_bad else State.CUT if unheard else State.UNSEEN
+                    found[pair] = (
+                        ZoneState.DOWN if all_bad else ZoneState.UNREACHABLE if unheard else ZoneState.UNKNOWN
+                    )
                 elif origin.name in bad:
-                    found[pair] = State.DOWN if all_bad else State.CUT
+                    found[pair] = ZoneState.DOWN if all_bad else ZoneState.UNREACHABLE
                 else:
-                    found[pair] = State.WELL
+                    found[pair] = ZoneState.HEALTHY
             self.lost -= {(origin, zone.name) for origin in shares}
             self.lost |= {(origin, zone.name) for origin in bad}
         return found
@@ -234,7 +238,7 @@
         return share > (BACK if (origin, zone) in self.lost else BROKEN)
 
 
-def middle(rows: list[tuple[float, float]]) -> float:
+def weighted_median(rows: list[tuple[float, float]]) -> float:
     """The weighted median of (weight, value): half of the weight on either side."""
     rows = sorted(rows, key=lambda row: row[1])
     half, below = sum(weight for weight, _ in rows) / 2, 0.0
--- a/lupinmill/zones/traffic_monitor.py
+++ b/lupinmill/zones/traffic_monitor.py
@@ -10,17 +10,17 @@
 from lupinmill import terms as t
 from lupinmill.rules import Sidecar
 from lupinmill.workings import Ring
-from lupinmill.zones.reports import SECOND, SPAN, Report, Seen
-from lupinmill.zones.zone_map import Map
-from lupinmill.zones.messages import MOST_COLD, mark_of
+from lupinmill.zones.messages import MAX_COLD_ENDPOINTS, endpoint_hash
+from lupinmill.zones.reports import REPORT_WINDOW_S, SECOND, Report, ZoneObservation
+from lupinmill.zones.zone_map import ZoneMap
 
-BUCKETS, WIDTH = 6, int(SPAN * SECOND) // 6
+BUCKETS, WIDTH = 6, int(REPORT_WINDOW_S * SECOND) // 6
 SHORT = 0.02  # part of own traffic that was denied: a zone that denies has little more room than it used
 MOST_SHORT = 1.05
 FAILED = (t.How.ERROR, t.How.SPOILT, t.How.TIMED_OUT, t.How.UNCONNECTED, t.How.RESET)
 
 
-def watch(sidecar: Sidecar, tally: Tally) -> None:
+def attach_monitor(sidecar: Sidecar, tally: TrafficMonitor) -> None:
     """Puts the tally around the module's step."""
     step = sidecar.step
 
@@ -44,8 +44,8 @@
         self.handled, self.paces = Ring(BUCKETS, WIDTH), Ring(BUCKETS, WIDTH)
 
 
-class Tally:
-    def __init__(self, map_: Map, home: str, now: int) -> None:
+class TrafficMonitor:
+    def __init__(self, map_: ZoneMap, home: str, now: int) -> None:
         self.map, self.home, self.began = map_, home, now
         self.zones = {zone.name: Counts() for zone in map_.zones}
         self.came = {w.name: Ring(BUCKETS, WIDTH) for w in map_.workloads}
@@ -96,7 +96,7 @@
                 if counts is not None and len(s.flights) == 1:
                     counts[0] += seat.says.entry.zone != self.home
                     counts[1] += 1
-                if seat.says.cold_since is not None and len(self.cold) < MOST_COLD:
+                if seat.says.cold_since is not None and len(self.cold) < MAX_COLD_ENDPOINTS:
                     self.cold.setdefault(order.endpoint, Ring(BUCKETS, WIDTH)).add(now)
             elif isinstance(order, t.Deny):
                 self.denied.add(now)
@@ -105,10 +105,10 @@
 
     def report(self, now: int, name: str, sidecar: Sidecar) -> Report:
         desk = sidecar.desk
-        span = min(SPAN, max(0.5, (now - self.began) / SECOND))
+        span = min(REPORT_WINDOW_S, max(0.5, (now - self.began) / SECOND))
         came, denied = self.all.total(now), self.denied.total(now)
         short = denied > SHORT * max(1.0, came)
-        listed, cold = self.listed(sidecar), {}
+        listed, cold = self.listed_by_zone(sidecar), {}
         for seat in desk.seats.values():
             if seat.counts() and seat.says.cold_since is not None:
                 zone = seat.says.entry.zone
@@ -119,7 +119,7 @@
             pace = counts.paces.total(now) / handled if handled else 1.0
             ready = max(0, desk.open_in.get(zone, 0))
             share = cold.get(zone, 0) / ready if ready else 0.0
-            seen[zone] = Seen(
+            seen[zone] = ZoneObservation(
                 counts.tried.total(now),
                 counts.failed.total(now),
                 counts.refused.total(now),
@@ -137,7 +137,7 @@
             self.cold_ones(now, span, sidecar),
         )
 
-    def listed(self, sidecar: Sidecar) -> dict[str, int]:
+    def listed_by_zone(self, sidecar: Sidecar) -> dict[str, int]:
         """Endpoints that the list names as ready, by zone."""
         found: dict[str, int] = {}
         for entry in sidecar.roster.listed.values():
@@ -162,5 +162,5 @@
             if seat is None or not rate or sidecar.desk.warmth(seat.says) >= 1:
                 del self.cold[name]
             else:
-                found[mark_of(name)] = (rate, sidecar.desk.warmth(seat.says))
+                found[endpoint_hash(name)] = (rate, sidecar.desk.warmth(seat.says))
         return found
--- a/lupinmill/zones/zone_map.py
+++ b/lupinmill/zones/zone_map.py
@@ -6,7 +6,7 @@
 from zlib import crc32
 
 
-class BadMap(ValueError):
+class InvalidZoneMap(ValueError):
     """The text names the key."""
 
 
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Map:
+class ZoneMap:
     zones: tuple[Zone, ...]
     workloads: tuple[Workload, ...]
     costs: dict[tuple[str, str], float] = field(default_factory=dict)  # of a launch; else by region
@@ -40,19 +40,19 @@
     def __post_init__(self) -> None:
         names = [zone.name for zone in self.zones]
         if not names or len(set(names)) < len(names):
-            raise BadMap("zones: wants different names, one at least")
+            raise InvalidZoneMap("zones: wants different names, one at least")
         for zone in self.zones:
             if not 0 <= zone.spare < 1:
-                raise BadMap(f"zones.{zone.name}.spare: wants 0 up to 1")
+                raise InvalidZoneMap(f"zones.{zone.name}.spare: wants 0 up to 1")
         for workload in self.workloads:
             for key in ("leave_zone", "leave_region"):
                 if not 0 <= getattr(workload, key) <= 1:
-                    raise BadMap(f"workloads.{workload.name}.{key}: wants 0 to 1")
+                    raise InvalidZoneMap(f"workloads.{workload.name}.{key}: wants 0 to 1")
             if workload.leave_region > workload.leave_zone:
-                raise BadMap(f"workloads.{workload.name}.leave_region: more than leave_zone")
+                raise InvalidZoneMap(f"workloads.{workload.name}.leave_region: more than leave_zone")
         for a, b in self.costs:
             if a not in names or b not in names:
-                raise BadMap(f"costs.{a}.{b}: no such zone")
+                raise InvalidZoneMap(f"costs.{a}.{b}: no such zone")
 
     def zone(self, name: str) -> Zone:
         return next(zone for zone in self.zones if zone.name == name)
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -6,31 +6,42 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lupinmill.zones.reports import AGE, SECOND, Evidence, Picture, Report, Seen, State, middle
+from lupinmill.zones.reports import (
+    REPORT_LIFETIME,
+    SECOND,
+    ReportAggregator,
+    AggregateView,
+    Report,
+    ZoneObservation,
+    ZoneState,
+    weighted_median,
+)
 from lupinmill.zones.follower import ALONE, FADED, FRESH, Follower
-from lupinmill.zones.zone_map import BadMap, Map, Workload, Zone
-from lupinmill.zones.plan import FULL, LEVELS, OUT, TRIAL, LastGoodZone, Plan, Planner, aim
+from lupinmill.zones.plan import FULL, LEVELS, OUT, TRIAL, LastGoodZone, Plan, Planner, compute_target
+from lupinmill.zones.zone_map import InvalidZoneMap, Workload, Zone, ZoneMap
 
 BID, VIEW = Workload("bid", 4.0), Workload("view", 1.0)
-THREE = Map((Zone("a", "west"), Zone("b", "west"), Zone("c", "east")), (VIEW, BID))
+THREE = ZoneMap((Zone("a", "west"), Zone("b", "west"), Zone("c", "east")), (VIEW, BID))
 
 
-def picture(capacity: dict[str, float], traffic: dict[str, dict[str, float]], **states: State) -> Picture:
+def picture(
+    capacity: dict[str, float], traffic: dict[str, dict[str, float]], **states: ZoneState
+) -> AggregateView:
     """`a_b=State.CUT`: from a, of b. What is not told is well."""
-    pairs = {(x, y): State.WELL for x in capacity for y in capacity}
+    pairs = {(x, y): ZoneState.HEALTHY for x in capacity for y in capacity}
     pairs |= {tuple(key.split("_")): state for key, state in states.items()}
-    return Picture(traffic, capacity, pairs)
+    return AggregateView(traffic, capacity, pairs)
 
 
-def down(zone: str, *zones: str) -> dict[str, State]:
-    return {f"{other}_{zone}": State.DOWN for other in zones}
+def down(zone: str, *zones: str) -> dict[str, ZoneState]:
+    return {f"{other}_{zone}": ZoneState.DOWN for other in zones}
 
 
 # --- the aim -----------------------------------------------------------------------------------------------
 
 
-def aimed(map_: Map, shown: Picture) -> dict:
-    return aim(map_, shown, Planner(map_).drains)
+def aimed(map_: ZoneMap, shown: AggregateView) -> dict:
+    return compute_target(map_, shown, Planner(map_).drains)
 
 
 def test_what_fits_stays_at_home():
@@ -56,7 +67,7 @@
 
 
 def test_two_that_want_one_zones_spare_share_it_and_the_rest_is_denied_at_home():
-    map_ = Map((Zone("a"), Zone("b"), Zone("c", spare=0.2)), (VIEW,))
+    map_ = ZoneMap((Zone("a"), Zone("b"), Zone("c", spare=0.2)), (VIEW,))
     shown = picture(
         {"a": 0.0, "b": 50.0, "c": 100.0},
         {
@@ -79,7 +90,7 @@
 
 
 def test_budgets_hold_and_a_region_is_left_only_when_it_must_be():
-    map_ = Map(THREE.zones, (Workload("view", 1.0, leave_zone=0.5, leave_region=0.1),))
+    map_ = ZoneMap(THREE.zones, (Workload("view", 1.0, leave_zone=0.5, leave_region=0.1),))
     shown = picture(
         {"a": 0.0, "b": 20.0, "c": 500.0},
         {
@@ -92,7 +103,7 @@
     shares = aimed(map_, shown)["a"]["view"]
     assert shares["b"] == pytest.approx(0.18) and shares["c"] == pytest.approx(0.1)
     assert shares["a"] == pytest.approx(0.72)
-    free = Map(THREE.zones, (Workload("view", 1.0, leave_zone=0.5, leave_region=0.1, breaks=True),))
+    free = ZoneMap(THREE.zones, (Workload("view", 1.0, leave_zone=0.5, leave_region=0.1, breaks=True),))
     shares = aimed(free, shown)["a"]["view"]
     assert shares["c"] > 0.8, "out of a lost zone what may break its budget does"
 
@@ -102,8 +113,8 @@
     shown = picture(
         dict.fromkeys("abc", 100.0),
         {z: {"bid": 20.0, "view": 20.0} for z in "abc"},
-        a_a=State.CUT,
-        a_b=State.CUT,
+        a_a=ZoneState.UNREACHABLE,
+        a_b=ZoneState.UNREACHABLE,
     )
     rows = aimed(THREE, shown)
     assert rows["a"]["bid"]["c"] == pytest.approx(1.0) and "b" not in rows["a"]["view"]
@@ -123,12 +134,12 @@
 )
 def test_no_aim_sends_more_than_spare_or_budget_or_where_it_can_not_go(rooms, rates, cuts, leave, spare):
     workloads = (Workload("view", 1.0, leave, leave / 2), BID)
-    map_ = Map(
+    map_ = ZoneMap(
         (Zone("a", "w", spare), Zone("b", "w", spare), Zone("c", "e", spare), Zone("d", "e", spare)),
         workloads,
     )
     traffic = {z: {"view": rates[2 * n], "bid": rates[2 * n + 1]} for n, z in enumerate("abcd")}
-    shown = picture(dict(zip("abcd", rooms)), traffic, **{f"{x}_{y}": State.CUT for x, y in cuts})
+    shown = picture(dict(zip("abcd", rooms)), traffic, **{f"{x}_{y}": ZoneState.UNREACHABLE for x, y in cuts})
     rows = aimed(map_, shown)
     for z in "abcd":
         for w in workloads:
@@ -153,13 +164,19 @@
     noise, a planner and followers that hear of a plan a second later."""
 
     def __init__(
-        self, map_: Map, capacity: dict[str, float], traffic: dict[str, float], members=8, seed=1, noise=0.0
+        self,
+        map_: ZoneMap,
+        capacity: dict[str, float],
+        traffic: dict[str, float],
+        members=8,
+        seed=1,
+        noise=0.0,
     ) -> None:
         self.map, self.capacity, self.traffic = map_, capacity, traffic
         self.true = dict(capacity)
         self.chance = np.random.default_rng(seed)
         self.parts = {z: self.chance.dirichlet([2.0] * members) for z in capacity}
-        self.evidence, self.planner = Evidence(map_), Planner(map_)
+        self.evidence, self.planner = ReportAggregator(map_), Planner(map_)
         self.followers = {z: Follower(map_, z, Plan(), 0) for z in capacity}
         self.now, self.waiting = 0, []
         self.noise = noise  # of what members tell of rooms; of traffic half as much
@@ -207,7 +224,7 @@
                     bad = 1.0 if (z, to) in self.cut or not self.true[to] else max(0.0, 1 - good[to]) * 0.5
                     failed = self.chance.binomial(int(tried), bad) if tried >= 1 else 0.0
                     room = self.true[to] * share * self.blur(self.noise)
-                    seen[to] = Seen(float(tried), float(failed), 0.0, 1.0, room)
+                    seen[to] = ZoneObservation(float(tried), float(failed), 0.0, 1.0, room)
                 workloads = {w.name: 0.0 for w in self.map.workloads}
                 for w in workloads:
                     rate = (
@@ -216,9 +233,9 @@
                         else self.traffic[z]
                     )
                     workloads[w] = rate * part * self.blur(self.noise / 2)
-                self.evidence.hear(self.now, Report(f"{z}{n}", z, workloads, seen))
+                self.evidence.add(self.now, Report(f"{z}{n}", z, workloads, seen))
         for report in self.liars:
-            self.evidence.hear(self.now, report)
+            self.evidence.add(self.now, report)
         for _, plan in [row for row in self.waiting if row[0] <= self.now]:
             for follower in self.followers.values():
                 follower.hear(self.now, plan)
@@ -239,7 +256,7 @@
             self.second()
 
 
-ONE = Map((Zone("a", "west"), Zone("b", "west"), Zone("c", "east")), (VIEW,))
+ONE = ZoneMap((Zone("a", "west"), Zone("b", "west"), Zone("c", "east")), (VIEW,))
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -321,7 +338,7 @@
     for day in range(200):
         count = int(chance.integers(3, 6))
         names = "abcde"[:count]
-        map_ = Map(tuple(Zone(z, "we"[n % 2]) for n, z in enumerate(names)), (VIEW,))
+        map_ = ZoneMap(tuple(Zone(z, "we"[n % 2]) for n, z in enumerate(names)), (VIEW,))
         capacity = {z: float(chance.uniform(60, 140)) for z in names}
         traffic = {z: capacity[z] * float(chance.uniform(0.2, 0.85)) for z in names}
         plant = Plant(map_, capacity, traffic, members=3, seed=day)
@@ -383,84 +400,86 @@
 
 
 def report(member: str, zone: str, of: str, tried: float, failed: float, room: float = 10.0) -> Report:
-    return Report(member, zone, {"view": 5.0}, {of: Seen(tried, failed, 0.0, 1.0, room)})
+    return Report(member, zone, {"view": 5.0}, {of: ZoneObservation(tried, failed, 0.0, 1.0, room)})
 
 
-def told(reports: list[Report], now: int = 0) -> Picture:
-    evidence = Evidence(ONE)
+def told(reports: list[Report], now: int = 0) -> AggregateView:
+    evidence = ReportAggregator(ONE)
     for one in reports:
-        evidence.hear(now, one)
+        evidence.add(now, one)
     return evidence.picture(now)
 
 
 def test_thin_members_add_up():
-    assert told([report("m0", "a", "a", 2, 2)]).state["a", "a"] is State.UNSEEN, "two launches say nothing"
+    assert (
+        told([report("m0", "a", "a", 2, 2)]).state["a", "a"] is ZoneState.UNKNOWN
+    ), "two launches say nothing"
     many = told([report(f"m{n}", "a", "a", 2, 2) for n in range(5)])
-    assert many.state["a", "a"] is State.DOWN
+    assert many.state["a", "a"] is ZoneState.DOWN
 
 
 def test_a_zone_that_is_down_is_told_apart_from_one_that_can_not_be_reached_from_here():
     inside = [report(f"c{n}", "c", "c", 5, 0) for n in range(4)]
     outside = [report(f"a{n}", "a", "c", 5, 5) for n in range(4)]
     cut = told(inside + outside)
-    assert cut.state["a", "c"] is State.CUT and cut.state["c", "c"] is State.WELL
+    assert cut.state["a", "c"] is ZoneState.UNREACHABLE and cut.state["c", "c"] is ZoneState.HEALTHY
     dead = told([report(f"c{n}", "c", "c", 5, 5) for n in range(4)] + outside)
-    assert dead.state["a", "c"] is State.DOWN and dead.state["b", "c"] is State.DOWN
+    assert dead.state["a", "c"] is ZoneState.DOWN and dead.state["b", "c"] is ZoneState.DOWN
 
 
 @pytest.mark.parametrize(
     "lie",
     [
-        Seen(1e9, 1e9, 0.0, 1e9, 0.0, 1.0),
-        Seen(1e9, 0.0, 0.0, 1.0, 1e12),
-        Seen(-5.0, float("nan"), 0.0, -1.0, -1e9, -3.0),
-        Seen(float("inf"), float("inf"), 0.0, float("inf"), float("inf"), float("inf")),
+        ZoneObservation(1e9, 1e9, 0.0, 1e9, 0.0, 1.0),
+        ZoneObservation(1e9, 0.0, 0.0, 1.0, 1e12),
+        ZoneObservation(-5.0, float("nan"), 0.0, -1.0, -1e9, -3.0),
+        ZoneObservation(float("inf"), float("inf"), 0.0, float("inf"), float("inf"), float("inf")),
     ],
 )
 def test_one_that_lies_weighs_like_two_at_most(lie):
     honest = [report(f"a{n}", "a", "a", 10, 0) for n in range(9)]
     true, false = told(honest), told([*honest, Report("liar", "a", {"view": 1e12}, {"a": lie})])
-    assert false.state["a", "a"] is State.WELL
+    assert false.state["a", "a"] is ZoneState.HEALTHY
     assert 0.9 * true.capacity["a"] <= false.capacity["a"] <= true.capacity["a"] + 4 * 10
     assert false.traffic["a"]["view"] <= true.traffic["a"]["view"] + 100
 
 
 def test_reports_age_and_go():
-    evidence = Evidence(ONE)
+    evidence = ReportAggregator(ONE)
     for n in range(4):
-        evidence.hear(0, report(f"m{n}", "a", "a", 5, 0))
-    assert evidence.picture(AGE // 2).state["a", "a"] is State.WELL
-    assert evidence.picture(AGE).state["a", "a"] is State.UNSEEN and not evidence.reports
-    evidence.hear(AGE, report("m0", "a", "a", 50, 0))
-    evidence.forget(AGE, present=set())
+        evidence.add(0, report(f"m{n}", "a", "a", 5, 0))
+    assert evidence.picture(REPORT_LIFETIME // 2).state["a", "a"] is ZoneState.HEALTHY
+    assert evidence.picture(REPORT_LIFETIME).state["a", "a"] is ZoneState.UNKNOWN and not evidence.reports
+    evidence.add(REPORT_LIFETIME, report("m0", "a", "a", 50, 0))
+    evidence.forget(REPORT_LIFETIME, present=set())
     assert not evidence.reports
-    evidence.hear(AGE, report("m0", "nowhere", "a", 50, 0))
+    evidence.add(REPORT_LIFETIME, report("m0", "nowhere", "a", 50, 0))
     assert not evidence.reports
 
 
 def test_between_lost_and_well_lies_a_band():
-    evidence = Evidence(ONE)
+    evidence = ReportAggregator(ONE)
 
-    def state(failed: float) -> State:
+    def state(failed: float) -> ZoneState:
         for n in range(4):
-            evidence.hear(0, report(f"m{n}", "a", "a", 10, failed))
+            evidence.add(0, report(f"m{n}", "a", "a", 10, failed))
         return evidence.picture(0).state["a", "a"]
 
     assert [state(4), state(6), state(4), state(3), state(1), state(4)] == [
-        State.WELL,
-        State.DOWN,
-        State.DOWN,
-        State.DOWN,
-        State.WELL,
-        State.WELL,
+        ZoneState.HEALTHY,
+        ZoneState.DOWN,
+        ZoneState.DOWN,
+        ZoneState.DOWN,
+        ZoneState.HEALTHY,
+        ZoneState.HEALTHY,
     ]
 
 
 def test_the_weighted_median():
     assert (
-        middle([(1, 5.0), (1, 1.0), (1, 9.0)]) == 5.0
-        and middle([(10, 5.0), (1, 1.0)]) == 5.0
-        and middle([]) == 0
+        weighted_median([(1, 5.0), (1, 1.0), (1, 9.0)]) == 5.0
+        and weighted_median([(10, 5.0), (1, 1.0)]) == 5.0
+        and weighted_median([]) == 0
     )
 
 
@@ -501,12 +520,12 @@
         ((Zone("a"),), (Workload("x", 1, 0.1, 0.5),), {}, "workloads.x.leave_region"),
         ((Zone("a"),), (VIEW,), {("a", "z"): 1.0}, "costs.a.z"),
     ):
-        with pytest.raises(BadMap, match=key):
-            Map(zones, workloads, costs)
+        with pytest.raises(InvalidZoneMap, match=key):
+            ZoneMap(zones, workloads, costs)
 
 
 def test_nearer_first_and_the_own_region_before_all():
-    map_ = Map(
+    map_ = ZoneMap(
         (Zone("a", "w"), Zone("b", "w"), Zone("c", "e"), Zone("d", "w")),
         (VIEW,),
         {("a", "c"): 0.5, ("a", "b"): 3.0},
--- a/tests/test_zones_member.py
+++ b/tests/test_zones_member.py
@@ -13,23 +13,30 @@
 from lupinmill.lab.virtual import VirtualRun
 from lupinmill.rules import Sidecar
 from lupinmill.zones import member, messages
-from lupinmill.zones.reports import AGE, SECOND, Evidence, Report, Seen, State
+from lupinmill.zones.reports import (
+    REPORT_LIFETIME,
+    SECOND,
+    ReportAggregator,
+    Report,
+    ZoneObservation,
+    ZoneState,
+)
 from lupinmill.zones.follower import FADED, FRESH
-from lupinmill.zones.zone_map import Map, Workload, Zone
 from lupinmill.zones.member import Member
+from lupinmill.zones.messages import MAX_PLAN_BYTES, InvalidMessage
 from lupinmill.zones.plan import Plan
-from lupinmill.zones.traffic_monitor import SHORT, Tally, watch
-from lupinmill.zones.messages import LARGEST_PLAN, Strange
+from lupinmill.zones.traffic_monitor import SHORT, TrafficMonitor, attach_monitor
+from lupinmill.zones.zone_map import Workload, Zone, ZoneMap
 
-MAP = Map((Zone("a"), Zone("b"), Zone("c")), (Workload("view", 1.0), Workload("bid", 4.0, breaks=True)))
+MAP = ZoneMap((Zone("a"), Zone("b"), Zone("c")), (Workload("view", 1.0), Workload("bid", 4.0, breaks=True)))
 NAMES = [f"m{n}" for n in range(9)]
 ELECTORS = ("m0", "m1", "m2")
 
 
-def report(name: str, traffic: float = 20.0, room: float = 40.0, **seen: Seen) -> Report:
+def report(name: str, traffic: float = 20.0, room: float = 40.0, **seen: ZoneObservation) -> Report:
     zone = "abc"[int(name[1:]) % 3]
-    own = {zone: Seen(30.0, 0.0, 0.0, 1.0, room, 0.0, 4.0, 4.0)}
-    rest = {z: Seen(0.0, 0.0, 0.0, 1.0, 0.0, 0.0, 4.0, 4.0) for z in "abc" if z != zone}
+    own = {zone: ZoneObservation(30.0, 0.0, 0.0, 1.0, room, 0.0, 4.0, 4.0)}
+    rest = {z: ZoneObservation(0.0, 0.0, 0.0, 1.0, 0.0, 0.0, 4.0, 4.0) for z in "abc" if z != zone}
     return Report(name, zone, {"view": 0.75 * traffic, "bid": 0.25 * traffic}, rest | own | seen)
 
 
@@ -45,33 +52,33 @@
         self.holder, self.epoch, self.version = "", 0, 0
         self.dead: set[str] = set()
         self.reports: dict[str, Report] = {}
-        self.go: dict[str, member.Go] = {}
-        self.done: list[member.Done] = []
+        self.go: dict[str, member.ApplyPlan] = {}
+        self.done: list[member.RequestFinished] = []
         self.decide_ = True
-        self.said: list[tuple[str, member.Say]] = []
+        self.said: list[tuple[str, member.SendMessage]] = []
 
     def present(self) -> list[str]:
         return [name for name in NAMES if name not in self.dead]
 
-    def step(self, name: str, *notes: member.Note) -> None:
+    def step(self, name: str, *notes: member.Event) -> None:
         epoch = self.epoch if name == self.holder else 0
         for order in self.cores[name].step(self.now, list(notes), epoch, self.present()):
-            if isinstance(order, member.Say):
+            if isinstance(order, member.SendMessage):
                 self.said.append((name, order))
                 if order.to not in self.dead:
-                    self.step(order.to, member.Heard(name, order.data))
-            elif isinstance(order, member.Decide) and self.decide_:
+                    self.step(order.to, member.MessageReceived(name, order.data))
+            elif isinstance(order, member.ProposePlan) and self.decide_:
                 self.version += 1
                 for other in self.present():
-                    self.step(other, member.Decided(self.version, order.body))
-            elif isinstance(order, member.Go):
+                    self.step(other, member.PlanDecided(self.version, order.body))
+            elif isinstance(order, member.ApplyPlan):
                 self.go[name] = order
-            elif isinstance(order, member.Done):
+            elif isinstance(order, member.RequestFinished):
                 self.done.append(order)
 
     def take(self, name: str) -> None:
         self.holder, self.epoch = name, self.epoch + 1
-        self.step(name, member.Took(self.epoch))
+        self.step(name, member.LeaseAcquired(self.epoch))
 
     def second(self, count: int = 1) -> None:
         for _ in range(count):
@@ -79,10 +86,10 @@
             for name in self.present():
                 found = self.reports.get(name) or report(name)
                 ready = {zone: int(seen.ready) for zone, seen in found.seen.items()}
-                self.step(name, member.Own(found, ready))
+                self.step(name, member.OwnReport(found, ready))
 
     def lose(self, zone: str) -> None:
-        gone = Seen(0.0, 0.0, 0.0, 1.0, 0.0, 0.0, 0.0, 4.0)
+        gone = ZoneObservation(0.0, 0.0, 0.0, 1.0, 0.0, 0.0, 0.0, 4.0)
         self.reports = {name: report(name, **{zone: gone}) for name in NAMES}
 
 
@@ -103,11 +110,13 @@
 def test_only_the_holder_answers_evidence_and_plans():
     fleet = Fleet()
     fleet.second(3)
-    assert all(isinstance(messages.hear(order.data), messages.Telling) for _, order in fleet.said)
+    assert all(isinstance(messages.decode(order.data), messages.ReportMessage) for _, order in fleet.said)
     assert fleet.version == 0
     fleet.take("m0")
     fleet.second(2)
-    answers = [name for name, order in fleet.said if isinstance(messages.hear(order.data), messages.Summary)]
+    answers = [
+        name for name, order in fleet.said if isinstance(messages.decode(order.data), messages.ReportAck)
+    ]
     assert set(answers) == {"m0"} and fleet.cores["m8"].holder == "m0"
 
 
@@ -129,9 +138,11 @@
             fleet.now += SECOND
             for name in ("m0", "m1", "m4"):  # the others are there, but their words get lost
                 seen = fleet.reports.get(name) or report(name)
-                fleet.step(name, member.Own(seen, {zone: int(s.ready) for zone, s in seen.seen.items()}))
+                fleet.step(
+                    name, member.OwnReport(seen, {zone: int(s.ready) for zone, s in seen.seen.items()})
+                )
 
-    few(AGE // SECOND + 1)
+    few(REPORT_LIFETIME // SECOND + 1)
     before = fleet.version
     fleet.lose("b")
     few(10)
@@ -150,7 +161,7 @@
     before = fleet.version
     fleet.lose("b")
     fleet.now += SECOND
-    fleet.step("m0", member.Own(report("m0"), {"a": 4}))
+    fleet.step("m0", member.OwnReport(report("m0"), {"a": 4}))
     assert old.holding is None and fleet.version == before
     fleet.second(6)
     assert fleet.cores["m5"].holder == "m1" and stays(fleet, "m0", "b") < 0.4
@@ -201,7 +212,7 @@
     """Found by processes: nobody had tried anything there, and untried passed for reachable."""
     fleet = fleet_with_holder()
     fleet.dead = {name for name in NAMES if int(name[1:]) % 3 == 2}  # all of c
-    fleet.second(AGE // SECOND + 1)
+    fleet.second(REPORT_LIFETIME // SECOND + 1)
     fleet.lose("b")
     fleet.second(6)
     plan = fleet.cores["m0"].follower.plan
@@ -210,14 +221,14 @@
 
 
 def test_a_side_that_sees_a_zone_fail_calls_it_cut_and_only_those_in_it_call_it_down():
-    evidence = Evidence(MAP, ("a", "b", "c"))
-    failing = Seen(30.0, 30.0, 0.0, 1.0, 0.0, 0.0, 4.0, 4.0)
+    evidence = ReportAggregator(MAP, ("a", "b", "c"))
+    failing = ZoneObservation(30.0, 30.0, 0.0, 1.0, 0.0, 0.0, 4.0, 4.0)
     for n in (0, 3, 6):
-        evidence.hear(0, report(f"m{n}", c=failing))
-    assert evidence.picture(0).state["a", "c"] is State.CUT
+        evidence.add(0, report(f"m{n}", c=failing))
+    assert evidence.picture(0).state["a", "c"] is ZoneState.UNREACHABLE
     for n in (2, 5, 8):
-        evidence.hear(0, report(f"m{n}", c=failing))
-    assert evidence.picture(0).state["a", "c"] is State.DOWN
+        evidence.add(0, report(f"m{n}", c=failing))
+    assert evidence.picture(0).state["a", "c"] is ZoneState.DOWN
 
 
 # --- operators ----------------------------------------------------------------------------------------------
@@ -226,7 +237,7 @@
 def test_a_drain_is_done_when_a_majority_has_it_and_outlives_its_holder():
     fleet = fleet_with_holder()
     fleet.decide_ = False
-    fleet.step("m5", member.Asked(7, "drain", "b"))
+    fleet.step("m5", member.OperatorRequested(7, "drain", "b"))
     fleet.second(2)
     assert not fleet.done, "nobody has accepted it"
     fleet.decide_ = True
@@ -235,7 +246,7 @@
     fleet.take("m1")
     fleet.second(3)
     assert fleet.cores["m8"].follower.plan.drained == ("b",)
-    fleet.step("m1", member.Asked(8, "restore", "b"))
+    fleet.step("m1", member.OperatorRequested(8, "restore", "b"))
     fleet.second(2)
     assert fleet.done[-1].done and fleet.cores["m8"].follower.plan.drained == ()
 
@@ -243,40 +254,40 @@
 def test_the_last_good_zone_is_drained_by_force_alone_and_twice_is_once():
     fleet = fleet_with_holder()
     for serial, zone in enumerate("bb"):
-        fleet.step("m0", member.Asked(serial, "drain", zone))
+        fleet.step("m0", member.OperatorRequested(serial, "drain", zone))
         fleet.second(2)
     assert [done.done for done in fleet.done] == [True, True]
-    fleet.step("m4", member.Asked(10, "drain", "c"))
+    fleet.step("m4", member.OperatorRequested(10, "drain", "c"))
     fleet.second(2)
-    fleet.step("m4", member.Asked(11, "drain", "a"))
+    fleet.step("m4", member.OperatorRequested(11, "drain", "a"))
     fleet.second()
     assert not fleet.done[-1].done and "last good zone" in fleet.done[-1].text
-    fleet.step("m4", member.Asked(12, "drain", "a", True))
+    fleet.step("m4", member.OperatorRequested(12, "drain", "a", True))
     fleet.second(2)
     assert fleet.done[-1].done and fleet.cores["m4"].follower.plan.drained == ("a", "b", "c")
 
 
 def test_without_a_holder_a_call_is_answered_at_once_and_one_that_waits_ends():
     fleet = Fleet()
-    fleet.step("m5", member.Asked(1, "pin"))
+    fleet.step("m5", member.OperatorRequested(1, "pin"))
     assert [(done.done, "nobody" in done.text) for done in fleet.done] == [(False, True)]
     fleet = fleet_with_holder()
     fleet.decide_ = False
-    fleet.step("m5", member.Asked(2, "pin"))
-    fleet.second(member.WISH_TIME // SECOND + 1)
+    fleet.step("m5", member.OperatorRequested(2, "pin"))
+    fleet.second(member.REQUEST_TIMEOUT // SECOND + 1)
     assert [done.serial for done in fleet.done] == [2] and not fleet.done[0].done
     assert not fleet.cores["m5"].wishes
 
 
 def test_pinned_it_stays_whatever_happens():
     fleet = fleet_with_holder()
-    fleet.step("m0", member.Asked(1, "pin"))
+    fleet.step("m0", member.OperatorRequested(1, "pin"))
     fleet.second(2)
     before = fleet.cores["m4"].follower.plan.rows
     fleet.lose("b")
     fleet.second(6)
     assert fleet.cores["m4"].follower.plan.pinned and fleet.cores["m4"].follower.plan.rows == before
-    fleet.step("m0", member.Asked(2, "unpin"))
+    fleet.step("m0", member.OperatorRequested(2, "unpin"))
     fleet.second(6)
     assert stays(fleet, "m4", "b") < 0.5
 
@@ -286,10 +297,10 @@
 
 def test_old_and_doubled_evidence_says_nothing():
     fleet = fleet_with_holder()
-    telling = messages.telling(MAP, report("m4", 500.0), 5, 0)
-    fleet.step("m0", member.Heard("m4", messages.say(telling)))
+    telling = messages.report_message(MAP, report("m4", 500.0), 5, 0)
+    fleet.step("m0", member.MessageReceived("m4", messages.encode(telling)))
     assert fleet.cores["m0"].dropped["old"] == 1
-    assert fleet.cores["m0"].evidence.reports["m4"][1].traffic["view"] < 20
+    assert fleet.cores["m0"].aggregator.reports["m4"][1].traffic["view"] < 20
 
 
 def test_one_that_claims_to_hold_the_plan_moves_nothing():
@@ -297,37 +308,37 @@
     fleet = fleet_with_holder()
     core = fleet.cores["m8"]
     before = core.follower.plan
-    lie = messages.Summary(MAP.mark(), core.serial, 10**9, 99, [(1, 0)])
-    fleet.step("m8", member.Heard("m2", messages.say(lie)))
+    lie = messages.ReportAck(MAP.mark(), core.serial, 10**9, 99, [(1, 0)])
+    fleet.step("m8", member.MessageReceived("m2", messages.encode(lie)))
     assert core.follower.plan is before and core.brakes == {1: 0.1}, "never cut to nothing"
-    fleet.step("m8", member.Heard("m7", messages.say(lie)))
+    fleet.step("m8", member.MessageReceived("m7", messages.encode(lie)))
     assert core.dropped["map"] == 1, "no elector"
-    old = messages.Summary(MAP.mark(), core.serial - 5, 10**9, 99, [])
-    fleet.step("m8", member.Heard("m2", messages.say(old)))
+    old = messages.ReportAck(MAP.mark(), core.serial - 5, 10**9, 99, [])
+    fleet.step("m8", member.MessageReceived("m2", messages.encode(old)))
     assert core.dropped["old"] == 1
 
 
 def test_words_of_another_map_and_bytes_of_any_kind_are_counted_and_change_nothing():
     fleet = fleet_with_holder()
     core, chance = fleet.cores["m0"], random.Random(5)
-    other = Map((Zone("a"), Zone("b")), (Workload("view"),))
-    telling = messages.telling(other, Report("m4", "a", {"view": 1.0}, {}), core.now + SECOND, 0)
-    fleet.step("m0", member.Heard("m4", messages.say(telling)))
+    other = ZoneMap((Zone("a"), Zone("b")), (Workload("view"),))
+    telling = messages.report_message(other, Report("m4", "a", {"view": 1.0}, {}), core.now + SECOND, 0)
+    fleet.step("m0", member.MessageReceived("m4", messages.encode(telling)))
     assert core.dropped["map"] == 1
     good = [
-        messages.say(messages.telling(MAP, report("m4"), 1, 0)),
-        messages.write_plan(MAP, core.follower.plan),
+        messages.encode(messages.report_message(MAP, report("m4"), 1, 0)),
+        messages.encode_plan(MAP, core.follower.plan),
     ]
     version = core.follower.plan.version
     for _ in range(20_000):
         data = bytearray(chance.choice(good) if chance.random() < 0.8 else chance.randbytes(60))
         for _ in range(chance.randrange(4)):
             data[chance.randrange(len(data))] = chance.randrange(256)
-        fleet.step("m0", member.Heard("m4", bytes(data)))
+        fleet.step("m0", member.MessageReceived("m4", bytes(data)))
         if chance.random() < 0.2:
-            fleet.step("m0", member.Decided(0, bytes(data)))
+            fleet.step("m0", member.PlanDecided(0, bytes(data)))
     assert core.follower.plan.version == version
-    assert len(core.evidence.reports) <= 9 and len(core.serials) <= 9 and len(core.wishes) == 0
+    assert len(core.aggregator.reports) <= 9 and len(core.serials) <= 9 and len(core.wishes) == 0
     assert len(core.dropped) <= 3
 
 
@@ -337,13 +348,13 @@
 @settings(derandomize=True, max_examples=200, deadline=None)
 @given(st.lists(figures, min_size=8, max_size=8), figures, st.lists(st.tuples(figures, figures), max_size=40))
 def test_any_figures_pass_the_wire_and_fit_a_datagram(seen, traffic, cold):
-    told = Report("m1", "b", {"view": traffic}, {"a": Seen(*seen)}, dict(enumerate(cold)))
-    data = messages.say(messages.telling(MAP, told, 1, 0))
+    told = Report("m1", "b", {"view": traffic}, {"a": ZoneObservation(*seen)}, dict(enumerate(cold)))
+    data = messages.encode(messages.report_message(MAP, told, 1, 0))
     assert len(data) < 1000
-    back = messages.report(MAP, "m1", messages.hear(data))
+    back = messages.report_from_message(MAP, "m1", messages.decode(data))
     assert back.zone == "b" and all(0 <= rate <= 2**40 for rate in back.traffic.values())
-    evidence = Evidence(MAP)
-    evidence.hear(0, back)
+    evidence = ReportAggregator(MAP)
+    evidence.add(0, back)
     evidence.picture(0)
     assert all(0.1 <= part <= 1 for part in evidence.brakes(0).values())
 
@@ -362,9 +373,9 @@
         scaled[zone] = 1 - sum(share for to, share in scaled.items() if to != zone)
         rows.setdefault(zone, {})["view" if number < 3 else "bid"] = scaled
     plan = Plan(4, rows, why, {"a": {"bid": {"b": 0.25}}}, ("c",), True)
-    data = messages.write_plan(MAP, plan)
-    back = messages.read_plan(MAP, 4, data)
-    assert len(data) <= LARGEST_PLAN and back.drained == ("c",) and back.pinned
+    data = messages.encode_plan(MAP, plan)
+    back = messages.decode_plan(MAP, 4, data)
+    assert len(data) <= MAX_PLAN_BYTES and back.drained == ("c",) and back.pinned
     assert back.ways == {"a": {"bid": {"b": 0.25}}}
     for zone, by in rows.items():
         for workload, one in by.items():
@@ -375,26 +386,26 @@
 
 def test_a_plan_that_is_too_large_keeps_its_largest_shares():
     zones = [f"zone-{n}" for n in range(16)]
-    map_ = Map(tuple(Zone(z) for z in zones), tuple(Workload(f"w{n}") for n in range(16)))
+    map_ = ZoneMap(tuple(Zone(z) for z in zones), tuple(Workload(f"w{n}") for n in range(16)))
     rows = {
         z: {f"w{n}": {z: 0.5, zones[(at + 1) % 16]: 0.3, zones[(at + 2) % 16]: 0.2} for n in range(16)}
         for at, z in enumerate(zones)
     }
-    data = messages.write_plan(map_, Plan(1, rows, "x" * 400, rows))
-    assert len(data) <= LARGEST_PLAN
-    back = messages.read_plan(map_, 1, data)
+    data = messages.encode_plan(map_, Plan(1, rows, "x" * 400, rows))
+    assert len(data) <= MAX_PLAN_BYTES
+    back = messages.decode_plan(map_, 1, data)
     assert back.rows and all(0.3 in one.values() for by in back.rows.values() for one in by.values())
-    with pytest.raises(Strange):
-        messages.read_plan(MAP, 1, data)
+    with pytest.raises(InvalidMessage):
+        messages.decode_plan(MAP, 1, data)
 
 
 # --- the tally ----------------------------------------------------------------------------------------------
 
 
-def tallied() -> tuple[Sidecar, Tally]:
+def tallied() -> tuple[Sidecar, TrafficMonitor]:
     sidecar = Sidecar(deployment(workloads=[IDEM, KEYED], instances=1, cold_time=5 * SECOND))
-    tally = Tally(Map((Zone("a"), Zone("b")), (Workload("view"), Workload("bid"))), "a", 0)
-    watch(sidecar, tally)
+    tally = TrafficMonitor(ZoneMap((Zone("a"), Zone("b")), (Workload("view"), Workload("bid"))), "a", 0)
+    attach_monitor(sidecar, tally)
     entries = [t.Listing(f"{z}{n}", t.State.READY, z) for z in "ab" for n in range(2)]
     sidecar.step(0, [t.Listed(t.ListKind.FULL, entries)])
     return sidecar, tally
@@ -444,13 +455,13 @@
             sidecar.step(now, [t.Ended(f"s{number}", 0, t.How.HANDLED, 5_000, True)])
     told = tally.report(now, "m", sidecar)
     ((mark, (rate, warmth)),) = told.cold.items()
-    assert mark == messages.mark_of("a9") and rate > 0 and 0.3 <= warmth < 1
-    evidence = Evidence(MAP)
+    assert mark == messages.endpoint_hash("a9") and rate > 0 and 0.3 <= warmth < 1
+    evidence = ReportAggregator(MAP)
     for n in range(9):
-        evidence.hear(0, Report(f"m{n}", "abc"[n % 3], {}, report(f"m{n}").seen, {mark: (30.0, 0.3)}))
+        evidence.add(0, Report(f"m{n}", "abc"[n % 3], {}, report(f"m{n}").seen, {mark: (30.0, 0.3)}))
     parts = evidence.brakes(0)
     assert 0.1 <= parts[mark] < 0.5
-    evidence.hear(0, Report("m3", "a", {}, report("m3").seen, {mark: (1e12, 0.3)}))
+    evidence.add(0, Report("m3", "a", {}, report("m3").seen, {mark: (1e12, 0.3)}))
     assert evidence.brakes(0)[mark] >= parts[mark] / 3, "one liar slows all by no more than that"
 
 
