--- a/lupinmill/lab/scale/loopback.py
+++ b/lupinmill/lab/scale/loopback.py
@@ -1,5 +1,5 @@
 """Hollow sidecars over real loopback sockets, many in one process: the very `Driver`, `Engine`, `ZoneDriver`
-and `Common` that `program.sidecar` puts together from the same operators' file, without listeners and clients.
+and `Common` that `program.sidecar` puts together from the same operators' file, without listeners or clients.
 
 Owns the sockets and tasks of the fleet, given back at the end of `Fleet.run`."""
 
--- a/lupinmill/zones/follower.py
+++ b/lupinmill/zones/follower.py
@@ -54,7 +54,7 @@
         as the plan counts its own ways out do, each within the spare that it saw; later the local rule's
         tenth."""
         trust = self.trust(now) if self.plan.version else 0.0
-        planned, local = self.plan.ways.get(self.home, {}).get(workload, {}), self.local(workload, True)
+        planned, local = self.plan.failover.get(self.home, {}).get(workload, {}), self.local(workload, True)
         found = {
             zone: trust * planned.get(zone, 0.0) + (1 - trust) * local.get(zone, 0.0)
             for zone in self.map.order(self.home)
--- a/lupinmill/zones/member.py
+++ b/lupinmill/zones/member.py
@@ -25,7 +25,7 @@
 )
 from lupinmill.zones.follower import Follower
 from lupinmill.zones.messages import ActionReply, ActionRequest, InvalidMessage, ReportAck, ReportMessage
-from lupinmill.zones.plan import LastGoodZone, Plan, Planner
+from lupinmill.zones.plan import LastGoodZoneError, Plan, Planner
 from lupinmill.zones.zone_map import ZoneMap
 
 MOST_WISHES = 8
@@ -304,10 +304,10 @@
             return
         if self.follower.hear(self.now, plan):
             self.moves += 1
-            self.orders.append(PlanChanged(plan.version, plan.why))
+            self.orders.append(PlanChanged(plan.version, plan.reason))
         if self.holding is not None:
             planner = self.holding.planner
-            if planner.next == 0:
+            if planner.next_step_at == 0:
                 planner.take_over(
                     self.follower.plan, self.now
                 )  # found by the lease: it has done nothing so far
@@ -361,7 +361,7 @@
                 planner.drain(wish.zone, wish.force)
             else:
                 planner.restore(wish.zone, self.now)
-        except LastGoodZone as error:
+        except LastGoodZoneError as error:
             return False, str(error)
         if (wish.zone in self.follower.plan.drained) is not (wish.what == "drain"):
             return None
@@ -375,7 +375,7 @@
         table: dict[str, object] = {
             "home": self.home,
             "version": plan.version,
-            "why": plan.why,
+            "why": plan.reason,
             "confirmed_s": round((now - self.follower.confirmed) / SECOND, 1),
             "trust": round(self.follower.trust(now), 3),
             "drained": list(plan.drained),
@@ -385,7 +385,7 @@
                 zone.name: {w.name: plan.shares(zone.name, w.name) for w in self.map.workloads}
                 for zone in self.map.zones
             },
-            "ways_out": plan.ways,
+            "ways_out": plan.failover,
             "budgets": {
                 w.name: {"leave_zone": w.leave_zone, "leave_region": w.leave_region, "breaks": w.breaks}
                 for w in self.map.workloads
--- a/lupinmill/zones/messages.py
+++ b/lupinmill/zones/messages.py
@@ -13,7 +13,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from lupinmill.zones.plan import Plan, Rows
+from lupinmill.zones.plan import Plan, Routes
 from lupinmill.zones.reports import Report, ZoneObservation
 from lupinmill.zones.zone_map import ZoneMap
 
@@ -180,7 +180,7 @@
     zones = {zone.name: at for at, zone in enumerate(map_.zones)}
     loads = {w.name: at for at, w in enumerate(map_.workloads)}
 
-    def rows_of(rows: Rows) -> list[Row]:
+    def rows_of(rows: Routes) -> list[Row]:
         found = [
             (zones[home], loads[workload], zones[to], round(share * SHARE_UNITS))
             for home, by in rows.items()
@@ -190,9 +190,9 @@
         ]
         return sorted(found, key=lambda row: -row[3])
 
-    rows, ways = rows_of(plan.rows)[:256], rows_of(plan.ways)[:256]
+    rows, ways = rows_of(plan.routes)[:256], rows_of(plan.failover)[:256]
     drained = sorted(zones[name] for name in plan.drained if name in zones)
-    why = plan.why.encode()[:LONGEST_WHY].decode("utf-8", "ignore")
+    why = plan.reason.encode()[:LONGEST_WHY].decode("utf-8", "ignore")
     while True:
         data = ENCODER.encode(Body(map_.mark(), rows, ways, drained, plan.pinned, why))
         if len(data) <= MAX_PLAN_BYTES or not (rows or ways):
@@ -210,8 +210,8 @@
     if body.mark != map_.mark():
         raise InvalidMessage("map")
 
-    def shares(rows: list[Row], whole_: bool) -> Rows:
-        found: Rows = {}
+    def shares(rows: list[Row], whole_: bool) -> Routes:
+        found: Routes = {}
         for home, workload, to, parts in rows:
             if max(home, to) >= len(names) or workload >= len(loads) or home == to:
                 raise InvalidMessage("map")
--- a/lupinmill/zones/plan.py
+++ b/lupinmill/zones/plan.py
@@ -1,17 +1,20 @@
-"""The plan: which part of each zone's traffic, by workload, goes where. Pure; one member computes it under a
-lease, a majority accepts it as the next version, all go by the newest that they know.
+"""Computes the plan: which share of each zone's traffic, by workload, goes to which zone. Pure. One member
+computes it under a lease; it takes effect once a majority of the electors has accepted it as the next
+version, and every member applies the newest version that it knows.
 
-Aim, anew each second, from the picture in common: all stays at home that fits there at a low level, the
-worthiest first; what doesn't goes to the nearest zones that have room at that level for the sum of all that
-would come, within the budgets; then the next level, up to the last. What fits nowhere stays at home and is
-denied there at once. Spill never takes what a zone is to keep free.
+Target: recomputed every second from the aggregated reports. Traffic stays in its own zone as far as it fits
+there at a low fill level, workloads of higher worth first. The rest goes to the nearest zones that have
+capacity left at that level for the sum of all that would come, within the workloads' budgets. Then the next
+level is filled, up to the last. What fits nowhere stays in its zone and is denied there at once. Spill from
+other zones never uses a zone's reserve (`Zone.spare`).
 
-Law: from the plan in force towards the aim by bounded steps, so that the sum over all sidecars at a zone
-moves by a known part of its capacity a second: `OUT` out of a zone that is short, `BACK_HOME` on the way
-home; no wait for a zone that is lost, but no more at once than the others' spare. Home comes first as a trial
-share, and is undone at the first sign of harm. Below `DEAD_BAND` nothing moves.
+Transition: the plan in force moves towards the target by bounded steps, so that the sum over all sidecars at
+a zone changes by a known part of its capacity per second: `SHIFT_PER_S` out of a zone that is short of
+capacity, `RETURN_PER_S` on the way back. A lost zone is left without a delay, but never faster than the spare
+capacity of the others allows. Traffic returns as a trial share first, and is withdrawn at the first sign of
+failure. Changes below `DEAD_BAND` are not made.
 
-Owns the plan in force and, for each zone, since when it was well."""
+Owns the plan in force and, for each zone, the time since which it has been healthy."""
 
 from __future__ import annotations
 
@@ -20,104 +23,110 @@
 from lupinmill.zones.reports import SECOND, AggregateView, ZoneState
 from lupinmill.zones.zone_map import Workload, Zone, ZoneMap
 
-PERIOD = SECOND
-OUT, BACK_HOME = 0.1, 0.03  # of a zone's traffic a second
-TRIAL, TRIAL_TIME = (
+PLAN_INTERVAL = SECOND
+SHIFT_PER_S, RETURN_PER_S = 0.1, 0.03  # share of a zone's traffic per second
+# Share of traffic that is sent to a recovered zone as a trial, and how long the trial must succeed.
+TRIAL_SHARE, TRIAL_DURATION = (
     0.05,
     5 * SECOND,
-)  # share that tries a zone which was lost, and for how long it must do well
-NEEDED, NEEDED_TIME = 0.1, SECOND  # the same where the others can't carry all
-WAIT, MOST_RELAPSES, FORGIVEN = 2 * SECOND, 5, 120 * SECOND  # before the trial; doubled by each relapse
+)
+# The same where the other zones cannot carry all traffic; the share is also the step per second.
+URGENT_SHARE, URGENT_TRIAL_DURATION = 0.1, SECOND
+# The delay before the trial doubles with each relapse, up to `MAX_RELAPSES` times; a zone that has been back
+# for `RELAPSE_MEMORY` starts without relapses again.
+RETURN_DELAY, MAX_RELAPSES, RELAPSE_MEMORY = 2 * SECOND, 5, 120 * SECOND
 DEAD_BAND = 0.03
-SMOOTH, JUMP = (
+# Share of a jump that the smoothed figure follows per second; smaller changes are followed by a quarter of
+# that.
+SMOOTHING_FACTOR, JUMP_THRESHOLD = (
     0.35,
     0.25,
-)  # part of a jump that is believed a second; of less, a quarter of that
-WAYS_EVERY, WAYS_BAND = 5 * SECOND, 0.1
-# Of its capacity: what a zone is filled to while others have less to do; beyond the last nothing fits.
-LEVELS = (0.7, 0.8, 0.9)
-FULL = LEVELS[-1]
-SMALL = 1e-9
+)
+FAILOVER_UPDATE_INTERVAL, FAILOVER_DEAD_BAND = 5 * SECOND, 0.1
+# Shares of its capacity to which a zone is filled before the next level is used; beyond the last nothing
+# fits.
+FILL_LEVELS = (0.7, 0.8, 0.9)
+MAX_FILL_LEVEL = FILL_LEVELS[-1]
+EPSILON = 1e-9
 
-Shares = dict[str, float]  # to zone: part of the traffic; sums to 1
-Rows = dict[str, dict[str, Shares]]  # from zone, workload
+Shares = dict[str, float]  # by target zone: share of the traffic; sums to 1
+Routes = dict[str, dict[str, Shares]]  # by source zone and workload
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
     version: int = 0
-    rows: Rows = field(default_factory=dict)
-    why: str = "all at home"
-    ways: Rows = field(
-        default_factory=dict
-    )  # out of a zone that is lost before the next plan; may sum to less
+    routes: Routes = field(default_factory=dict)
+    reason: str = "all at home"
+    # Where the traffic of a zone goes as soon as it is lost, before the next plan; may sum to less than 1.
+    failover: Routes = field(default_factory=dict)
     drained: tuple[str, ...] = ()  # by operators
-    pinned: bool = False  # by operators: it stays as it is
+    pinned: bool = False  # by operators: the plan stays as it is
 
     def shares(self, zone: str, workload: str) -> Shares:
-        return self.rows.get(zone, {}).get(workload) or {zone: 1.0}
+        return self.routes.get(zone, {}).get(workload) or {zone: 1.0}
 
-    def crossing(self, zone: str, workload: str) -> float:
+    def cross_zone_share(self, zone: str, workload: str) -> float:
         return 1 - self.shares(zone, workload).get(zone, 0.0)
 
 
 @dataclass(slots=True)
 class Drains:
-    """By operators' word: zones to be emptied, whatever the evidence says."""
+    """Zones that operators have drained: they are emptied whatever the reports say."""
 
     zones: set[str] = field(default_factory=set)
 
 
-class LastGoodZone(Exception):
-    """The text is for the operator."""
+class LastGoodZoneError(Exception):
+    """The text is shown to the operator."""
 
 
-def usable(map_: ZoneMap, picture: AggregateView, drains: Drains) -> dict[str, float]:
-    """Launches a second that each zone may get: nothing where it is down or drained."""
+def usable_capacity(map_: ZoneMap, view: AggregateView, drains: Drains) -> dict[str, float]:
+    """Attempts per second that each zone may get: none where it is down or drained."""
     found = {}
     for zone in map_.zones:
         name = zone.name
         down = all(
-            picture.state.get((origin.name, name)) is ZoneState.DOWN
+            view.state.get((origin.name, name)) is ZoneState.DOWN
             for origin in map_.zones
-            if (origin.name, name) in picture.state
-        ) and any((origin.name, name) in picture.state for origin in map_.zones)
-        found[name] = 0.0 if down or name in drains.zones else picture.capacity.get(name, 0.0)
+            if (origin.name, name) in view.state
+        ) and any((origin.name, name) in view.state for origin in map_.zones)
+        found[name] = 0.0 if down or name in drains.zones else view.capacity.get(name, 0.0)
     return found
 
 
-def most(zone: Zone, level: float) -> float:
-    """Part of a zone's capacity up to which spill may fill it."""
+def fill_limit(zone: Zone, level: float) -> float:
+    """Share of a zone's capacity up to which traffic from other zones may fill it."""
     return min(level, 1 - zone.spare)
 
 
-def compute_target(map_: ZoneMap, picture: AggregateView, drains: Drains) -> Rows:
-    """Where all should go, had it time. Level by level, so that no zone is filled up while its neighbour has
-    room to spare; in each level by worth: a workload is placed before one worth less, at home, then with the
-    nearest that have room at that level. Those that want the same room share it by what they still have to
-    place."""
-    room = usable(map_, picture, drains)
-    rows: Rows = {zone.name: {w.name: {zone.name: 0.0} for w in map_.workloads} for zone in map_.zones}
-    rest = {
-        zone.name: {w.name: picture.traffic.get(zone.name, {}).get(w.name, 0.0) for w in map_.workloads}
+def compute_target(map_: ZoneMap, view: AggregateView, drains: Drains) -> Routes:
+    """The routes to move towards, without regard to the plan in force. Filled level by level, so that no zone
+    is filled up while its neighbour has capacity to spare. In each level a workload is placed before one of
+    lower worth: in its own zone, then in the nearest zones with capacity at that level. Zones that compete
+    for the same capacity share it in proportion to what they still have to place."""
+    capacity = usable_capacity(map_, view, drains)
+    rates: Routes = {zone.name: {w.name: {zone.name: 0.0} for w in map_.workloads} for zone in map_.zones}
+    unplaced = {
+        zone.name: {w.name: view.traffic.get(zone.name, {}).get(w.name, 0.0) for w in map_.workloads}
         for zone in map_.zones
     }
-    taken = dict.fromkeys(room, 0.0)
-    for level in LEVELS:
+    used = dict.fromkeys(capacity, 0.0)
+    for level in FILL_LEVELS:
         for workload in map_.by_worth():
             for zone in map_.zones:
                 name = zone.name
-                if picture.reaches(name, name):
-                    part = max(0.0, min(rest[name][workload.name], level * room[name] - taken[name]))
-                    rows[name][workload.name][name] += part
-                    rest[name][workload.name] -= part
-                    taken[name] += part
+                if view.reaches(name, name):
+                    amount = max(0.0, min(unplaced[name][workload.name], level * capacity[name] - used[name]))
+                    rates[name][workload.name][name] += amount
+                    unplaced[name][workload.name] -= amount
+                    used[name] += amount
         for workload in map_.by_worth():
-            place(map_, picture, workload, level, rows, rest, taken, room)
+            place_overflow(map_, view, workload, level, rates, unplaced, used, capacity)
     return {
         zone.name: {
-            w.name: as_shares(
-                zone.name, rows[zone.name][w.name], picture.traffic.get(zone.name, {}).get(w.name, 0.0)
+            w.name: to_shares(
+                zone.name, rates[zone.name][w.name], view.traffic.get(zone.name, {}).get(w.name, 0.0)
             )
             for w in map_.workloads
         }
@@ -125,353 +134,385 @@
     }
 
 
-def ways_out(map_: ZoneMap, picture: AggregateView, drains: Drains, rows: Rows) -> Rows:
-    """For each zone, where its traffic may go at once should it be lost, before anybody has decided anything:
-    the worthiest first, into what the others have spare now, of which each zone may take one part of as many
-    as there are others. So whichever zones are lost together, or take each other for lost from two sides of a
-    partition, what falls on another one by this rule is within its spare."""
-    room, found = usable(map_, picture, drains), {}
+def failover_routes(map_: ZoneMap, view: AggregateView, drains: Drains, routes: Routes) -> Routes:
+    """For each zone, where its traffic may go at once should it be lost, before any plan is decided:
+    workloads of higher worth first, into the capacity that the others have spare now. Each zone may use the
+    spare capacity of another one divided by the number of other zones. So whichever zones are lost together,
+    or take each other for lost on the two sides of a partition, the traffic that reaches another zone by this
+    rule stays within its spare capacity."""
+    capacity, found = usable_capacity(map_, view, drains), {}
     spare = {}
     for zone in map_.zones:
-        coming = sum(
-            picture.traffic.get(name, {}).get(w, 0.0) * shares.get(zone.name, 0.0)
-            for name, by in rows.items()
-            for w, shares in by.items()
+        incoming = sum(
+            view.traffic.get(name, {}).get(w, 0.0) * shares.get(zone.name, 0.0)
+            for name, by_workload in routes.items()
+            for w, shares in by_workload.items()
+        )
+        spare[zone.name] = max(0.0, fill_limit(zone, MAX_FILL_LEVEL) * capacity[zone.name] - incoming) / max(
+            1, len(map_.zones) - 1
         )
-        spare[zone.name] = max(0.0, most(zone, FULL) * room[zone.name] - coming) / max(1, len(map_.zones) - 1)
     for zone in map_.zones:
-        left, abroad, found[zone.name] = dict(spare), {}, {}
+        remaining, cross_region, found[zone.name] = dict(spare), {}, {}
         for workload in map_.by_worth():
-            traffic = picture.traffic.get(zone.name, {}).get(workload.name, 0.0)
+            traffic = view.traffic.get(zone.name, {}).get(workload.name, 0.0)
             shares: Shares = {}
-            for to in map_.order(zone.name) if traffic > SMALL else []:
-                out = map_.zone(to).region != zone.region
+            for to in map_.order(zone.name) if traffic > EPSILON else []:
+                leaves_region = map_.zone(to).region != zone.region
                 budget = 1.0 if workload.breaks else workload.leave_zone - sum(shares.values())
-                if out and not workload.breaks:
-                    budget = min(budget, workload.leave_region - abroad.get(workload.name, 0.0))
-                share = max(0.0, min(1 - sum(shares.values()), budget, left[to] / traffic))
-                if share > SMALL and picture.reaches(zone.name, to):
+                if leaves_region and not workload.breaks:
+                    budget = min(budget, workload.leave_region - cross_region.get(workload.name, 0.0))
+                share = max(0.0, min(1 - sum(shares.values()), budget, remaining[to] / traffic))
+                if share > EPSILON and view.reaches(zone.name, to):
                     shares[to] = share
-                    left[to] -= share * traffic
-                    abroad[workload.name] = abroad.get(workload.name, 0.0) + share * out
+                    remaining[to] -= share * traffic
+                    cross_region[workload.name] = cross_region.get(workload.name, 0.0) + share * leaves_region
             found[zone.name][workload.name] = shares
     return found
 
 
-def place(
+def place_overflow(
     map_: ZoneMap,
-    picture: AggregateView,
+    view: AggregateView,
     workload: Workload,
     level: float,
-    rows: Rows,
-    rest: dict[str, dict[str, float]],
-    taken: dict[str, float],
-    room: dict[str, float],
+    rates: Routes,
+    unplaced: dict[str, dict[str, float]],
+    used: dict[str, float],
+    capacity: dict[str, float],
 ) -> None:
-    """What found no room at home: by rank of nearness, in each rank fairly among the zones that want the same
-    spare."""
-    spare = {z.name: max(0.0, most(z, level) * room[z.name] - taken[z.name]) for z in map_.zones}
-    orders = {zone.name: map_.order(zone.name) for zone in map_.zones}
-    home = {zone.name: zone.region for zone in map_.zones}
+    """Places what found no capacity in its own zone: nearest zones first, and among zones that compete for
+    the same spare capacity in proportion to their demand."""
+    spare = {z.name: max(0.0, fill_limit(z, level) * capacity[z.name] - used[z.name]) for z in map_.zones}
+    preferences = {zone.name: map_.order(zone.name) for zone in map_.zones}
+    region = {zone.name: zone.region for zone in map_.zones}
     for rank in range(len(map_.zones) - 1):
-        asks: dict[str, dict[str, float]] = {}
-        for name, order in orders.items():
-            to = order[rank]
-            traffic = picture.traffic.get(name, {}).get(workload.name, 0.0)
-            gone = sum(rate for zone, rate in rows[name][workload.name].items() if zone != name)
-            abroad = sum(rate for z, rate in rows[name][workload.name].items() if home[z] != home[name])
-            budget = workload.leave_zone * traffic - gone
-            if workload.breaks and (room[name] <= SMALL or not picture.reaches(name, name)):
-                budget = traffic  # told as over its budget: `crossing` in `zones show`
-            elif home[to] != home[name]:
-                budget = min(budget, workload.leave_region * traffic - abroad)
-            amount = min(rest[name][workload.name], budget)
-            if amount > SMALL and picture.reaches(name, to):
-                asks.setdefault(to, {})[name] = amount
-        for to, wanted in asks.items():
-            part = min(1.0, spare[to] / sum(wanted.values()))
-            for name, amount in wanted.items():
-                rows[name][workload.name][to] = rows[name][workload.name].get(to, 0.0) + amount * part
-                rest[name][workload.name] -= amount * part
-                spare[to] -= amount * part
-                taken[to] += amount * part
-
-
-def as_shares(home: str, rates: Shares, traffic: float) -> Shares:
-    """What finds no room anywhere stays at home, where it is denied at once."""
-    if traffic <= SMALL:
+        demand_by_target: dict[str, dict[str, float]] = {}
+        for name, preference in preferences.items():
+            to = preference[rank]
+            traffic = view.traffic.get(name, {}).get(workload.name, 0.0)
+            left_zone = sum(rate for zone, rate in rates[name][workload.name].items() if zone != name)
+            left_region = sum(
+                rate for z, rate in rates[name][workload.name].items() if region[z] != region[name]
+            )
+            budget = workload.leave_zone * traffic - left_zone
+            if workload.breaks and (capacity[name] <= EPSILON or not view.reaches(name, name)):
+                budget = traffic  # `zones show` tells that it is over its budget
+            elif region[to] != region[name]:
+                budget = min(budget, workload.leave_region * traffic - left_region)
+            amount = min(unplaced[name][workload.name], budget)
+            if amount > EPSILON and view.reaches(name, to):
+                demand_by_target.setdefault(to, {})[name] = amount
+        for to, demand in demand_by_target.items():
+            granted = min(1.0, spare[to] / sum(demand.values()))
+            for name, amount in demand.items():
+                rates[name][workload.name][to] = rates[name][workload.name].get(to, 0.0) + amount * granted
+                unplaced[name][workload.name] -= amount * granted
+                spare[to] -= amount * granted
+                used[to] += amount * granted
+
+
+def to_shares(home: str, rates: Shares, traffic: float) -> Shares:
+    """What fits nowhere stays in its own zone, where it is denied at once."""
+    if traffic <= EPSILON:
         return {home: 1.0}
-    found = {zone: rate / traffic for zone, rate in rates.items() if zone != home and rate > SMALL}
+    found = {zone: rate / traffic for zone, rate in rates.items() if zone != home and rate > EPSILON}
     found[home] = max(0.0, 1 - sum(found.values()))
     return found
 
 
 class Planner:
-    """`step(now, picture)` gives the next plan, or None where the one in force stays. It is in force once it
-    is given back to `accept`: until a majority has it, it is nobody's."""
+    """`step(now, view)` returns the next plan, or None where the one in force stays. A plan is in force once
+    it is passed to `accept`: before a majority has accepted it, nobody applies it."""
 
     def __init__(self, map_: ZoneMap) -> None:
         self.map = map_
         self.plan = Plan()
         self.drains = Drains()
         self.pinned = False
-        self.well_since: dict[str, int] = {}  # zones that were lost and are well again: since when
+        self.healthy_since: dict[str, int] = {}  # of lost zones that are healthy again
         self.lost: set[str] = set()
-        self.next = 0
-        self.moves = 0
-        self.settled: dict[tuple[str, str], float] = {}  # capacity ("") and traffic by workload, of each zone
-        self.relapses: dict[
-            str, int
-        ] = {}  # of zones that were lost again while they came back, or soon after
-        self.back_at: dict[str, int] = {}  # when a lost one was whole again
-        self.ways_at = 0  # before it no plan is made for ways out alone
+        self.next_step_at = 0
+        self.plan_changes = 0
+        # By workload and zone: smoothed traffic; by "" and zone: smoothed capacity.
+        self.smoothed: dict[tuple[str, str], float] = {}
+        # By zone: how often it was lost again during its return, or soon after.
+        self.relapses: dict[str, int] = {}
+        self.recovered_at: dict[str, int] = {}  # when a lost zone had all of its traffic back
+        self.next_failover_update = (
+            0  # no plan is made for a change of failover routes alone before this time
+        )
 
     def take_over(self, plan: Plan, now: int) -> None:
-        """A new holder goes on from the plan in force: it may have seen nothing of what led to it. Zones that
-        the plan has left are taken for lost until they have done well for a while."""
+        """A new lease holder continues from the plan in force: it may have seen none of the events that led
+        to it. Zones that the plan has left count as lost until they have been healthy for a while."""
         self.plan, self.drains = plan, Drains(set(plan.drained))
         self.pinned = plan.pinned
-        gone = {
+        left = {
             z.name
             for z in self.map.zones
             if all(plan.shares(z.name, w.name).get(z.name, 0.0) < 1 - DEAD_BAND for w in self.map.workloads)
             and self.map.workloads
         }
-        self.lost |= gone
-        for name in gone:
-            self.well_since.pop(name, None)
+        self.lost |= left
+        for name in left:
+            self.healthy_since.pop(name, None)
 
     def accept(self, plan: Plan) -> None:
-        """A majority has it."""
+        """Puts a plan in force that a majority has accepted."""
         if plan.version > self.plan.version:
-            self.moves += 1
+            self.plan_changes += 1
             self.plan = plan
 
     def drain(self, zone: str, force: bool = False) -> None:
         if zone in self.drains.zones:
-            return  # the same call again
+            return  # a repeated call
         good = [z.name for z in self.map.zones if z.name not in self.drains.zones | self.lost]
         if not force and set(good) <= {zone}:
-            raise LastGoodZone(
-                f"{zone} is the last good zone: nothing could be served; force it if that is meant"
+            raise LastGoodZoneError(
+                f"{zone} is the last good zone: without it no request could be served; "
+                "use force to drain it anyway"
             )
         self.drains.zones.add(zone)
 
     def restore(self, zone: str, now: int) -> None:
         if zone in self.drains.zones:
             self.drains.zones.discard(zone)
-            self.lost.add(zone)  # it comes back as a lost one does: by a trial, slowly
-            self.well_since.pop(zone, None)
+            self.lost.add(zone)  # it returns as a lost zone does: slowly, beginning with a trial
+            self.healthy_since.pop(zone, None)
 
-    def step(self, now: int, picture: AggregateView) -> Plan | None:
-        if now < self.next:
+    def step(self, now: int, view: AggregateView) -> Plan | None:
+        if now < self.next_step_at:
             return None
-        self.next = now + PERIOD
-        picture = self.smooth(picture)
-        self.look(now, picture)
-        wanted = compute_target(self.map, picture, self.drains)
-        rows = {
+        self.next_step_at = now + PLAN_INTERVAL
+        view = self.smooth(view)
+        self.update_zone_health(now, view)
+        target = compute_target(self.map, view, self.drains)
+        routes = {
             zone.name: {
-                w.name: self.towards(zone.name, w, wanted[zone.name][w.name], picture, now)
+                w.name: self.step_towards(zone.name, w, target[zone.name][w.name], view, now)
                 for w in self.map.workloads
             }
             for zone in self.map.zones
         }
-        self.bound(rows, picture)
-        self.leave_unheard(rows, picture)
+        self.limit_inflow(routes, view)
+        self.keep_silent_zones(routes, view)
         if self.pinned:
-            rows = {
+            routes = {
                 z.name: {w.name: self.plan.shares(z.name, w.name) for w in self.map.workloads}
                 for z in self.map.zones
             }
-        ways = ways_out(self.map, picture, self.drains, rows)
-        # Judged by how far the aim is as well as by the step: a slow way home is made of small steps.
-        step = self.apart(rows)
-        small = max(step, self.apart(wanted)) < DEAD_BAND and not self.comes_home_whole(rows)
-        stays = step < SMALL or small
-        orders = (self.plan.drained, self.plan.pinned) != (self.drained(), self.pinned)
-        if stays and not orders and not (now >= self.ways_at and self.other_ways(ways)):
+        failover = failover_routes(self.map, view, self.drains, routes)
+        # The distance to the target counts as well as the step: a slow return is made of small steps.
+        change = self.largest_change(routes)
+        small = max(change, self.largest_change(target)) < DEAD_BAND and not self.completes_return(routes)
+        unchanged = change < EPSILON or small
+        operators_changed = (self.plan.drained, self.plan.pinned) != (self.drained(), self.pinned)
+        if (
+            unchanged
+            and not operators_changed
+            and not (now >= self.next_failover_update and self.failover_changed(failover))
+        ):
             return None
-        self.ways_at = now + WAYS_EVERY
-        if stays:
-            rows = {
+        self.next_failover_update = now + FAILOVER_UPDATE_INTERVAL
+        if unchanged:
+            routes = {
                 z.name: {w.name: self.plan.shares(z.name, w.name) for w in self.map.workloads}
                 for z in self.map.zones
             }
-        why = self.why(rows)
-        return Plan(self.plan.version + 1, rows, why, ways, self.drained(), self.pinned)
+        reason = self.explain(routes)
+        return Plan(self.plan.version + 1, routes, reason, failover, self.drained(), self.pinned)
 
     def drained(self) -> tuple[str, ...]:
         return tuple(sorted(self.drains.zones))
 
-    def leave_unheard(self, rows: Rows, picture: AggregateView) -> None:
-        """Guards against a zone that comes back from behind a cut to a plan that calls it lost: nothing is
-        decided for those of whom nothing is heard, they go by their own evidence."""
-        for zone, by in rows.items():
-            if sum(picture.traffic.get(zone, {}).values()) <= SMALL:
-                for workload in by:
-                    by[workload] = self.plan.shares(zone, workload)
-
-    def other_ways(self, ways: Rows) -> bool:
-        """They follow spare, which moves all the time: only a difference that matters is a plan."""
-        before = self.plan.ways
+    def keep_silent_zones(self, routes: Routes, view: AggregateView) -> None:
+        """Keeps the routes of zones whose members send no reports: they act on their own observations. Guards
+        against a zone that returns from a partition to a plan that calls it lost."""
+        for zone, by_workload in routes.items():
+            if sum(view.traffic.get(zone, {}).values()) <= EPSILON:
+                for workload in by_workload:
+                    by_workload[workload] = self.plan.shares(zone, workload)
+
+    def failover_changed(self, failover: Routes) -> bool:
+        """Failover routes follow spare capacity, which changes all the time: only a difference beyond
+        `FAILOVER_DEAD_BAND` is worth a new plan."""
+        before = self.plan.failover
         return any(
-            abs(share - before.get(zone, {}).get(workload, {}).get(to, 0.0)) > WAYS_BAND
-            for zone, by in ways.items()
-            for workload, shares in by.items()
+            abs(share - before.get(zone, {}).get(workload, {}).get(to, 0.0)) > FAILOVER_DEAD_BAND
+            for zone, by_workload in failover.items()
+            for workload, shares in by_workload.items()
             for to, share in {**dict.fromkeys(before.get(zone, {}).get(workload, {}), 0.0), **shares}.items()
         )
 
-    def smooth(self, picture: AggregateView) -> AggregateView:
-        """Guards against a plan that turns with the noise of what thin members see: a jump in a sum over them
-        is believed by parts, a small one by smaller parts. A zone that is down takes nothing whatever it once
-        took (`usable`)."""
-        capacity = {name: self.settle(("", name), seen) for name, seen in picture.capacity.items()}
+    def smooth(self, view: AggregateView) -> AggregateView:
+        """Guards against a plan that follows the noise in the reports of members with little traffic: a jump
+        in a sum over them is followed in part each second, a small change in smaller part. Down zones get
+        nothing whatever their smoothed capacity is (`usable_capacity`)."""
+        capacity = {name: self.smooth_value(("", name), seen) for name, seen in view.capacity.items()}
         traffic = {
-            name: {workload: self.settle((workload, name), rate) for workload, rate in rates.items()}
-            for name, rates in picture.traffic.items()
+            name: {workload: self.smooth_value((workload, name), rate) for workload, rate in rates.items()}
+            for name, rates in view.traffic.items()
         }
-        return replace(picture, capacity=capacity, traffic=traffic)
-
-    def settle(self, key: tuple[str, str], seen: float) -> float:
-        known = self.settled.get(key, seen)
-        part = SMOOTH if abs(seen - known) > JUMP * max(seen, known) else SMOOTH / 4
-        self.settled[key] = known + part * (seen - known)
-        return self.settled[key]
+        return replace(view, capacity=capacity, traffic=traffic)
+
+    def smooth_value(self, key: tuple[str, str], measured: float) -> float:
+        known = self.smoothed.get(key, measured)
+        factor = (
+            SMOOTHING_FACTOR
+            if abs(measured - known) > JUMP_THRESHOLD * max(measured, known)
+            else SMOOTHING_FACTOR / 4
+        )
+        self.smoothed[key] = known + factor * (measured - known)
+        return self.smoothed[key]
 
-    def apart(self, rows: Rows) -> float:
+    def largest_change(self, routes: Routes) -> float:
         """The largest difference of a share from the plan in force."""
         found = 0.0
-        for zone, by in rows.items():
-            for workload, shares in by.items():
+        for zone, by_workload in routes.items():
+            for workload, shares in by_workload.items():
                 now = self.plan.shares(zone, workload)
                 for to in {**now, **shares}:
                     found = max(found, abs(shares.get(to, 0.0) - now.get(to, 0.0)))
         return found
 
-    def comes_home_whole(self, rows: Rows) -> bool:
-        """The last bit of a way home may be smaller than the dead band."""
-        return rows != {z: {w: self.plan.shares(z, w) for w in by} for z, by in rows.items()} and all(
-            abs(shares.get(z, 0.0) - 1) < SMALL for z, by in rows.items() for shares in by.values()
+    def completes_return(self, routes: Routes) -> bool:
+        """The last step of a return may be smaller than the dead band."""
+        return routes != {
+            z: {w: self.plan.shares(z, w) for w in by_workload} for z, by_workload in routes.items()
+        } and all(
+            abs(shares.get(z, 0.0) - 1) < EPSILON
+            for z, by_workload in routes.items()
+            for shares in by_workload.values()
         )
 
-    def look(self, now: int, picture: AggregateView) -> None:
-        """Which zones were lost, and since when those are well again. Harm sets the clock back."""
+    def update_zone_health(self, now: int, view: AggregateView) -> None:
+        """Which zones are lost, and since when they are healthy again. A new failure resets that time."""
         for zone in self.map.zones:
             name = zone.name
-            states = [picture.state.get((origin.name, name), ZoneState.UNKNOWN) for origin in self.map.zones]
-            if ZoneState.DOWN in states or name in self.drains.zones or not picture.reaches(name, name):
-                lately = now - self.back_at.get(name, now - FORGIVEN) < FORGIVEN
-                if name in self.well_since or name not in self.lost and lately:
-                    self.relapses[name] = min(MOST_RELAPSES, self.relapses.get(name, 0) + 1)
+            states = [view.state.get((origin.name, name), ZoneState.UNKNOWN) for origin in self.map.zones]
+            if ZoneState.DOWN in states or name in self.drains.zones or not view.reaches(name, name):
+                recently = now - self.recovered_at.get(name, now - RELAPSE_MEMORY) < RELAPSE_MEMORY
+                if name in self.healthy_since or name not in self.lost and recently:
+                    self.relapses[name] = min(MAX_RELAPSES, self.relapses.get(name, 0) + 1)
                 elif name not in self.lost:
                     self.relapses.pop(name, None)
                 self.lost.add(name)
-                self.well_since.pop(name, None)
+                self.healthy_since.pop(name, None)
             elif name in self.lost and ZoneState.HEALTHY in states:
-                self.well_since.setdefault(name, now)
+                self.healthy_since.setdefault(name, now)
 
-    def towards(
-        self, home: str, workload: Workload, wanted: Shares, picture: AggregateView, now: int
+    def step_towards(
+        self, home: str, workload: Workload, target: Shares, view: AggregateView, now: int
     ) -> Shares:
-        """One bounded step. Out of a zone that takes nothing all moves at once: what it gets is lost
+        """One bounded step. A zone that takes nothing is left in one step: requests that stay are lost
         anyway."""
         current = self.plan.shares(home, workload.name)
-        stays = current.get(home, 0.0)
-        target = wanted.get(home, 0.0)
-        if home in self.well_since and now - self.well_since[home] >= self.wait(home, picture):
-            target = max(target, TRIAL)  # where nothing goes nothing is seen of its room
-        gone = home in self.drains.zones or not picture.reaches(home, home)
-        if target < stays:
-            # Drains are by hand and not in a hurry; a lost zone is.
-            step = 1.0 if gone and home not in self.drains.zones else OUT
-            next_ = max(target, stays - step)
+        home_share = current.get(home, 0.0)
+        home_target = target.get(home, 0.0)
+        if home in self.healthy_since and now - self.healthy_since[home] >= self.return_delay(home, view):
+            # Without traffic nothing is seen of its capacity.
+            home_target = max(home_target, TRIAL_SHARE)
+        unavailable = home in self.drains.zones or not view.reaches(home, home)
+        if home_target < home_share:
+            # A drain is planned and not urgent; leaving a lost zone is.
+            step = 1.0 if unavailable and home not in self.drains.zones else SHIFT_PER_S
+            next_share = max(home_target, home_share - step)
         else:
-            next_ = min(target, stays + self.homeward(home, stays, now, picture))
-        away = 1 - next_
-        found = {zone: share for zone, share in wanted.items() if zone != home and share > SMALL}
-        whole = sum(found.values())
-        if whole > away:
-            found = {zone: share * away / whole for zone, share in found.items()}
-        elif whole < away:
-            # What is to come home but may not yet stays where it goes now: nobody else is to carry it.
-            ways = {z: max(0.0, share - found.get(z, 0.0)) for z, share in current.items() if z != home}
-            ways = ways if sum(ways.values()) > SMALL else {z: share for z, share in found.items()}
-            width = sum(ways.values())
-            for zone, share in ways.items():
-                if width > SMALL and share > SMALL:
-                    found[zone] = found.get(zone, 0.0) + (away - whole) * share / width
-        found = {zone: share for zone, share in found.items() if share > SMALL}
+            next_share = min(home_target, home_share + self.return_step(home, home_share, now, view))
+        away = 1 - next_share
+        found = {zone: share for zone, share in target.items() if zone != home and share > EPSILON}
+        total = sum(found.values())
+        if total > away:
+            found = {zone: share * away / total for zone, share in found.items()}
+        elif total < away:
+            # What is to return but may not yet stays where it goes now, so that no other zone has to carry
+            # it.
+            remaining = {z: max(0.0, share - found.get(z, 0.0)) for z, share in current.items() if z != home}
+            remaining = (
+                remaining if sum(remaining.values()) > EPSILON else {z: share for z, share in found.items()}
+            )
+            remaining_total = sum(remaining.values())
+            for zone, share in remaining.items():
+                if remaining_total > EPSILON and share > EPSILON:
+                    found[zone] = found.get(zone, 0.0) + (away - total) * share / remaining_total
+        found = {zone: share for zone, share in found.items() if share > EPSILON}
         return {**found, home: max(0.0, 1 - sum(found.values()))}
 
-    def needed(self, home: str, picture: AggregateView) -> bool:
-        """The other zones alone can't do what comes to all: what waits outside is mostly denied there."""
-        room = usable(self.map, picture, self.drains)
-        whole = sum(rate for rates in picture.traffic.values() for rate in rates.values())
-        return whole > FULL * sum(able for name, able in room.items() if name != home)
+    def is_needed(self, home: str, view: AggregateView) -> bool:
+        """Whether the other zones alone cannot carry the traffic of all zones: most of what stays away from
+        this zone is denied there."""
+        capacity = usable_capacity(self.map, view, self.drains)
+        total = sum(rate for rates in view.traffic.values() for rate in rates.values())
+        return total > MAX_FILL_LEVEL * sum(usable for name, usable in capacity.items() if name != home)
 
-    def wait(self, home: str, picture: AggregateView) -> int:
+    def return_delay(self, home: str, view: AggregateView) -> int:
         relapses = self.relapses.get(home, 0)
-        return 0 if not relapses and self.needed(home, picture) else WAIT << relapses
-
-    def homeward(self, home: str, stays: float, now: int, picture: AggregateView) -> float:
-        """Home to a zone that was lost: a wait, a trial share, then slowly; quicker where it is needed and
-        nothing speaks against it. Each relapse doubles the wait."""
-        needed, wait = self.needed(home, picture), self.wait(home, picture)
-        back, trial, time = (NEEDED, NEEDED, NEEDED_TIME) if needed else (BACK_HOME, TRIAL, TRIAL_TIME)
+        return 0 if not relapses and self.is_needed(home, view) else RETURN_DELAY << relapses
+
+    def return_step(self, home: str, home_share: float, now: int, view: AggregateView) -> float:
+        """How much traffic may return to a zone that was lost: nothing during the delay, then a trial share,
+        then a small share per second; more where its capacity is needed and it has not relapsed. Each relapse
+        doubles the delay."""
+        needed, delay = self.is_needed(home, view), self.return_delay(home, view)
+        rate, trial, duration = (
+            (URGENT_SHARE, URGENT_SHARE, URGENT_TRIAL_DURATION)
+            if needed
+            else (RETURN_PER_S, TRIAL_SHARE, TRIAL_DURATION)
+        )
         if home not in self.lost:
-            return back
-        well = now - self.well_since.get(home, now)
-        if well < wait:
+            return rate
+        healthy_for = now - self.healthy_since.get(home, now)
+        if healthy_for < delay:
             return 0.0
-        if well < wait + time:
-            return max(0.0, trial - stays)
-        if stays >= 1 - DEAD_BAND:
+        if healthy_for < delay + duration:
+            return max(0.0, trial - home_share)
+        if home_share >= 1 - DEAD_BAND:
             self.lost.discard(home)
-            self.back_at[home] = now
-        return back
-
-    def bound(self, rows: Rows, picture: AggregateView) -> None:
-        """The sum that comes to a zone from others never exceeds what it has spare now, nor rises by more
-        than `OUT` of its capacity a second: cold endpoints there are not pushed over by all sidecars together
-        (rule 4). What may not go stays at home."""
-        room = usable(self.map, picture, self.drains)
-        traffic = picture.traffic
+            self.recovered_at[home] = now
+        return rate
+
+    def limit_inflow(self, routes: Routes, view: AggregateView) -> None:
+        """The traffic that a zone gets from all others never exceeds its spare capacity, nor rises by more
+        than `SHIFT_PER_S` of its capacity per second: otherwise all sidecars together would overload cold
+        endpoints there (rule 4). What may not go stays in its own zone."""
+        capacity = usable_capacity(self.map, view, self.drains)
+        traffic = view.traffic
         for zone in self.map.zones:
             to = zone.name
-            own = sum(rate * rows[to][w].get(to, 0.0) for w, rate in traffic.get(to, {}).items())
-            spare = max(0.0, most(zone, FULL) * room[to] - own)
-            coming = {
+            own = sum(rate * routes[to][w].get(to, 0.0) for w, rate in traffic.get(to, {}).items())
+            spare = max(0.0, fill_limit(zone, MAX_FILL_LEVEL) * capacity[to] - own)
+            incoming = {
                 (z, w): traffic.get(z, {}).get(w, 0.0) * shares.get(to, 0.0)
-                for z, by in rows.items()
+                for z, by_workload in routes.items()
                 if z != to
-                for w, shares in by.items()
+                for w, shares in by_workload.items()
             }
-            before = sum(traffic.get(z, {}).get(w, 0.0) * self.goes(z, w, to) for z, w in coming)
-            whole = sum(coming.values())
-            limit = min(spare, before + OUT * room[to])
-            if whole <= limit + SMALL:
+            before = sum(traffic.get(z, {}).get(w, 0.0) * self.current_share(z, w, to) for z, w in incoming)
+            total = sum(incoming.values())
+            limit = min(spare, before + SHIFT_PER_S * capacity[to])
+            if total <= limit + EPSILON:
                 continue
-            for (z, w), rate in coming.items():
-                cut = rows[z][w].get(to, 0.0) * (1 - limit / whole)
-                if rate > 0 and cut > SMALL:
-                    rows[z][w][to] -= cut
-                    rows[z][w][z] = rows[z][w].get(z, 0.0) + cut
-
-    def goes(self, zone: str, workload: str, to: str) -> float:
-        """The share that goes there now: out of a lost zone by its ways out, which needed no plan."""
+            for (z, w), rate in incoming.items():
+                cut = routes[z][w].get(to, 0.0) * (1 - limit / total)
+                if rate > 0 and cut > EPSILON:
+                    routes[z][w][to] -= cut
+                    routes[z][w][z] = routes[z][w].get(z, 0.0) + cut
+
+    def current_share(self, zone: str, workload: str, to: str) -> float:
+        """The share that goes there now; out of a lost zone by its failover routes, which apply without a new
+        plan."""
         planned = self.plan.shares(zone, workload).get(to, 0.0)
         if zone not in self.lost or zone in self.drains.zones:
             return planned
-        return max(planned, self.plan.ways.get(zone, {}).get(workload, {}).get(to, 0.0))
+        return max(planned, self.plan.failover.get(zone, {}).get(workload, {}).get(to, 0.0))
 
-    def why(self, rows: Rows) -> str:
+    def explain(self, routes: Routes) -> str:
         parts = []
         for zone in self.map.zones:
-            crossing = max(
-                (1 - shares.get(zone.name, 0.0) for shares in rows[zone.name].values()), default=0.0
+            cross_zone = max(
+                (1 - shares.get(zone.name, 0.0) for shares in routes[zone.name].values()), default=0.0
             )
-            if crossing > DEAD_BAND:
+            if cross_zone > DEAD_BAND:
                 cause = (
                     "drained"
                     if zone.name in self.drains.zones
@@ -479,5 +520,5 @@
                     if zone.name in self.lost
                     else "short"
                 )
-                parts.append(f"{zone.name} is {cause}: up to {crossing:.0%} goes elsewhere")
+                parts.append(f"{zone.name} is {cause}: up to {cross_zone:.0%} goes elsewhere")
         return "; ".join(parts) or "all at home"
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -17,7 +17,16 @@
     weighted_median,
 )
 from lupinmill.zones.follower import ALONE, FADED, FRESH, Follower
-from lupinmill.zones.plan import FULL, LEVELS, OUT, TRIAL, LastGoodZone, Plan, Planner, compute_target
+from lupinmill.zones.plan import (
+    MAX_FILL_LEVEL,
+    FILL_LEVELS,
+    SHIFT_PER_S,
+    TRIAL_SHARE,
+    LastGoodZoneError,
+    Plan,
+    Planner,
+    compute_target,
+)
 from lupinmill.zones.zone_map import InvalidZoneMap, Workload, Zone, ZoneMap
 
 BID, VIEW = Workload("bid", 4.0), Workload("view", 1.0)
@@ -80,7 +89,7 @@
     rows = aimed(map_, shown)
     into = 60.0 * rows["a"]["view"].get("c", 0.0) + 107.5 * rows["b"]["view"].get("c", 0.0)
     assert into == pytest.approx(80 - 55), "c keeps a fifth free"
-    assert rows["b"]["view"]["b"] * 107.5 >= FULL * 50 - 1e-6
+    assert rows["b"]["view"]["b"] * 107.5 >= MAX_FILL_LEVEL * 50 - 1e-6
     assert rows["a"]["view"]["c"] > 0 and rows["b"]["view"]["c"] > 0
 
 
@@ -153,7 +162,10 @@
         own = sum(traffic[z][w.name] * rows[z][w.name].get(z, 0.0) for w in workloads)
         own = 0.0 if (z, z) in cuts else own  # nothing of it arrives
         if came > 1e-6:
-            assert came + min(own, FULL * shown.capacity[z]) <= FULL * shown.capacity[z] * (1 + 1e-6) + 1e-6
+            assert (
+                came + min(own, MAX_FILL_LEVEL * shown.capacity[z])
+                <= MAX_FILL_LEVEL * shown.capacity[z] * (1 + 1e-6) + 1e-6
+            )
 
 
 # --- the law, around a plant -------------------------------------------------------------------------------
@@ -270,7 +282,7 @@
 def test_a_short_zone_spills_about_what_does_not_fit_and_then_rests(seed):
     plant = Plant(ONE, dict.fromkeys("abc", 100.0), {"a": 130.0, "b": 40.0, "c": 40.0}, seed=seed)
     plant.run(90)
-    least = (130 - 100 * LEVELS[0]) / 210  # what a planner with full sight would move at the first level
+    least = (130 - 100 * FILL_LEVELS[0]) / 210  # what a planner with full sight would move at the first level
     assert abs(np.mean(plant.crossing[-20:]) - least) < 0.05
     assert np.mean(plant.served[-20:]) > 0.99
     assert sum(at > 40 * SECOND for at, _ in plant.plans) < 25, "it oscillates"
@@ -297,14 +309,16 @@
     plant.run(25)
     assert np.mean(plant.served[-5:]) > 0.9
     rises = [after["b"] - before["b"] for before, after in zip(plant.load[14:], plant.load[15:40])]
-    assert max(rises) <= (FULL * 100 - 55) / 2 + 1, "more came at once than the ways out and the law let"
+    assert (
+        max(rises) <= (MAX_FILL_LEVEL * 100 - 55) / 2 + 1
+    ), "more came at once than the ways out and the law let"
     assert np.mean(plant.served[17:20]) > 0.9, "the ways out need no decision"
     assert all(load["b"] <= 100 and load["c"] <= 100 for load in plant.load), "spill pushed a zone over"
     plant.true["a"] = 100.0
     came_back = len(plant.load)
     plant.run(60)
     home = [load["a"] for load in plant.load[came_back:]]
-    assert max(home[:5]) <= 55 * (TRIAL + 0.15) + 55 * 0.2 and np.mean(home[-5:]) > 50
+    assert max(home[:5]) <= 55 * (TRIAL_SHARE + 0.15) + 55 * 0.2 and np.mean(home[-5:]) > 50
     assert np.mean(plant.crossing[-5:]) < 0.06
 
 
@@ -328,7 +342,7 @@
         plant.run(5)
     plant.run(20)
     assert np.mean(plant.served[-10:]) > 0.97
-    assert plant.plans[-1][1].crossing("a", "view") == pytest.approx(1 - 38 / 60, abs=0.1)
+    assert plant.plans[-1][1].cross_zone_share("a", "view") == pytest.approx(1 - 38 / 60, abs=0.1)
 
 
 def test_no_cascade_over_drawn_days():
@@ -364,7 +378,7 @@
     plant.true["a"] = 100.0
     plant.run(4)
     assert plant.planner.plan.version >= before.version
-    assert plant.planner.plan.shares("a", "view")["a"] <= before.shares("a", "view")["a"] + TRIAL + 0.01
+    assert plant.planner.plan.shares("a", "view")["a"] <= before.shares("a", "view")["a"] + TRIAL_SHARE + 0.01
 
 
 # --- drains ------------------------------------------------------------------------------------------------
@@ -381,12 +395,15 @@
             planner.accept(plan)
 
     step(0)
-    assert planner.plan.shares("a", "view")["a"] == pytest.approx(1 - OUT) and "drained" in planner.plan.why
+    assert (
+        planner.plan.shares("a", "view")["a"] == pytest.approx(1 - SHIFT_PER_S)
+        and "drained" in planner.plan.reason
+    )
     for second in range(1, 15):
         step(second * SECOND)
     assert planner.plan.shares("a", "view")["a"] == pytest.approx(0, abs=0.01)
     planner.drain("b")
-    with pytest.raises(LastGoodZone, match="last good zone"):
+    with pytest.raises(LastGoodZoneError, match="last good zone"):
         planner.drain("c")
     planner.drain("c", force=True)
     planner.restore("c", 20 * SECOND)
--- a/tests/test_zones_member.py
+++ b/tests/test_zones_member.py
@@ -217,7 +217,7 @@
     fleet.second(6)
     plan = fleet.cores["m0"].follower.plan
     assert plan.shares("b", "view").get("c", 0) == 0 and plan.shares("c", "view") == {"c": 1.0}
-    assert plan.ways.get("a", {}).get("view", {}).get("c", 0) == 0
+    assert plan.failover.get("a", {}).get("view", {}).get("c", 0) == 0
 
 
 def test_a_side_that_sees_a_zone_fail_calls_it_cut_and_only_those_in_it_call_it_down():
@@ -283,10 +283,10 @@
     fleet = fleet_with_holder()
     fleet.step("m0", member.OperatorRequested(1, "pin"))
     fleet.second(2)
-    before = fleet.cores["m4"].follower.plan.rows
+    before = fleet.cores["m4"].follower.plan.routes
     fleet.lose("b")
     fleet.second(6)
-    assert fleet.cores["m4"].follower.plan.pinned and fleet.cores["m4"].follower.plan.rows == before
+    assert fleet.cores["m4"].follower.plan.pinned and fleet.cores["m4"].follower.plan.routes == before
     fleet.step("m0", member.OperatorRequested(2, "unpin"))
     fleet.second(6)
     assert stays(fleet, "m4", "b") < 0.5
@@ -376,7 +376,7 @@
     data = messages.encode_plan(MAP, plan)
     back = messages.decode_plan(MAP, 4, data)
     assert len(data) <= MAX_PLAN_BYTES and back.drained == ("c",) and back.pinned
-    assert back.ways == {"a": {"bid": {"b": 0.25}}}
+    assert back.failover == {"a": {"bid": {"b": 0.25}}}
     for zone, by in rows.items():
         for workload, one in by.items():
             read = back.shares(zone, workload)
@@ -394,7 +394,7 @@
     data = messages.encode_plan(map_, Plan(1, rows, "x" * 400, rows))
     assert len(data) <= MAX_PLAN_BYTES
     back = messages.decode_plan(map_, 1, data)
-    assert back.rows and all(0.3 in one.values() for by in back.rows.values() for one in by.values())
+    assert back.routes and all(0.3 in one.values() for by in back.routes.values() for one in by.values())
     with pytest.raises(InvalidMessage):
         messages.decode_plan(MAP, 1, data)
 
