--- a/lupinmill/zones/__init__.py
+++ b/lupinmill/zones/__init__.py
@@ -1,2 +1,2 @@
-"""Traffic between zones, decided in common: a map, evidence that is merged, a plan, and how a member goes by
-it. Pure."""
+"""Balances traffic between zones: a zone map, aggregated reports of all members, a plan that a majority
+accepts, and the rules by which each member applies it. The core modules are pure; `driver` connects them."""
--- a/lupinmill/zones/driver.py
+++ b/lupinmill/zones/driver.py
@@ -1,7 +1,7 @@
-"""Drives the zones' core: between the peers, the decision module and the operators.
+"""Connects the zone logic to the peers, the decision module and the operators.
 
-It looks at the module through one place, its `step`: notes before, orders after. Owns the core, the tally and
-the calls of operators that wait for their answer."""
+It observes the decision module in one place only, its `step`: the events before, the commands after. Owns the
+zone logic (`Member`), the traffic monitor and the operators' requests that wait for their answer."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
 from lupinmill.zones.zone_map import ZoneMap
 
 TOPIC = "zones"
-REPORT_PERIOD_S = 1.0  # seconds
-MAX_MEMBERS_AT_FULL_RATE = 250  # members, above which each tells its evidence less often
+REPORT_PERIOD_S = 1.0
+MAX_MEMBERS_AT_FULL_RATE = 250  # with more, each member reports less often
 
 
 class ZoneDriver:
@@ -32,48 +32,48 @@
         now = engine.clock.now()
         seats = {seat.name: seat for seat in told.seats}
         home = seats[told.name].zone
-        peopled = tuple(zone.name for zone in map_.zones if any(s.zone == zone.name for s in told.seats))
-        self.core = Member(map_, told.name, home, told.electors, peopled, now)
-        self.tally = TrafficMonitor(map_, home, now)
+        member_zones = tuple(zone.name for zone in map_.zones if any(s.zone == zone.name for s in told.seats))
+        self.core = Member(map_, told.name, home, told.electors, member_zones, now)
+        self.monitor = TrafficMonitor(map_, home, now)
         self.period = REPORT_PERIOD_S * max(1.0, len(told.seats) / MAX_MEMBERS_AT_FULL_RATE)
-        self.applied: member.ApplyPlan | None = None  # what the module is to hear of
+        self.applied: member.ApplyPlan | None = None  # the last one, for the decision module
         self.waiting: dict[int, Callable[[bool, str], None]] = {}
         self.serial = now
         self.inbox: list[member.Event] = []
         self.stepping = False
         peers.features[TOPIC] = self.on_peer_event
-        attach_monitor(engine.sidecar, self.tally)
+        attach_monitor(engine.sidecar, self.monitor)
 
     def update_members(self, told: peer.Told) -> None:
-        """Another roster, from now on."""
+        """Another member list applies from now on."""
         zones = {seat.zone for seat in told.seats}
-        self.core.aggregator.peopled = tuple(zone.name for zone in self.map.zones if zone.name in zones)
+        self.core.aggregator.member_zones = tuple(zone.name for zone in self.map.zones if zone.name in zones)
 
     # From the peers.
 
-    def on_peer_event(self, order: peer.Order) -> None:
-        if isinstance(order, peer.Said):
-            self.process(member.MessageReceived(order.sender, order.words))
-        elif isinstance(order, peer.Known):
-            self.process(member.PlanDecided(order.version, order.body))
-        elif isinstance(order, claims.Took):
-            self.process(member.LeaseAcquired(order.epoch))
-        elif isinstance(order, claims.Lost):
+    def on_peer_event(self, event: peer.Order) -> None:
+        if isinstance(event, peer.Said):
+            self.process(member.MessageReceived(event.sender, event.words))
+        elif isinstance(event, peer.Known):
+            self.process(member.PlanDecided(event.version, event.body))
+        elif isinstance(event, claims.Took):
+            self.process(member.LeaseAcquired(event.epoch))
+        elif isinstance(event, claims.Lost):
             self.process(member.LeaseLost())
-        elif isinstance(order, peer.Forgot):
+        elif isinstance(event, peer.Forgot):
             self.process(member.PlanExpired())
 
-    # Once a period.
+    # Once per period.
 
     def send_report(self) -> None:
         sidecar, now = self.engine.sidecar, self.engine.clock.now()
-        report = self.tally.report(now, self.core.name, sidecar)
+        report = self.monitor.report(now, self.core.name, sidecar)
         self.process(member.OwnReport(report, dict(sidecar.desk.open_in)))
 
-    # Notes in, orders out.
+    # Events in, commands out.
 
-    def process(self, *notes: member.Event) -> None:
-        self.inbox += notes
+    def process(self, *events: member.Event) -> None:
+        self.inbox += events
         if self.stepping:
             return
         self.stepping, again = True, True
@@ -81,38 +81,44 @@
             while again:
                 taken, self.inbox = self.inbox, []
                 now, epoch = self.engine.clock.now(), self.peers.holds(TOPIC)
-                for order in self.core.step(now, taken, epoch, self.peers.present()):
-                    self.carry_out(order)
+                for command in self.core.step(now, taken, epoch, self.peers.present()):
+                    self.execute(command)
                 again = bool(self.inbox)
         finally:
             self.stepping = False
 
-    def carry_out(self, order: member.Command) -> None:
-        if isinstance(order, member.SendMessage):
-            self.peers.carry(TOPIC, order.to, order.data)
-        elif isinstance(order, member.ProposePlan):
-            self.peers.decide(TOPIC, order.body)  # refused or lost: the next look computes it anew
-        elif isinstance(order, member.ApplyPlan):
-            self.applied = order
-        elif isinstance(order, member.PlanChanged):
-            if self.core.holding is not None:
-                self.log("zones", version=order.version, text=order.why)
-        elif (answer := self.waiting.pop(order.serial, None)) is not None:
-            answer(order.done, order.text)
+    def execute(self, command: member.Command) -> None:
+        if isinstance(command, member.SendMessage):
+            self.peers.carry(TOPIC, command.to, command.data)
+        elif isinstance(command, member.ProposePlan):
+            # Where it is refused or lost, the next report leads to a new proposal.
+            self.peers.decide(TOPIC, command.body)
+        elif isinstance(command, member.ApplyPlan):
+            self.applied = command
+        elif isinstance(command, member.PlanChanged):
+            if self.core.holder_state is not None:
+                self.log("zones", version=command.version, text=command.reason)
+        elif (answer := self.waiting.pop(command.serial, None)) is not None:
+            answer(command.done, command.text)
 
     def current_plan(self, now: int) -> t.Common:
-        """For the module: plan by workload, brakes by endpoint, and until when they count."""
+        """For the decision module: plan by workload, brakes by endpoint, and until when they count."""
         if self.applied is None:
             return t.Common(until=now + 1)
-        marks = self.applied.brakes
-        names = self.engine.sidecar.desk.seats if marks else ()
-        brakes = {name: marks[endpoint_hash(name)] for name in names if endpoint_hash(name) in marks}
-        listed = self.tally.listed_by_zone(self.engine.sidecar)
+        brakes_by_hash = self.applied.brakes
+        names = self.engine.sidecar.desk.seats if brakes_by_hash else ()
+        brakes = {
+            name: brakes_by_hash[endpoint_hash(name)]
+            for name in names
+            if endpoint_hash(name) in brakes_by_hash
+        }
+        listed = self.monitor.listed_by_zone(self.engine.sidecar)
         return t.Common(0, self.applied.plan, brakes, listed, max(now + 1, self.applied.until))
 
     # Operators.
 
     async def request_action(self, what: str, zone: str, force: bool) -> tuple[bool, str]:
+        """Whether it is done, and a text for the operator."""
         self.serial += 1
         serial, answered, found = self.serial, anyio.Event(), []
 
@@ -128,7 +134,7 @@
                     with anyio.move_on_after(member.REQUEST_RETRY_INTERVAL / SECOND):
                         await answered.wait()
                         break
-                    self.process()  # a wish that waits is asked again
+                    self.process()  # a pending request is retried
         finally:
             self.waiting.pop(serial, None)
         return found[0] if found else (False, "no answer")
@@ -136,7 +142,7 @@
     def show(self) -> dict[str, Any]:
         table = self.core.show()
         table["crossing"] = {
-            name: {"crossed": crossed, "launched": whole}
-            for name, (crossed, whole) in self.tally.crossed.items()
+            name: {"crossed": crossed, "launched": total}
+            for name, (crossed, total) in self.monitor.crossed.items()
         }
         return table
--- a/lupinmill/zones/member.py
+++ b/lupinmill/zones/member.py
@@ -1,13 +1,14 @@
-"""What one sidecar does about zones, whole: it tells its evidence, holds the plan if it holds the lease, goes
-by the newest plan that it knows. Pure: `step(now, notes, epoch, present)` gives orders; the driver, the lab
-in virtual time and the tests run this text.
+"""The zone logic of one sidecar: it sends reports, makes plans while it holds the lease, and applies the
+newest plan that it knows. Pure: `step(now, events, epoch, present)` returns commands; the driver, the lab in
+virtual time and the tests run the same code.
 
-Who may do what: any member tells evidence to the electors and goes by decided plans. Only who holds the lease
-at that very moment (`epoch`) merges, plans, answers evidence and takes operators' wishes; a plan counts for
-nobody, its maker included, before a majority of the electors has it.
+Any member sends reports to the electors and applies decided plans. Only the member that holds the lease at
+that very moment (`epoch`) aggregates reports, makes plans, acknowledges reports and accepts operators'
+requests. A plan applies to nobody, its author included, before a majority of the electors has accepted it.
 
-Owns the evidence of the others (`Evidence`), the last serial heard of each member (of the roster's names),
-and wishes on their way (`MOST_WISHES`, given back by their answer or after `WISH_TIME`)."""
+Owns the reports of the others (`ReportAggregator`), the last serial received from each member of the list,
+and operators' requests in progress (at most `MAX_PENDING_REQUESTS`, removed when they are answered or after
+`REQUEST_TIMEOUT`)."""
 
 from __future__ import annotations
 
@@ -15,38 +16,38 @@
 
 from lupinmill import terms as t
 from lupinmill.zones import messages
+from lupinmill.zones.follower import Follower
+from lupinmill.zones.messages import ActionReply, ActionRequest, InvalidMessage, ReportAck, ReportMessage
+from lupinmill.zones.plan import LastGoodZoneError, Plan, Planner
 from lupinmill.zones.reports import (
     REPORT_LIFETIME,
     SECOND,
-    ReportAggregator,
     AggregateView,
     Report,
+    ReportAggregator,
     ZoneState,
 )
-from lupinmill.zones.follower import Follower
-from lupinmill.zones.messages import ActionReply, ActionRequest, InvalidMessage, ReportAck, ReportMessage
-from lupinmill.zones.plan import LastGoodZoneError, Plan, Planner
 from lupinmill.zones.zone_map import ZoneMap
 
-MOST_WISHES = 8
+MAX_PENDING_REQUESTS = 8
 REQUEST_TIMEOUT = 5 * SECOND
 REQUEST_RETRY_INTERVAL = SECOND // 4
-APPLIED_PLAN_LIFETIME = 3 * SECOND  # for so long the module goes by what it was told last
-HOLDER_QUIET = 3 * SECOND  # after so long without an answer nobody is known to hold the lease
-BRAKES_COUNT = 3 * SECOND
-REPORT_QUORUM = 0.5  # share of those present whose evidence a holder wants before it plans
+APPLIED_PLAN_LIFETIME = 3 * SECOND  # for which the decision module goes by the last `ApplyPlan`
+HOLDER_TIMEOUT = 3 * SECOND  # without an acknowledgement, after which no lease holder is known
+BRAKES_LIFETIME = 3 * SECOND
+REPORT_QUORUM = 0.5  # share of the present members whose reports a holder needs before it makes plans
 ACTIONS = ("drain", "restore", "pin", "unpin")
 
 
-# --- notes -----------------------------------------------------------------------------------------
+# --- events ----------------------------------------------------------------------------------------
 
 
 @dataclass(slots=True)
 class OwnReport:
-    """This sidecar's own evidence, once a second."""
+    """This sidecar's own report, once per second."""
 
     report: Report
-    open_in: dict[str, int]  # endpoints that it may launch at, by zone
+    open_in: dict[str, int]  # endpoints that it may send attempts to, by zone
 
 
 @dataclass(slots=True)
@@ -57,7 +58,7 @@
 
 @dataclass(slots=True)
 class PlanDecided:
-    """A majority of the electors has this plan."""
+    """A majority of the electors has accepted this plan."""
 
     version: int
     body: bytes
@@ -75,12 +76,12 @@
 
 @dataclass(slots=True)
 class PlanExpired:
-    """Cut off for too long: what was decided counts no more."""
+    """Cut off for too long: decided plans no longer apply."""
 
 
 @dataclass(slots=True)
 class OperatorRequested:
-    """By an operator at this sidecar; answered by a `Done` of the same serial."""
+    """By an operator at this sidecar; answered by a `RequestFinished` with the same serial."""
 
     serial: int
     what: str
@@ -92,7 +93,7 @@
     OwnReport | MessageReceived | PlanDecided | LeaseAcquired | LeaseLost | PlanExpired | OperatorRequested
 )
 
-# --- orders ----------------------------------------------------------------------------------------
+# --- commands --------------------------------------------------------------------------------------
 
 
 @dataclass(slots=True)
@@ -108,7 +109,8 @@
 
 @dataclass(slots=True)
 class ApplyPlan:
-    """For the module: by workload, shares by plan and where the home is lost; brakes by endpoint's mark."""
+    """For the decision module: by workload, the planned shares and the shares to use if the own zone is lost;
+    brakes by endpoint hash."""
 
     plan: dict[str, tuple[t.Shares, t.Shares]]
     brakes: dict[int, float]
@@ -127,27 +129,27 @@
     """Another plan is in force here. For the log."""
 
     version: int
-    why: str
+    reason: str
 
 
 Command = SendMessage | ProposePlan | ApplyPlan | RequestFinished | PlanChanged
 
 
 @dataclass(slots=True)
-class Pending:
-    wish: ActionRequest
-    ends: int
-    again: int
+class PendingActionRequest:
+    request: ActionRequest
+    expires_at: int
+    retry_at: int
 
 
 @dataclass(slots=True)
-class Holding:
-    """Of the lease: what its holder alone has."""
+class HolderState:
+    """What only the holder of the lease has."""
 
     epoch: int
     planner: Planner
-    began: int
-    picture: AggregateView | None = None
+    acquired_at: int
+    view: AggregateView | None = None
     brakes: dict[int, float] = field(default_factory=dict)
 
 
@@ -158,229 +160,250 @@
         name: str,
         home: str,
         electors: tuple[str, ...],
-        peopled: tuple[str, ...],
+        member_zones: tuple[str, ...],
         now: int,
     ) -> None:
         self.map, self.name, self.home, self.electors, self.now = map_, name, home, electors, now
-        self.aggregator = ReportAggregator(map_, peopled)
+        self.aggregator = ReportAggregator(map_, member_zones)
         self.follower = Follower(map_, home, Plan(), now)
-        self.holding: Holding | None = None
-        self.serials: dict[str, tuple[int, int]] = {}  # of the last evidence heard, and when, by member
-        self.applied: dict[str, int] = {}  # version that each member said it goes by
+        self.holder_state: HolderState | None = None
+        self.serials: dict[
+            str, tuple[int, int]
+        ] = {}  # by member: serial of its last report, and when it came
+        self.applied: dict[str, int] = {}  # by member: the plan version that it reported to apply
         self.serial = 0
-        self.holder, self.holder_at, self.holder_epoch = "", -HOLDER_QUIET, 0
+        self.holder, self.holder_seen_at, self.holder_epoch = "", -HOLDER_TIMEOUT, 0
         self.brakes: dict[int, float] = {}
         self.brakes_at = now
-        self.wishes: dict[int, Pending] = {}
+        self.pending_requests: dict[int, PendingActionRequest] = {}
         self.dropped: dict[str, int] = {}
-        self.orders: list[Command] = []
-        self.moves = 0  # plans that this member has gone over to
+        self.commands: list[Command] = []
+        self.plan_changes = 0
 
-    def step(self, now: int, notes: list[Event], epoch: int, present: list[str]) -> list[Command]:
-        """`epoch`: of the lease that this process holds at this moment, else 0. `present`: members that are
-        there in its view."""
+    def step(self, now: int, events: list[Event], epoch: int, present: list[str]) -> list[Command]:
+        """`epoch`: of the lease that this process holds at this moment, else 0. `present`: the members that
+        it considers present."""
         self.now = now
-        if self.holding is not None and self.holding.epoch != epoch:
-            self.holding = None  # whatever was told or not: the clock of the lease decides
-        for note in notes:
-            if isinstance(note, OwnReport):
-                self.own(note, present)
-            elif isinstance(note, MessageReceived):
-                self.heard(note)
-            elif isinstance(note, PlanDecided):
-                self.decided(note)
-            elif isinstance(note, LeaseAcquired):
-                if note.epoch == epoch:
-                    self.holding = Holding(epoch, Planner(self.map), now)
-                    self.holding.planner.take_over(self.follower.plan, now)
-            elif isinstance(note, LeaseLost):
-                self.holding = None
-            elif isinstance(note, PlanExpired):
-                self.follower.plan, self.follower.confirmed = Plan(), now
+        if self.holder_state is not None and self.holder_state.epoch != epoch:
+            self.holder_state = None  # the clock of the lease decides, whether or not an event has told
+        for event in events:
+            if isinstance(event, OwnReport):
+                self.on_own_report(event, present)
+            elif isinstance(event, MessageReceived):
+                self.on_message(event)
+            elif isinstance(event, PlanDecided):
+                self.on_plan_decided(event)
+            elif isinstance(event, LeaseAcquired):
+                if event.epoch == epoch:
+                    self.holder_state = HolderState(epoch, Planner(self.map), now)
+                    self.holder_state.planner.take_over(self.follower.plan, now)
+            elif isinstance(event, LeaseLost):
+                self.holder_state = None
+            elif isinstance(event, PlanExpired):
+                self.follower.plan, self.follower.confirmed_at = Plan(), now
             else:
-                self.asked(note)
-        self.go_on_asking()
-        orders, self.orders = self.orders, []
-        return orders
+                self.on_operator_request(event)
+        self.retry_requests()
+        commands, self.commands = self.commands, []
+        return commands
 
-    # Once a second.
+    # Once per second.
 
-    def own(self, note: OwnReport, present: list[str]) -> None:
+    def on_own_report(self, event: OwnReport, present: list[str]) -> None:
         self.serial = max(self.serial + 1, self.now)
-        telling = messages.report_message(self.map, note.report, self.serial, self.follower.plan.version)
-        data = messages.encode(telling)
+        message = messages.report_message(self.map, event.report, self.serial, self.follower.plan.version)
+        data = messages.encode(message)
         for elector in self.electors:
             if elector != self.name:
-                self.orders.append(SendMessage(elector, data))
+                self.commands.append(SendMessage(elector, data))
         if self.name in self.electors:
-            self.tell(self.name, telling)
-        if self.holding is not None:
-            self.hold(self.holding, set(present))
+            self.on_report(self.name, message)
+        if self.holder_state is not None:
+            self.run_as_holder(self.holder_state, set(present))
         self.serials = {name: one for name, one in self.serials.items() if name in present}
         self.applied = {name: one for name, one in self.applied.items() if name in present}
-        lost = not note.open_in.get(self.home, 0)
+        home_lost = not event.open_in.get(self.home, 0)
         plan = {
-            w.name: (self.follower.shares(self.now, w.name, lost), self.follower.way(self.now, w.name))
+            w.name: (
+                self.follower.shares(self.now, w.name, home_lost),
+                self.follower.failover_shares(self.now, w.name),
+            )
             for w in self.map.workloads
         }
-        brakes = self.brakes if self.now - self.brakes_at < BRAKES_COUNT else {}
-        self.orders.append(ApplyPlan(plan, brakes, self.now + APPLIED_PLAN_LIFETIME))
-
-    def hold(self, holding: Holding, present: set[str]) -> None:
-        """Guards against a plan by a few: a holder that has heard of less than half of those that are there
-        goes on standing behind the plan in force."""
-        self.aggregator.forget(self.now, present)
-        holding.picture = self.aggregator.picture(self.now, present)
-        holding.brakes = self.aggregator.brakes(self.now)
-        self.follower.confirmed = self.now
-        self.take_brakes(holding.brakes)
+        brakes = self.brakes if self.now - self.brakes_at < BRAKES_LIFETIME else {}
+        self.commands.append(ApplyPlan(plan, brakes, self.now + APPLIED_PLAN_LIFETIME))
+
+    def run_as_holder(self, holder_state: HolderState, present: set[str]) -> None:
+        """Aggregates the reports and proposes the next plan. A holder that has reports from less than half of
+        the present members only confirms the plan in force: guards against a plan made from the view of a
+        few."""
+        self.aggregator.expire(self.now, present)
+        holder_state.view = self.aggregator.aggregate(self.now, present)
+        holder_state.brakes = self.aggregator.brakes(self.now)
+        self.follower.confirmed_at = self.now
+        self.update_brakes(holder_state.brakes)
         if len(self.aggregator.reports) < REPORT_QUORUM * len(present):
             return
-        plan = holding.planner.step(self.now, holding.picture)
+        plan = holder_state.planner.step(self.now, holder_state.view)
         if plan is not None:
-            self.orders.append(ProposePlan(messages.encode_plan(self.map, plan)))
+            self.commands.append(ProposePlan(messages.encode_plan(self.map, plan)))
 
-    def take_brakes(self, brakes: dict[int, float]) -> None:
+    def update_brakes(self, brakes: dict[int, float]) -> None:
         self.brakes, self.brakes_at = brakes, self.now
 
-    # What others say.
+    # Messages from other members.
 
-    def heard(self, note: MessageReceived) -> None:
+    def on_message(self, event: MessageReceived) -> None:
         try:
-            found = messages.decode(note.data)
-            if isinstance(found, ReportMessage):
-                self.tell(note.sender, found)
-            elif isinstance(found, ReportAck):
-                self.answered(note.sender, found)
-            elif isinstance(found, ActionRequest):
-                if (granted := self.grant(found)) is not None:
-                    done, text = granted
-                    self.orders.append(
-                        SendMessage(note.sender, messages.encode(ActionReply(found.serial, done, text[:200])))
+            message = messages.decode(event.data)
+            if isinstance(message, ReportMessage):
+                self.on_report(event.sender, message)
+            elif isinstance(message, ReportAck):
+                self.on_report_ack(event.sender, message)
+            elif isinstance(message, ActionRequest):
+                if (result := self.execute_request(message)) is not None:
+                    done, text = result
+                    self.commands.append(
+                        SendMessage(
+                            event.sender, messages.encode(ActionReply(message.serial, done, text[:200]))
+                        )
                     )
-            elif (pending := self.wishes.pop(found.serial, None)) is not None:
-                self.orders.append(RequestFinished(pending.wish.serial, found.done, found.text))
+            elif (pending := self.pending_requests.pop(message.serial, None)) is not None:
+                self.commands.append(RequestFinished(pending.request.serial, message.done, message.text))
         except InvalidMessage as error:
             self.dropped[str(error)] = self.dropped.get(str(error), 0) + 1
 
-    def tell(self, sender: str, telling: ReportMessage) -> None:
-        """Evidence; one that is older than what is known of that member, or the same again, says nothing."""
-        report = messages.report_from_message(self.map, sender, telling)
+    def on_report(self, sender: str, message: ReportMessage) -> None:
+        """A report that is older than the last one known of that member, or a duplicate of it, is dropped."""
+        report = messages.report_from_message(self.map, sender, message)
         last, at = self.serials.get(sender, (-1, self.now))
-        if (
-            telling.serial <= last and self.now - at < REPORT_LIFETIME
-        ):  # later its clock may have been set back
+        # After `REPORT_LIFETIME` a lower serial is accepted: the sender's clock may have been set back.
+        if message.serial <= last and self.now - at < REPORT_LIFETIME:
             raise InvalidMessage("old")
-        self.serials[sender] = (telling.serial, self.now)
-        self.applied[sender] = telling.version
+        self.serials[sender] = (message.serial, self.now)
+        self.applied[sender] = message.version
         self.aggregator.add(self.now, report)
-        if self.holding is not None and sender != self.name:
-            least = sorted(self.holding.brakes.items(), key=lambda row: row[1])[: messages.MAX_BRAKES]
-            brakes = [(mark, round(part * messages.SHARE_UNITS)) for mark, part in least]
+        if self.holder_state is not None and sender != self.name:
+            strictest = sorted(self.holder_state.brakes.items(), key=lambda row: row[1])[
+                : messages.MAX_BRAKES
+            ]
+            brakes = [(endpoint, round(share * messages.SHARE_UNITS)) for endpoint, share in strictest]
             version = self.follower.plan.version
-            answer = ReportAck(self.map.mark(), telling.serial, self.holding.epoch, version, brakes)
-            self.orders.append(SendMessage(sender, messages.encode(answer)))
-
-    def answered(self, sender: str, summary: ReportAck) -> None:
-        """By the holder, of what was told just now. One that only claims to hold it can make this member
-        trust for longer a plan that a majority did decide, and slow it down at cold endpoints: no more."""
-        if sender not in self.electors or summary.mark != self.map.mark():
+            ack = ReportAck(self.map.checksum(), message.serial, self.holder_state.epoch, version, brakes)
+            self.commands.append(SendMessage(sender, messages.encode(ack)))
+
+    def on_report_ack(self, sender: str, ack: ReportAck) -> None:
+        """From the holder, for this member's last report. A member that falsely claims to be the holder can
+        make this one trust for longer a plan that a majority did decide, and slow it down at cold endpoints,
+        but nothing else."""
+        if sender not in self.electors or ack.mark != self.map.checksum():
             raise InvalidMessage("map")
-        if summary.serial != self.serial or summary.epoch < self.holder_epoch and self.holder_known():
+        if ack.serial != self.serial or ack.epoch < self.holder_epoch and self.is_holder_known():
             raise InvalidMessage("old")
-        self.holder, self.holder_at, self.holder_epoch = sender, self.now, summary.epoch
-        if summary.version == self.follower.plan.version:
-            self.follower.confirmed = self.now
-        self.take_brakes({mark: max(0.1, parts / messages.SHARE_UNITS) for mark, parts in summary.brakes})
+        self.holder, self.holder_seen_at, self.holder_epoch = sender, self.now, ack.epoch
+        if ack.version == self.follower.plan.version:
+            self.follower.confirmed_at = self.now
+        self.update_brakes(
+            {endpoint: max(0.1, units / messages.SHARE_UNITS) for endpoint, units in ack.brakes}
+        )
 
-    def holder_known(self) -> bool:
-        return self.now - self.holder_at < HOLDER_QUIET
+    def is_holder_known(self) -> bool:
+        return self.now - self.holder_seen_at < HOLDER_TIMEOUT
 
-    def decided(self, note: PlanDecided) -> None:
+    def on_plan_decided(self, event: PlanDecided) -> None:
         try:
-            plan = messages.decode_plan(self.map, note.version, note.body)
+            plan = messages.decode_plan(self.map, event.version, event.body)
         except InvalidMessage as error:
             self.dropped[str(error)] = self.dropped.get(str(error), 0) + 1
             return
-        if self.follower.hear(self.now, plan):
-            self.moves += 1
-            self.orders.append(PlanChanged(plan.version, plan.reason))
-        if self.holding is not None:
-            planner = self.holding.planner
+        if self.follower.receive(self.now, plan):
+            self.plan_changes += 1
+            self.commands.append(PlanChanged(plan.version, plan.reason))
+        if self.holder_state is not None:
+            planner = self.holder_state.planner
             if planner.next_step_at == 0:
-                planner.take_over(
-                    self.follower.plan, self.now
-                )  # found by the lease: it has done nothing so far
+                # The plan was found while the lease was taken: this planner has made none so far.
+                planner.take_over(self.follower.plan, self.now)
             else:
                 planner.accept(self.follower.plan)
 
     # Operators.
 
-    def asked(self, note: OperatorRequested) -> None:
-        """Done is said only of what stands in a plan that a majority has: the holder, this one or another, is
-        asked until it does."""
-        wish = ActionRequest(note.serial, note.what, note.zone, note.force)
-        if self.holding is None and not self.holder_known():
-            self.orders.append(RequestFinished(note.serial, False, "nobody is known to hold the plan now"))
-        elif len(self.wishes) >= MOST_WISHES:
-            self.orders.append(RequestFinished(note.serial, False, "too many calls wait for the holder"))
+    def on_operator_request(self, event: OperatorRequested) -> None:
+        """A request is reported as done only once it is part of a plan that a majority has accepted; until
+        then the holder, which may be this member, is asked again."""
+        request = ActionRequest(event.serial, event.what, event.zone, event.force)
+        if self.holder_state is None and not self.is_holder_known():
+            self.commands.append(
+                RequestFinished(event.serial, False, "nobody is known to hold the lease on the plan now")
+            )
+        elif len(self.pending_requests) >= MAX_PENDING_REQUESTS:
+            self.commands.append(
+                RequestFinished(event.serial, False, "too many requests wait for the lease holder")
+            )
         else:
-            self.wishes[note.serial] = Pending(wish, self.now + REQUEST_TIMEOUT, self.now)
-
-    def go_on_asking(self) -> None:
-        for serial, pending in list(self.wishes.items()):
-            if self.now >= pending.ends:
-                del self.wishes[serial]
-                text = "no majority has accepted it in time; it may still be done: look at `zones show`"
-                self.orders.append(RequestFinished(serial, False, text))
-            elif self.now >= pending.again:
-                pending.again = self.now + REQUEST_RETRY_INTERVAL
-                if self.holding is None:
-                    self.orders.append(SendMessage(self.holder, messages.encode(pending.wish)))
-                elif (granted := self.grant(pending.wish)) is not None:
-                    del self.wishes[serial]
-                    self.orders.append(RequestFinished(serial, *granted))
-
-    def grant(self, wish: ActionRequest) -> tuple[bool, str] | None:
-        """None: on its way to a majority. Doubled by the network or not, the same wish leads to the same
-        state."""
-        if self.holding is None:
-            return False, f"{self.name} does not hold the plan"
-        planner = self.holding.planner
-        if wish.what not in ACTIONS:
-            return False, f"{wish.what}: none of {', '.join(ACTIONS)}"
-        if wish.what in ("pin", "unpin"):
-            planner.pinned = wish.what == "pin"
+            self.pending_requests[event.serial] = PendingActionRequest(
+                request, self.now + REQUEST_TIMEOUT, self.now
+            )
+
+    def retry_requests(self) -> None:
+        for serial, pending in list(self.pending_requests.items()):
+            if self.now >= pending.expires_at:
+                del self.pending_requests[serial]
+                text = "no majority has accepted it in time; it may still take effect: see `zones show`"
+                self.commands.append(RequestFinished(serial, False, text))
+            elif self.now >= pending.retry_at:
+                pending.retry_at = self.now + REQUEST_RETRY_INTERVAL
+                if self.holder_state is None:
+                    self.commands.append(SendMessage(self.holder, messages.encode(pending.request)))
+                elif (result := self.execute_request(pending.request)) is not None:
+                    del self.pending_requests[serial]
+                    self.commands.append(RequestFinished(serial, *result))
+
+    def execute_request(self, request: ActionRequest) -> tuple[bool, str] | None:
+        """Whether it is done, and a text for the operator; None while a majority has not accepted it yet.
+        Idempotent: a request that the network duplicates leads to the same state."""
+        if self.holder_state is None:
+            return False, f"{self.name} does not hold the lease on the plan"
+        planner = self.holder_state.planner
+        if request.what not in ACTIONS:
+            return False, f"{request.what}: unknown action, expected one of {', '.join(ACTIONS)}"
+        if request.what in ("pin", "unpin"):
+            planner.pinned = request.what == "pin"
             if self.follower.plan.pinned is not planner.pinned:
                 return None
-            return True, "the plan stays as it is" if planner.pinned else "the plan follows the evidence"
-        if wish.zone not in {zone.name for zone in self.map.zones}:
-            return False, f"{wish.zone}: no such zone"
+            return True, "the plan stays as it is" if planner.pinned else "the plan follows the reports again"
+        if request.zone not in {zone.name for zone in self.map.zones}:
+            return False, f"{request.zone}: no such zone"
         try:
-            if wish.what == "drain":
-                planner.drain(wish.zone, wish.force)
+            if request.what == "drain":
+                planner.drain(request.zone, request.force)
             else:
-                planner.restore(wish.zone, self.now)
+                planner.restore(request.zone, self.now)
         except LastGoodZoneError as error:
             return False, str(error)
-        if (wish.zone in self.follower.plan.drained) is not (wish.what == "drain"):
+        if (request.zone in self.follower.plan.drained) is not (request.what == "drain"):
             return None
-        return True, f"{wish.zone} is {'drained' if wish.what == 'drain' else 'restored'} by steps"
+        return True, f"{request.zone} is {'drained' if request.what == 'drain' else 'restored'} by steps"
 
-    # For people.
+    # Status.
 
     def show(self) -> dict[str, object]:
-        """A plain table."""
+        """The table that `zones show` and GET /admin/zones print."""
         plan, now = self.follower.plan, self.now
         table: dict[str, object] = {
             "home": self.home,
             "version": plan.version,
             "why": plan.reason,
-            "confirmed_s": round((now - self.follower.confirmed) / SECOND, 1),
+            "confirmed_s": round((now - self.follower.confirmed_at) / SECOND, 1),
             "trust": round(self.follower.trust(now), 3),
             "drained": list(plan.drained),
             "pinned": plan.pinned,
-            "holder": self.name if self.holding is not None else self.holder if self.holder_known() else "",
+            "holder": self.name
+            if self.holder_state is not None
+            else self.holder
+            if self.is_holder_known()
+            else "",
             "plan": {
                 zone.name: {w.name: plan.shares(zone.name, w.name) for w in self.map.workloads}
                 for zone in self.map.zones
@@ -390,20 +413,20 @@
                 w.name: {"leave_zone": w.leave_zone, "leave_region": w.leave_region, "breaks": w.breaks}
                 for w in self.map.workloads
             },
-            "moves": self.moves,
+            "moves": self.plan_changes,
             "dropped": dict(self.dropped),
         }
-        if self.holding is not None:
+        if self.holder_state is not None:
             table["applied"] = dict(sorted(self.applied.items()))
-            if (picture := self.holding.picture) is not None:
-                table["capacity"] = {name: round(value, 1) for name, value in picture.capacity.items()}
+            if (view := self.holder_state.view) is not None:
+                table["capacity"] = {name: round(value, 1) for name, value in view.capacity.items()}
                 table["traffic"] = {
                     zone: {w: round(rate, 1) for w, rate in rates.items()}
-                    for zone, rates in picture.traffic.items()
+                    for zone, rates in view.traffic.items()
                 }
                 table["lost"] = [
                     {"from": a, "zone": b, "state": state.value}
-                    for (a, b), state in sorted(picture.state.items())
+                    for (a, b), state in sorted(view.state.items())
                     if state in (ZoneState.UNREACHABLE, ZoneState.DOWN)
                 ]
         return table
--- a/lupinmill/zones/traffic_monitor.py
+++ b/lupinmill/zones/traffic_monitor.py
@@ -1,9 +1,8 @@
-"""What one sidecar's own launches saw of each zone over the last seconds. Pure: it looks at the notes that
-the decision module gets and at the orders that come back, and asks the module for nothing that it does not
-hold.
+"""What one sidecar's own attempts observed of each zone over the last seconds. Pure: it watches the events
+that the decision module gets and the commands that it returns, and reads nothing but the module's state.
 
-Owns rings of sums, a fixed number a zone and workload, and one ring a cold endpoint that it launches at,
-given back with the endpoint's warmth or the endpoint."""
+Owns ring buffers of sums: a fixed number per zone and workload, and one per cold endpoint that it sends
+attempts to, removed once the endpoint is warm or gone."""
 
 from __future__ import annotations
 
@@ -14,147 +13,153 @@
 from lupinmill.zones.reports import REPORT_WINDOW_S, SECOND, Report, ZoneObservation
 from lupinmill.zones.zone_map import ZoneMap
 
-BUCKETS, WIDTH = 6, int(REPORT_WINDOW_S * SECOND) // 6
-SHORT = 0.02  # part of own traffic that was denied: a zone that denies has little more room than it used
-MOST_SHORT = 1.05
+BUCKETS, BUCKET_WIDTH = 6, int(REPORT_WINDOW_S * SECOND) // 6
+# Share of the own requests that were denied, above which a zone has little more capacity than it used.
+MAX_DENIED_SHARE = 0.02
+MAX_DENYING_HEADROOM = 1.05
 FAILED = (t.How.ERROR, t.How.SPOILT, t.How.TIMED_OUT, t.How.UNCONNECTED, t.How.RESET)
 
 
-def attach_monitor(sidecar: Sidecar, tally: TrafficMonitor) -> None:
-    """Puts the tally around the module's step."""
+def attach_monitor(sidecar: Sidecar, monitor: TrafficMonitor) -> None:
+    """Wraps the decision module's `step`."""
     step = sidecar.step
 
-    def watched(now: int, notes: list[t.Note], ring: bool = True) -> list[t.Order]:
-        for note in notes:
-            tally.before(now, note, sidecar)
-        orders = step(now, notes, ring)
-        tally.after(now, orders, sidecar)
-        return orders
+    def monitored(now: int, events: list[t.Note], ring: bool = True) -> list[t.Order]:
+        for event in events:
+            monitor.before_step(now, event, sidecar)
+        commands = step(now, events, ring)
+        monitor.after_step(now, commands, sidecar)
+        return commands
 
-    sidecar.step = watched  # type: ignore[method-assign]
+    sidecar.step = monitored  # type: ignore[method-assign]
 
 
-class Counts:
+class ZoneCounters:
     def __init__(self) -> None:
-        self.tried, self.failed, self.refused = (
-            Ring(BUCKETS, WIDTH),
-            Ring(BUCKETS, WIDTH),
-            Ring(BUCKETS, WIDTH),
+        self.attempts, self.failed, self.refused = (
+            Ring(BUCKETS, BUCKET_WIDTH),
+            Ring(BUCKETS, BUCKET_WIDTH),
+            Ring(BUCKETS, BUCKET_WIDTH),
         )
-        self.handled, self.paces = Ring(BUCKETS, WIDTH), Ring(BUCKETS, WIDTH)
+        self.handled, self.slowdowns = Ring(BUCKETS, BUCKET_WIDTH), Ring(BUCKETS, BUCKET_WIDTH)
 
 
 class TrafficMonitor:
     def __init__(self, map_: ZoneMap, home: str, now: int) -> None:
-        self.map, self.home, self.began = map_, home, now
-        self.zones = {zone.name: Counts() for zone in map_.zones}
-        self.came = {w.name: Ring(BUCKETS, WIDTH) for w in map_.workloads}
-        self.all, self.denied = Ring(BUCKETS, WIDTH), Ring(BUCKETS, WIDTH)
+        self.map, self.home, self.started_at = map_, home, now
+        self.zones = {zone.name: ZoneCounters() for zone in map_.zones}
+        self.arrived = {w.name: Ring(BUCKETS, BUCKET_WIDTH) for w in map_.workloads}
+        self.all_arrived, self.denied = Ring(BUCKETS, BUCKET_WIDTH), Ring(BUCKETS, BUCKET_WIDTH)
         self.cold: dict[str, Ring] = {}
-        self.crossed = {
-            w.name: [0, 0] for w in map_.workloads
-        }  # first launches beyond the zone, and all, so far
+        # By workload, since the start: first attempts that left the zone, and all first attempts.
+        self.crossed = {w.name: [0, 0] for w in map_.workloads}
 
-    # What passes.
+    # Around each step of the decision module.
 
-    def before(self, now: int, note: t.Note, sidecar: Sidecar) -> None:
-        """A note on its way to the module."""
-        if isinstance(note, t.Arrived):
-            self.all.add(now)
-            ring = self.came.get(note.workload)
+    def before_step(self, now: int, event: t.Note, sidecar: Sidecar) -> None:
+        if isinstance(event, t.Arrived):
+            self.all_arrived.add(now)
+            ring = self.arrived.get(event.workload)
             if ring is not None:
                 ring.add(now)
-        elif isinstance(note, t.Ended):
-            s = sidecar.desk.open.get(note.submission)
-            if s is None or note.launch >= len(s.flights) or not s.flights[note.launch].out:
+        elif isinstance(event, t.Ended):
+            request = sidecar.desk.open.get(event.submission)
+            if (
+                request is None
+                or event.launch >= len(request.flights)
+                or not request.flights[event.launch].out
+            ):
                 return
-            counts = self.zones.get(s.flights[note.launch].seat.says.entry.zone)
-            if counts is not None:
-                gauge = sidecar.desk.gauges.get(s.workload.name)
-                self.ended(now, counts, note, gauge.uncrowded if gauge is not None else 0.0)
-
-    def ended(self, now: int, counts: Counts, note: t.Ended, uncrowded: float) -> None:
-        if note.how is t.How.HANDLED:
-            counts.tried.add(now)
-            counts.handled.add(now)
-            counts.paces.add(now, min(8.0, note.took / uncrowded) if uncrowded > 0 else 1.0)
-        elif note.how in FAILED:
-            counts.tried.add(now)
-            counts.failed.add(now)
-        elif note.how is t.How.REFUSED:
-            counts.tried.add(now)
-            counts.refused.add(now)
-
-    def after(self, now: int, orders: list[t.Order], sidecar: Sidecar) -> None:
-        """The module's answer."""
-        for order in orders:
-            if isinstance(order, t.Launch):
-                seat, s = sidecar.desk.seats.get(order.endpoint), sidecar.desk.open.get(order.submission)
-                if seat is None or s is None:
+            counters = self.zones.get(request.flights[event.launch].seat.says.entry.zone)
+            if counters is not None:
+                gauge = sidecar.desk.gauges.get(request.workload.name)
+                self.attempt_ended(now, counters, event, gauge.uncrowded if gauge is not None else 0.0)
+
+    def attempt_ended(self, now: int, counters: ZoneCounters, event: t.Ended, uncrowded: float) -> None:
+        if event.how is t.How.HANDLED:
+            counters.attempts.add(now)
+            counters.handled.add(now)
+            counters.slowdowns.add(now, min(8.0, event.took / uncrowded) if uncrowded > 0 else 1.0)
+        elif event.how in FAILED:
+            counters.attempts.add(now)
+            counters.failed.add(now)
+        elif event.how is t.How.REFUSED:
+            counters.attempts.add(now)
+            counters.refused.add(now)
+
+    def after_step(self, now: int, commands: list[t.Order], sidecar: Sidecar) -> None:
+        for command in commands:
+            if isinstance(command, t.Launch):
+                seat, request = (
+                    sidecar.desk.seats.get(command.endpoint),
+                    sidecar.desk.open.get(command.submission),
+                )
+                if seat is None or request is None:
                     continue
-                counts = self.crossed.get(s.workload.name)
-                if counts is not None and len(s.flights) == 1:
+                counts = self.crossed.get(request.workload.name)
+                if counts is not None and len(request.flights) == 1:
                     counts[0] += seat.says.entry.zone != self.home
                     counts[1] += 1
                 if seat.says.cold_since is not None and len(self.cold) < MAX_COLD_ENDPOINTS:
-                    self.cold.setdefault(order.endpoint, Ring(BUCKETS, WIDTH)).add(now)
-            elif isinstance(order, t.Deny):
+                    self.cold.setdefault(command.endpoint, Ring(BUCKETS, BUCKET_WIDTH)).add(now)
+            elif isinstance(command, t.Deny):
                 self.denied.add(now)
 
-    # What it tells.
+    # The report.
 
     def report(self, now: int, name: str, sidecar: Sidecar) -> Report:
         desk = sidecar.desk
-        span = min(REPORT_WINDOW_S, max(0.5, (now - self.began) / SECOND))
-        came, denied = self.all.total(now), self.denied.total(now)
-        short = denied > SHORT * max(1.0, came)
+        span = min(REPORT_WINDOW_S, max(0.5, (now - self.started_at) / SECOND))
+        arrived, denied = self.all_arrived.total(now), self.denied.total(now)
+        denying = denied > MAX_DENIED_SHARE * max(1.0, arrived)
         listed, cold = self.listed_by_zone(sidecar), {}
         for seat in desk.seats.values():
             if seat.counts() and seat.says.cold_since is not None:
                 zone = seat.says.entry.zone
                 cold[zone] = cold.get(zone, 0.0) + 1 - desk.warmth(seat.says)
-        seen = {}
-        for zone, counts in self.zones.items():
-            handled = counts.handled.total(now)
-            pace = counts.paces.total(now) / handled if handled else 1.0
+        observations = {}
+        for zone, counters in self.zones.items():
+            handled = counters.handled.total(now)
+            slowdown = counters.slowdowns.total(now) / handled if handled else 1.0
             ready = max(0, desk.open_in.get(zone, 0))
-            share = cold.get(zone, 0) / ready if ready else 0.0
-            seen[zone] = ZoneObservation(
-                counts.tried.total(now),
-                counts.failed.total(now),
-                counts.refused.total(now),
-                pace,
-                handled / span * self.more(pace, short and zone == self.home, share),
-                share,
+            cold_share = cold.get(zone, 0) / ready if ready else 0.0
+            observations[zone] = ZoneObservation(
+                counters.attempts.total(now),
+                counters.failed.total(now),
+                counters.refused.total(now),
+                slowdown,
+                handled / span * self.headroom(slowdown, denying and zone == self.home, cold_share),
+                cold_share,
                 float(ready),
                 float(listed.get(zone, 0)),
             )
         return Report(
             name,
             self.home,
-            {workload: ring.total(now) / span for workload, ring in self.came.items()},
-            seen,
-            self.cold_ones(now, span, sidecar),
+            {workload: ring.total(now) / span for workload, ring in self.arrived.items()},
+            observations,
+            self.cold_endpoints(now, span, sidecar),
         )
 
     def listed_by_zone(self, sidecar: Sidecar) -> dict[str, int]:
-        """Endpoints that the list names as ready, by zone."""
+        """Endpoints that the list names as ready."""
         found: dict[str, int] = {}
         for entry in sidecar.roster.listed.values():
             if entry.state is t.State.READY:
                 found[entry.zone] = found.get(entry.zone, 0) + 1
         return found
 
-    def more(self, pace: float, short: bool, cold: float) -> float:
-        """How many times as much as it was seen to do a zone may do. The uncrowded answers that the pace is
-        measured against are taken to have come at half load, where servers that share a core among what they
-        hold take twice the work's time: so the share in use is 1 - 1/(2 pace). Cold ones are not counted on
-        for more, nor a zone that has to deny."""
-        if short:
-            return MOST_SHORT
-        return 1.0 + (1 - cold) * (1 / (1 - 1 / (2 * max(1.0, pace))) - 1)
-
-    def cold_ones(self, now: int, span: float, sidecar: Sidecar) -> dict[int, tuple[float, float]]:
+    def headroom(self, slowdown: float, denying: bool, cold_share: float) -> float:
+        """How many times the observed rate a zone may be able to take. The uncrowded answer times that the
+        slowdown refers to are assumed to be those at half load, where servers that share a core among their
+        requests take twice the time of the work: so the share of capacity in use is 1 - 1/(2 slowdown). Cold
+        endpoints are not assumed to take more, nor is a zone that denies requests."""
+        if denying:
+            return MAX_DENYING_HEADROOM
+        return 1.0 + (1 - cold_share) * (1 / (1 - 1 / (2 * max(1.0, slowdown))) - 1)
+
+    def cold_endpoints(self, now: int, span: float, sidecar: Sidecar) -> dict[int, tuple[float, float]]:
+        """By endpoint hash: attempts per second and warmth."""
         found = {}
         for name in list(self.cold):
             seat = sidecar.desk.seats.get(name)
--- a/lupinmill/zones/zone_map.py
+++ b/lupinmill/zones/zone_map.py
@@ -1,4 +1,5 @@
-"""Zones in regions, what it costs to go from one to another, and what may go. Owns nothing; values."""
+"""The zones in their regions, the cost of sending a request from one to another, and the budgets of what may
+leave a zone. Values without state."""
 
 from __future__ import annotations
 
@@ -14,13 +15,13 @@
 class Zone:
     name: str
     region: str = ""
-    spare: float = 0.1  # share of its capacity that no spill from others may take
+    spare: float = 0.1  # share of its capacity that traffic from other zones may not use
 
 
 @dataclass(frozen=True, slots=True)
 class Workload:
-    """`worth`: the more it is, the earlier it gets room. Budgets are shares of a zone's traffic of it;
-    `breaks`: out of a lost zone it may go beyond them."""
+    """A workload of higher `worth` gets capacity first. The budgets `leave_zone` and `leave_region` are
+    shares of a zone's traffic of this workload; with `breaks` the traffic of a lost zone may exceed them."""
 
     name: str
     worth: float = 1.0
@@ -33,14 +34,14 @@
 class ZoneMap:
     zones: tuple[Zone, ...]
     workloads: tuple[Workload, ...]
-    costs: dict[tuple[str, str], float] = field(default_factory=dict)  # of a launch; else by region
+    costs: dict[tuple[str, str], float] = field(default_factory=dict)  # per attempt; else `near` or `far`
     near: float = 1.0  # cost within a region
     far: float = 10.0
 
     def __post_init__(self) -> None:
         names = [zone.name for zone in self.zones]
         if not names or len(set(names)) < len(names):
-            raise InvalidZoneMap("zones: wants different names, one at least")
+            raise InvalidZoneMap("zones: at least one zone is required, and names must be unique")
         for zone in self.zones:
             if not 0 <= zone.spare < 1:
                 raise InvalidZoneMap(f"zones.{zone.name}.spare: wants 0 up to 1")
@@ -60,21 +61,21 @@
     def cost(self, a: str, b: str) -> float:
         if a == b:
             return 0.0
-        told = self.costs.get((a, b), self.costs.get((b, a)))
-        if told is not None:
-            return told
+        configured = self.costs.get((a, b), self.costs.get((b, a)))
+        if configured is not None:
+            return configured
         return self.near if self.zone(a).region == self.zone(b).region else self.far
 
     def order(self, a: str) -> list[str]:
-        """Others, the nearest first; of equals in the map's order. Another region comes after all of the
-        own."""
+        """The other zones, nearest first, and of equal cost in the map's order. Zones in other regions come
+        after all of the own region."""
         home = self.zone(a).region
         others = [zone for zone in self.zones if zone.name != a]
         return [zone.name for zone in sorted(others, key=lambda z: (z.region != home, self.cost(a, z.name)))]
 
-    def mark(self) -> int:
-        """Of what is told by numbers between members: names and their order. Where it differs, so do
-        files."""
+    def checksum(self) -> int:
+        """Checksum of the names and their order. Members send positions instead of names to each other; where
+        their checksums differ, so do their configurations."""
         names = [zone.name for zone in self.zones] + ["/"] + [w.name for w in self.workloads]
         return crc32("\n".join(names).encode())
 
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -16,7 +16,7 @@
     ZoneState,
     weighted_median,
 )
-from lupinmill.zones.follower import ALONE, FADED, FRESH, Follower
+from lupinmill.zones.follower import MAX_LOCAL_SHIFT, FADED_AFTER, FRESH_FOR, Follower
 from lupinmill.zones.plan import (
     MAX_FILL_LEVEL,
     FILL_LEVELS,
@@ -188,7 +188,7 @@
         self.true = dict(capacity)
         self.chance = np.random.default_rng(seed)
         self.parts = {z: self.chance.dirichlet([2.0] * members) for z in capacity}
-        self.evidence, self.planner = ReportAggregator(map_), Planner(map_)
+        self.aggregator, self.planner = ReportAggregator(map_), Planner(map_)
         self.followers = {z: Follower(map_, z, Plan(), 0) for z in capacity}
         self.now, self.waiting = 0, []
         self.noise = noise  # of what members tell of rooms; of traffic half as much
@@ -208,7 +208,7 @@
                 shares = dict(self.followers[z].shares(self.now, w.name))
                 if not self.true[z]:  # as the module does where it finds nothing open
                     home = shares.pop(z, 0.0)
-                    for to, share in self.followers[z].way(self.now, w.name).items():
+                    for to, share in self.followers[z].failover_shares(self.now, w.name).items():
                         shares[to] = shares.get(to, 0.0) + home * share
                         shares[z] = max(0.0, shares.get(z, home) - home * share)
                 for to, share in shares.items():
@@ -245,16 +245,16 @@
                         else self.traffic[z]
                     )
                     workloads[w] = rate * part * self.blur(self.noise / 2)
-                self.evidence.add(self.now, Report(f"{z}{n}", z, workloads, seen))
+                self.aggregator.add(self.now, Report(f"{z}{n}", z, workloads, seen))
         for report in self.liars:
-            self.evidence.add(self.now, report)
+            self.aggregator.add(self.now, report)
         for _, plan in [row for row in self.waiting if row[0] <= self.now]:
             for follower in self.followers.values():
-                follower.hear(self.now, plan)
+                follower.receive(self.now, plan)
         self.waiting = [row for row in self.waiting if row[0] > self.now]
         for follower in self.followers.values():
-            follower.confirmed = self.now
-        plan = self.planner.step(self.now, self.evidence.picture(self.now))
+            follower.confirmed_at = self.now
+        plan = self.planner.step(self.now, self.aggregator.aggregate(self.now))
         if plan is not None:
             self.planner.accept(plan)
             self.plans.append((self.now, plan))
@@ -421,10 +421,10 @@
 
 
 def told(reports: list[Report], now: int = 0) -> AggregateView:
-    evidence = ReportAggregator(ONE)
+    aggregator = ReportAggregator(ONE)
     for one in reports:
-        evidence.add(now, one)
-    return evidence.picture(now)
+        aggregator.add(now, one)
+    return aggregator.aggregate(now)
 
 
 def test_thin_members_add_up():
@@ -462,25 +462,27 @@
 
 
 def test_reports_age_and_go():
-    evidence = ReportAggregator(ONE)
+    aggregator = ReportAggregator(ONE)
     for n in range(4):
-        evidence.add(0, report(f"m{n}", "a", "a", 5, 0))
-    assert evidence.picture(REPORT_LIFETIME // 2).state["a", "a"] is ZoneState.HEALTHY
-    assert evidence.picture(REPORT_LIFETIME).state["a", "a"] is ZoneState.UNKNOWN and not evidence.reports
-    evidence.add(REPORT_LIFETIME, report("m0", "a", "a", 50, 0))
-    evidence.forget(REPORT_LIFETIME, present=set())
-    assert not evidence.reports
-    evidence.add(REPORT_LIFETIME, report("m0", "nowhere", "a", 50, 0))
-    assert not evidence.reports
+        aggregator.add(0, report(f"m{n}", "a", "a", 5, 0))
+    assert aggregator.aggregate(REPORT_LIFETIME // 2).state["a", "a"] is ZoneState.HEALTHY
+    assert (
+        aggregator.aggregate(REPORT_LIFETIME).state["a", "a"] is ZoneState.UNKNOWN and not aggregator.reports
+    )
+    aggregator.add(REPORT_LIFETIME, report("m0", "a", "a", 50, 0))
+    aggregator.expire(REPORT_LIFETIME, present=set())
+    assert not aggregator.reports
+    aggregator.add(REPORT_LIFETIME, report("m0", "nowhere", "a", 50, 0))
+    assert not aggregator.reports
 
 
 def test_between_lost_and_well_lies_a_band():
-    evidence = ReportAggregator(ONE)
+    aggregator = ReportAggregator(ONE)
 
     def state(failed: float) -> ZoneState:
         for n in range(4):
-            evidence.add(0, report(f"m{n}", "a", "a", 10, failed))
-        return evidence.picture(0).state["a", "a"]
+            aggregator.add(0, report(f"m{n}", "a", "a", 10, failed))
+        return aggregator.aggregate(0).state["a", "a"]
 
     assert [state(4), state(6), state(4), state(3), state(1), state(4)] == [
         ZoneState.HEALTHY,
@@ -508,23 +510,23 @@
 
 def test_a_member_goes_by_the_newest_plan_and_an_old_one_changes_nothing():
     follower = Follower(ONE, "a", Plan(), 0)
-    assert follower.hear(SECOND, PLAN) and follower.shares(SECOND, "view") == {"a": 0.4, "b": 0.6}
-    assert not follower.hear(2 * SECOND, Plan(6, {"a": {"view": {"c": 1.0}}}))
-    assert follower.plan is PLAN and follower.confirmed == SECOND
+    assert follower.receive(SECOND, PLAN) and follower.shares(SECOND, "view") == {"a": 0.4, "b": 0.6}
+    assert not follower.receive(2 * SECOND, Plan(6, {"a": {"view": {"c": 1.0}}}))
+    assert follower.plan is PLAN and follower.confirmed_at == SECOND
 
 
 def test_a_plan_fades_to_the_local_rule():
     follower = Follower(ONE, "a", PLAN, 0)
-    assert follower.shares(FRESH, "view") == {"a": 0.4, "b": 0.6}
-    half = follower.shares((FRESH + FADED) // 2, "view")
+    assert follower.shares(FRESH_FOR, "view") == {"a": 0.4, "b": 0.6}
+    half = follower.shares((FRESH_FOR + FADED_AFTER) // 2, "view")
     assert half["a"] == pytest.approx(0.7) and half["b"] == pytest.approx(0.3)
-    assert follower.shares(FADED, "view") == {"a": 1.0}
+    assert follower.shares(FADED_AFTER, "view") == {"a": 1.0}
 
 
 def test_by_itself_a_member_sends_a_tenth_away_at_most_and_only_along_a_way_in_use():
     follower = Follower(ONE, "a", Plan(3, {"a": {"view": {"a": 0.9, "c": 0.1}}}), 0)
-    shares = follower.shares(FADED, "view", home_lost=True)
-    assert shares == {"a": pytest.approx(1 - ALONE), "c": pytest.approx(ALONE)}
+    shares = follower.shares(FADED_AFTER, "view", home_lost=True)
+    assert shares == {"a": pytest.approx(1 - MAX_LOCAL_SHIFT), "c": pytest.approx(MAX_LOCAL_SHIFT)}
     assert sum(shares.values()) == pytest.approx(1)
 
 
--- a/tests/test_zones_member.py
+++ b/tests/test_zones_member.py
@@ -1,5 +1,5 @@
 """One member's whole zones' core: evidence, holding the plan, operators' wishes, liars; the words on the
-wire; the tally around the module; and whole fleets in virtual time."""
+wire; the monitor around the module; and whole fleets in virtual time."""
 
 import random
 
@@ -21,11 +21,11 @@
     ZoneObservation,
     ZoneState,
 )
-from lupinmill.zones.follower import FADED, FRESH
+from lupinmill.zones.follower import FADED_AFTER, FRESH_FOR
 from lupinmill.zones.member import Member
 from lupinmill.zones.messages import MAX_PLAN_BYTES, InvalidMessage
 from lupinmill.zones.plan import Plan
-from lupinmill.zones.traffic_monitor import SHORT, TrafficMonitor, attach_monitor
+from lupinmill.zones.traffic_monitor import MAX_DENIED_SHARE, TrafficMonitor, attach_monitor
 from lupinmill.zones.zone_map import Workload, Zone, ZoneMap
 
 MAP = ZoneMap((Zone("a"), Zone("b"), Zone("c")), (Workload("view", 1.0), Workload("bid", 4.0, breaks=True)))
@@ -85,7 +85,7 @@
             self.now += SECOND
             for name in self.present():
                 found = self.reports.get(name) or report(name)
-                ready = {zone: int(seen.ready) for zone, seen in found.seen.items()}
+                ready = {zone: int(seen.ready) for zone, seen in found.observations.items()}
                 self.step(name, member.OwnReport(found, ready))
 
     def lose(self, zone: str) -> None:
@@ -139,7 +139,8 @@
             for name in ("m0", "m1", "m4"):  # the others are there, but their words get lost
                 seen = fleet.reports.get(name) or report(name)
                 fleet.step(
-                    name, member.OwnReport(seen, {zone: int(s.ready) for zone, s in seen.seen.items()})
+                    name,
+                    member.OwnReport(seen, {zone: int(s.ready) for zone, s in seen.observations.items()}),
                 )
 
     few(REPORT_LIFETIME // SECOND + 1)
@@ -155,14 +156,14 @@
     """It was stopped, and goes on: the lease's clock says so before it acts."""
     fleet = fleet_with_holder()
     old = fleet.cores["m0"]
-    assert old.holding is not None
+    assert old.holder_state is not None
     fleet.take("m1")
     fleet.said.clear()
     before = fleet.version
     fleet.lose("b")
     fleet.now += SECOND
     fleet.step("m0", member.OwnReport(report("m0"), {"a": 4}))
-    assert old.holding is None and fleet.version == before
+    assert old.holder_state is None and fleet.version == before
     fleet.second(6)
     assert fleet.cores["m5"].holder == "m1" and stays(fleet, "m0", "b") < 0.4
 
@@ -186,7 +187,11 @@
     fleet.decide_ = False
     fleet.lose("b")
     fleet.second(4)
-    assert fleet.cores["m0"].follower.plan.version == before == fleet.cores["m0"].holding.planner.plan.version
+    assert (
+        fleet.cores["m0"].follower.plan.version
+        == before
+        == fleet.cores["m0"].holder_state.planner.plan.version
+    )
 
 
 def test_a_member_that_hears_of_nobody_stays_by_its_plan_then_at_home():
@@ -196,9 +201,9 @@
     lonely = fleet.cores["m1"]
     assert lonely.home == "b"
     fleet.dead = set(NAMES) - {"m1"}
-    fleet.second(FRESH // SECOND - 1)
+    fleet.second(FRESH_FOR // SECOND - 1)
     assert fleet.go["m1"].plan["view"][0].get("b", 0) < 0.4
-    fleet.second(FADED // SECOND)
+    fleet.second(FADED_AFTER // SECOND)
     shares, way = fleet.go["m1"].plan["view"]
     assert shares["b"] == pytest.approx(0.9) and sum(way.values()) == pytest.approx(
         0.1
@@ -221,14 +226,14 @@
 
 
 def test_a_side_that_sees_a_zone_fail_calls_it_cut_and_only_those_in_it_call_it_down():
-    evidence = ReportAggregator(MAP, ("a", "b", "c"))
+    aggregator = ReportAggregator(MAP, ("a", "b", "c"))
     failing = ZoneObservation(30.0, 30.0, 0.0, 1.0, 0.0, 0.0, 4.0, 4.0)
     for n in (0, 3, 6):
-        evidence.add(0, report(f"m{n}", c=failing))
-    assert evidence.picture(0).state["a", "c"] is ZoneState.UNREACHABLE
+        aggregator.add(0, report(f"m{n}", c=failing))
+    assert aggregator.aggregate(0).state["a", "c"] is ZoneState.UNREACHABLE
     for n in (2, 5, 8):
-        evidence.add(0, report(f"m{n}", c=failing))
-    assert evidence.picture(0).state["a", "c"] is ZoneState.DOWN
+        aggregator.add(0, report(f"m{n}", c=failing))
+    assert aggregator.aggregate(0).state["a", "c"] is ZoneState.DOWN
 
 
 # --- operators ----------------------------------------------------------------------------------------------
@@ -276,7 +281,7 @@
     fleet.step("m5", member.OperatorRequested(2, "pin"))
     fleet.second(member.REQUEST_TIMEOUT // SECOND + 1)
     assert [done.serial for done in fleet.done] == [2] and not fleet.done[0].done
-    assert not fleet.cores["m5"].wishes
+    assert not fleet.cores["m5"].pending_requests
 
 
 def test_pinned_it_stays_whatever_happens():
@@ -308,12 +313,12 @@
     fleet = fleet_with_holder()
     core = fleet.cores["m8"]
     before = core.follower.plan
-    lie = messages.ReportAck(MAP.mark(), core.serial, 10**9, 99, [(1, 0)])
+    lie = messages.ReportAck(MAP.checksum(), core.serial, 10**9, 99, [(1, 0)])
     fleet.step("m8", member.MessageReceived("m2", messages.encode(lie)))
     assert core.follower.plan is before and core.brakes == {1: 0.1}, "never cut to nothing"
     fleet.step("m8", member.MessageReceived("m7", messages.encode(lie)))
     assert core.dropped["map"] == 1, "no elector"
-    old = messages.ReportAck(MAP.mark(), core.serial - 5, 10**9, 99, [])
+    old = messages.ReportAck(MAP.checksum(), core.serial - 5, 10**9, 99, [])
     fleet.step("m8", member.MessageReceived("m2", messages.encode(old)))
     assert core.dropped["old"] == 1
 
@@ -338,7 +343,7 @@
         if chance.random() < 0.2:
             fleet.step("m0", member.PlanDecided(0, bytes(data)))
     assert core.follower.plan.version == version
-    assert len(core.aggregator.reports) <= 9 and len(core.serials) <= 9 and len(core.wishes) == 0
+    assert len(core.aggregator.reports) <= 9 and len(core.serials) <= 9 and len(core.pending_requests) == 0
     assert len(core.dropped) <= 3
 
 
@@ -353,10 +358,10 @@
     assert len(data) < 1000
     back = messages.report_from_message(MAP, "m1", messages.decode(data))
     assert back.zone == "b" and all(0 <= rate <= 2**40 for rate in back.traffic.values())
-    evidence = ReportAggregator(MAP)
-    evidence.add(0, back)
-    evidence.picture(0)
-    assert all(0.1 <= part <= 1 for part in evidence.brakes(0).values())
+    aggregator = ReportAggregator(MAP)
+    aggregator.add(0, back)
+    aggregator.aggregate(0)
+    assert all(0.1 <= part <= 1 for part in aggregator.brakes(0).values())
 
 
 shares = st.dictionaries(st.sampled_from("abc"), st.floats(0, 1), max_size=3)
@@ -399,20 +404,20 @@
         messages.decode_plan(MAP, 1, data)
 
 
-# --- the tally ----------------------------------------------------------------------------------------------
+# --- the traffic monitor -------------------------------------------------------------------------------------
 
 
 def tallied() -> tuple[Sidecar, TrafficMonitor]:
     sidecar = Sidecar(deployment(workloads=[IDEM, KEYED], instances=1, cold_time=5 * SECOND))
-    tally = TrafficMonitor(ZoneMap((Zone("a"), Zone("b")), (Workload("view"), Workload("bid"))), "a", 0)
-    attach_monitor(sidecar, tally)
+    monitor = TrafficMonitor(ZoneMap((Zone("a"), Zone("b")), (Workload("view"), Workload("bid"))), "a", 0)
+    attach_monitor(sidecar, monitor)
     entries = [t.Listing(f"{z}{n}", t.State.READY, z) for z in "ab" for n in range(2)]
     sidecar.step(0, [t.Listed(t.ListKind.FULL, entries)])
-    return sidecar, tally
+    return sidecar, monitor
 
 
 def test_the_tally_counts_by_zone_and_keeps_nothing_of_a_submission():
-    sidecar, tally = tallied()
+    sidecar, monitor = tallied()
     now = 0
     for number in range(200):
         now += 10_000
@@ -424,28 +429,28 @@
         sidecar.step(now + 5_000, [t.Ended(name, 0, how, 5_000, how is t.How.HANDLED)])
         if how is t.How.RESET:
             sidecar.step(now + 5_000, [t.Withdrawn(name)])
-    told = tally.report(now, "m", sidecar)
+    told = monitor.report(now, "m", sidecar)
     assert told.traffic["view"] == pytest.approx(100, rel=0.2) and told.traffic["bid"] == 0
-    assert told.seen["a"].failed == 0 < told.seen["b"].failed
-    assert told.seen["a"].ready == 2 == told.seen["a"].listed
+    assert told.observations["a"].failed == 0 < told.observations["b"].failed
+    assert told.observations["a"].ready == 2 == told.observations["a"].listed
     assert (
-        1.5 < told.seen["a"].room / (told.seen["a"].tried / 2) < 2.5
+        1.5 < told.observations["a"].capacity / (told.observations["a"].attempts / 2) < 2.5
     ), "twice, at the pace of uncrowded ones"
-    assert not sidecar.desk.open and len(tally.cold) == 0
+    assert not sidecar.desk.open and len(monitor.cold) == 0
 
 
 def test_a_zone_that_denies_has_no_more_room_than_it_used():
-    sidecar, tally = tallied()
+    sidecar, monitor = tallied()
     assert (
-        tally.more(1.0, False, 0.0) == 2
-        and tally.more(1.0, True, 0.0) < 1.1
-        and tally.more(1.0, False, 1.0) == 1
+        monitor.headroom(1.0, False, 0.0) == 2
+        and monitor.headroom(1.0, True, 0.0) < 1.1
+        and monitor.headroom(1.0, False, 1.0) == 1
     )
-    assert tally.more(4.0, False, 0.0) == pytest.approx(8 / 7) and SHORT < 0.1
+    assert monitor.headroom(4.0, False, 0.0) == pytest.approx(8 / 7) and MAX_DENIED_SHARE < 0.1
 
 
 def test_cold_endpoints_are_told_with_their_rate_and_summed_into_a_brake():
-    sidecar, tally = tallied()
+    sidecar, monitor = tallied()
     sidecar.step(1, [t.Listed(t.ListKind.CHANGES, [t.Listing("a9", t.State.READY, "a", started=1)])])
     now = 1
     for number in range(150):
@@ -453,16 +458,18 @@
         orders = sidecar.step(now, [t.Arrived(f"s{number}", "view", now + SECOND)])
         if any(isinstance(order, t.Launch) for order in orders):
             sidecar.step(now, [t.Ended(f"s{number}", 0, t.How.HANDLED, 5_000, True)])
-    told = tally.report(now, "m", sidecar)
+    told = monitor.report(now, "m", sidecar)
     ((mark, (rate, warmth)),) = told.cold.items()
     assert mark == messages.endpoint_hash("a9") and rate > 0 and 0.3 <= warmth < 1
-    evidence = ReportAggregator(MAP)
+    aggregator = ReportAggregator(MAP)
     for n in range(9):
-        evidence.add(0, Report(f"m{n}", "abc"[n % 3], {}, report(f"m{n}").seen, {mark: (30.0, 0.3)}))
-    parts = evidence.brakes(0)
+        aggregator.add(
+            0, Report(f"m{n}", "abc"[n % 3], {}, report(f"m{n}").observations, {mark: (30.0, 0.3)})
+        )
+    parts = aggregator.brakes(0)
     assert 0.1 <= parts[mark] < 0.5
-    evidence.add(0, Report("m3", "a", {}, report("m3").seen, {mark: (1e12, 0.3)}))
-    assert evidence.brakes(0)[mark] >= parts[mark] / 3, "one liar slows all by no more than that"
+    aggregator.add(0, Report("m3", "a", {}, report("m3").observations, {mark: (1e12, 0.3)}))
+    assert aggregator.brakes(0)[mark] >= parts[mark] / 3, "one liar slows all by no more than that"
 
 
 # --- whole fleets in virtual time ---------------------------------------------------------------------------
@@ -490,7 +497,7 @@
     run = played("zone-loss", 2, 34)
     assert crossing(run, 3, 19) < 0.05 < 0.15 < crossing(run, 24, 33)
     assert not any(run.world.referee.counts.values()) and not run.commons.broken
-    holders = [post for post in run.commons.posts.values() if post.member and post.member.holding]
+    holders = [post for post in run.commons.posts.values() if post.member and post.member.holder_state]
     assert len(holders) == 1
 
 
