--- a/tests/test_zones_member.py
+++ b/tests/test_zones_member.py
@@ -404,7 +404,7 @@
         messages.decode_plan(MAP, 1, data)
 
 
-# --- the traffic monitor -------------------------------------------------------------------------------------
+# --- the traffic monitor ------------------------------------------------------------------------------------
 
 
 def tallied() -> tuple[Sidecar, TrafficMonitor]:
