--- a/lupinmill/lab/zones_measure.py
+++ b/lupinmill/lab/zones_measure.py
@@ -1,5 +1,6 @@
-"""Zones in virtual time by the seed: the same days without a plan, by simple rules, by the plan, and by one
-that sees all. Pairs of the same seed have the same arrivals and works."""
+"""Compares modes of balancing between zones in virtual time: without a plan, by simple rules, by the common
+plan, and with full knowledge. Trials of the same scenario and seed have the same arrivals and amounts of
+work."""
 
 from __future__ import annotations
 
@@ -15,11 +16,11 @@
 from lupinmill.lab.timeline import SECOND
 from lupinmill.lab.virtual import VirtualRun
 
-WANTED = ("service", "worst 10 s", "crossing", "denied")
+COMPARED_FIGURES = ("service", "worst 10 s", "crossing", "denied")
 
 
 @dataclass(frozen=True)
-class Day:
+class Trial:
     scenario: str
     mode: str
     seed: int
@@ -27,21 +28,21 @@
 
 
 @dataclass
-class Played:
-    day: Day
+class TrialResult:
+    trial: Trial
     figures: dict[str, float]
     broken: list[str] = field(default_factory=list)
 
 
-def play(day: Day) -> Played:
-    table = raw(find(day.scenario))
-    for key, value in day.changes:
-        table = over(table, nested(table, key, value, day.scenario))
-    read = check(table, day.scenario)
-    run = VirtualRun(read, day.seed, commons=commons.of(day.mode))
+def run_trial(trial: Trial) -> TrialResult:
+    table = raw(find(trial.scenario))
+    for key, value in trial.changes:
+        table = over(table, nested(table, key, value, trial.scenario))
+    scenario = check(table, trial.scenario)
+    run = VirtualRun(scenario, trial.seed, commons=commons.of(trial.mode))
     run.play()
     endpoints = [e for tier in run.world.tiers for e in tier]
-    found = run.measure.figures(read.goal, endpoints, 0, 1.0, 1.0)
+    found = run.measure.figures(scenario.goal, endpoints, 0, 1.0, 1.0)
     seconds, referee = run.measure.seconds, run.world.referee
     figures = {
         "service": found.service,
@@ -56,20 +57,21 @@
         figures |= run.commons.figures()
         cuts = [record for record in run.world.trouble_records if record.kind == "zone_cut"]
         if cuts:
-            figures["left after s"] = left_after(run, run.world.start + int(cuts[0].began * SECOND))
+            figures["left after s"] = seconds_until_left(run, run.world.start + int(cuts[0].began * SECOND))
         broken += run.commons.broken
-    return Played(day, figures, broken)
+    return TrialResult(trial, figures, broken)
 
 
-def left_after(run: Any, lost_at: int) -> float:
-    """Seconds from a moment until a plan that leaves a zone is in force everywhere; nan: there was none."""
-    force = [f for f in run.commons.versions.values() if f.left and f.at >= lost_at]
+def seconds_until_left(run: Any, lost_at: int) -> float:
+    """Seconds from a moment until a plan that leaves a zone is in force at all sidecars; NaN without such a
+    plan."""
+    records = [f for f in run.commons.versions.values() if f.left and f.at >= lost_at]
     count = sum(post.peer is not None for post in run.commons.posts.values())
-    spans = [max(f.known.values()) - lost_at for f in force if len(f.known) >= count]
+    spans = [max(f.known.values()) - lost_at for f in records if len(f.known) >= count]
     return min(spans) / SECOND if spans else float("nan")
 
 
-def line(name: str, rows: list[Played]) -> str:
+def format_mode(name: str, rows: list[TrialResult]) -> str:
     parts = []
     for key in dict.fromkeys(key for row in rows for key in row.figures):
         values = [row.figures[key] for row in rows]
@@ -83,27 +85,28 @@
     seeds: list[int],
     changes: tuple[tuple[str, str], ...],
     jobs: int,
-    say: Callable[[str], None],
-) -> dict[str, list[Played]]:
-    """Prints a line a mode, then the paired differences of `plan` to each other mode."""
-    found: dict[str, list[Played]] = {}
+    echo: Callable[[str], None],
+) -> dict[str, list[TrialResult]]:
+    """Prints a line per mode, then the paired differences between `plan` and each other mode. `*` marks those
+    whose interval excludes 0."""
+    found: dict[str, list[TrialResult]] = {}
     with ProcessPoolExecutor(jobs) as pool:
-        days = [Day(scenario, mode, seed, changes) for mode in modes for seed in seeds]
-        for played in pool.map(play, days):
-            found.setdefault(played.day.mode, []).append(played)
+        trials = [Trial(scenario, mode, seed, changes) for mode in modes for seed in seeds]
+        for result in pool.map(run_trial, trials):
+            found.setdefault(result.trial.mode, []).append(result)
     for mode in modes:
-        say(line(mode, found[mode]))
+        echo(format_mode(mode, found[mode]))
         for row in found[mode]:
             for text in row.broken[:3]:
-                say(f"  BROKEN: seed {row.day.seed}, {text}")
+                echo(f"  BROKEN: seed {row.trial.seed}, {text}")
     if "plan" in found:
         for mode in modes:
             if mode != "plan":
                 parts = []
-                for key in WANTED:
+                for key in COMPARED_FIGURES:
                     pairs = [b.figures[key] - a.figures[key] for a, b in zip(found[mode], found["plan"])]
-                    middle, low, high = interval(pairs)
-                    star = "*" if low > 0 or high < 0 else ""
-                    parts.append(f"{key} {middle:+.3f} ({low:+.3f} to {high:+.3f}){star}")
-                say(f"plan less {mode}, {len(seeds)} pairs: " + "  ".join(parts))
+                    mean_difference, low, high = interval(pairs)
+                    marker = "*" if low > 0 or high < 0 else ""
+                    parts.append(f"{key} {mean_difference:+.3f} ({low:+.3f} to {high:+.3f}){marker}")
+                echo(f"plan less {mode}, {len(seeds)} pairs: " + "  ".join(parts))
     return found
--- a/lupinmill/lab/zones_sockets.py
+++ b/lupinmill/lab/zones_sockets.py
@@ -1,8 +1,9 @@
-"""Real sidecars in zones, with stand-in endpoints and clients, and the network between zones in the hand of
-the rig: datagrams between sidecars and connections to endpoints pass through it one by one.
+"""Real sidecars in zones, with stand-in endpoints and clients. The network between zones is controlled by the
+test rig: datagrams between sidecars and connections to endpoints pass through its relays and proxies.
 
-Built on `SocketRun`: same world, clients and referee. Owns, beyond its processes and stand-ins, a way for
-each sidecar to each endpoint and a relay between every two sidecars; `close` gives all of it back."""
+Built on `SocketRun`: same world, clients and referee. In addition to its processes and stand-ins it owns a
+proxy from each sidecar to each endpoint and a datagram relay between every two sidecars; `close` releases all
+of them."""
 
 from __future__ import annotations
 
@@ -27,31 +28,33 @@
 from lupinmill.lab.sockets import SocketRun
 from lupinmill.lab.timeline import SECOND
 
-LOOK = 0.1
-KEPT = 200
-LONGEST_LINE = 300  # characters, where lines are told
-OPERATOR_LIMIT_S = 15.0
-PATIENT = 20 * SECOND  # by which time limits of the rules are longer: this judges what is done, not how fast
+POLL_INTERVAL_S = 0.1
+KEPT_LOG_LINES = 200
+MAX_LOG_LINE_CHARS = 300  # in failure messages
+OPERATOR_TIMEOUT_S = 15.0
+# Added to the time limits of the rules: these tests check what happens, not how fast.
+EXTRA_TIME = 20 * SECOND
 
 
-class Net:
-    """The network as the world's troubles have it: what `Way` and the relays ask."""
+class ZoneNetwork:
+    """Tells proxies and relays what the faults of the simulated world block."""
 
     def __init__(self, run: ZoneRun) -> None:
         self.run = run
         self.zone_of: dict[str, str] = {}
 
-    def blocks(self, sender: str, hearer: str) -> bool:
-        return self.run.world.network.blocked(self.zone_of.get(sender, ""), self.zone_of.get(hearer, ""))
+    def blocks(self, sender: str, receiver: str) -> bool:
+        return self.run.world.network.blocked(self.zone_of.get(sender, ""), self.zone_of.get(receiver, ""))
 
 
-class ZoneWay(Way):
-    """What a sidecar opens to an endpoint. Guards against a request that a sidecar has given up on and that
-    is delivered when a cut heals: a connection that was held up and closed meanwhile is dropped whole."""
+class ZoneProxy(Way):
+    """Carries a sidecar's connections to an endpoint. A connection that was held up by a partition and closed
+    meanwhile is dropped: guards against a request that the sidecar has given up on and that would otherwise
+    be delivered when the partition heals."""
 
     async def carry(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """As the kernel does where the other end never answered: who has hung up meanwhile is not
-        connected."""
+        """Like the kernel where the other end never answered: a client that has closed the connection
+        meanwhile is not connected."""
         first = await reader.read(PIECE)
         await self.passable(0)
         async with self.far_end() as (back, far):
@@ -77,16 +80,17 @@
             writer.write_eof()
 
 
-class Relay:
-    """Datagrams from `sender` come in here and go on to `hearer` from the far relay."""
+class DatagramRelay:
+    """Receives datagrams from `sender` and forwards them to `receiver` from the relay of the reverse
+    direction."""
 
-    def __init__(self, run: ZoneRun, sender: str, hearer: str) -> None:
-        self.run, self.sender, self.hearer = run, sender, hearer
+    def __init__(self, run: ZoneRun, sender: str, receiver: str) -> None:
+        self.run, self.sender, self.receiver = run, sender, receiver
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.sock.setblocking(False)
         self.sock.bind((HOST, 0))
         self.address = f"{HOST}:{self.sock.getsockname()[1]}"
-        self.far: Relay | None = None
+        self.reverse: DatagramRelay | None = None
 
     def readable(self) -> None:
         for _ in range(64):
@@ -94,27 +98,28 @@
                 data = self.sock.recv(LARGEST)
             except OSError:
                 return
-            if not self.run.net.blocks(self.sender, self.hearer) and self.far is not None:
+            if not self.run.net.blocks(self.sender, self.receiver) and self.reverse is not None:
                 try:
-                    self.far.sock.sendto(data, (HOST, self.run.peer_port[self.hearer]))
+                    self.reverse.sock.sendto(data, (HOST, self.run.peer_port[self.receiver]))
                 except OSError:
                     pass
 
 
 class ZoneRun(SocketRun):
-    """`zones`: of the operator's file, beyond the map: text of `[zones.workloads...]`."""
+    """`extra_config`: text that is appended to the operator's file after the zone map, such as
+    `[zones.workloads...]`."""
 
-    def __init__(self, scenario: Scenario, seed: int, more: str = "", lease_s: float = 1.0) -> None:
+    def __init__(self, scenario: Scenario, seed: int, extra_config: str = "", lease_s: float = 1.0) -> None:
         super().__init__(scenario, seed, peers=True)
-        self.more, self.lease_s = more, lease_s
-        self.net = Net(self)
+        self.extra_config, self.lease_s = extra_config, lease_s
+        self.net = ZoneNetwork(self)
         self.peer_port: dict[str, int] = {}
-        self.relays: dict[tuple[str, str], Relay] = {}
-        self.ways: dict[tuple[str, str], tuple[ZoneWay, str]] = {}
+        self.relays: dict[tuple[str, str], DatagramRelay] = {}
+        self.proxies: dict[tuple[str, str], tuple[ZoneProxy, str]] = {}
         self.lines: dict[str, deque[dict[str, Any]]] = {}
-        self.taken: dict[int, str] = {}  # epochs of the lease on the plan
-        self.plans: dict[int, str] = {}  # versions, as told as made
-        self.broken: list[str] = []
+        self.lease_epochs: dict[int, str] = {}  # by epoch of the lease on the plan: who took it
+        self.plans: dict[int, str] = {}  # by version: who logged that it made it
+        self.violations: list[str] = []
 
     async def set_up(self, folder: Path) -> None:
         names = [f"s{at}" for at in range(self.world.sidecars)]
@@ -123,13 +128,13 @@
         for at, name in enumerate(names):
             self.net.zone_of[name] = self.world.zones[at % len(self.world.zones)]
             self.peer_port[name] = free_port(20_000 + 131 * at)
-            self.lines[name] = deque(maxlen=KEPT)
+            self.lines[name] = deque(maxlen=KEPT_LOG_LINES)
         for sender in names:
-            for hearer in names:
-                if sender != hearer:
-                    self.relays[sender, hearer] = Relay(self, sender, hearer)
-        for (sender, hearer), relay in self.relays.items():
-            relay.far = self.relays[hearer, sender]
+            for receiver in names:
+                if sender != receiver:
+                    self.relays[sender, receiver] = DatagramRelay(self, sender, receiver)
+        for (sender, receiver), relay in self.relays.items():
+            relay.reverse = self.relays[receiver, sender]
             loop.add_reader(relay.sock, relay.readable)
         for name in names:
             self.write_file(folder, name, names)
@@ -146,7 +151,7 @@
             rows.append(f'[zones.map.{zone}]\nregion = "{self.world.network.regions[zone]}"\n')
         text = (
             f'site = "zones"\n\n[peers]\nelectors = {orjson.dumps(self.electors).decode()}\n'
-            f"lease_s = {self.lease_s}\nlive_count = true\n\n" + "\n".join(rows) + self.more
+            f"lease_s = {self.lease_s}\nlive_count = true\n\n" + "\n".join(rows) + self.extra_config
         )
         tomllib.loads(text)
         (folder / f"{name}.toml").write_text(text)
@@ -155,27 +160,29 @@
         process = await super().make_process(name, tier)
         process.environ = {"BALANCER_OPERATOR_FILE": str(self.folder / f"{name}.toml")}
         for endpoint in (e for tier_ in self.world.tiers for e in tier_):
-            await self.open_way(name, endpoint.shape.name, endpoint.shape.zone)
+            await self.open_proxy(name, endpoint.shape.name, endpoint.shape.zone)
         return process
 
-    async def open_way(self, sidecar: str, endpoint: str, zone: str) -> None:
+    async def open_proxy(self, sidecar: str, endpoint: str, zone: str) -> None:
         self.net.zone_of[endpoint] = zone
         host, _, port = self.endpoints.address(endpoint).partition(":")
-        way = ZoneWay(self.net, sidecar, endpoint, (host, int(port)))  # type: ignore[arg-type]
-        self.ways[sidecar, endpoint] = (way, await way.open())
+        proxy = ZoneProxy(self.net, sidecar, endpoint, (host, int(port)))  # type: ignore[arg-type]
+        self.proxies[sidecar, endpoint] = (proxy, await proxy.open())
 
     def configuration_of(self, process: Process) -> dict[str, Any]:
         table = super().configuration_of(process)
         table["operator"] = process.operator or f"{HOST}:0"
-        table["known"]["endpoints"] = [self.seen_by(process.name, row) for row in table["known"]["endpoints"]]
+        table["known"]["endpoints"] = [
+            self.endpoint_row_for(process.name, row) for row in table["known"]["endpoints"]
+        ]
         return table
 
-    def seen_by(self, sidecar: str, row: dict[str, Any]) -> dict[str, Any]:
-        return row | {"address": self.ways[sidecar, row["name"]][1]}
+    def endpoint_row_for(self, sidecar: str, row: dict[str, Any]) -> dict[str, Any]:
+        return row | {"address": self.proxies[sidecar, row["name"]][1]}
 
     def row(self, entry: Entry, sidecar: str = "") -> dict[str, Any]:
         row = super().row(entry, sidecar)
-        return self.seen_by(sidecar, row) if sidecar else row
+        return self.endpoint_row_for(sidecar, row) if sidecar else row
 
     def log_line(self, process: Process, event: dict[str, Any]) -> None:
         super().log_line(process, event)
@@ -184,9 +191,9 @@
             self.lines[name].append(event)
         if what == "lease" and event.get("topic") == "zones" and event.get("text") == "taken":
             epoch = int(event["epoch"])
-            if epoch in self.taken:
-                self.broken.append(f"epoch {epoch} was taken by {self.taken[epoch]} and by {name}")
-            self.taken[epoch] = name
+            if epoch in self.lease_epochs:
+                self.violations.append(f"epoch {epoch} was taken by {self.lease_epochs[epoch]} and by {name}")
+            self.lease_epochs[epoch] = name
         elif what == "decision" and event.get("topic") == "zones" and event.get("text") == "made":
             self.plans[int(event["version"])] = name
 
@@ -198,28 +205,28 @@
         for relay in self.relays.values():
             loop.remove_reader(relay.sock)
             relay.sock.close()
-        await asyncio.gather(*(way.close() for way, _ in self.ways.values()))
+        await asyncio.gather(*(proxy.close() for proxy, _ in self.proxies.values()))
         TAKEN.difference_update(self.peer_port.values())
 
 
 class ZoneRig:
-    """`async with ZoneRig(...) as rig:` a fleet in zones under load. What is done to it and waited for is the
-    caller's."""
+    """A fleet in zones under load: `async with ZoneRig(...) as rig:`. The caller injects the faults and waits
+    for their effects."""
 
-    def __init__(self, title: str, seed: int, more: str = "", **changes: Any) -> None:
+    def __init__(self, title: str, seed: int, extra_config: str = "", **changes: Any) -> None:
         table = over(raw(find("zones-calm")), {"title": title, "seconds": 900.0, **changes})
-        self.run = ZoneRun(check(table, title), seed, more)
-        self.run.world.referee.grace += PATIENT
-        self.run.world.referee.drain_grace += PATIENT
-        self.run.world.referee.slack = PATIENT
+        self.run = ZoneRun(check(table, title), seed, extra_config)
+        self.run.world.referee.grace += EXTRA_TIME
+        self.run.world.referee.drain_grace += EXTRA_TIME
+        self.run.world.referee.slack = EXTRA_TIME
         self.seed = seed
-        self.stopped: dict[str, None] = {}
+        self.paused: dict[str, None] = {}
 
     async def __aenter__(self) -> ZoneRig:
-        self.holder = tempfile.TemporaryDirectory(prefix="lupinmill-zones-")
+        self.temp_dir = tempfile.TemporaryDirectory(prefix="lupinmill-zones-")
         try:
-            await self.run.set_up(Path(self.holder.name))
-            self.pumping = asyncio.create_task(self.run.pump())
+            await self.run.set_up(Path(self.temp_dir.name))
+            self.pump_task = asyncio.create_task(self.run.pump())
         except BaseException:
             await self.close(False)
             raise
@@ -230,15 +237,15 @@
     ) -> None:
         await self.close(True)
 
-    async def close(self, pumping: bool) -> None:
+    async def close(self, started: bool) -> None:
         self.run.stop = True
-        if pumping:
-            self.pumping.cancel()
-            await asyncio.gather(self.pumping, return_exceptions=True)
+        if started:
+            self.pump_task.cancel()
+            await asyncio.gather(self.pump_task, return_exceptions=True)
         await self.run.tear_down()
-        self.holder.cleanup()
+        self.temp_dir.cleanup()
 
-    # What is asked of it.
+    # Queries and waits.
 
     def process(self, name: str) -> Process:
         return next(process for process in self.run.fronts if process.name == name)
@@ -246,67 +253,79 @@
     def alive(self) -> list[str]:
         return [process.name for process in self.run.fronts if process.alive()]
 
-    def of_zone(self, *zones: str) -> list[str]:
+    def sidecars_in(self, *zones: str) -> list[str]:
         return [p.name for p in self.run.fronts if self.run.net.zone_of[p.name] in zones]
 
     async def call(self, name: str, path: str, method: str = "GET") -> tuple[int, bytes]:
-        return await call_operator(self.process(name).operator, path, method, OPERATOR_LIMIT_S)
+        return await call_operator(self.process(name).operator, path, method, OPERATOR_TIMEOUT_S)
 
-    async def show(self, name: str) -> dict[str, Any]:
+    async def zones_status(self, name: str) -> dict[str, Any]:
         status, body = await self.call(name, "zones")
         assert status == 200, body
         return orjson.loads(body)
 
-    async def until(
-        self, what: str, names: list[str], holds: Callable[[dict[str, Any]], bool], limit: float = 90.0
+    async def wait_until(
+        self,
+        description: str,
+        names: list[str],
+        condition: Callable[[dict[str, Any]], bool],
+        timeout_s: float = 90.0,
     ) -> list[dict[str, Any]]:
-        """Waits until it holds of the table of each of them, all at one look."""
+        """Waits until the condition holds for the status tables of all these sidecars in one poll."""
         loop = asyncio.get_running_loop()
-        ends = loop.time() + limit
+        deadline = loop.time() + timeout_s
         while True:
-            if self.pumping.done():
-                await self.pumping
+            if self.pump_task.done():
+                await self.pump_task
             tables: list[dict[str, Any]] = []
             for name in names:
                 try:
-                    tables.append(await self.show(name))
+                    tables.append(await self.zones_status(name))
                 except (OSError, AssertionError, IndexError, TimeoutError):
                     break
-            if len(tables) == len(names) and all(holds(table) for table in tables):
+            if len(tables) == len(names) and all(condition(table) for table in tables):
                 return tables
-            if loop.time() > ends:
+            if loop.time() > deadline:
                 last = {n: (t["version"], t["why"], t["holder"], t["trust"]) for n, t in zip(names, tables)}
-                raise AssertionError(f"not reached (seed {self.seed}): {what}\n{last}\n{self.last_lines()}")
-            await asyncio.sleep(LOOK)
+                raise AssertionError(
+                    f"condition not reached (seed {self.seed}): {description}\n{last}\n{self.last_lines()}"
+                )
+            await asyncio.sleep(POLL_INTERVAL_S)
 
-    async def until_said(self, what: str, names: list[str], text: str, limit: float = 90.0) -> None:
-        """Waits until each has a line with that text among its last."""
+    async def wait_for_log(
+        self, description: str, names: list[str], text: str, timeout_s: float = 90.0
+    ) -> None:
+        """Waits until each sidecar has that text among its last log lines."""
         loop = asyncio.get_running_loop()
-        ends = loop.time() + limit
+        deadline = loop.time() + timeout_s
         while not all(any(text in str(line.get("text")) for line in self.run.lines[n]) for n in names):
-            if loop.time() > ends:
-                raise AssertionError(f"not said (seed {self.seed}): {what}\n{self.last_lines()}")
-            await asyncio.sleep(LOOK)
-
-    async def holds_the_plan(self, *but: str) -> str:
-        """Who holds it now, by the word of all that live but these; not one of these."""
-        others = [name for name in self.alive() if name not in but]
-        tables = await self.until(
-            "all know one holder", others, lambda t: bool(t["holder"]) and t["holder"] not in but
+            if loop.time() > deadline:
+                raise AssertionError(
+                    f"text not logged (seed {self.seed}): {description}\n{self.last_lines()}"
+                )
+            await asyncio.sleep(POLL_INTERVAL_S)
+
+    async def wait_for_holder(self, *excluded: str) -> str:
+        """Waits until all live sidecars but the excluded ones name the same lease holder, none of the
+        excluded, and returns it."""
+        others = [name for name in self.alive() if name not in excluded]
+        tables = await self.wait_until(
+            "all know one holder", others, lambda t: bool(t["holder"]) and t["holder"] not in excluded
         )
         names = {table["holder"] for table in tables}
-        return names.pop() if len(names) == 1 else await self.holds_the_plan(*but)
+        return names.pop() if len(names) == 1 else await self.wait_for_holder(*excluded)
 
-    async def flows(self, seconds: float = 2.0) -> dict[tuple[str, str], int]:
-        """Launches that begin at endpoints within some seconds, by the sidecar's zone and the endpoint's."""
+    async def count_attempts(self, seconds: float = 2.0) -> dict[tuple[str, str], int]:
+        """Attempts that start at endpoints within some seconds, by the zones of the sidecar and the
+        endpoint."""
         referee, found = self.run.world.referee, {}
         seen: dict[tuple[str, str], int] = {}
         sent = referee.sent
 
-        def watched(now: int, submission: str, endpoint: Any, sidecar: str) -> Any:
+        def watched(now: int, request_id: str, endpoint: Any, sidecar: str) -> Any:
             key = (self.run.net.zone_of[sidecar], endpoint.shape.zone)
             seen[key] = seen.get(key, 0) + 1
-            return sent(now, submission, endpoint, sidecar)
+            return sent(now, request_id, endpoint, sidecar)
 
         referee.sent = watched  # type: ignore[method-assign]
         try:
@@ -317,25 +336,26 @@
         return found
 
     async def restart(self, name: str) -> None:
-        """After a kill, once its end has been seen."""
+        """After a kill, once the end of the process has been observed."""
         process = self.process(name)
         if process.reader is not None:
             await asyncio.gather(process.reader, return_exceptions=True)
         await self.run.restart(process)
 
-    def stop(self, name: str) -> None:
-        """SIGSTOP: what it has taken it answers too late, and that is not held against it."""
-        self.stopped[name] = None
+    def pause(self, name: str) -> None:
+        """Sends SIGSTOP. `assert_invariants` tolerates that requests which it had accepted miss their hard
+        limit."""
+        self.paused[name] = None
         process = self.process(name)
         process.ready = False  # clients go elsewhere
         process.signal(signal.SIGSTOP)
 
-    def go_on(self, name: str) -> None:
+    def resume(self, name: str) -> None:
         self.process(name).signal(signal.SIGCONT)
         self.process(name).ready = True
 
-    def lose_zone(self, zone: str) -> None:
-        """All its endpoints fall silent; the list says nothing for a while."""
+    def fail_zone(self, zone: str) -> None:
+        """All endpoints of the zone stop responding; the endpoint list does not show it for a while."""
         for endpoint in [
             e for tier in self.run.world.tiers for e in tier if e.shape.zone == zone and e.alive
         ]:
@@ -345,27 +365,28 @@
         for endpoint in [e for tier in self.run.world.tiers for e in tier if e.shape.zone == zone]:
             self.run.act(self.run.world.revive, endpoint)
 
-    def cut(self, zone: str, on: bool, ways: tuple[bool, bool] = (True, True)) -> None:
-        """Nothing passes between it and the others: out of it, into it."""
+    def set_partition(self, zone: str, active: bool, directions: tuple[bool, bool] = (True, True)) -> None:
+        """Blocks the traffic between a zone and the others, or lets it pass again. `directions`: out of it,
+        into it."""
         others = [other for other in self.run.world.zones if other != zone]
-        found = [(zone, o) for o in others if ways[0]] + [(o, zone) for o in others if ways[1]]
-        self.run.world.block(found, 1 if on else -1)
+        found = [(zone, o) for o in others if directions[0]] + [(o, zone) for o in others if directions[1]]
+        self.run.world.block(found, 1 if active else -1)
 
-    def judge(self) -> None:
-        """What must hold whatever was done."""
+    def assert_invariants(self) -> None:
+        """Fails if a rule was broken, an epoch was taken twice or a process crashed."""
         broken = [
             (b.rule, b.second, b.what, b.text)
             for b in self.run.world.referee.broken
-            if not ("hard limit" in b.text and self.sidecar_of(b.what) in self.stopped)
+            if not ("hard limit" in b.text and self.sidecar_of(b.what) in self.paused)
         ]
         crashes = [crash for process in self.run.fronts for crash in process.crashes]
         assert (
-            not broken and not self.run.broken and not crashes
-        ), f"seed {self.seed}: {broken[:5]} {self.run.broken} {crashes}\n{self.last_lines()}"
+            not broken and not self.run.violations and not crashes
+        ), f"seed {self.seed}: {broken[:5]} {self.run.violations} {crashes}\n{self.last_lines()}"
 
-    def sidecar_of(self, submission: str) -> str:
-        found = self.run.work_of(submission)
+    def sidecar_of(self, request_id: str) -> str:
+        found = self.run.work_of(request_id)
         return found.sidecar if found is not None else ""
 
     def last_lines(self, count: int = 8) -> str:
-        return last_lines(self.run.lines, count, LONGEST_LINE)
+        return last_lines(self.run.lines, count, MAX_LOG_LINE_CHARS)
