--- a/lupinmill/zones/driver.py
+++ b/lupinmill/zones/driver.py
@@ -1,7 +1,7 @@
-"""Drives the zones' core: between the peers, the decision module and the operators.
+"""Connects the zone logic to the peers, the decision module and the operators.
 
-It looks at the module through one place, its `step`: notes before, orders after. Owns the core, the tally and
-the calls of operators that wait for their answer."""
+It observes the decision module in one place only, its `step`: the events before, the commands after. Owns the
+zone logic (`Member`), the traffic monitor and the operators' requests that wait for their answer."""
 
 from __future__ import annotations
 
@@ -15,65 +15,65 @@
 from lupinmill.peers.driver import Driver
 from lupinmill.routing.engine import Engine, Log
 from lupinmill.zones import member
-from lupinmill.zones.evidence import SECOND
-from lupinmill.zones.map import Map
 from lupinmill.zones.member import Member
-from lupinmill.zones.tally import Tally, watch
-from lupinmill.zones.words import mark_of
+from lupinmill.zones.messages import endpoint_hash
+from lupinmill.zones.reports import SECOND
+from lupinmill.zones.traffic_monitor import TrafficMonitor, attach_monitor
+from lupinmill.zones.zone_map import ZoneMap
 
 TOPIC = "zones"
-PERIOD = 1.0  # seconds
-MOST_LARGE = 250  # members, above which each tells its evidence less often
+REPORT_PERIOD_S = 1.0
+MAX_MEMBERS_AT_FULL_RATE = 250  # with more, each member reports less often
 
 
-class Zoning:
-    def __init__(self, map_: Map, told: peer.PeerSettings, peers: Driver, engine: Engine, log: Log) -> None:
+class ZoneDriver:
+    def __init__(self, map_: ZoneMap, told: peer.PeerSettings, peers: Driver, engine: Engine, log: Log) -> None:
         self.map, self.peers, self.engine, self.log = map_, peers, engine, log
         now = engine.clock.now()
         seats = {seat.name: seat for seat in told.roster}
         home = seats[told.name].zone
-        peopled = tuple(zone.name for zone in map_.zones if any(s.zone == zone.name for s in told.roster))
-        self.core = Member(map_, told.name, home, told.electors, peopled, now)
-        self.tally = Tally(map_, home, now)
-        self.period = PERIOD * max(1.0, len(told.roster) / MOST_LARGE)
-        self.found: member.Go | None = None  # what the module is to hear of
+        member_zones = tuple(zone.name for zone in map_.zones if any(s.zone == zone.name for s in told.roster))
+        self.core = Member(map_, told.name, home, told.electors, member_zones, now)
+        self.monitor = TrafficMonitor(map_, home, now)
+        self.period = REPORT_PERIOD_S * max(1.0, len(told.roster) / MAX_MEMBERS_AT_FULL_RATE)
+        self.applied: member.ApplyPlan | None = None  # the last one, for the decision module
         self.waiting: dict[int, Callable[[bool, str], None]] = {}
         self.serial = now
-        self.inbox: list[member.Note] = []
+        self.inbox: list[member.Event] = []
         self.stepping = False
-        peers.features[TOPIC] = self.heard
-        watch(engine.sidecar, self.tally)
+        peers.features[TOPIC] = self.on_peer_event
+        attach_monitor(engine.sidecar, self.monitor)
 
-    def change(self, told: peer.PeerSettings) -> None:
-        """Another roster, from now on."""
+    def update_members(self, told: peer.PeerSettings) -> None:
+        """Another member list applies from now on."""
         zones = {seat.zone for seat in told.roster}
-        self.core.evidence.peopled = tuple(zone.name for zone in self.map.zones if zone.name in zones)
+        self.core.aggregator.member_zones = tuple(zone.name for zone in self.map.zones if zone.name in zones)
 
     # From the peers.
 
-    def heard(self, order: peer.Command) -> None:
-        if isinstance(order, peer.FeatureMessageReceived):
-            self.tell(member.Heard(order.sender, order.payload))
-        elif isinstance(order, peer.DecisionAdopted):
-            self.tell(member.Decided(order.version, order.body))
-        elif isinstance(order, proposer.LeaseAcquired):
-            self.tell(member.Took(order.epoch))
-        elif isinstance(order, proposer.LeaseLost):
-            self.tell(member.Lost())
-        elif isinstance(order, peer.DecisionExpired):
-            self.tell(member.Forgot())
-
-    # Once a period.
-
-    def look(self) -> None:
+    def on_peer_event(self, event: peer.Command) -> None:
+        if isinstance(event, peer.FeatureMessageReceived):
+            self.process(member.MessageReceived(event.sender, event.payload))
+        elif isinstance(event, peer.DecisionAdopted):
+            self.process(member.PlanDecided(event.version, event.body))
+        elif isinstance(event, proposer.LeaseAcquired):
+            self.process(member.LeaseAcquired(event.epoch))
+        elif isinstance(event, proposer.LeaseLost):
+            self.process(member.LeaseLost())
+        elif isinstance(event, peer.DecisionExpired):
+            self.process(member.PlanExpired())
+
+    # Once per period.
+
+    def send_report(self) -> None:
         sidecar, now = self.engine.sidecar, self.engine.clock.now()
-        report = self.tally.report(now, self.core.name, sidecar)
-        self.tell(member.Own(report, dict(sidecar.dispatcher.open_in)))
+        report = self.monitor.report(now, self.core.name, sidecar)
+        self.process(member.OwnReport(report, dict(sidecar.dispatcher.open_in)))
 
-    # Notes in, orders out.
+    # Events in, commands out.
 
-    def tell(self, *notes: member.Note) -> None:
-        self.inbox += notes
+    def process(self, *events: member.Event) -> None:
+        self.inbox += events
         if self.stepping:
             return
         self.stepping, again = True, True
@@ -81,38 +81,44 @@
             while again:
                 taken, self.inbox = self.inbox, []
                 now, epoch = self.engine.clock.now(), self.peers.held_epoch(TOPIC)
-                for order in self.core.step(now, taken, epoch, self.peers.present()):
-                    self.carry_out(order)
+                for command in self.core.step(now, taken, epoch, self.peers.present()):
+                    self.execute(command)
                 again = bool(self.inbox)
         finally:
             self.stepping = False
 
-    def carry_out(self, order: member.Order) -> None:
-        if isinstance(order, member.Say):
-            self.peers.send_feature_message(TOPIC, order.to, order.data)
-        elif isinstance(order, member.Decide):
-            self.peers.decide(TOPIC, order.body)  # refused or lost: the next look computes it anew
-        elif isinstance(order, member.Go):
-            self.found = order
-        elif isinstance(order, member.Moved):
-            if self.core.holding is not None:
-                self.log("zones", version=order.version, text=order.why)
-        elif (answer := self.waiting.pop(order.serial, None)) is not None:
-            answer(order.done, order.text)
-
-    def common(self, now: int) -> t.FleetState:
-        """For the module: plan by workload, brakes by endpoint, and until when they count."""
-        if self.found is None:
+    def execute(self, command: member.Command) -> None:
+        if isinstance(command, member.SendMessage):
+            self.peers.send_feature_message(TOPIC, command.to, command.data)
+        elif isinstance(command, member.ProposePlan):
+            # Where it is refused or lost, the next report leads to a new proposal.
+            self.peers.decide(TOPIC, command.body)
+        elif isinstance(command, member.ApplyPlan):
+            self.applied = command
+        elif isinstance(command, member.PlanChanged):
+            if self.core.holder_state is not None:
+                self.log("zones", version=command.version, text=command.reason)
+        elif (answer := self.waiting.pop(command.serial, None)) is not None:
+            answer(command.done, command.text)
+
+    def current_plan(self, now: int) -> t.FleetState:
+        """For the decision module: plan by workload, brakes by endpoint, and until when they count."""
+        if self.applied is None:
             return t.FleetState(until=now + 1)
-        marks = self.found.brakes
-        names = self.engine.sidecar.dispatcher.endpoint_states if marks else ()
-        brakes = {name: marks[mark_of(name)] for name in names if mark_of(name) in marks}
-        listed = self.tally.listed(self.engine.sidecar)
-        return t.FleetState(0, self.found.plan, brakes, listed, max(now + 1, self.found.until))
+        brakes_by_hash = self.applied.brakes
+        names = self.engine.sidecar.dispatcher.endpoint_states if brakes_by_hash else ()
+        brakes = {
+            name: brakes_by_hash[endpoint_hash(name)]
+            for name in names
+            if endpoint_hash(name) in brakes_by_hash
+        }
+        listed = self.monitor.listed_by_zone(self.engine.sidecar)
+        return t.FleetState(0, self.applied.plan, brakes, listed, max(now + 1, self.applied.until))
 
     # Operators.
 
-    async def ask(self, what: str, zone: str, force: bool) -> tuple[bool, str]:
+    async def request_action(self, what: str, zone: str, force: bool) -> tuple[bool, str]:
+        """Whether it is done, and a text for the operator."""
         self.serial += 1
         serial, answered, found = self.serial, anyio.Event(), []
 
@@ -122,13 +128,13 @@
 
         self.waiting[serial] = answer
         try:
-            self.tell(member.Asked(serial, what, zone, force))
-            with anyio.move_on_after(member.WISH_TIME / SECOND + 1):
+            self.process(member.OperatorRequested(serial, what, zone, force))
+            with anyio.move_on_after(member.REQUEST_TIMEOUT / SECOND + 1):
                 while not answered.is_set():
-                    with anyio.move_on_after(member.WISH_AGAIN / SECOND):
+                    with anyio.move_on_after(member.REQUEST_RETRY_INTERVAL / SECOND):
                         await answered.wait()
                         break
-                    self.tell()  # a wish that waits is asked again
+                    self.process()  # a pending request is retried
         finally:
             self.waiting.pop(serial, None)
         return found[0] if found else (False, "no answer")
@@ -136,7 +142,7 @@
     def show(self) -> dict[str, Any]:
         table = self.core.show()
         table["crossing"] = {
-            name: {"crossed": crossed, "launched": whole}
-            for name, (crossed, whole) in self.tally.crossed.items()
+            name: {"crossed": crossed, "launched": total}
+            for name, (crossed, total) in self.monitor.crossed.items()
         }
         return table
