--- a/lupinmill/admin/office.py
+++ b/lupinmill/admin/admin_handler.py
@@ -10,37 +10,37 @@
 import anyio
 import orjson
 
-from lupinmill.admin.standing import Standing, Verdict
+from lupinmill.admin.operator_overrides import OperatorOverrides, CordonResult
 from lupinmill.protocol import calls
 from lupinmill.routing.directory import Directory
 from lupinmill.routing.engine import Engine, Log
 
-SWEEP = 1.0  # seconds between two looks at what is long forgotten
+EXPIRY_CHECK_INTERVAL_S = 1.0  # seconds between two looks at what is long forgotten
 
-ANSWERS = {
-    Verdict.DONE: (200, "done"),
-    Verdict.UNKNOWN: (404, "no list names this endpoint"),
-    Verdict.FULL: (503, "too many endpoints are out by hand"),
+CORDON_RESPONSES = {
+    CordonResult.DONE: (200, "done"),
+    CordonResult.UNKNOWN: (404, "no list names this endpoint"),
+    CordonResult.FULL: (503, "too many endpoints are out by hand"),
 }
 
 
-class Office:
-    def __init__(self, standing: Standing, directory: Directory, engine: Engine, log: Log) -> None:
-        self.standing, self.directory, self.engine, self.log = standing, directory, engine, log
-        self.changed: Callable[[], None] = lambda: None  # told of each change of mode
-        self.taking = lambda: False  # does this process take clients?
+class AdminHandler:
+    def __init__(self, overrides: OperatorOverrides, directory: Directory, engine: Engine, log: Log) -> None:
+        self.overrides, self.directory, self.engine, self.log = overrides, directory, engine, log
+        self.on_mode_change: Callable[[], None] = lambda: None  # told of each change of mode
+        self.accepting_clients = lambda: False  # does this process take clients?
         self.peers: Callable[[], dict[str, object]] | None = None  # a plain table of who is there
         self.rehearse: Callable[[], bool] | None = None  # a decision that says nothing
         self.zones: Callable[[], dict[str, object]] | None = None  # a plain table of the plan in force
         self.config: Callable[[], dict[str, object]] | None = None  # a plain table of the version in force
         self.discovery: Callable[[], dict[str, object]] = dict  # a plain table of the watch on the list
-        self.move_zones: Callable[[str, str, bool], Awaitable[tuple[bool, str]]] | None = None
+        self.run_zone_command: Callable[[str, str, bool], Awaitable[tuple[bool, str]]] | None = None
         # To the other process of an upgrade.
-        self.pass_on: Callable[[calls.Call], Awaitable[None]] | None = None
+        self.forward: Callable[[calls.Call], Awaitable[None]] | None = None
 
-    async def carry_out(self, call: calls.Call) -> tuple[int, str]:
+    async def handle(self, call: calls.Call) -> tuple[int, str]:
         if call.what == calls.HEALTH:
-            return (200, "takes clients") if self.taking() else (503, "takes no clients")
+            return (200, "takes clients") if self.accepting_clients() else (503, "takes no clients")
         if call.what == calls.PEERS:
             if self.peers is None:
                 return 404, "peers are off"
@@ -56,40 +56,40 @@
                 return 404, "peers are off"
             return (200, "asked for") if self.rehearse() else (409, "this sidecar holds no lease on it")
         if call.what == calls.ZONES or call.what in calls.MOVES:
-            return await self.about_zones(call)
+            return await self.handle_zones(call)
         status, text = self.apply(call)
-        if status == 200 and self.pass_on is not None:
-            await self.pass_on(call)
+        if status == 200 and self.forward is not None:
+            await self.forward(call)
         return status, text
 
-    async def about_zones(self, call: calls.Call) -> tuple[int, str]:
-        if self.zones is None or self.move_zones is None:
+    async def handle_zones(self, call: calls.Call) -> tuple[int, str]:
+        if self.zones is None or self.run_zone_command is None:
             return 404, "zones are off"
         if call.what == calls.ZONES:
             return 200, orjson.dumps(self.zones()).decode()
-        done, text = await self.move_zones(calls.MOVES[call.what], call.zone, call.force)
+        done, text = await self.run_zone_command(calls.MOVES[call.what], call.zone, call.force)
         return (200 if done else 409), text
 
-    def apply(self, call: calls.Call, known: bool = False) -> tuple[int, str]:
+    def apply(self, call: calls.Call, skip_list_check: bool = False) -> tuple[int, str]:
         """In one go, with no pause between the set, the module and the launches on their way."""
         now = self.engine.clock.now()
         if call.what in (calls.OUT, calls.BACK):
             out = call.what == calls.OUT
-            change = self.standing.take_out if out else self.standing.back
+            change = self.overrides.cordon if out else self.overrides.uncordon
             args = (now, call.endpoint) if out else (call.endpoint,)
-            verdict = change(*args, known or call.endpoint in self.directory.states)
-            if verdict is Verdict.DONE:
+            result = change(*args, skip_list_check or call.endpoint in self.directory.states)
+            if result is CordonResult.DONE:
                 self.directory.by_hand(call.endpoint, out)
-            return ANSWERS[verdict]
-        changed = self.standing.quiesce(now) if call.what == calls.QUIESCE else self.standing.resume(now)
+            return CORDON_RESPONSES[result]
+        changed = self.overrides.quiesce(now) if call.what == calls.QUIESCE else self.overrides.resume(now)
         if changed:
-            self.changed()
-            self.log("mode", text=f"{self.standing.mode.value}, by an operator's call")
-        return 200, self.standing.mode.value
+            self.on_mode_change()
+            self.log("mode", text=f"{self.overrides.mode.value}, by an operator's call")
+        return 200, self.overrides.mode.value
 
     async def sweep(self) -> None:
         while True:
-            await anyio.sleep(SWEEP)
-            for name in self.standing.forget(self.engine.clock.now(), self.directory.states):
+            await anyio.sleep(EXPIRY_CHECK_INTERVAL_S)
+            for name in self.overrides.expire_cordons(self.engine.clock.now(), self.directory.states):
                 self.directory.by_hand(name, False)
                 self.log("mode", text=f"{name} was out by hand and is forgotten: no list names it")
--- a/lupinmill/handover/papers.py
+++ b/lupinmill/handover/papers.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from lupinmill import terms as t
-from lupinmill.admin.standing import Mode, Standing
+from lupinmill.admin.operator_overrides import Mode, OperatorOverrides
 from lupinmill.handover.succession import VERSION
 from lupinmill.protocol import lists
 from lupinmill.protocol.http import Garbled
@@ -47,7 +47,7 @@
     return {"index": index or 0, "snapshot": True, "endpoints": rows}
 
 
-def write(listed: Table, standing: Standing, learned: Table, held: int) -> Table:
+def write(listed: Table, overrides: OperatorOverrides, learned: Table, held: int) -> Table:
     """`listed`: see `write_list`."""
     return {
         "say": "state",
@@ -55,12 +55,12 @@
         "held": held,
         "learned": learned,
         "list": listed,
-        "out": [[name, named] for name, named in standing.out.items()],
-        "mode": [standing.mode.value, standing.since],
+        "out": [[name, named] for name, named in overrides.cordoned.items()],
+        "mode": [overrides.mode.value, overrides.mode_since],
     }
 
 
-def read(table: Table, standing: Standing) -> Papers:
+def read(table: Table, overrides: OperatorOverrides) -> Papers:
     """What stands is taken up here; the rest is returned."""
     if table.get("say") != "state" or table.get("version") != VERSION:
         raise BadPapers(str(table.get("why") or f"no state of version {VERSION}")[:200])
@@ -73,7 +73,7 @@
             raise ValueError("held, repeats: under 0")
     except (KeyError, TypeError, ValueError, IndexError, AttributeError, OverflowError, Garbled) as error:
         raise BadPapers(f"{type(error).__name__}: {error}"[:200]) from error
-    standing.out.update(out)
+    overrides.cordoned.update(out)
     if mode is Mode.DRAINING:
-        standing.quiesce(since)
+        overrides.quiesce(since)
     return papers
--- a/lupinmill/program/sidecar.py
+++ b/lupinmill/program/sidecar.py
@@ -14,9 +14,9 @@
 from anyio.abc import TaskGroup, TaskStatus
 
 from lupinmill import terms as t
-from lupinmill.admin.desk import PLACES, AdminDesk
-from lupinmill.admin.office import Office
-from lupinmill.admin.standing import Mode, Standing
+from lupinmill.admin.admin_server import MAX_CONNECTIONS, AdminServer
+from lupinmill.admin.admin_handler import AdminHandler
+from lupinmill.admin.operator_overrides import Mode, OperatorOverrides
 from lupinmill.handover import papers
 from lupinmill.handover.driver import Handover
 from lupinmill.limits.gate import Gate
@@ -88,38 +88,40 @@
         self.beside_older = False  # a process before this one is there, whether or not it is taken over from
         self.papers: papers.Papers | None = None
         self.listener: Listener | None = None
-        self.desk: AdminDesk | None = None
+        self.admin_server: AdminServer | None = None
         if watched := told.operators is not None and told.operators.config is not None:
             from lupinmill.program import in_force
 
             told, kept = in_force.begin(base, log)
         self.told, self.log, self.read_again = told, log, read_again
-        own = (PLACES if told.operator is not None else 0) + (PEERS_OWN if told.operators is not None else 0)
+        own = (MAX_CONNECTIONS if told.operator is not None else 0) + (
+            PEERS_OWN if told.operators is not None else 0
+        )
         own += CONFIG_OWN if watched else 0
         self.store, self.descriptors = Store(), Descriptors(allowed(told.descriptors) - own, told.memory)
         self.shelf = Shelf(shelf_of(told.memory))
         self.pool = Pool(self.descriptors, self.store, told.idle_limit, told.connect_limit)
         self.engine = Engine(told.deployment, Clock(), log)
-        self.standing = Standing()
-        self.directory = Directory(self.engine, self.pool, self.standing.out)
+        self.overrides = OperatorOverrides()
+        self.directory = Directory(self.engine, self.pool, self.overrides.cordoned)
         self.book = Book(self.engine)
         workloads = {w.name for w in told.deployment.workloads}
-        self.admit = Admit(self.book, self.directory, workloads, self.standing)
-        self.office = Office(self.standing, self.directory, self.engine, log)
+        self.admit = Admit(self.book, self.directory, workloads, self.overrides)
+        self.admin_handler = AdminHandler(self.overrides, self.directory, self.engine, log)
         self.discovery = Discovery(told.discovery, told.deployment, self.directory, self.store, log)
         self.engine.carriers[t.Watch] = self.discovery.watch
-        self.office.discovery = self.discovery.show
+        self.admin_handler.discovery = self.discovery.show
         self.handover = Handover(told.directory, told.name, told.listen, log)
         self.repeats_before = 0  # launches again of the process before this one, when it told what it knew
         self.to_close = anyio.Event()  # something may ask for idle clients to be closed or passed
-        self.office.changed = self.mode_changed
+        self.admin_handler.on_mode_change = self.mode_changed
         self.common: Common | None = None  # what the module goes by of the others
         self.peers = self.know_peers()
         self.operator: str | None = None  # where operators call, once bound
         self.in_force: InForce | None = None  # the watch on configuration, where the operator's file has one
         if watched:
             self.in_force = in_force.InForce(self, base, kept, log)
-            self.office.config = self.in_force.show
+            self.admin_handler.config = self.in_force.show
 
     def know_peers(self) -> Driver | None:
         """Only where the operator's file says so; nothing is imported for it otherwise."""
@@ -137,7 +139,7 @@
             file.peers.keep or None,
             self.log,
         )
-        self.office.peers, self.office.rehearse = peers.show, peers.rehearse
+        self.admin_handler.peers, self.admin_handler.rehearse = peers.show, peers.rehearse
         if file.peers.live_count or file.zones is not None:
             self.hold_in_common(file, peers)
         return peers
@@ -152,7 +154,7 @@
 
             map_ = operators_file.zone_map(file.zones, {w.name: w.value for w in deployment.workloads})
             zoning = Zoning(map_, operators_file.told(file, self.told.name), peers, self.engine, self.log)
-            self.office.zones, self.office.move_zones = zoning.show, zoning.ask
+            self.admin_handler.zones, self.admin_handler.run_zone_command = zoning.show, zoning.ask
         live = file.peers.live_count
         self.common = Common(self.engine, peers, deployment.instances, live, zoning, self.log)
 
@@ -160,7 +162,7 @@
         self.to_close.set()
         if self.peers is None:
             return
-        tell = self.peers.come_back if self.standing.mode is Mode.SERVING else self.peers.leave
+        tell = self.peers.come_back if self.overrides.mode is Mode.SERVING else self.peers.leave
         try:
             tell()
         except Exception as error:
@@ -206,8 +208,8 @@
             group.cancel_scope.cancel()
         if self.listener is not None:
             return True
-        if self.desk is not None:
-            self.desk.close()
+        if self.admin_server is not None:
+            self.admin_server.close()
         self.handover.close()
         if failed is not None:
             raise failed
@@ -232,14 +234,16 @@
         if self.found is not None:
             table, sock = self.found
             try:
-                self.papers = papers.read(table, self.standing)
+                self.papers = papers.read(table, self.overrides)
             except papers.BadPapers as error:
                 self.log("handover_refused", error=str(error))
                 self.handover.decline()
                 sock.close()
                 self.found = sock = None
         if self.told.operator is not None:
-            self.desk = await self.bound(AdminDesk, self.told.operator, self.office.carry_out, self.log)
+            self.admin_server = await self.bound(
+                AdminServer, self.told.operator, self.admin_handler.handle, self.log
+            )
         if self.found is not None or self.told_to_end is None:
             self.listener = await self.bound(Listener, self.told.listen, self.descriptors, self.store, sock)
 
@@ -253,7 +257,9 @@
         self.take_in = take_in = TakeIn(
             listener, self.admit, Relay(self.book, self.log), door, advice, self.log, self.shelf
         )
-        take_in.closing = lambda: not listener.passing and self.standing.closing(self.engine.clock.now())
+        take_in.closing = lambda: not listener.passing and self.overrides.closes_connections(
+            self.engine.clock.now()
+        )
         try:
             async with anyio.create_task_group() as group:
                 Route(self.engine, self.book, send, group)
@@ -271,8 +277,8 @@
         finally:
             listener.close()
             self.handover.close()
-            if self.desk is not None:
-                self.desk.close()
+            if self.admin_server is not None:
+                self.admin_server.close()
             self.pool.close()
             self.discovery.hang_up()
 
@@ -282,22 +288,22 @@
             self.discovery.run,
             self.sweep,
             self.measure_lag,
-            self.office.sweep,
+            self.admin_handler.sweep,
         ):
             group.start_soon(self.keep_up, task)
         group.start_soon(self.keep_up, listener.run, group, self.take_in.serve)
         self.hand_over(listener, self.take_in, group)
         group.start_soon(self.keep_up, self.close_idle, listener)
-        if self.desk is not None:
-            group.start_soon(self.keep_up, self.desk.run, group)
-            self.operator = self.desk.address
+        if self.admin_server is not None:
+            group.start_soon(self.keep_up, self.admin_server.run, group)
+            self.operator = self.admin_server.address
         if self.peers is not None:
             group.start_soon(self.keep_up, self.peers.run, self.beside_older)
         if self.common is not None:
             group.start_soon(self.keep_up, self.common.run)
         if self.in_force is not None:
             group.start_soon(self.keep_up, self.in_force.run)
-        self.office.taking = lambda: True
+        self.admin_handler.accepting_clients = lambda: True
 
     def log_start(self, listener: Listener) -> None:
         told = self.told
@@ -394,7 +400,7 @@
         self.handover.succession.leave()
         now = self.engine.clock.now()
         ends = now + int(stay * 1_000_000)
-        self.standing.leave(now, ends - CLOSING, ends)
+        self.overrides.begin_shutdown(now, ends - CLOSING, ends)
         self.mode_changed()
         began = anyio.current_time()
         # Answers under way count too: a submission is settled some passes before its client has the answer.
@@ -420,7 +426,7 @@
             self.directory.update(lists.Known(0, True, [], {}), t.ListKind.CACHED)
         if taken is None:
             return
-        for name in self.standing.out:
+        for name in self.overrides.cordoned:
             self.directory.by_hand(name, True)
         try:
             learned.recall(self.engine.sidecar, taken.learned, self.engine.clock.now())
@@ -439,7 +445,7 @@
 
         def state() -> dict[str, Any]:
             known = learned.learned(self.engine.sidecar)
-            return papers.write(listed(), self.standing, known, held()) | {"repeats": self.book.repeats}
+            return papers.write(listed(), self.overrides, known, held()) | {"repeats": self.book.repeats}
 
         def listed() -> dict[str, Any]:
             directory = self.directory
@@ -508,18 +514,18 @@
         handover.adopt, handover.elsewhere = adopt, elsewhere
         handover.later_list, handover.take_list = later_list, take_list
         # The other process knew the endpoint; this one's list may be behind.
-        handover.apply = lambda call: self.office.apply(call, True)
-        self.office.pass_on = handover.pass_on
+        handover.apply = lambda call: self.admin_handler.apply(call, True)
+        self.admin_handler.forward = handover.pass_on
         handover.start(group)
 
     async def close_idle(self, listener: Listener) -> None:
         """While this sidecar drains, leaves or passes its clients on; else it sleeps."""
         while True:
-            while not listener.passing and self.standing.closes is None:
+            while not listener.passing and self.overrides.close_connections_at is None:
                 await self.to_close.wait()
                 self.to_close = anyio.Event()
             await anyio.sleep(CLOSE_EVERY)
-            if listener.passing or self.standing.closing(self.engine.clock.now()):
+            if listener.passing or self.overrides.closes_connections(self.engine.clock.now()):
                 listener.dismiss_all()
 
     async def sweep(self) -> None:
--- a/lupinmill/routing/admit.py
+++ b/lupinmill/routing/admit.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from lupinmill.admin.standing import Standing
+from lupinmill.admin.operator_overrides import OperatorOverrides
 from lupinmill.protocol import submission
 from lupinmill.protocol.http import Answer, Malformed, Request, plain
 from lupinmill.routing.body import Body
@@ -15,8 +15,10 @@
 
 
 class Admit:
-    def __init__(self, book: Book, directory: Directory, workloads: set[str], standing: Standing) -> None:
-        self.book, self.directory, self.workloads, self.standing = book, directory, workloads, standing
+    def __init__(
+        self, book: Book, directory: Directory, workloads: set[str], overrides: OperatorOverrides
+    ) -> None:
+        self.book, self.directory, self.workloads, self.overrides = book, directory, workloads, overrides
         self.gone: dict[str, None] = {}  # taken away while this process ran, the last one last
         self.known = workloads  # with those that are gone
         self.advice = 0  # microseconds after which those may come back that the module never hears of
@@ -73,14 +75,14 @@
         left -= min(2 * engine.late, left // 3)
         now = engine.clock.now()
         due = now - waited + left + to_come
-        if (latest := self.standing.latest(now)) is not None:
+        if (latest := self.overrides.latest_hard_limit(now)) is not None:
             due = min(due, latest)  # nothing may be open when the program is killed, or the drain is over
         return due
 
     def over(self) -> bool:
         """Nothing may be open any more."""
-        ends = self.standing.ends
+        ends = self.overrides.drain_deadline
         return ends is not None and self.book.engine.clock.now() >= ends
 
     def ready(self) -> bool:
-        return self.standing.ready() and not self.directory.empty()
+        return self.overrides.is_ready() and not self.directory.empty()
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -11,8 +11,8 @@
 from test_sidecar import always, fine, seen, until
 
 from lupinmill import terms as t
-from lupinmill.admin import desk, standing
-from lupinmill.admin.standing import Mode, Standing, Verdict
+from lupinmill.admin import admin_server, operator_overrides
+from lupinmill.admin.operator_overrides import Mode, OperatorOverrides, CordonResult
 from lupinmill.protocol import lists
 from lupinmill.protocol.calls import CallSide
 from lupinmill.protocol.http import Answer, Malformed
@@ -98,7 +98,7 @@
     async def check(net):
         host, port = net.program.operator.split(":")
         held = []
-        for number in range(3 * desk.PLACES):
+        for number in range(3 * admin_server.MAX_CONNECTIONS):
             stream = await anyio.connect_tcp(host, int(port))
             if number % 2:
                 await stream.send(b"PUT /admin/cordon?mem")
@@ -232,54 +232,70 @@
 @settings(derandomize=True, max_examples=300)
 @given(STEPS)
 def test_what_stands_keeps_its_promises_after_every_step(steps):
-    stands, now, left, drains, named = Standing(), 10 * SECOND, False, None, {}
+    overrides, now, left, drains, named = OperatorOverrides(), 10 * SECOND, False, None, {}
     for what, number, wait, listed in steps:
         now, name = now + wait, f"e{number}"
-        known = name in stands.out
+        known = name in overrides.cordoned
         if what == "out":
-            verdict = stands.take_out(now, name, listed)
-            assert (verdict is Verdict.DONE) == (known or listed) == (name in stands.out)
+            verdict = overrides.cordon(now, name, listed)
+            assert (verdict is CordonResult.DONE) == (known or listed) == (name in overrides.cordoned)
             named.setdefault(name, now)
         elif what == "back":
-            assert (stands.back(name, listed) is Verdict.DONE) == (known or listed)
-            assert name not in stands.out
+            assert (overrides.uncordon(name, listed) is CordonResult.DONE) == (known or listed)
+            assert name not in overrides.cordoned
         elif what == "quiesce":
-            assert stands.quiesce(now) == (not left and drains is None)
+            assert overrides.quiesce(now) == (not left and drains is None)
             drains = drains if left or drains is not None else now
         elif what == "resume":
-            assert stands.resume(now) == (not left and drains is not None)
+            assert overrides.resume(now) == (not left and drains is not None)
             drains = drains if left else None
         elif what == "leave":
-            stands.leave(now, now + 3 * SECOND, now + 3_500_000)
+            overrides.begin_shutdown(now, now + 3 * SECOND, now + 3_500_000)
             left = True
         else:
-            gone = stands.forget(now, {name: None} if listed else {})
+            gone = overrides.expire_cordons(now, {name: None} if listed else {})
             assert not listed or name not in gone
-            assert all(now - named < standing.FORGOTTEN for named in stands.out.values())
-        assert len(stands.out) <= standing.MOST_OUT
-        assert stands.ready() == (not left and drains is None)
-        assert (stands.mode is Mode.LEAVING) == left
+            assert all(
+                now - named < operator_overrides.CORDON_EXPIRY_US for named in overrides.cordoned.values()
+            )
+        assert len(overrides.cordoned) <= operator_overrides.MAX_CORDONED
+        assert overrides.is_ready() == (not left and drains is None)
+        assert (overrides.mode is Mode.LEAVING) == left
         if drains is None and not left:
-            assert not stands.closing(now + 9 * SECOND) and stands.latest(now) is None
+            assert (
+                not overrides.closes_connections(now + 9 * SECOND)
+                and overrides.latest_hard_limit(now) is None
+            )
         elif drains is not None and not left:
-            assert not stands.closing(drains) and stands.closing(drains + standing.STAY)
-            assert now >= drains + standing.EMPTY or stands.latest(now) < drains + 4 * SECOND
+            assert not overrides.closes_connections(drains) and overrides.closes_connections(
+                drains + operator_overrides.DRAIN_SERVING_US
+            )
+            assert (
+                now >= drains + operator_overrides.DRAIN_DEADLINE_US
+                or overrides.latest_hard_limit(now) < drains + 4 * SECOND
+            )
         else:
-            assert stands.closing(now + 3 * SECOND)
+            assert overrides.closes_connections(now + 3 * SECOND)
 
 
 def test_the_set_of_what_is_out_is_bounded():
-    stands = Standing()
-    for number in range(standing.MOST_OUT):
-        assert stands.take_out(0, f"e{number}", True) is Verdict.DONE
-    assert stands.take_out(0, "one more", True) is Verdict.FULL and len(stands.out) == standing.MOST_OUT
-    assert stands.take_out(0, "e7", False) is Verdict.DONE
-    assert len(stands.forget(standing.FORGOTTEN, {"e7": None})) == standing.MOST_OUT - 1
+    overrides = OperatorOverrides()
+    for number in range(operator_overrides.MAX_CORDONED):
+        assert overrides.cordon(0, f"e{number}", True) is CordonResult.DONE
+    assert (
+        overrides.cordon(0, "one more", True) is CordonResult.FULL
+        and len(overrides.cordoned) == operator_overrides.MAX_CORDONED
+    )
+    assert overrides.cordon(0, "e7", False) is CordonResult.DONE
+    assert (
+        len(overrides.expire_cordons(operator_overrides.CORDON_EXPIRY_US, {"e7": None}))
+        == operator_overrides.MAX_CORDONED - 1
+    )
 
 
 def test_a_drain_says_not_ready_serves_on_then_holds_nothing_and_ends_with_resume(monkeypatch):
-    monkeypatch.setattr(standing, "STAY", 400_000)
-    monkeypatch.setattr(standing, "EMPTY", 900_000)
+    monkeypatch.setattr(operator_overrides, "DRAIN_SERVING_US", 400_000)
+    monkeypatch.setattr(operator_overrides, "DRAIN_DEADLINE_US", 900_000)
 
     async def check(net):
         ready = b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n"
@@ -288,7 +304,7 @@
         async with await anyio.connect_tcp(host, int(port)) as kept:
             asked = net.program.engine.clock.now()
             assert await operate(net, "PUT", "/admin/quiesce") == 200
-            closes = net.program.standing.closes
+            closes = net.program.overrides.close_connections_at
             assert closes >= asked + 400_000
             assert (await net.ask(ready)).status == 503
             assert (await net.ask(wanted("new"))).status == 200
@@ -299,7 +315,7 @@
             assert net.program.engine.clock.now() >= closes
         answer = await net.ask(wanted("late"))
         assert answer.status == 200 and answer.header(b"connection") == "close"
-        await until(lambda: not net.program.descriptors.open[desk_side()])
+        await until(lambda: not net.program.descriptors.open[client_side()])
         assert await operate(net, "PUT", "/admin/resume") == 200
         assert (await net.ask(ready)).status == 200
         assert (await net.ask(wanted("again"))).header(b"connection") is None
@@ -307,15 +323,15 @@
     on_network(check, fine, operator=True)
 
 
-def desk_side():
+def client_side():
     from lupinmill.transport.descriptors import Side
 
     return Side.CLIENT
 
 
 def test_what_a_drain_takes_in_late_is_answered_before_its_end(monkeypatch):
-    monkeypatch.setattr(standing, "STAY", 100_000)
-    monkeypatch.setattr(standing, "EMPTY", 400_000)
+    monkeypatch.setattr(operator_overrides, "DRAIN_SERVING_US", 100_000)
+    monkeypatch.setattr(operator_overrides, "DRAIN_DEADLINE_US", 400_000)
 
     async def check(net):
         assert await operate(net, "PUT", "/admin/quiesce") == 200
--- a/tests/test_clients_answers.py
+++ b/tests/test_clients_answers.py
@@ -260,7 +260,7 @@
     async def check(net: Net):
         program = net.program
         now = program.engine.clock.now()
-        program.standing.leave(now, now + 3_000_000, now + 3_500_000)
+        program.overrides.begin_shutdown(now, now + 3_000_000, now + 3_500_000)
         async with await connect(net) as stream:
             await stream.send(wanted("s1", deadline="8", body=b"x" * 3_000_000)[:2_000_000])
             await arrived(net, "s1")
@@ -359,7 +359,7 @@
             await stream.send(wanted("s1", deadline="8") + wanted("s2", deadline="8"))
             await arrived(net, "s1")
             net.program.take_in.closing = lambda: True
-            net.program.standing.ends = net.program.engine.clock.now()
+            net.program.overrides.drain_deadline = net.program.engine.clock.now()
             list_all(net)
             with anyio.fail_after(10):
                 assert await statuses(stream) == [200]
--- a/tests/test_crossings_end.py
+++ b/tests/test_crossings_end.py
@@ -37,14 +37,14 @@
 
     async def check(net: Net):
         ends_here(net)
-        await until(lambda: net.program.standing.ends is not None)
+        await until(lambda: net.program.overrides.drain_deadline is not None)
 
         async def ask():
             answers.append(await net.ask(wanted("s1", deadline="5")))
 
         async with anyio.create_task_group() as group:
             group.start_soon(ask)
-            closes = net.program.standing.closes
+            closes = net.program.overrides.close_connections_at
             await until(lambda: net.program.engine.clock.now() > closes or stopped(net))
             turn.set()
         assert answers[0] is not None and answers[0].status == 200
@@ -72,8 +72,8 @@
             group.start_soon(ask)
             await until(lambda: seen(net, "s1"))
             ends_here(net)
-            await until(lambda: net.program.standing.ends is not None)
-            ends = net.program.standing.ends
+            await until(lambda: net.program.overrides.drain_deadline is not None)
+            ends = net.program.overrides.drain_deadline
             await until(lambda: net.program.engine.clock.now() > ends + 100_000 or stopped(net))
             held.set()
         assert answers[0] is not None and answers[0].status == 200
@@ -84,8 +84,8 @@
 def test_a_second_signal_to_end_and_one_to_read_again_change_nothing_on_the_way_out():
     async def check(net: Net):
         ends_here(net)
-        await until(lambda: net.program.standing.ends is not None)
-        ends = net.program.standing.ends
+        await until(lambda: net.program.overrides.drain_deadline is not None)
+        ends = net.program.overrides.drain_deadline
         answers = []
 
         async def ask():
@@ -96,7 +96,7 @@
             await until(lambda: seen(net, "s1"))
             ends_here(net)
             os.kill(os.getpid(), signal.SIGHUP)
-        assert answers[0].status == 200 and net.program.standing.ends == ends
+        assert answers[0].status == 200 and net.program.overrides.drain_deadline == ends
 
     net = on_network(check, always(Answer(200, [], b"late"), 0.3))
     assert not any(event.startswith("reload") for event, _ in net.logs)
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -67,7 +67,7 @@
             await until(lambda: not descriptors.close_idle_client.__self__.idle)
             assert (await net.ask(READY)).status == 200
             assert (await net.ask(wanted("late"))).status == 503
-            net.program.standing.quiesce(0)
+            net.program.overrides.quiesce(0)
             assert (await net.ask(READY)).status == 503
         assert not net.program.book.journeys
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -20,7 +20,7 @@
 from test_sidecar import always, fine, until
 
 from lupinmill import terms as t
-from lupinmill.admin.standing import Mode, Standing
+from lupinmill.admin.operator_overrides import Mode, OperatorOverrides
 from lupinmill.handover import papers
 from lupinmill.handover.driver import Handover, Place
 from lupinmill.handover.succession import VERSION, Do, Phase, Succession
@@ -141,8 +141,8 @@
 
 
 def test_what_stands_and_the_list_pass_and_nonsense_changes_nothing():
-    old, new = Standing(), Standing()
-    old.take_out(5, "e1", True)
+    old, new = OperatorOverrides(), OperatorOverrides()
+    old.cordon(5, "e1", True)
     old.quiesce(77)
     listed = {f"e{at}": listing(at, started=at * 1000) for at in range(3)}
     listed["e2"].state = t.State.DRAINING
@@ -151,7 +151,7 @@
     table = orjson.loads(orjson.dumps(table))
     taken = papers.read(table, new)
     assert taken.known.index == 41 and taken.known.entries == list(listed.values()) and taken.held == 9
-    assert new.mode is Mode.DRAINING and new.since == 77 and list(new.out) == ["e1"]
+    assert new.mode is Mode.DRAINING and new.mode_since == 77 and list(new.cordoned) == ["e1"]
     for spoilt in (
         {"version": 99},
         {"list": None},
@@ -160,10 +160,10 @@
         {"learned": 3},
         {"held": "x"},
     ):
-        untouched = Standing()
+        untouched = OperatorOverrides()
         with pytest.raises(papers.BadPapers):
             papers.read(table | spoilt, untouched)
-        assert not untouched.out and untouched.mode is Mode.SERVING
+        assert not untouched.cordoned and untouched.mode is Mode.SERVING
 
 
 def test_what_was_learned_passes_and_the_retry_budget_counts_as_spent():
@@ -317,14 +317,14 @@
         assert await operate(both.operator(0), "PUT", "/admin/quiesce") == 200
         new = await both.start()
         assert await operate(both.operator(1), "GET", "/admin/health") == 200
-        assert list(new.standing.out) == ["e0"] and new.standing.mode is Mode.DRAINING
+        assert list(new.overrides.cordoned) == ["e0"] and new.overrides.mode is Mode.DRAINING
         assert not new.engine.sidecar.desk.seats["e0"].says.open
         assert await operate(both.operator(0), "PUT", "/admin/cordon?member=e1") == 200
-        assert list(new.standing.out) == ["e0", "e1"]
+        assert list(new.overrides.cordoned) == ["e0", "e1"]
         assert await operate(both.operator(1), "PUT", "/admin/uncordon?member=e0") == 200
-        assert list(old.standing.out) == ["e1"]
+        assert list(old.overrides.cordoned) == ["e1"]
         assert await operate(both.operator(1), "PUT", "/admin/resume") == 200
-        assert old.standing.mode is new.standing.mode is Mode.SERVING
+        assert old.overrides.mode is new.overrides.mode is Mode.SERVING
 
     beside(check, fine, fine, fine)
 
@@ -353,7 +353,7 @@
         old, new = both.programs[0], await both.start()
         new.directory.states.pop("e1")
         assert await operate(both.operator(0), "PUT", "/admin/cordon?member=e1") == 200
-        assert list(old.standing.out) == list(new.standing.out) == ["e1"]
+        assert list(old.overrides.cordoned) == list(new.overrides.cordoned) == ["e1"]
 
     beside(check, fine, fine)
 
--- a/tests/test_start_faults.py
+++ b/tests/test_start_faults.py
@@ -249,11 +249,11 @@
 )
 def test_a_state_with_no_figures_is_refused_and_not_a_crash(bad):
     """Seen failing as `OverflowError: cannot convert float infinity to integer`."""
-    from lupinmill.admin.standing import Standing
+    from lupinmill.admin.operator_overrides import OperatorOverrides
     from lupinmill.handover import papers
 
     with pytest.raises(papers.BadPapers):
-        papers.read(STATE | bad, Standing())
+        papers.read(STATE | bad, OperatorOverrides())
 
 
 @pytest.mark.parametrize(
