--- a/lupinmill/handover/driver.py
+++ b/lupinmill/handover/driver.py
@@ -16,56 +16,56 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from lupinmill.handover.succession import VERSION, Do, Order, Succession
+from lupinmill.handover.upgrade_protocol import VERSION, CommandKind, Command, UpgradeProtocol
 from lupinmill.protocol.calls import Call
 from lupinmill.protocol.http import Malformed
 from lupinmill.routing.engine import Log, defect
 from lupinmill.transport.link import BrokenLink, Link
 
-FILE = "lupinmill-%08x.sock"  # of name and address: other sidecars may share the directory
-LONGEST_PATH = 100  # bytes that the system takes in a Unix address, with some to spare
-ANSWER = 1.5  # seconds: so long a start waits at most for a process that may be there
-AGREED = 0.4  # seconds for the other process to carry out an operator's call too
-TOLD_EVERY = 0.05  # seconds between two words on the descriptors still held
-FIRST_WORD = 1.0  # seconds
-LINKS = 4  # that ask to take over, at a time
+SOCKET_NAME = "lupinmill-%08x.sock"  # of name and address: other sidecars may share the directory
+MAX_SOCKET_PATH = 100  # bytes that the system takes in a Unix address, with some to spare
+STATE_TIMEOUT_S = 1.5  # seconds: so long a start waits at most for a process that may be there
+FORWARD_TIMEOUT_S = 0.4  # seconds for the other process to carry out an operator's call too
+REPORT_INTERVAL_S = 0.05  # seconds between two words on the descriptors still held
+HELLO_TIMEOUT_S = 1.0  # seconds
+MAX_PENDING_LINKS = 4  # that ask to take over, at a time
 
 Message = dict[str, Any]
 
 
-class Place:
+class UpgradeSocket:
     """Where processes of this sidecar find one another. A path too long for the system goes by its
     directory."""
 
     def __init__(self, directory: str, name: str, listen: str) -> None:
-        file = FILE % crc32(f"{name} {listen}".encode())
+        file = SOCKET_NAME % crc32(f"{name} {listen}".encode())
         self.path = os.path.join(directory, file)
-        self.directory: int | None = None
-        if len(os.fsencode(self.path)) > LONGEST_PATH:
-            self.directory = os.open(directory, os.O_RDONLY | os.O_DIRECTORY)
-            self.path = f"/proc/self/fd/{self.directory}/{file}"
+        self.directory_fd: int | None = None
+        if len(os.fsencode(self.path)) > MAX_SOCKET_PATH:
+            self.directory_fd = os.open(directory, os.O_RDONLY | os.O_DIRECTORY)
+            self.path = f"/proc/self/fd/{self.directory_fd}/{file}"
 
     def listen(self) -> socket.socket:
         """Replaces whoever listened there in one step; the mode keeps other users out."""
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-        own = f"{self.path[:-5]}.{os.getpid() % 100_000}"
+        temporary_path = f"{self.path[:-5]}.{os.getpid() % 100_000}"
         try:
-            if os.path.lexists(own):
-                os.unlink(own)
-            before = os.umask(0o177)
+            if os.path.lexists(temporary_path):
+                os.unlink(temporary_path)
+            previous_umask = os.umask(0o177)
             try:
-                sock.bind(own)
+                sock.bind(temporary_path)
             finally:
-                os.umask(before)
-            sock.listen(LINKS)
+                os.umask(previous_umask)
+            sock.listen(MAX_PENDING_LINKS)
             sock.setblocking(False)
-            os.rename(own, self.path)
+            os.rename(temporary_path, self.path)
         except BaseException:
             sock.close()
             raise
         return sock
 
-    def find(self) -> socket.socket | None:
+    def connect(self) -> socket.socket | None:
         """A process that listens there; a file left by a dead one counts as none."""
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         try:
@@ -77,9 +77,9 @@
         return sock
 
     def close(self) -> None:
-        if self.directory is not None:
-            os.close(self.directory)
-            self.directory = None
+        if self.directory_fd is not None:
+            os.close(self.directory_fd)
+            self.directory_fd = None
 
 
 def same_user(sock: socket.socket) -> bool:
@@ -109,50 +109,50 @@
 
     def __init__(self, directory: str | None, name: str, listen: str, log: Log) -> None:
         self.log = log
-        self.succession = Succession(name, listen)
-        self.place: Place | None = None
+        self.protocol = UpgradeProtocol(name, listen)
+        self.upgrade_socket: UpgradeSocket | None = None
         if directory:
             try:
-                self.place = Place(directory, name, listen)
+                self.upgrade_socket = UpgradeSocket(directory, name, listen)
             except OSError as error:
                 log("handover_off", error=f"{directory}: {error.strerror}")
-        self.older: Link | None = None
-        self.newer: Link | None = None
-        self.waiting: dict[int, anyio.Event] = {}  # calls that the other process has yet to carry out
-        self.serial = 0
-        self.door: socket.socket | None = None  # where the next process asks, while it may
-        self.turn: anyio.CancelScope | None = None  # of letting in
-        self.alone = anyio.Event()  # the next one has gone
-        self.asking = 0  # links that have yet to say who they are
-        self.state: Callable[[], Message] = dict
-        self.listening: Callable[[], socket.socket]
-        self.still: Callable[[], Message] = dict  # what this process has open
-        self.yield_, self.take_up = (lambda: None), (lambda: None)
-        self.apply: Callable[[Call], tuple[int, str]] = lambda call: (500, "")
-        self.adopt: Callable[[socket.socket], None] = socket.socket.close
-        self.elsewhere: Callable[[Message], None] = lambda still: None
+        self.predecessor: Link | None = None
+        self.successor: Link | None = None
+        self.pending_calls: dict[int, anyio.Event] = {}  # calls that the other process has yet to carry out
+        self.last_call_number = 0
+        self.listener: socket.socket | None = None  # where the next process asks, while it may
+        self.accept_scope: anyio.CancelScope | None = None  # of letting in
+        self.successor_lost = anyio.Event()  # the next one has gone
+        self.pending_links = 0  # links that have yet to say who they are
+        self.collect_state: Callable[[], Message] = dict
+        self.client_listener: Callable[[], socket.socket]
+        self.collect_open_work: Callable[[], Message] = dict  # what this process has open
+        self.on_yield, self.on_resume = (lambda: None), (lambda: None)
+        self.apply_call: Callable[[Call], tuple[int, str]] = lambda call: (500, "")
+        self.adopt_client: Callable[[socket.socket], None] = socket.socket.close
+        self.on_predecessor_work: Callable[[Message], None] = lambda report: None
         # A list of another version than the one given, which this process was told after it yielded; and what
         # is done with one of the process before.
-        self.later_list: Callable[[int], Message | None] = lambda index: None
-        self.take_list: Callable[[Message], None] = lambda told: None
-        self.passed_index = 0  # version of the list that the next process has from this one
+        self.newer_list: Callable[[int], Message | None] = lambda index: None
+        self.on_list: Callable[[Message], None] = lambda message: None
+        self.sent_list_index = 0  # version of the list that the next process has from this one
 
     # The start: is there one to take over from?
 
-    async def ask(self) -> tuple[Message, socket.socket] | None:
+    async def request_state(self) -> tuple[Message, socket.socket] | None:
         """The state of the process that serves now, and the listening socket; None: an ordinary start."""
-        if self.place is None:
+        if self.upgrade_socket is None:
             return None
-        sock = self.place.find()
+        sock = self.upgrade_socket.connect()
         if sock is None:
             return None
         link = Link(sock)
         try:
             if not same_user(sock):
                 raise BrokenLink("another user's process listens there")
-            own = self.succession
-            hello = {"say": "hello", "version": VERSION, "name": own.name, "listen": own.listen}
-            state = await link.ask(hello, ANSWER)
+            protocol = self.protocol
+            hello = {"say": "hello", "version": VERSION, "name": protocol.name, "listen": protocol.listen}
+            state = await link.ask(hello, STATE_TIMEOUT_S)
             if state.get("say") != "state":
                 raise BrokenLink(str(state.get("why", "no state"))[:200])
             listening = listening_socket(link.take_descriptor())
@@ -163,44 +163,44 @@
         except BaseException:  # told to end meanwhile
             link.close()
             raise
-        self.older = link
+        self.predecessor = link
         return state, listening
 
     def decline(self) -> None:
         """What came can't be taken up: the process before this one must not yield to it."""
-        if self.older is not None:
-            self.older.close()
-            self.older = None
+        if self.predecessor is not None:
+            self.predecessor.close()
+            self.predecessor = None
 
     def start(self, group: TaskGroup) -> None:
         """This process takes clients: whoever starts next finds it, the one before yields."""
-        if self.older is not None:
-            self.older.send({"say": "serving"})
-            group.start_soon(self.guarded, self.follow, self.older)
-        if self.place is not None:
-            group.start_soon(self.guarded, self.keep, group)
+        if self.predecessor is not None:
+            self.predecessor.send({"say": "serving"})
+            group.start_soon(self.run_guarded, "follow", self.follow_predecessor, self.predecessor)
+        if self.upgrade_socket is not None:
+            group.start_soon(self.run_guarded, "keep", self.accept_successors, group)
 
-    async def guarded(self, task: Callable[..., Awaitable[None]], *args: object) -> None:
+    async def run_guarded(self, name: str, task: Callable[..., Awaitable[None]], *args: object) -> None:
         """A defect in what passes between two processes must not end the one that serves."""
         try:
             await task(*args)
         except Exception as error:
-            self.log("task_failed", task=task.__name__, **defect(error))
+            self.log("task_failed", task=name, **defect(error))
 
     # To the process before this one.
 
-    async def follow(self, link: Link) -> None:
+    async def follow_predecessor(self, link: Link) -> None:
         try:
-            await self.converse(link, self.from_older)
+            await self.run_link(link, self.on_predecessor_message)
         finally:
-            self.older = None
-            self.elsewhere({})
+            self.predecessor = None
+            self.on_predecessor_work({})
             self.log("handover", text="the process before this one has ended")
 
-    async def converse(self, link: Link, hear: Callable[[Message], None]) -> None:
+    async def run_link(self, link: Link, on_message: Callable[[Message], None]) -> None:
         """Until the other side ends, and gives the link back."""
         try:
-            await link.run(hear)
+            await link.run(on_message)
         except* (OSError, BrokenLink):
             pass
         except* Exception as errors:
@@ -208,175 +208,175 @@
         finally:
             link.close()
 
-    def from_older(self, message: Message) -> None:
-        link, say = self.older, message.get("say")
+    def on_predecessor_message(self, message: Message) -> None:
+        link, say = self.predecessor, message.get("say")
         if link is None:
             return
         if say == "client":
-            self.adopt(socket.socket(fileno=link.take_descriptor()))
+            self.adopt_client(socket.socket(fileno=link.take_descriptor()))
         elif say == "open":
-            self.elsewhere(message)
+            self.on_predecessor_work(message)
         elif say == "list":
-            self.take_list(message)
+            self.on_list(message)
         else:
-            self.both_ways(link, message)
+            self.on_call_message(link, message)
 
     # To the process after this one.
 
-    async def keep(self, group: TaskGroup) -> None:
+    async def accept_successors(self, group: TaskGroup) -> None:
         """Listens for it, also anew after one that took over has died."""
-        assert self.place is not None
+        assert self.upgrade_socket is not None
         while True:
             try:
-                self.door = self.place.listen()
+                self.listener = self.upgrade_socket.listen()
             except OSError as error:
                 self.log("handover_off", error=str(error))
                 return
-            with self.door, anyio.CancelScope() as self.turn:
-                await self.let_in(self.door, group)
-            self.door = None
-            while not self.succession.accepts():
-                self.alone = anyio.Event()
-                await self.alone.wait()
-
-    async def let_in(self, door: socket.socket, group: TaskGroup) -> None:
+            with self.listener, anyio.CancelScope() as self.accept_scope:
+                await self.accept_links(self.listener, group)
+            self.listener = None
+            while not self.protocol.accepts_clients():
+                self.successor_lost = anyio.Event()
+                await self.successor_lost.wait()
+
+    async def accept_links(self, listener: socket.socket, group: TaskGroup) -> None:
         while True:
-            await anyio.wait_readable(door)
+            await anyio.wait_readable(listener)
             try:
-                found, _ = door.accept()
+                accepted, _ = listener.accept()
             except OSError:
-                await anyio.sleep(TOLD_EVERY)
+                await anyio.sleep(REPORT_INTERVAL_S)
                 continue
-            found.setblocking(False)
-            if self.asking >= LINKS:
-                found.close()
+            accepted.setblocking(False)
+            if self.pending_links >= MAX_PENDING_LINKS:
+                accepted.close()
             else:
-                self.asking += 1
-                group.start_soon(self.attend, Link(found))
+                self.pending_links += 1
+                group.start_soon(self.serve_successor, Link(accepted))
 
-    async def attend(self, link: Link) -> None:
+    async def serve_successor(self, link: Link) -> None:
         """The one place that gives this link back, whoever asked."""
         try:
-            if not await self.introduced(link):
+            if not await self.check_hello(link):
                 return
-            self.newer = link
+            self.successor = link
             try:
                 self.log("handover", text="another process asks to take over")
-                self.pass_state(link)
+                self.send_state(link)
                 async with anyio.create_task_group() as group:
-                    group.start_soon(self.tell_still, link)
-                    await self.converse(link, self.from_newer)
+                    group.start_soon(self.report_open_work, link)
+                    await self.run_link(link, self.on_successor_message)
                     group.cancel_scope.cancel()
             finally:
-                self.newer = None
-                self.carry_out(self.succession.lost())
+                self.successor = None
+                self.execute(self.protocol.on_link_lost())
         except Exception as error:
             self.log("task_failed", task="attend", **defect(error))
         finally:
             link.close()
 
-    def pass_state(self, link: Link) -> None:
+    def send_state(self, link: Link) -> None:
         """Raises whatever keeps the state from being told; the descriptor is given back then."""
-        state, passed = self.state(), os.dup(self.listening().fileno())
-        self.passed_index = state.get("list", {}).get("index", 0)
+        state, descriptor = self.collect_state(), os.dup(self.client_listener().fileno())
+        self.sent_list_index = state.get("list", {}).get("index", 0)
         try:
-            taken = link.send(state, passed)
+            queued = link.send(state, descriptor)
         except BaseException:
-            os.close(passed)
+            os.close(descriptor)
             raise
-        if not taken:
-            os.close(passed)
+        if not queued:
+            os.close(descriptor)
 
-    async def introduced(self, link: Link) -> bool:
+    async def check_hello(self, link: Link) -> bool:
         try:
             try:
-                with anyio.fail_after(FIRST_WORD):
+                with anyio.fail_after(HELLO_TIMEOUT_S):
                     hello = await link.hear_one()
             finally:
-                self.asking -= 1
-            order = self.succession.hello(hello, same_user(link.sock))
-            if order.do is Do.REFUSE:
-                self.log("handover", text=f"refused: {order.why}")
-                await link.ask({"say": "no", "why": order.why}, FIRST_WORD)
-            return order.do is Do.PASS_STATE
+                self.pending_links -= 1
+            command = self.protocol.on_hello(hello, same_user(link.sock))
+            if command.kind is CommandKind.REFUSE:
+                self.log("handover", text=f"refused: {command.reason}")
+                await link.ask({"say": "no", "why": command.reason}, HELLO_TIMEOUT_S)
+            return command.kind is CommandKind.SEND_STATE
         except (OSError, BrokenLink, TimeoutError):
             return False
 
-    def from_newer(self, message: Message) -> None:
+    def on_successor_message(self, message: Message) -> None:
         if message.get("say") == "serving":
-            self.carry_out(self.succession.serving())
-        elif self.newer is not None:
-            self.both_ways(self.newer, message)
+            self.execute(self.protocol.on_serving())
+        elif self.successor is not None:
+            self.on_call_message(self.successor, message)
 
-    def carry_out(self, orders: list[Order]) -> None:
-        for order in orders:
-            if order.do is Do.YIELD:
+    def execute(self, commands: list[Command]) -> None:
+        for command in commands:
+            if command.kind is CommandKind.YIELD:
                 self.log("handover", text="the next process serves; this one finishes what it has")
-                if self.turn is not None:
-                    self.turn.cancel()
-                self.yield_()
-            elif order.do is Do.TAKE_UP:
+                if self.accept_scope is not None:
+                    self.accept_scope.cancel()
+                self.on_yield()
+            elif command.kind is CommandKind.RESUME:
                 self.log("handover", text="the next process has gone; this one serves again")
-                self.alone.set()
-                self.take_up()
+                self.successor_lost.set()
+                self.on_resume()
 
-    def pass_client(self, sock: socket.socket) -> bool:
+    def send_client(self, sock: socket.socket) -> bool:
         """The socket is the link's from now on; False, and nothing taken, where there is no link."""
-        link = self.newer
+        link = self.successor
         if link is None or not link.has_room():
             return False
         return link.send({"say": "client"}, sock.detach())
 
-    async def tell_still(self, link: Link) -> None:
+    async def report_open_work(self, link: Link) -> None:
         """What is open here counts there too, until it has ended, and so does a list that is told here: calls
         of this process may be answered long before the first of the next one."""
-        told: Message = {}
+        last_report: Message = {}
         while True:
-            await anyio.sleep(TOLD_EVERY)
-            if self.succession.accepts():
+            await anyio.sleep(REPORT_INTERVAL_S)
+            if self.protocol.accepts_clients():
                 continue
-            self.pass_list(link)
-            if told != (still := self.still()) and link.send({"say": "open", **still}):
-                told = still
+            self.send_newer_list(link)
+            if last_report != (report := self.collect_open_work()) and link.send({"say": "open", **report}):
+                last_report = report
 
-    def pass_list(self, link: Link) -> None:
-        later = self.later_list(self.passed_index)
-        if later is not None and link.send({"say": "list", **later}):
-            self.passed_index = later["list"]["index"]
+    def send_newer_list(self, link: Link) -> None:
+        newer = self.newer_list(self.sent_list_index)
+        if newer is not None and link.send({"say": "list", **newer}):
+            self.sent_list_index = newer["list"]["index"]
 
     async def flush(self) -> None:
-        while self.newer is not None and self.newer.going:
+        while self.successor is not None and self.successor.going:
             await anyio.sleep(0.005)
 
     # Operators' calls hold in both.
 
-    def both_ways(self, link: Link, message: Message) -> None:
+    def on_call_message(self, link: Link, message: Message) -> None:
         say = message.get("say")
         if say == "call":
             try:
-                status, _ = self.apply(Call(str(message["what"]), str(message["member"])))
+                status, _ = self.apply_call(Call(str(message["what"]), str(message["member"])))
             except (KeyError, Malformed):
                 status = 400
             link.send({"say": "done", "n": message.get("n"), "status": status})
-        elif say == "done" and (event := self.waiting.get(message.get("n"))) is not None:
+        elif say == "done" and (event := self.pending_calls.get(message.get("n"))) is not None:
             event.set()
 
-    async def pass_on(self, call: Call) -> None:
-        links = [link for link in (self.older, self.newer) if link is not None and link.has_room()]
+    async def forward_call(self, call: Call) -> None:
+        links = [link for link in (self.predecessor, self.successor) if link is not None and link.has_room()]
         for link in links:
-            self.serial += 1
-            number, event = self.serial, anyio.Event()
-            self.waiting[number] = event
+            self.last_call_number += 1
+            number, event = self.last_call_number, anyio.Event()
+            self.pending_calls[number] = event
             try:
                 link.send({"say": "call", "n": number, "what": call.what, "member": call.endpoint})
-                with anyio.move_on_after(AGREED):
+                with anyio.move_on_after(FORWARD_TIMEOUT_S):
                     await event.wait()
             finally:
-                del self.waiting[number]
+                del self.pending_calls[number]
 
     def close(self) -> None:
-        for link in (self.older, self.newer):
+        for link in (self.predecessor, self.successor):
             if link is not None:
                 link.close()
-        if self.place is not None:
-            self.place.close()
+        if self.upgrade_socket is not None:
+            self.upgrade_socket.close()
--- /dev/null
+++ b/lupinmill/handover/handover_state.py
@@ -0,0 +1,81 @@
+"""What passes at an upgrade beside sockets, as a plain table. Pure. The taker reads it whole or refuses it
+whole."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import Any
+
+from lupinmill import terms as t
+from lupinmill.admin.operator_overrides import Mode, OperatorOverrides
+from lupinmill.handover.upgrade_protocol import VERSION
+from lupinmill.protocol import lists
+from lupinmill.protocol.http import Garbled
+
+Table = dict[str, Any]
+DISCOVERY_STATUS = {t.State.READY: "SERVING", t.State.DRAINING: "DRAINING"}
+
+
+class InvalidHandoverState(Exception):
+    pass
+
+
+@dataclass(slots=True)
+class HandoverState:
+    known: lists.Known
+    learned: Table
+    open_descriptors: int  # descriptors that the older process has open
+    retries: int  # launches beyond a submission's first that it has made so far
+
+
+def encode_list(endpoint_list: dict[str, t.Listing], addresses: dict[str, str], index: int | None) -> Table:
+    """The whole list, as discovery would tell it."""
+    rows = [
+        {
+            "name": listing.endpoint,
+            "address": addresses[listing.endpoint],
+            "zone": listing.zone,
+            "type": listing.kind,
+            "group": listing.cell,
+            "status": DISCOVERY_STATUS[listing.state],
+            "since_ms": listing.started // 1000,
+            "weight": listing.weight,
+        }
+        for listing in endpoint_list.values()
+        if listing.endpoint in addresses
+    ]
+    return {"index": index or 0, "snapshot": True, "endpoints": rows}
+
+
+def encode(
+    endpoint_list: Table, overrides: OperatorOverrides, learned: Table, open_descriptors: int
+) -> Table:
+    """`listed`: see `write_list`."""
+    return {
+        "say": "state",
+        "version": VERSION,
+        "held": open_descriptors,
+        "learned": learned,
+        "list": endpoint_list,
+        "out": [[name, listed_at] for name, listed_at in overrides.cordoned.items()],
+        "mode": [overrides.mode.value, overrides.mode_since],
+    }
+
+
+def decode(table: Table, overrides: OperatorOverrides) -> HandoverState:
+    """What stands is taken up here; the rest is returned."""
+    if table.get("say") != "state" or table.get("version") != VERSION:
+        raise InvalidHandoverState(str(table.get("why") or f"no state of version {VERSION}")[:200])
+    try:
+        known = lists.known(table["list"])
+        cordoned = {str(name): int(listed_at) for name, listed_at in table["out"]}
+        mode, since = Mode(table["mode"][0]), int(table["mode"][1])
+        state = HandoverState(known, dict(table["learned"]), int(table["held"]), int(table.get("repeats", 0)))
+        if state.open_descriptors < 0 or state.retries < 0:
+            raise ValueError("held, repeats: under 0")
+    except (KeyError, TypeError, ValueError, IndexError, AttributeError, OverflowError, Garbled) as error:
+        raise InvalidHandoverState(f"{type(error).__name__}: {error}"[:200]) from error
+    overrides.cordoned.update(cordoned)
+    if mode is Mode.DRAINING:
+        overrides.quiesce(since)
+    return state
--- a/lupinmill/program/sidecar.py
+++ b/lupinmill/program/sidecar.py
@@ -17,7 +17,7 @@
 from lupinmill.admin.admin_server import MAX_CONNECTIONS, AdminServer
 from lupinmill.admin.admin_handler import AdminHandler
 from lupinmill.admin.operator_overrides import Mode, OperatorOverrides
-from lupinmill.handover import papers
+from lupinmill.handover import handover_state
 from lupinmill.handover.driver import Handover
 from lupinmill.limits.gate import Gate
 from lupinmill.discovery.driver import Discovery
@@ -86,7 +86,7 @@
         self.told_to_end: signal.Signals | None = None  # while it started
         self.found: tuple[dict[str, Any], socket.socket] | None = None  # by the process before this one
         self.beside_older = False  # a process before this one is there, whether or not it is taken over from
-        self.papers: papers.Papers | None = None
+        self.predecessor_state: handover_state.HandoverState | None = None
         self.listener: Listener | None = None
         self.admin_server: AdminServer | None = None
         if watched := told.operators is not None and told.operators.config is not None:
@@ -229,13 +229,13 @@
 
     async def take_over(self) -> None:
         """The listener comes last: from then on nothing is waited for before clients are served."""
-        self.found, sock = await self.handover.ask(), None
+        self.found, sock = await self.handover.request_state(), None
         self.beside_older = self.found is not None
         if self.found is not None:
             table, sock = self.found
             try:
-                self.papers = papers.read(table, self.overrides)
-            except papers.BadPapers as error:
+                self.predecessor_state = handover_state.decode(table, self.overrides)
+            except handover_state.InvalidHandoverState as error:
                 self.log("handover_refused", error=str(error))
                 self.handover.decline()
                 sock.close()
@@ -263,7 +263,7 @@
         try:
             async with anyio.create_task_group() as group:
                 Route(self.engine, self.book, send, group)
-                self.begin_list(self.papers)
+                self.begin_list(self.predecessor_state)
                 self.start_tasks(group, listener)
                 self.log_start(listener)
                 gc.collect()
@@ -397,7 +397,7 @@
         longest = max(workload.hard_limit for workload in self.told.deployment.workloads) / 1_000_000
         stay = min(longest, LONGEST_WAIT) + KILLED_AFTER - SPARE
         last = max(stay, LONGEST + ANSWERED)
-        self.handover.succession.leave()
+        self.handover.protocol.on_shutdown()
         now = self.engine.clock.now()
         ends = now + int(stay * 1_000_000)
         self.overrides.begin_shutdown(now, ends - CLOSING, ends)
@@ -407,7 +407,7 @@
         while (waited := anyio.current_time() - began) < stay or self.book.journeys or take_in.answering:
             # Those just accepted count, whose tasks have not begun.
             clients = self.descriptors.open[Side.CLIENT] + listener.turning_away
-            if not clients and (waited >= STILL_COMING or not self.handover.succession.accepts()):
+            if not clients and (waited >= STILL_COMING or not self.handover.protocol.accepts_clients()):
                 break
             if waited >= last:
                 # Guards against an end that never comes, for a request that a defect has left open.
@@ -417,7 +417,7 @@
         with anyio.move_on_after(SPARE):
             await self.handover.flush()
 
-    def begin_list(self, taken: papers.Papers | None) -> None:
+    def begin_list(self, taken: handover_state.HandoverState | None) -> None:
         """As told at the start, or as the process before this one knew it, with what it learned."""
         try:
             self.directory.update(self.told.known if taken is None else taken.known, t.ListKind.CACHED)
@@ -433,7 +433,7 @@
         except Exception as error:
             self.log("handover_refused", **defect(error))
         self.engine.tell(t.Woke(1))
-        self.descriptors.elsewhere, self.repeats_before = taken.held, taken.repeats
+        self.descriptors.elsewhere, self.repeats_before = taken.open_descriptors, taken.retries
         self.discovery.watch(t.Watch())  # at once: what it tells from now on binds this process
 
     def hand_over(self, listener: Listener, take_in: TakeIn, group: TaskGroup) -> None:
@@ -445,12 +445,14 @@
 
         def state() -> dict[str, Any]:
             known = learned.learned(self.engine.sidecar)
-            return papers.write(listed(), self.overrides, known, held()) | {"repeats": self.book.repeats}
+            return handover_state.encode(listed(), self.overrides, known, held()) | {
+                "repeats": self.book.repeats
+            }
 
         def listed() -> dict[str, Any]:
             directory = self.directory
             rows = self.engine.sidecar.roster.listed
-            return papers.write_list(rows, directory.addresses, directory.index)
+            return handover_state.encode_list(rows, directory.addresses, directory.index)
 
         def later_list(index: int) -> dict[str, Any] | None:
             if self.directory.index in (None, index) or not self.discovery.watcher.current():
@@ -470,7 +472,7 @@
             listener.pause()
             listener.passing = True
             self.to_close.set()
-            take_in.pass_on = lambda client: handover.pass_client(client.sock)
+            take_in.pass_on = lambda client: handover.send_client(client.sock)
             self.pool.close()
             listener.dismiss_all()
             if self.peers is not None:
@@ -509,13 +511,17 @@
             self.engine.tell(t.Elsewhere(flying, max(0, now_repeats - repeats)))
             repeats = now_repeats
 
-        handover.state, handover.still, handover.listening = state, still, lambda: listener.sock
-        handover.yield_, handover.take_up = yield_, take_up
-        handover.adopt, handover.elsewhere = adopt, elsewhere
-        handover.later_list, handover.take_list = later_list, take_list
+        handover.collect_state, handover.collect_open_work, handover.client_listener = (
+            state,
+            still,
+            lambda: listener.sock,
+        )
+        handover.on_yield, handover.on_resume = yield_, take_up
+        handover.adopt_client, handover.on_predecessor_work = adopt, elsewhere
+        handover.newer_list, handover.on_list = later_list, take_list
         # The other process knew the endpoint; this one's list may be behind.
-        handover.apply = lambda call: self.admin_handler.apply(call, True)
-        self.admin_handler.forward = handover.pass_on
+        handover.apply_call = lambda call: self.admin_handler.apply(call, True)
+        self.admin_handler.forward = handover.forward_call
         handover.start(group)
 
     async def close_idle(self, listener: Listener) -> None:
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -21,9 +21,9 @@
 
 from lupinmill import terms as t
 from lupinmill.admin.operator_overrides import Mode, OperatorOverrides
-from lupinmill.handover import papers
-from lupinmill.handover.driver import Handover, Place
-from lupinmill.handover.succession import VERSION, Do, Phase, Succession
+from lupinmill.handover import handover_state
+from lupinmill.handover.driver import Handover, UpgradeSocket
+from lupinmill.handover.upgrade_protocol import VERSION, CommandKind, Phase, UpgradeProtocol
 from lupinmill.program.sidecar import Program
 from lupinmill.program.told import understand
 from lupinmill.protocol.http import Answer
@@ -101,7 +101,7 @@
 # --- who accepts, as a model --------------------------------------------------------------------
 
 
-NOTES = strategies.lists(
+EVENTS = strategies.lists(
     strategies.tuples(
         strategies.sampled_from(["hello", "foreign", "stranger", "serving", "lost", "leave"]),
     ),
@@ -110,31 +110,31 @@
 
 
 @settings(derandomize=True, max_examples=300)
-@given(NOTES)
+@given(EVENTS)
 def test_one_process_at_least_accepts_at_each_moment(notes):
-    one = Succession("n1", "a:1")
+    one = UpgradeProtocol("n1", "a:1")
     asked = serves = left = False  # of the successor: its link is up; it accepts
     for (note,) in notes:
         if note == "hello":
-            order = one.hello(HELLO, True)
-            assert (order.do is Do.PASS_STATE) == (not asked and not (left and serves))
-            asked = asked or order.do is Do.PASS_STATE
+            command = one.on_hello(HELLO, True)
+            assert (command.kind is CommandKind.SEND_STATE) == (not asked and not (left and serves))
+            asked = asked or command.kind is CommandKind.SEND_STATE
         elif note == "foreign":
-            assert one.hello(HELLO | {"name": "n2"}, True).do is Do.REFUSE
+            assert one.on_hello(HELLO | {"name": "n2"}, True).kind is CommandKind.REFUSE
         elif note == "stranger":
-            assert one.hello(HELLO, False).do is Do.REFUSE
+            assert one.on_hello(HELLO, False).kind is CommandKind.REFUSE
         elif note == "serving":
-            orders = one.serving()
-            assert bool(orders) == (asked and not serves)
+            commands = one.on_serving()
+            assert bool(commands) == (asked and not serves)
             serves = serves or asked
         elif note == "lost" and asked:
-            orders = [order.do for order in one.lost()]
-            assert (Do.TAKE_UP in orders) == (serves and not left)
+            commands = [command.kind for command in one.on_link_lost()]
+            assert (CommandKind.RESUME in commands) == (serves and not left)
             asked, serves = False, serves and left
         elif note == "leave":
-            one.leave()
+            one.on_shutdown()
             left = True
-        assert one.accepts() == (one.phase is not Phase.YIELDED) == (not serves)
+        assert one.accepts_clients() == (one.phase is not Phase.YIELDED) == (not serves)
 
 
 # --- what passes --------------------------------------------------------------------------------
@@ -146,11 +146,15 @@
     old.quiesce(77)
     listed = {f"e{at}": listing(at, started=at * 1000) for at in range(3)}
     listed["e2"].state = t.State.DRAINING
-    rows = papers.write_list(listed, {f"e{at}": f"127.0.0.1:{at + 1}" for at in range(3)}, 41)
-    table = papers.write(rows, old, {"cap": 3}, 9)
+    rows = handover_state.encode_list(listed, {f"e{at}": f"127.0.0.1:{at + 1}" for at in range(3)}, 41)
+    table = handover_state.encode(rows, old, {"cap": 3}, 9)
     table = orjson.loads(orjson.dumps(table))
-    taken = papers.read(table, new)
-    assert taken.known.index == 41 and taken.known.entries == list(listed.values()) and taken.held == 9
+    taken = handover_state.decode(table, new)
+    assert (
+        taken.known.index == 41
+        and taken.known.entries == list(listed.values())
+        and taken.open_descriptors == 9
+    )
     assert new.mode is Mode.DRAINING and new.mode_since == 77 and list(new.cordoned) == ["e1"]
     for spoilt in (
         {"version": 99},
@@ -161,8 +165,8 @@
         {"held": "x"},
     ):
         untouched = OperatorOverrides()
-        with pytest.raises(papers.BadPapers):
-            papers.read(table | spoilt, untouched)
+        with pytest.raises(handover_state.InvalidHandoverState):
+            handover_state.decode(table | spoilt, untouched)
         assert not untouched.cordoned and untouched.mode is Mode.SERVING
 
 
@@ -225,8 +229,8 @@
             table |= {"listen": self.net.address}
         told = understand(table, {"TMPDIR": str(self.directory)})
         program = Program(told, lambda event, **f: self.net.logs.append((event, f)), lambda: told)
-        program.handover.succession.listen = "same"
-        program.handover.place = Place(str(self.directory), "n1", "same")
+        program.handover.protocol.listen = "same"
+        program.handover.upgrade_socket = UpgradeSocket(str(self.directory), "n1", "same")
         scope = anyio.CancelScope()
 
         async def run(*, task_status) -> None:
@@ -336,12 +340,14 @@
         old = both.programs[0]
 
         def unreadable(*_):
-            raise papers.BadPapers("of another kind")
+            raise handover_state.InvalidHandoverState("of another kind")
 
-        monkeypatch.setattr(papers, "read", unreadable)
+        monkeypatch.setattr(handover_state, "decode", unreadable)
         await both.start()
-        await until(lambda: old.handover.newer is None and old.handover.succession.phase is Phase.ALONE)
-        assert old.handover.succession.accepts() and not old.descriptors.elsewhere
+        await until(
+            lambda: old.handover.successor is None and old.handover.protocol.phase is Phase.NO_SUCCESSOR
+        )
+        assert old.handover.protocol.accepts_clients() and not old.descriptors.elsewhere
         for at in range(10):
             assert (await both.net.ask(wanted(f"s{at}"))).status == 200
 
@@ -362,7 +368,7 @@
     async def check(both: Pair):
         old = both.programs[0]
         for message in (HELLO | {"version": 99}, HELLO | {"name": "another"}, {"say": "x"}):
-            link = Link(old.handover.place.find())
+            link = Link(old.handover.upgrade_socket.connect())
             assert (await link.ask(message, 2))["say"] == "no"
             link.sock.send(link.encode({"say": "and now?"}))
             with anyio.fail_after(3), pytest.raises((BrokenLink, OSError)):
@@ -392,9 +398,9 @@
             monkeypatch.setattr(Link, "put", full)
             await both.start()
             await until(lambda: held and clients(old) == 0)
-            link = old.handover.newer
+            link = old.handover.successor
             both.ends[1].cancel()
-            await until(lambda: old.handover.newer is None and old.handover.succession.accepts())
+            await until(lambda: old.handover.successor is None and old.handover.protocol.accepts_clients())
             monkeypatch.undo()
             assert link.broken and not link.going
             with pytest.raises((anyio.EndOfStream, anyio.BrokenResourceError)):
@@ -413,14 +419,14 @@
         host, port = net.address.split(":")
         async with await anyio.connect_tcp(host, int(port)) as idle:
             assert b"done-a1" in await exchange(idle, "a1")
-            passes, raw = old.handover.pass_client, idle.extra(anyio.abc.SocketAttribute.raw_socket)
+            passes, raw = old.handover.send_client, idle.extra(anyio.abc.SocketAttribute.raw_socket)
 
             def crossed(sock):
                 with socket.socket(fileno=os.dup(raw.fileno())) as same:
                     same.send(wanted("a2"))  # in that very step
                 return passes(sock)
 
-            monkeypatch.setattr(old.handover, "pass_client", crossed)
+            monkeypatch.setattr(old.handover, "send_client", crossed)
             new = await both.start()
             assert b"done-a2" in await idle.receive()
             assert clients(old) == 0 and clients(new) == 1
@@ -436,14 +442,16 @@
             monkeypatch.setattr(Handover, "start", lambda *_: None)
         await both.start()
         if moment == "serving":
-            await until(lambda: not old.handover.succession.accepts())
+            await until(lambda: not old.handover.protocol.accepts_clients())
         both.ends[1].cancel()
-        await until(lambda: old.handover.newer is None and old.handover.succession.phase is Phase.ALONE)
+        await until(
+            lambda: old.handover.successor is None and old.handover.protocol.phase is Phase.NO_SUCCESSOR
+        )
         monkeypatch.undo()
         assert (await both.net.ask(wanted("s1"))).body == b"done-s1"
-        await until(lambda: old.handover.door is not None)
+        await until(lambda: old.handover.listener is not None)
         await both.start()
-        await until(lambda: not old.handover.succession.accepts())
+        await until(lambda: not old.handover.protocol.accepts_clients())
         assert (await both.net.ask(wanted("s2"))).body == b"done-s2"
 
     beside(check, fine, fine)
@@ -452,16 +460,16 @@
 def test_a_file_of_a_dead_process_and_one_that_says_nothing_mean_an_ordinary_start(tmp_path, monkeypatch):
     from lupinmill.handover import driver
 
-    monkeypatch.setattr(driver, "ANSWER", 0.2)
+    monkeypatch.setattr(driver, "STATE_TIMEOUT_S", 0.2)
     logs: list[str] = []
 
     async def main() -> None:
         for _ in range(2):  # nothing there, then a file that nobody listens at
             found = Handover(str(tmp_path), "n1", "a:1", lambda event, **f: logs.append(event))
-            assert await found.ask() is None and not logs
-            found.place.listen().close()
-        mute = found.place.listen()
-        assert await found.ask() is None and logs == ["handover_refused"]
+            assert await found.request_state() is None and not logs
+            found.upgrade_socket.listen().close()
+        mute = found.upgrade_socket.listen()
+        assert await found.request_state() is None and logs == ["handover_refused"]
         mute.close()
 
     anyio.run(main)
@@ -783,7 +791,7 @@
         await until(lambda: calls)
         net.discovery.change(net.discovery.rows[0], status="DRAINING")
         new = await both.start()
-        await until(lambda: not old.handover.succession.accepts())
+        await until(lambda: not old.handover.protocol.accepts_clients())
         assert new.directory.takes("e0")
         held.set()
         await until(lambda: not old.directory.takes("e0"))
@@ -798,16 +806,16 @@
     async def check(both: Pair):
         old = both.programs[0]
         new = await both.start()
-        await until(lambda: not old.handover.succession.accepts())
+        await until(lambda: not old.handover.protocol.accepts_clients())
         index, address = new.directory.index, new.discovery.watcher.address
         rows = [row | {"status": "DRAINING"} for row in both.net.discovery.rows]
         for told in (
             {"address": "127.0.0.1:9", "list": {"index": index + 9, "snapshot": True, "endpoints": rows}},
             {"address": address, "list": {"index": index, "snapshot": True, "endpoints": rows}},
         ):
-            new.handover.take_list(told)
+            new.handover.on_list(told)
             assert new.directory.takes("e0") and new.directory.index == index
-        new.handover.take_list(
+        new.handover.on_list(
             {"address": address, "list": {"index": index + 1, "snapshot": True, "endpoints": rows}}
         )
         assert not new.directory.takes("e0") and new.directory.index == index + 1
--- a/tests/test_start_faults.py
+++ b/tests/test_start_faults.py
@@ -18,7 +18,7 @@
 from test_sidecar import fine, until
 
 from lupinmill.handover import driver
-from lupinmill.handover.driver import Handover, Place
+from lupinmill.handover.driver import Handover, UpgradeSocket
 from lupinmill.program import sidecar
 from lupinmill.program.logs import Logs
 from lupinmill.program.sidecar import Program
@@ -197,7 +197,7 @@
 )
 def test_another_process_that_dies_or_tells_nonsense_means_an_ordinary_start(tmp_path, said, monkeypatch):
     """Seen failing for a file and for a socket that does not listen: taken up as the listening socket."""
-    monkeypatch.setattr(driver, "ANSWER", 5.0)
+    monkeypatch.setattr(driver, "STATE_TIMEOUT_S", 5.0)
     logs = []
 
     async def other(door: socket.socket) -> None:
@@ -223,9 +223,9 @@
         with anyio.fail_after(LIMIT):
             async with anyio.create_task_group() as group:
                 found = Handover(str(tmp_path), "n1", "a:1", lambda event, **f: logs.append(event))
-                with Place(str(tmp_path), "n1", "a:1").listen() as door:
+                with UpgradeSocket(str(tmp_path), "n1", "a:1").listen() as door:
                     group.start_soon(other, door)
-                    assert await found.ask() is None
+                    assert await found.request_state() is None
                 group.cancel_scope.cancel()
 
     anyio.run(main)
@@ -250,10 +250,10 @@
 def test_a_state_with_no_figures_is_refused_and_not_a_crash(bad):
     """Seen failing as `OverflowError: cannot convert float infinity to integer`."""
     from lupinmill.admin.operator_overrides import OperatorOverrides
-    from lupinmill.handover import papers
+    from lupinmill.handover import handover_state
 
-    with pytest.raises(papers.BadPapers):
-        papers.read(STATE | bad, OperatorOverrides())
+    with pytest.raises(handover_state.InvalidHandoverState):
+        handover_state.decode(STATE | bad, OperatorOverrides())
 
 
 @pytest.mark.parametrize(
@@ -270,7 +270,7 @@
 )
 def test_learned_figures_that_are_none_cost_the_learned_alone(kept):
     """Seen failing as `OverflowError` out of the start, and as defects in each later step."""
-    from lupinmill.handover.papers import Papers
+    from lupinmill.handover.handover_state import HandoverState
     from lupinmill.protocol import lists
 
     begin_list = Program.begin_list
@@ -281,7 +281,7 @@
 
     def recalled(self, taken) -> None:
         known = lists.known(net_table["known"])
-        begin_list(self, Papers(known, {"beside": False} | kept, 0, 0))
+        begin_list(self, HandoverState(known, {"beside": False} | kept, 0, 0))
 
     net_table: dict = {}
 
@@ -326,7 +326,7 @@
     assert told["error"] == "RuntimeError: a defect"
 
 
-@pytest.mark.parametrize("task", ["keep", "follow"])
+@pytest.mark.parametrize("task", ["accept_successors", "follow_predecessor"])
 def test_a_defect_in_a_task_of_the_handover_costs_the_handover_alone(task, tmp_path, monkeypatch):
     """Seen failing as an exception group out of `Program.run`."""
 
@@ -342,10 +342,10 @@
 
             def in_directory(self, _, *more) -> None:
                 understand(self, str(tmp_path), *more)
-                if task == "follow":
+                if task == "follow_predecessor":
                     ends = socket.socketpair(socket.AF_UNIX, socket.SOCK_STREAM)
                     ends[0].setblocking(False)
-                    self.older = Link(ends[0])
+                    self.predecessor = Link(ends[0])
 
             monkeypatch.setattr(sidecar.Handover, "__init__", in_directory)
             await super().start_program(group)
--- a/tests/test_start_signals.py
+++ b/tests/test_start_signals.py
@@ -12,7 +12,7 @@
 from start_bed import LIMIT, ROOT, begin, events, hooked, line_of, running, table
 from test_sidecar import fine, until
 
-from lupinmill.handover.driver import Place
+from lupinmill.handover.driver import UpgradeSocket
 from lupinmill.program import sidecar
 from lupinmill.transport.listener import Listener
 
@@ -93,7 +93,7 @@
 def test_a_signal_to_end_while_the_other_process_of_an_upgrade_says_nothing(tmp_path):
     """Seen failing as exit -15."""
     listen = "127.0.0.1:0"
-    mute = Place(str(tmp_path), "n1", listen).listen()
+    mute = UpgradeSocket(str(tmp_path), "n1", listen).listen()
     mute.setblocking(True)
     mute.settimeout(LIMIT)
     with mute, running(begin(tmp_path, table(), TMPDIR=str(tmp_path))) as process:
