--- a/lupinmill/discovery/calls.py
+++ b/lupinmill/discovery/calls.py
@@ -10,7 +10,7 @@
     """What a call asks for."""
 
     WATCH = "watch"  # changes since a version, as soon as there are any
-    WHOLE = "whole list"
+    FULL_LIST = "whole list"
 
 
 class CallEnd(Enum):
@@ -19,19 +19,19 @@
     ANSWERED = "answered"
     STALE = "answered, older than the list here"
     FAILED = "failed"
-    OVERTAKEN = "given up, a later call was answered"
-    MOVED = "given up, the list is another address's by now"
-    CROWDED_OUT = "given up for a newer call, nothing was answered for long"
+    SUPERSEDED = "given up, a later call was answered"
+    ADDRESS_CHANGED = "given up, the list is another address's by now"
+    REPLACED = "given up for a newer call, nothing was answered for long"
     TOO_OLD = "given up, too old"
 
 
-class Verdict(Enum):
+class AnswerAction(Enum):
     """What becomes of an answer."""
 
-    TAKE = "take"
+    APPLY = "take"
     STALE = "stale"  # from before what is known: it would take the list backwards
-    ASK_WHOLE = "ask for the whole list"  # changes of a service that came back from an older state
-    MISFIT = "misfit"  # changes where only a whole list can be used
+    FETCH_FULL_LIST = "ask for the whole list"  # changes of a service that came back from an older state
+    UNUSABLE = "misfit"  # changes where only a whole list can be used
 
 
 @dataclass(slots=True, eq=False)
@@ -42,23 +42,23 @@
     kind: CallKind
     address: str
     epoch: int  # how often discovery had moved when it began
-    began: float
+    started_at: float
     wait: float  # seconds for which discovery is asked to wait for news; 0 for a whole list
     index: int | None  # the version that was known when it began
     jitter: float  # part of the patience with it, before another call begins beside it
     connected: bool = False
-    answering_since: float | None = None  # when the first byte of its answer came
-    overtaken: bool = False  # a call that began after this one was due has been answered
+    first_byte_at: float | None = None  # when the first byte of its answer came
+    superseded: bool = False  # a call that began after this one was due has been answered
 
     @property
     def due(self) -> float:
         """When a prompt service would have answered it at the latest."""
-        latest = self.began + self.wait
-        return latest if self.answering_since is None else min(latest, self.answering_since)
+        latest = self.started_at + self.wait
+        return latest if self.first_byte_at is None else min(latest, self.first_byte_at)
 
     def age(self, now: float) -> float:
         """Seconds since it began."""
-        return now - self.began
+        return now - self.started_at
 
     def late(self, now: float) -> float:
         """Seconds since it was due."""
@@ -66,18 +66,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Begin:
+class StartCall:
     """Command: make this call."""
 
     call: Call
 
 
 @dataclass(frozen=True, slots=True)
-class GiveUp:
+class CancelCall:
     """Command: end this call."""
 
     call: Call
     end: CallEnd
 
 
-Command = Begin | GiveUp
+Command = StartCall | CancelCall
--- a/lupinmill/discovery/driver.py
+++ b/lupinmill/discovery/driver.py
@@ -8,8 +8,15 @@
 from anyio.abc import TaskGroup
 
 from lupinmill import terms as t
-from lupinmill.discovery.calls import Begin, Call, CallEnd, CallKind, Command, Verdict
-from lupinmill.discovery.watcher import LEAST_WAIT, LONGEST_WAIT, OLDEST, TOLD_AFTER, Timing, Watcher
+from lupinmill.discovery.calls import StartCall, Call, CallEnd, CallKind, Command, AnswerAction
+from lupinmill.discovery.watcher import (
+    MIN_WATCH_WAIT_S,
+    MAX_WATCH_WAIT_S,
+    MAX_CALL_AGE_S,
+    PROPAGATION_LIMIT_S,
+    WatchTiming,
+    Watcher,
+)
 from lupinmill.protocol import lists
 from lupinmill.protocol.http import Answer, ClientSide, Garbled
 from lupinmill.routing.directory import Directory
@@ -19,30 +26,35 @@
 
 # Seconds, at most, before a broken watch begins anew where the list is pushed, the same as a part of the
 # grace, and at least: what the agent got at discovery's return counts as told at once.
-AGAIN, GRACE_PART, LEAST_AGAIN = 1.0, 0.5, 0.1
-CALLS = 200.0  # a second, that watches of all sidecars together may make as long as LONGEST_WAIT allows it
-LEAST_PAUSE = 0.001  # seconds; guards the loop against a core that wants to be woken without end
-LARGE_FLEET = 30  # sidecars, beyond which whole lists for all at once are avoided
+MAX_REWATCH_DELAY_S, REWATCH_GRACE_FRACTION, MIN_REWATCH_DELAY_S = 1.0, 0.5, 0.1
+MAX_FLEET_CALLS_PER_S = (
+    200.0  # a second, that watches of all sidecars together may make as long as LONGEST_WAIT allows it
+)
+MIN_SLEEP_S = 0.001  # seconds; guards the loop against a core that wants to be woken without end
+LARGE_FLEET_SIDECARS = 30  # sidecars, beyond which whole lists for all at once are avoided
 MICROSECONDS = 1_000_000
 EXPECTED_ERRORS = (OSError, TimeoutError, Unconnected, NoDescriptor, Garbled)
 
 
-def wait_of(instances: int) -> float:
+def watch_wait(instances: int) -> float:
     """Seconds for which a watch of one of so many sidecars waits for news."""
-    return min(LONGEST_WAIT, max(LEAST_WAIT, instances / CALLS))
+    return min(MAX_WATCH_WAIT_S, max(MIN_WATCH_WAIT_S, instances / MAX_FLEET_CALLS_PER_S))
 
 
-def timing_of(deployment: t.Deployment) -> Timing:
+def watch_timing(deployment: t.Deployment) -> WatchTiming:
     """Where the settings say that changes are pushed, the module never asks for the list."""
-    again = max(LEAST_AGAIN, min(AGAIN, GRACE_PART * deployment.grace / MICROSECONDS))
-    return Timing(
-        wait_of(deployment.instances),
-        None if deployment.must_ask else again,
-        deployment.instances > LARGE_FLEET,
+    rewatch_within = max(
+        MIN_REWATCH_DELAY_S,
+        min(MAX_REWATCH_DELAY_S, REWATCH_GRACE_FRACTION * deployment.grace / MICROSECONDS),
+    )
+    return WatchTiming(
+        watch_wait(deployment.instances),
+        None if deployment.must_ask else rewatch_within,
+        deployment.instances > LARGE_FLEET_SIDECARS,
     )
 
 
-class Discovery:
+class DiscoveryClient:
     """The watch on the list of one sidecar.
 
     Owns all connections to discovery: each is its call's, and one that can be used again is kept for another.
@@ -54,13 +66,13 @@
         self.pushed = not deployment.must_ask
         self.directory, self.store, self.log = directory, store, log
         self.watcher = Watcher(
-            address, timing_of(deployment), lambda least, most: random.uniform(least, most)
+            address, watch_timing(deployment), lambda least, most: random.uniform(least, most)
         )
-        self.changed = anyio.Event()
+        self.wakeup = anyio.Event()
         self.scopes: dict[int, anyio.CancelScope] = {}  # by call
         self.spare: tuple[str, Connection] | None = None  # its address; kept for the next call
         self.steady = False  # the last call brought an answer, and nothing has moved since
-        self.told_old = False  # the log was told that the list is old
+        self.list_old_logged = False  # the log was told that the list is old
 
     @property
     def wait(self) -> float:
@@ -70,23 +82,23 @@
     def set_instances(self, instances: int) -> None:
         """How many sidecars ask the same discovery, from now on."""
         timing = self.watcher.timing
-        timing.wait, timing.large = wait_of(instances), instances > LARGE_FLEET
+        timing.wait, timing.large_fleet = watch_wait(instances), instances > LARGE_FLEET_SIDECARS
 
     def move(self, address: str) -> None:
         """Discovery is at another address from now on. Its list is asked for whole: nothing says that
         versions count on from the old service's."""
         self.watcher.move(anyio.current_time(), address)
         self.steady = False
-        self.changed.set()
+        self.wakeup.set()
 
     def watch(self, _: t.Watch) -> None:
         """The module wants the list to be watched."""
-        self.watcher.asked(anyio.current_time())
-        self.changed.set()
+        self.watcher.request_watch(anyio.current_time())
+        self.wakeup.set()
 
     def list_age(self) -> float | None:
         """Seconds for which the list here may have missed a change; None before the first answer."""
-        return self.watcher.age(anyio.current_time())
+        return self.watcher.list_age(anyio.current_time())
 
     def show(self) -> dict[str, object]:
         """For operators: how old the list is, how late discovery answers, and each call that is out."""
@@ -98,30 +110,30 @@
             "expected_lateness_s": round(self.watcher.lateness.expected, 3),
             "watches_answered": not self.watcher.polling(),
             "failures": self.watcher.failures,
-            "calls": [told_of(call) | {"age_s": round(call.age(now), 3)} for call in self.watcher.calls],
+            "calls": [call_fields(call) | {"age_s": round(call.age(now), 3)} for call in self.watcher.calls],
         }
 
     async def run(self) -> None:
         """For as long as the program lives."""
         if self.pushed:
-            self.watcher.asked(anyio.current_time())
+            self.watcher.request_watch(anyio.current_time())
         try:
             async with anyio.create_task_group() as group:
                 while True:
-                    self.changed = anyio.Event()
+                    self.wakeup = anyio.Event()
                     now = anyio.current_time()
                     for command in self.watcher.decide(
                         now, self.directory.index, bool(self.directory.states)
                     ):
-                        self.carry_out(command, group)
-                    self.tell_age(now)
-                    with anyio.move_on_after(max(LEAST_PAUSE, self.watcher.wakes_at(now) - now)):
-                        await self.changed.wait()
+                        self.execute(command, group)
+                    self.log_list_age(now)
+                    with anyio.move_on_after(max(MIN_SLEEP_S, self.watcher.next_wakeup(now) - now)):
+                        await self.wakeup.wait()
         finally:
-            self.watcher.forget()
-            self.hang_up()
+            self.watcher.forget_calls()
+            self.close_spare()
 
-    def hang_up(self) -> None:
+    def close_spare(self) -> None:
         """Closes what no call is using."""
         if self.spare is not None:
             self.spare[1].close()
@@ -129,63 +141,63 @@
 
     # Calls.
 
-    def carry_out(self, command: Command, group: TaskGroup) -> None:
+    def execute(self, command: Command, group: TaskGroup) -> None:
         call = command.call
-        if isinstance(command, Begin):
+        if isinstance(command, StartCall):
             if not self.steady:
-                self.log("watch", index=self.directory.index, **told_of(call))
+                self.log("watch", index=self.directory.index, **call_fields(call))
                 self.steady = True
             self.scopes[call.id] = anyio.CancelScope()
-            group.start_soon(self.make, call)
+            group.start_soon(self.run_call, call)
             return
-        self.log("list_call", end=command.end.value, **self.told_at_end(call))
+        self.log("list_call", end=command.end.value, **self.log_fields_at_end(call))
         if (scope := self.scopes.get(call.id)) is not None:
             scope.cancel()
 
-    async def make(self, call: Call) -> None:
+    async def run_call(self, call: Call) -> None:
         """One call, to its end."""
         scope = self.scopes[call.id]
         try:
             with scope:
-                self.take(call, await self.exchange(call))
+                self.process_answer(call, await self.exchange(call))
         except EXPECTED_ERRORS as error:
-            self.fail(call, f"{type(error).__name__}: {error}")
+            self.on_call_failed(call, f"{type(error).__name__}: {error}")
         except Exception as error:
             self.log("task_failed", task="watch", **defect(error))
-            self.fail(call, type(error).__name__)
+            self.on_call_failed(call, type(error).__name__)
         finally:
             del self.scopes[call.id]
-            self.changed.set()
+            self.wakeup.set()
 
     async def exchange(self, call: Call) -> Answer:
         """Asks, and gathers the answer. Only the watcher limits its time: what has come is never dropped for
         a call that asks the same."""
-        connection = self.reuse(call.address)
+        connection = self.take_spare(call.address)
         if connection is None:
-            connection = await connect(call.address, OLDEST, self.store, lambda: None)
-        kept = False
+            connection = await connect(call.address, MAX_CALL_AGE_S, self.store, lambda: None)
+        reusable = False
         try:
             call.connected = True
-            side = ClientSide(lists.LARGEST_LIST, lists.LARGEST_LIST)
+            parser = ClientSide(lists.LARGEST_LIST, lists.LARGEST_LIST)
             index = call.index if call.kind is CallKind.WATCH else None
-            await connection.send(side.ask(lists.call(index, int(call.wait * 1000))))
-            while (answer := side.next_answer()) is None:
-                side.feed(await connection.receive())
-                if side.begun():
-                    self.progressed(call)
-            kept = side.reusable() and self.keep(call.address, connection)
+            await connection.send(parser.ask(lists.call(index, int(call.wait * 1000))))
+            while (answer := parser.next_answer()) is None:
+                parser.feed(await connection.receive())
+                if parser.begun():
+                    self.on_answer_progress(call)
+            reusable = parser.reusable() and self.keep_spare(call.address, connection)
             return answer
         finally:
-            if not kept:
+            if not reusable:
                 connection.close()
 
-    def progressed(self, call: Call) -> None:
-        first = call.answering_since is None
-        self.watcher.progressed(anyio.current_time(), call)
+    def on_answer_progress(self, call: Call) -> None:
+        first = call.first_byte_at is None
+        self.watcher.answer_progressed(anyio.current_time(), call)
         if first:
-            self.changed.set()
+            self.wakeup.set()
 
-    def reuse(self, address: str) -> Connection | None:
+    def take_spare(self, address: str) -> Connection | None:
         """The connection kept, if it is one to this address and still open."""
         if self.spare is None:
             return None
@@ -195,7 +207,7 @@
         connection.close()
         return None
 
-    def keep(self, address: str, connection: Connection) -> bool:
+    def keep_spare(self, address: str, connection: Connection) -> bool:
         if self.spare is not None or address != self.watcher.address:
             return False
         self.spare = address, connection
@@ -203,60 +215,60 @@
 
     # Answers.
 
-    def take(self, call: Call, answer: Answer) -> None:
+    def process_answer(self, call: Call, answer: Answer) -> None:
         """An answer that can't be used raises Garbled."""
         if call not in self.watcher.calls:
             return  # given up in the pass in which its last byte came
-        known, before = lists.read(answer), self.directory.index
-        verdict = self.watcher.verdict(call, known.index, known.whole, before)
-        if verdict is Verdict.MISFIT:
+        known, previous_index = lists.read(answer), self.directory.index
+        action = self.watcher.classify_answer(call, known.index, known.whole, previous_index)
+        if action is AnswerAction.UNUSABLE:
             raise Garbled("changes where only the whole list can be used")
-        if verdict is Verdict.ASK_WHOLE:
-            self.log("watch_older", index=known.index, known=before)
-            self.watcher.ask_whole()
-        elif verdict is Verdict.TAKE:
-            self.apply(call, known, before)
-        end = CallEnd.STALE if verdict is Verdict.STALE else CallEnd.ANSWERED
-        self.log("list_call", end=end.value, index=known.index, **self.told_at_end(call))
-        news = verdict is Verdict.TAKE and bool(known.entries) and known.index != before
-        self.watcher.answered(anyio.current_time(), call, news)
-
-    def apply(self, call: Call, known: lists.Known, before: int | None) -> None:
+        if action is AnswerAction.FETCH_FULL_LIST:
+            self.log("watch_older", index=known.index, known=previous_index)
+            self.watcher.request_full_list()
+        elif action is AnswerAction.APPLY:
+            self.apply_list(call, known, previous_index)
+        end = CallEnd.STALE if action is AnswerAction.STALE else CallEnd.ANSWERED
+        self.log("list_call", end=end.value, index=known.index, **self.log_fields_at_end(call))
+        list_changed = action is AnswerAction.APPLY and bool(known.entries) and known.index != previous_index
+        self.watcher.call_answered(anyio.current_time(), call, list_changed)
+
+    def apply_list(self, call: Call, known: lists.Known, previous_index: int | None) -> None:
         if known.refused:
             self.log("list_rows_refused", index=known.index, why=known.refused)
         self.directory.update(known, t.ListKind.FULL if known.whole else t.ListKind.CHANGES)
         if self.directory.index is None:
             raise Garbled("the module did not take the list")
-        self.watcher.taken(anyio.current_time(), call, known.index, known.whole, before)
+        self.watcher.list_applied(anyio.current_time(), call, known.index, known.whole, previous_index)
         if known.unnamed and not known.whole:
-            self.watcher.ask_whole()  # nobody can tell which endpoint the row was about
+            self.watcher.request_full_list()  # nobody can tell which endpoint the row was about
 
-    def fail(self, call: Call, error: str) -> None:
+    def on_call_failed(self, call: Call, error: str) -> None:
         if call not in self.watcher.calls:
             return
-        self.log("watch_failed", error=error, **self.told_at_end(call))
+        self.log("watch_failed", error=error, **self.log_fields_at_end(call))
         self.steady = False
-        if self.watcher.failed(anyio.current_time(), call) and not self.pushed:
+        if self.watcher.call_failed(anyio.current_time(), call) and not self.pushed:
             self.directory.failed()
 
     # What the log is told.
 
-    def told_at_end(self, call: Call) -> dict[str, object]:
+    def log_fields_at_end(self, call: Call) -> dict[str, object]:
         now = anyio.current_time()
         times = {"age_ms": round(call.age(now) * 1000), "late_ms": round(call.late(now) * 1000)}
-        return told_of(call) | times
+        return call_fields(call) | times
 
-    def tell_age(self, now: float) -> None:
+    def log_list_age(self, now: float) -> None:
         """Once when the list gets old, and once when it is up to date again."""
-        age = self.watcher.age(now)
-        if age is None or (age > TOLD_AFTER) == self.told_old:
+        age = self.watcher.list_age(now)
+        if age is None or (age > PROPAGATION_LIMIT_S) == self.list_old_logged:
             return
-        self.told_old = not self.told_old
-        self.log("list_old" if self.told_old else "list_current", age_ms=round(age * 1000))
+        self.list_old_logged = not self.list_old_logged
+        self.log("list_old" if self.list_old_logged else "list_current", age_ms=round(age * 1000))
 
 
-def told_of(call: Call) -> dict[str, object]:
+def call_fields(call: Call) -> dict[str, object]:
     return {"call": call.id, "kind": call.kind.value, "address": call.address}
 
 
-__all__ = ["Discovery", "timing_of", "wait_of"]
+__all__ = ["DiscoveryClient", "watch_timing", "watch_wait"]
--- a/lupinmill/lab/scale/returns.py
+++ b/lupinmill/lab/scale/returns.py
@@ -62,7 +62,9 @@
                     seed=chance.getrandbits(62), instances=count, must_ask=asked, ask_within=10 * SECOND
                 )
                 seat = Seat(loop, deployment, heard)
-                seat.discovery = discovery.Discovery("d:1", deployment, seat, None, lambda *_, **__: None)
+                seat.discovery = discovery.DiscoveryClient(
+                    "d:1", deployment, seat, None, lambda *_, **__: None
+                )
                 seats.append(seat)
                 group.start_soon(begin, seat, chance.uniform(0, seat.discovery.wait))
             longest = seats[0].discovery.wait
--- a/lupinmill/lab/scale/returns_stand.py
+++ b/lupinmill/lab/scale/returns_stand.py
@@ -162,7 +162,7 @@
         self.loop, self.heard = loop, heard
         self.states, self.index = {"e0": t.State.READY}, 7
         self.sidecar = Sidecar(deployment) if deployment.must_ask else None
-        self.discovery: discovery.Discovery | None = None
+        self.discovery: discovery.DiscoveryClient | None = None
 
     def update(self, known: Known, kind: t.ListKind) -> None:
         self.index = known.index
--- a/lupinmill/program/sidecar.py
+++ b/lupinmill/program/sidecar.py
@@ -20,7 +20,7 @@
 from lupinmill.handover import handover_state
 from lupinmill.handover.driver import Handover
 from lupinmill.limits.gate import Gate
-from lupinmill.discovery.driver import Discovery
+from lupinmill.discovery.driver import DiscoveryClient
 from lupinmill.program.signals import ENDING, HANDLED, Signals
 from lupinmill.program.told import BadStart, Told, fixed
 from lupinmill.protocol import lists
@@ -108,7 +108,7 @@
         workloads = {w.name for w in told.deployment.workloads}
         self.admit = Admit(self.book, self.directory, workloads, self.overrides)
         self.admin_handler = AdminHandler(self.overrides, self.directory, self.engine, log)
-        self.discovery = Discovery(told.discovery, told.deployment, self.directory, self.store, log)
+        self.discovery = DiscoveryClient(told.discovery, told.deployment, self.directory, self.store, log)
         self.engine.carriers[t.Watch] = self.discovery.watch
         self.admin_handler.discovery = self.discovery.show
         self.handover = Handover(told.directory, told.name, told.listen, log)
@@ -280,7 +280,7 @@
             if self.admin_server is not None:
                 self.admin_server.close()
             self.pool.close()
-            self.discovery.hang_up()
+            self.discovery.close_spare()
 
     def start_tasks(self, group: TaskGroup, listener: Listener) -> None:
         for task in (
@@ -455,14 +455,14 @@
             return handover_state.encode_list(rows, directory.addresses, directory.index)
 
         def later_list(index: int) -> dict[str, Any] | None:
-            if self.directory.index in (None, index) or not self.discovery.watcher.current():
+            if self.directory.index in (None, index) or not self.discovery.watcher.list_is_current():
                 return None
             return {"address": self.discovery.watcher.address, "list": listed()}
 
         def take_list(told: dict[str, Any]) -> None:
             """Versions can be compared only where both processes ask the same discovery."""
             known, before, watcher = lists.known(told["list"]), self.directory.index, self.discovery.watcher
-            if told["address"] != watcher.address or not watcher.current():
+            if told["address"] != watcher.address or not watcher.list_is_current():
                 return
             if before is not None and known.index > before:
                 self.log("handover", text=f"list {known.index} of the process before this one")
--- a/tests/test_crossings_lists.py
+++ b/tests/test_crossings_lists.py
@@ -15,7 +15,7 @@
 from lupinmill import terms as t
 from lupinmill.discovery import driver, watcher
 from lupinmill.discovery.calls import CallKind
-from lupinmill.discovery.driver import timing_of
+from lupinmill.discovery.driver import watch_timing
 from lupinmill.protocol import lists
 from lupinmill.protocol.http import Answer
 from lupinmill.transport.pool import REST
@@ -71,23 +71,29 @@
 def test_what_a_silent_watch_missed_is_asked_for_before_it_counts_as_told(instances, asked):
     """2 s after the wait of the call, or 6 s after the silence began, if that is later. Each watch is silent:
     whole lists are asked for, and answered within what is left."""
-    timing = timing_of(usual(instances=instances, must_ask=asked))
+    timing = watch_timing(usual(instances=instances, must_ask=asked))
     play = Play(timing, longest)
-    play.answer_at = lambda call: None if call.kind is CallKind.WATCH else call.began + watcher.SOON
+    play.answer_at = (
+        lambda call: None if call.kind is CallKind.WATCH else call.started_at + watcher.MIN_RETRY_DELAY_S
+    )
     play.run(30.0)
     watches = [call for call in play.begun if call.kind is CallKind.WATCH]
     assert len(watches) >= 3 and len(play.begun) > 2 * len(watches) - 2
     for call, following in itertools.pairwise(play.begun):
-        latest = 2.0 - watcher.SOON if call.kind is CallKind.WATCH else watcher.BESIDE + 0.02
-        assert following.began < call.began + call.wait + latest, "asked anew too late"
+        latest = (
+            2.0 - watcher.MIN_RETRY_DELAY_S
+            if call.kind is CallKind.WATCH
+            else watcher.PARALLEL_CALL_INTERVAL_S + 0.02
+        )
+        assert following.started_at < call.started_at + call.wait + latest, "asked anew too late"
 
 
 @pytest.mark.parametrize("mode", ["ask", "push"])
 def test_a_silent_watch_is_opened_anew_without_the_pause_for_a_discovery_in_trouble(mode, monkeypatch):
     """Seen failing where lists are asked for: the module heard of a failure, and its pause, up to 2.5 s with
     200 sidecars, ended after what the silent watch missed counted as told."""
-    monkeypatch.setattr(driver, "wait_of", lambda instances: 0.3)
-    monkeypatch.setattr(watcher, "BESIDE", 0.5)
+    monkeypatch.setattr(driver, "watch_wait", lambda instances: 0.3)
+    monkeypatch.setattr(watcher, "PARALLEL_CALL_INTERVAL_S", 0.5)
 
     async def check(net: Net):
         await until(lambda: len(net.discovery.seen) > 1)
@@ -249,10 +255,10 @@
     """While discovery is down it tells nothing, and what it gets at its return counts as told at once, where
     lists are pushed. The longest pause between two calls that are refused has to leave time for the call."""
     grace = round(LEAST_GRACE * 1_000_000)
-    play = Play(timing_of(usual(must_ask=False, grace=grace)), draw, answer_at=lambda call: None)
-    play.fail_at = lambda call: call.began
+    play = Play(watch_timing(usual(must_ask=False, grace=grace)), draw, answer_at=lambda call: None)
+    play.fail_at = lambda call: call.started_at
     play.run(5.0)
-    apart = [after.began - before.began for before, after in itertools.pairwise(play.begun)]
+    apart = [after.started_at - before.started_at for before, after in itertools.pairwise(play.begun)]
     assert len(apart) > 5 and max(apart) <= LEAST_GRACE - 0.2
 
 
@@ -266,10 +272,12 @@
     may be made just after a call began that fails `took` seconds later, then comes the longest pause, then a
     call that is answered. Seen failing with 3 s for the list behind 2 s for its connection and up to 5 s of
     pause. The watch does not wait for the module to ask: its own pauses count."""
-    play = Play(timing_of(usual(instances=instances, must_ask=True)), longest, answer_at=lambda call: None)
-    play.fail_at = lambda call: call.began + took
+    play = Play(watch_timing(usual(instances=instances, must_ask=True)), longest, answer_at=lambda call: None)
+    play.fail_at = lambda call: call.started_at + took
     play.run(40.0)
-    apart = [after.began - before.began for before, after in itertools.pairwise(play.begun)]
+    apart = [after.started_at - before.started_at for before, after in itertools.pairwise(play.begun)]
     assert len(apart) >= 8
     assert max(apart) <= 6.0 - 2.5, apart  # also where failures follow one another; 2.5 s for the answer
-    assert apart[0] <= max(watcher.BESIDE, took + watcher.SOON) + 0.02  # 4 s for the answer after a first one
+    assert (
+        apart[0] <= max(watcher.PARALLEL_CALL_INTERVAL_S, took + watcher.MIN_RETRY_DELAY_S) + 0.02
+    )  # 4 s for the answer after a first one
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -12,7 +12,7 @@
 from lupinmill import terms as t
 from lupinmill.discovery import driver, watcher
 from lupinmill.discovery.calls import Call, CallEnd, CallKind
-from lupinmill.discovery.driver import Discovery
+from lupinmill.discovery.driver import DiscoveryClient
 from lupinmill.protocol import lists
 from lupinmill.protocol.http import Answer, Garbled
 from lupinmill.transport.connection import Unconnected
@@ -71,15 +71,15 @@
                 address = "127.0.0.1:%d" % listener.extra(anyio.abc.SocketAttribute.local_port)
                 async with anyio.create_task_group() as group:
                     group.start_soon(listener.serve, serve)
-                    watch = Discovery(address, deployment(), told, Store(), lambda *_, **__: None)
+                    watch = DiscoveryClient(address, deployment(), told, Store(), lambda *_, **__: None)
                     one = Call(1, CallKind.WATCH, address, 0, 0.0, 1.0, 7, 1.0)
                     for _ in range(len(data)):
                         with pytest.raises((OSError, Garbled, Unconnected)):
                             lists.read(await watch.exchange(one))
-                        watch.hang_up()
+                        watch.close_spare()
                     entries = lists.read(await watch.exchange(one)).entries
                     assert [entry.endpoint for entry in entries] == ["e0", "e1"]
-                    watch.hang_up()
+                    watch.close_spare()
                     group.cancel_scope.cancel()
 
     anyio.run(main)
@@ -88,8 +88,8 @@
 
 def test_a_list_that_stops_in_the_middle_is_asked_for_anew_long_before_a_silent_one(monkeypatch):
     """It is not dropped for that: its rest may come."""
-    monkeypatch.setattr(driver, "wait_of", lambda instances: 30.0)
-    monkeypatch.setattr(watcher, "BESIDE", 0.1)
+    monkeypatch.setattr(driver, "watch_wait", lambda instances: 30.0)
+    monkeypatch.setattr(watcher, "PARALLEL_CALL_INTERVAL_S", 0.1)
     calls = []
 
     async def act(request):
@@ -156,8 +156,8 @@
 
 
 def test_operators_see_how_old_the_list_is_and_which_calls_are_out(monkeypatch):
-    monkeypatch.setattr(watcher, "TOLD_AFTER", 1.0)
-    monkeypatch.setattr(driver, "TOLD_AFTER", 1.0)
+    monkeypatch.setattr(watcher, "PROPAGATION_LIMIT_S", 1.0)
+    monkeypatch.setattr(driver, "PROPAGATION_LIMIT_S", 1.0)
 
     async def check(net: Net):
         async def shown() -> dict:
@@ -172,7 +172,7 @@
         net.discovery.fault = "silent"
         await until(lambda: [event for event, _ in net.logs if event == "list_old"])
         table = await shown()
-        assert table["list_age_s"] > 1.0 and 0 < len(table["calls"]) <= watcher.MOST_CALLS
+        assert table["list_age_s"] > 1.0 and 0 < len(table["calls"]) <= watcher.MAX_CALLS
         assert {"call", "kind", "address", "age_s"} == set(table["calls"][0])
         net.discovery.fault = None
         net.discovery.change(net.discovery.rows[0], weight=2.0)
--- a/tests/test_discovery_fleet.py
+++ b/tests/test_discovery_fleet.py
@@ -135,7 +135,7 @@
                     ask_within=10 * SECOND,
                 )
                 seat = Seat(self.loop, terms, self.hear)
-                seat.discovery = driver.Discovery("d:1", terms, seat, None, lambda *_, **__: None)
+                seat.discovery = driver.DiscoveryClient("d:1", terms, seat, None, lambda *_, **__: None)
                 self.seats.append(seat)
                 group.start_soon(self.begin, seat, chance.uniform(0, seat.discovery.wait))
             while self.loop.time() < LENGTH:
@@ -182,13 +182,13 @@
     """Seen failing at 7.9 s with 40 and 200 sidecars whose watches waited up to 2.4 s: a change was due on a
     watch at once, and one right behind it was covered by no call."""
     fleet = Fleet(monkeypatch, count, late, asked=asked).run(every)
-    assert max(fleet.waits) < watcher.TOLD_AFTER
-    assert fleet.service.most_out <= watcher.MOST_CALLS * count
+    assert max(fleet.waits) < watcher.PROPAGATION_LIMIT_S
+    assert fleet.service.most_out <= watcher.MAX_CALLS * count
 
 
 @pytest.mark.parametrize("count", [1, 6, 40, 200])
 def test_each_sidecar_of_a_fleet_hears_in_time_with_watches_dead(monkeypatch, count):
-    assert max(Fleet(monkeypatch, count, dead_watches=True).run().waits) < watcher.TOLD_AFTER
+    assert max(Fleet(monkeypatch, count, dead_watches=True).run().waits) < watcher.PROPAGATION_LIMIT_S
 
 
 @pytest.mark.parametrize("count, work", [(6, 0.3), (6, 0.45), (12, 0.2), (40, 0.06), (200, 0.015)])
@@ -196,8 +196,8 @@
     """It takes calls in turn, given-up ones too, and can just serve each sidecar once in 1.8 to 3 s. Seen
     failing on the text before, with six and 0.3 s: most calls given up, and asked again."""
     fleet = Fleet(monkeypatch, count, work=work).run()
-    assert max(fleet.waits) < watcher.TOLD_AFTER
-    assert fleet.service.most_out <= watcher.MOST_CALLS * count  # the queue stays bounded
+    assert max(fleet.waits) < watcher.PROPAGATION_LIMIT_S
+    assert fleet.service.most_out <= watcher.MAX_CALLS * count  # the queue stays bounded
 
 
 @pytest.mark.parametrize("count", [6, 100])
--- a/tests/test_discovery_six_seconds.py
+++ b/tests/test_discovery_six_seconds.py
@@ -12,7 +12,7 @@
 from lupinmill import terms as t
 from lupinmill.discovery import driver as discovery
 from lupinmill.discovery import watcher
-from lupinmill.discovery.driver import Discovery
+from lupinmill.discovery.driver import DiscoveryClient
 from lupinmill.transport.connection import NoDescriptor, Unconnected
 from lupinmill.transport.ring import Store
 
@@ -154,7 +154,7 @@
     service = Service(trouble, anyio.current_time() + offset)
     directory = Directory(index, asks)
     terms = deployment(instances=instances, must_ask=not pushed, ask_within=10_000_000)
-    watch = Discovery("127.0.0.1:1", terms, directory, Store(), lambda *_, **__: None)
+    watch = DiscoveryClient("127.0.0.1:1", terms, directory, Store(), lambda *_, **__: None)
     discovery.connect = service.connect  # put back by the fixture
     directory.ask = lambda: watch.watch(t.Watch())
     watch.watch(t.Watch())
@@ -216,7 +216,7 @@
     old, new = Service(trouble, float("inf")), Service("none", 0.0)
     directory = Directory(index, True)
     terms = deployment(instances=200, must_ask=not pushed, ask_within=10_000_000)
-    watch = Discovery("127.0.0.1:1", terms, directory, Store(), lambda *_, **__: None)
+    watch = DiscoveryClient("127.0.0.1:1", terms, directory, Store(), lambda *_, **__: None)
 
     async def connect(address, *more):
         return await (old if address == "127.0.0.1:1" else new).connect(address, *more)
@@ -255,12 +255,18 @@
 
 def test_the_parts_of_a_round_and_of_a_late_answer_are_within_the_term():
     """In fleets of up to 200 also where the first of two calls is a watch that fell silent."""
-    assert watcher.BESIDE + watcher.PROMISED + watcher.SLACK <= TOLD_AFTER
-    silent = watcher.LEAST_WAIT + watcher.OVERDUE + watcher.OVERDUE_SPREAD
-    assert silent + watcher.PROMISED + watcher.SLACK <= TOLD_AFTER + 1e-9
-    for wait, large in ((watcher.LEAST_WAIT, False), (watcher.LONGEST_WAIT, True)):
-        timing = watcher.Timing(wait, large=large)
-        assert timing.retry + ANSWERS_AFTER < TOLD_AFTER and timing.crowded + ANSWERS_AFTER < TOLD_AFTER
+    assert (
+        watcher.PARALLEL_CALL_INTERVAL_S + watcher.TOLERATED_LATENESS_S + watcher.SCHEDULING_SLACK_S
+        <= TOLD_AFTER
+    )
+    silent = watcher.MIN_WATCH_WAIT_S + watcher.OVERDUE_AFTER_S + watcher.OVERDUE_JITTER_S
+    assert silent + watcher.TOLERATED_LATENESS_S + watcher.SCHEDULING_SLACK_S <= TOLD_AFTER + 1e-9
+    for wait, large in ((watcher.MIN_WATCH_WAIT_S, False), (watcher.MAX_WATCH_WAIT_S, True)):
+        timing = watcher.WatchTiming(wait, large_fleet=large)
+        assert (
+            timing.retry_interval + ANSWERS_AFTER < TOLD_AFTER
+            and timing.replace_after + ANSWERS_AFTER < TOLD_AFTER
+        )
 
 
 @pytest.mark.parametrize("pushed", [False, True], ids=["asked", "pushed"])
@@ -285,14 +291,14 @@
 
     async def main() -> None:
         terms = deployment(must_ask=not pushed, ask_within=10_000_000)
-        watch = Discovery("127.0.0.1:1", terms, Directory(OLD, True), Store(), lambda *_, **__: None)
+        watch = DiscoveryClient("127.0.0.1:1", terms, Directory(OLD, True), Store(), lambda *_, **__: None)
         watch.watch(t.Watch())
         with anyio.move_on_after(10):
             await watch.run()
 
     monkeypatch.setattr(discovery, "connect", connect)
     anyio.run(main, backend_options={"loop_factory": JumpingLoop})
-    assert 10 < calls <= 10 / watcher.NO_NEWS + 1
+    assert 10 < calls <= 10 / watcher.NO_CHANGE_DELAY_S + 1
 
 
 def test_rows_that_the_list_refused_are_logged(monkeypatch):
@@ -310,7 +316,7 @@
 
     async def main() -> None:
         terms = deployment(must_ask=False)
-        watch = Discovery(
+        watch = DiscoveryClient(
             "127.0.0.1:1", terms, Directory(OLD, True), Store(), lambda event, **f: logs.append((event, f))
         )
         with anyio.move_on_after(2):
@@ -346,7 +352,7 @@
 
     async def main() -> None:
         terms = deployment(must_ask=False)
-        watch = Discovery("127.0.0.1:1", terms, Directory(OLD, True), Store(), lambda *_, **__: None)
+        watch = DiscoveryClient("127.0.0.1:1", terms, Directory(OLD, True), Store(), lambda *_, **__: None)
         with anyio.move_on_after(1):
             await watch.run()
 
--- a/tests/test_discovery_watcher.py
+++ b/tests/test_discovery_watcher.py
@@ -8,13 +8,13 @@
 import pytest
 
 from lupinmill.discovery import watcher
-from lupinmill.discovery.calls import Begin, Call, CallEnd, CallKind, GiveUp, Verdict
-from lupinmill.discovery.lateness import Lateness
-from lupinmill.discovery.watcher import Timing, Watcher
+from lupinmill.discovery.calls import StartCall, Call, CallEnd, CallKind, CancelCall, AnswerAction
+from lupinmill.discovery.lateness import LatenessEstimator
+from lupinmill.discovery.watcher import WatchTiming, Watcher
 
-ASKED, PUSHED = Timing(1.0), Timing(1.0, 0.5)
-LARGE = Timing(2.4, large=True)
-MIDDLE = Timing(1.0, large=True)
+ASKED, PUSHED = WatchTiming(1.0), WatchTiming(1.0, 0.5)
+LARGE = WatchTiming(2.4, large_fleet=True)
+MIDDLE = WatchTiming(1.0, large_fleet=True)
 KNOWN = 7  # version
 STEP = 0.01  # seconds
 ADDRESS = "127.0.0.1:1"
@@ -41,14 +41,14 @@
         self.given_up: list[tuple[Call, CallEnd]] = []
         self.heard: list[tuple[float, int]] = []
         self.moves: list[float] = []
-        self.watcher.asked(0.0)
+        self.watcher.request_watch(0.0)
 
     def due(self, call: Call) -> float:
         """When discovery has something to answer: news, or the end of the wait."""
-        if call.kind is CallKind.WHOLE:
-            return call.began
+        if call.kind is CallKind.FULL_LIST:
+            return call.started_at
         news = [at for at in self.changes if KNOWN + self.changes.index(at) + 1 > (call.index or 0)]
-        return min([call.began + call.wait, *(max(at, call.began) for at in news)])
+        return min([call.started_at + call.wait, *(max(at, call.started_at) for at in news)])
 
     def version(self, at: float) -> int:
         return KNOWN + sum(change <= at for change in self.changes)
@@ -70,27 +70,27 @@
             return
         failed, answered = self.fail_at(call), self.answer_at(call)
         if failed is not None and failed <= self.now:
-            self.watcher.failed(self.now, call)
+            self.watcher.call_failed(self.now, call)
         elif answered is not None and answered <= self.now:
             self.take(call, self.version(min(self.due(call), self.now)))
 
     def take(self, call: Call, index: int) -> None:
-        whole, before = call.kind is CallKind.WHOLE, self.index
-        if self.watcher.verdict(call, index, whole, self.index) is Verdict.TAKE:
+        whole, before = call.kind is CallKind.FULL_LIST, self.index
+        if self.watcher.classify_answer(call, index, whole, self.index) is AnswerAction.APPLY:
             assert index >= self.index, "the list went backwards"
             self.index = index
-            self.watcher.taken(self.now, call, index, whole, before)
+            self.watcher.list_applied(self.now, call, index, whole, before)
             if index != before:
                 self.heard.append((self.now, index))
-        self.watcher.answered(self.now, call, index != before)
+        self.watcher.call_answered(self.now, call, index != before)
 
     def note(self, command) -> None:
-        if isinstance(command, Begin):
+        if isinstance(command, StartCall):
             command.call.connected = True
             self.begun.append(command.call)
-            assert len(self.watcher.calls) <= watcher.MOST_CALLS
+            assert len(self.watcher.calls) <= watcher.MAX_CALLS
         else:
-            assert isinstance(command, GiveUp)
+            assert isinstance(command, CancelCall)
             self.given_up.append((command.call, command.end))
 
     def heard_after(self) -> list[float]:
@@ -117,9 +117,9 @@
     """Seen failing for 1.7 s and more on the text before: each call was given up before its answer."""
     for tenth in range(0, 75, 3):
         play = Play(timing, draw, changes=changes(3.0 + tenth / 10))
-        play.answer_at = lambda call, play=play: play.due(call) + (late if call.began > 2 else 0.0)
-        assert max(play.run(40.0).heard_after()) < watcher.TOLD_AFTER, tenth
-        assert not [end for _, end in play.given_up if end is CallEnd.CROWDED_OUT]
+        play.answer_at = lambda call, play=play: play.due(call) + (late if call.started_at > 2 else 0.0)
+        assert max(play.run(40.0).heard_after()) < watcher.PROPAGATION_LIMIT_S, tenth
+        assert not [end for _, end in play.given_up if end is CallEnd.REPLACED]
 
 
 @pytest.mark.parametrize("late", [6.0, 9.0, 15.0])
@@ -135,11 +135,11 @@
     for tenth in range(0, 75, 3):
         play = Play(timing, changes=changes(3.0 + tenth / 10))
         play.answer_at = lambda call, play=play: (
-            play.due(call) if call.began < 2 or call.kind is CallKind.WHOLE else None
+            play.due(call) if call.started_at < 2 or call.kind is CallKind.FULL_LIST else None
         )
-        assert max(play.run(40.0).heard_after()) < watcher.TOLD_AFTER, tenth
+        assert max(play.run(40.0).heard_after()) < watcher.PROPAGATION_LIMIT_S, tenth
     assert play.watcher.polling()
-    late = [call for call in play.begun if call.began > 16.0]
+    late = [call for call in play.begun if call.started_at > 16.0]
     assert sum(call.kind is CallKind.WATCH for call in late) <= 3  # one now and then finds out their return
 
 
@@ -148,12 +148,12 @@
         play = Play(changes=changes(3.0 + tenth / 10))
         play.answer_at = lambda call, play=play: (
             play.due(call)
-            if call.began < 2
-            else call.began + watcher.PROMISED
-            if call.kind is CallKind.WHOLE
+            if call.started_at < 2
+            else call.started_at + watcher.TOLERATED_LATENESS_S
+            if call.kind is CallKind.FULL_LIST
             else None
         )
-        assert max(play.run(40.0).heard_after()) < watcher.TOLD_AFTER, tenth
+        assert max(play.run(40.0).heard_after()) < watcher.PROPAGATION_LIMIT_S, tenth
 
 
 @pytest.mark.parametrize("timing", [ASKED, LARGE], ids=["small", "large"])
@@ -165,7 +165,7 @@
         play = Play(timing, Random(4).uniform)
         play.answer_at = lambda call, play=play, lateness=lateness: play.due(call) + lateness
         play.run(80.0)
-        counts.append(sum(call.began > 20.0 for call in play.begun))
+        counts.append(sum(call.started_at > 20.0 for call in play.begun))
     assert counts[1] < counts[0], counts
 
 
@@ -175,10 +175,10 @@
     in the standing test's join+mass with 432 whole lists refused, requests 1.45 s after a drain was told."""
     for tenth in range(0, 75, 3):
         play = Play(timing, changes=changes(3.0 + tenth / 10))
-        play.fail_at = lambda call: call.began if call.kind is CallKind.WHOLE else None
-        play.answer_at = lambda call, play=play: None if 1 < call.began < 3 else play.due(call)
-        assert max(play.run(40.0).heard_after()) < watcher.TOLD_AFTER, tenth
-    wholes = sum(call.kind is CallKind.WHOLE for call in play.begun)
+        play.fail_at = lambda call: call.started_at if call.kind is CallKind.FULL_LIST else None
+        play.answer_at = lambda call, play=play: None if 1 < call.started_at < 3 else play.due(call)
+        assert max(play.run(40.0).heard_after()) < watcher.PROPAGATION_LIMIT_S, tenth
+    wholes = sum(call.kind is CallKind.FULL_LIST for call in play.begun)
     assert wholes <= 3
 
 
@@ -189,10 +189,10 @@
         back = 9.0 + tenth / 10
         play = Play(timing, changes=[5.0])
         play.answer_at = lambda call, play=play, back=back: (
-            play.due(call) if call.began < 3 or call.began >= back else None
+            play.due(call) if call.started_at < 3 or call.started_at >= back else None
         )
         play.run(back + 8.0)
-        assert play.heard and play.heard[0][0] - back < watcher.TOLD_AFTER, tenth
+        assert play.heard and play.heard[0][0] - back < watcher.PROPAGATION_LIMIT_S, tenth
 
 
 @pytest.mark.parametrize("timing", [ASKED, LARGE], ids=["small", "large"])
@@ -202,12 +202,14 @@
         back = (3.0 if timing is LARGE else 9.0) + tenth / 10
         play = Play(timing, changes=[back])
         down = back - 0.2 if timing is LARGE else 4.0
-        play.fail_at = lambda call, down=down, back=back: call.began if down <= call.began < back else None
+        play.fail_at = (
+            lambda call, down=down, back=back: call.started_at if down <= call.started_at < back else None
+        )
         play.answer_at = lambda call, play=play, back=back: (
-            play.due(call) + (watcher.PROMISED if call.began >= back else 0.0)
+            play.due(call) + (watcher.TOLERATED_LATENESS_S if call.started_at >= back else 0.0)
         )
         play.run(back + 9.0)
-        assert play.heard[0][0] - back < watcher.TOLD_AFTER, tenth
+        assert play.heard[0][0] - back < watcher.PROPAGATION_LIMIT_S, tenth
 
 
 def test_moves_in_quick_succession_drop_no_answer_that_is_nearly_there():
@@ -215,9 +217,9 @@
     for tenth in range(0, 40, 2):
         play = Play(changes=[3.0 + tenth / 10])
         play.moves = [round(2.0 + 0.7 * at, 2) for at in range(20)]
-        play.answer_at = lambda call, play=play: play.due(call) + watcher.PROMISED
+        play.answer_at = lambda call, play=play: play.due(call) + watcher.TOLERATED_LATENESS_S
         play.run(14.0)
-        assert play.heard_after()[0] < watcher.TOLD_AFTER, tenth
+        assert play.heard_after()[0] < watcher.PROPAGATION_LIMIT_S, tenth
 
 
 def test_moves_that_come_all_the_time_do_not_put_off_the_first_call():
@@ -225,7 +227,7 @@
     play.moves = [round(1.0 + 0.05 * at, 2) for at in range(60)]
     play.run(4.5)
     moved = [call for call in play.begun if call.epoch]
-    assert len(moved) >= 8 and all(call.kind is CallKind.WHOLE for call in moved[:-1])
+    assert len(moved) >= 8 and all(call.kind is CallKind.FULL_LIST for call in moved[:-1])
 
 
 # --- failures --------------------------------------------------------------------------------------
@@ -236,18 +238,18 @@
 @pytest.mark.parametrize("timing", [ASKED, MIDDLE, LARGE], ids=["small", "middle", "large"])
 def test_a_call_that_failed_is_repeated_soon_enough_and_not_at_once(timing, took, draw):
     play = Play(timing, draw, answer_at=lambda call: None)
-    play.fail_at = lambda call: call.began + took
+    play.fail_at = lambda call: call.started_at + took
     play.run(30.0)
-    begins = [call.began for call in play.begun]
+    begins = [call.started_at for call in play.begun]
     apart = [after - before for before, after in itertools.pairwise(begins)]
-    assert apart[0] <= max(watcher.BESIDE, took + watcher.SOON) + 2 * STEP
-    assert max(apart) <= max(timing.retry, took + watcher.SOON) + 2 * STEP
+    assert apart[0] <= max(watcher.PARALLEL_CALL_INTERVAL_S, took + watcher.MIN_RETRY_DELAY_S) + 2 * STEP
+    assert max(apart) <= max(timing.retry_interval, took + watcher.MIN_RETRY_DELAY_S) + 2 * STEP
     assert min(apart) >= 0.1  # a service that refuses all is not called without end
 
 
 def test_a_refusal_beside_a_call_that_is_out_begins_no_calls_without_end():
     play = Play(answer_at=lambda call: None)
-    play.fail_at = lambda call: call.began if call.id > 1 else None
+    play.fail_at = lambda call: call.started_at if call.id > 1 else None
     play.run(20.0)
     assert len(play.begun) <= 20 / 0.9
 
@@ -256,7 +258,7 @@
 
 
 def call_of(core: Watcher, index: int | None, kind=CallKind.WATCH) -> Call:
-    made = core.begin(1.0, index, kind is CallKind.WATCH)
+    made = core.start_call(1.0, index, kind is CallKind.WATCH)
     made.kind = kind
     return made
 
@@ -264,47 +266,49 @@
 @pytest.mark.parametrize(
     "kind, begun_at, index, whole, known, verdict",
     [
-        (CallKind.WATCH, 7, 8, False, 7, Verdict.TAKE),
-        (CallKind.WATCH, 7, 7, False, 7, Verdict.TAKE),  # no news
-        (CallKind.WATCH, 7, 8, False, 9, Verdict.STALE),  # late: a later call told more
-        (CallKind.WATCH, 7, 9, False, 9, Verdict.STALE),  # told already
-        (CallKind.WATCH, 7, 10, False, 9, Verdict.TAKE),  # late, and newer all the same
-        (CallKind.WATCH, 7, 6, False, 7, Verdict.ASK_WHOLE),  # the service came back older
-        (CallKind.WATCH, 7, 6, True, 7, Verdict.TAKE),
-        (CallKind.WHOLE, 7, 6, True, 7, Verdict.TAKE),
-        (CallKind.WHOLE, 7, 6, False, 7, Verdict.MISFIT),
-        (CallKind.WHOLE, 7, 8, True, 9, Verdict.STALE),
-        (CallKind.WHOLE, None, 3, True, None, Verdict.TAKE),
-        (CallKind.WHOLE, None, 3, False, None, Verdict.MISFIT),
+        (CallKind.WATCH, 7, 8, False, 7, AnswerAction.APPLY),
+        (CallKind.WATCH, 7, 7, False, 7, AnswerAction.APPLY),  # no news
+        (CallKind.WATCH, 7, 8, False, 9, AnswerAction.STALE),  # late: a later call told more
+        (CallKind.WATCH, 7, 9, False, 9, AnswerAction.STALE),  # told already
+        (CallKind.WATCH, 7, 10, False, 9, AnswerAction.APPLY),  # late, and newer all the same
+        (CallKind.WATCH, 7, 6, False, 7, AnswerAction.FETCH_FULL_LIST),  # the service came back older
+        (CallKind.WATCH, 7, 6, True, 7, AnswerAction.APPLY),
+        (CallKind.FULL_LIST, 7, 6, True, 7, AnswerAction.APPLY),
+        (CallKind.FULL_LIST, 7, 6, False, 7, AnswerAction.UNUSABLE),
+        (CallKind.FULL_LIST, 7, 8, True, 9, AnswerAction.STALE),
+        (CallKind.FULL_LIST, None, 3, True, None, AnswerAction.APPLY),
+        (CallKind.FULL_LIST, None, 3, False, None, AnswerAction.UNUSABLE),
     ],
 )
 def test_an_answer_never_takes_the_list_backwards(kind, begun_at, index, whole, known, verdict):
     core = Watcher(ADDRESS, ASKED, longest)
-    assert core.verdict(call_of(core, begun_at, kind), index, whole, known) is verdict
+    assert core.classify_answer(call_of(core, begun_at, kind), index, whole, known) is verdict
 
 
 def test_after_a_move_the_old_service_counts_until_the_new_one_has_told_its_list():
     core = Watcher(ADDRESS, ASKED, longest)
-    core.asked(0.0)
+    core.request_watch(0.0)
     old, late = call_of(core, 7), call_of(core, 7)
     core.move(1.0, "127.0.0.1:2")
-    assert core.verdict(old, 8, False, 7) is Verdict.TAKE
-    new = core.begin(1.3, 8, True)
-    assert new.kind is CallKind.WHOLE
-    assert core.verdict(new, 2, False, 8) is Verdict.MISFIT
-    assert core.verdict(new, 2, True, 8) is Verdict.TAKE
-    core.taken(1.4, new, 2, True, 8)
-    assert core.verdict(late, 9, True, 2) is Verdict.STALE
-    assert CallEnd.MOVED in [one.end for one in core.decide(1.4, 2, True) if isinstance(one, GiveUp)]
+    assert core.classify_answer(old, 8, False, 7) is AnswerAction.APPLY
+    new = core.start_call(1.3, 8, True)
+    assert new.kind is CallKind.FULL_LIST
+    assert core.classify_answer(new, 2, False, 8) is AnswerAction.UNUSABLE
+    assert core.classify_answer(new, 2, True, 8) is AnswerAction.APPLY
+    core.list_applied(1.4, new, 2, True, 8)
+    assert core.classify_answer(late, 9, True, 2) is AnswerAction.STALE
+    assert CallEnd.ADDRESS_CHANGED in [
+        one.end for one in core.decide(1.4, 2, True) if isinstance(one, CancelCall)
+    ]
 
 
 def test_what_was_asked_before_a_service_went_back_is_not_waited_for():
     core = Watcher(ADDRESS, ASKED, longest)
-    core.asked(0.0)
-    before = core.begin(0.0, 7, True)
-    after = core.begin(2.0, 7, False)
-    core.taken(2.1, after, 3, True, 7)
-    assert before.overtaken and not core.live()[0].overtaken
+    core.request_watch(0.0)
+    before = core.start_call(0.0, 7, True)
+    after = core.start_call(2.0, 7, False)
+    core.list_applied(2.1, after, 3, True, 7)
+    assert before.superseded and not core.active_calls()[0].superseded
 
 
 # --- all short orders ----------------------------------------------------------------------------------
@@ -317,7 +321,7 @@
 class Walk:
     """One order of events, with what holds after each of them."""
 
-    def __init__(self, timing: Timing) -> None:
+    def __init__(self, timing: WatchTiming) -> None:
         self.watcher, self.now, self.index, self.version = (
             Watcher(ADDRESS, timing, longest),
             0.0,
@@ -325,22 +329,22 @@
             KNOWN,
         )
         self.seen: dict[int, int] = {}  # discovery's version when a call began
-        self.watcher.asked(0.0)
+        self.watcher.request_watch(0.0)
         self.decide()
 
     def decide(self) -> None:
-        for _ in range(2 * watcher.MOST_CALLS + 1):
+        for _ in range(2 * watcher.MAX_CALLS + 1):
             commands = self.watcher.decide(self.now, self.index, True)
             for command in commands:
-                if isinstance(command, Begin):
+                if isinstance(command, StartCall):
                     command.call.connected = self.connects()
                     self.seen[command.call.id] = self.version
             if not commands:
                 break
         else:
             raise AssertionError("it goes on deciding at one moment")
-        assert len(self.watcher.calls) <= watcher.MOST_CALLS
-        wakes = self.watcher.wakes_at(self.now)
+        assert len(self.watcher.calls) <= watcher.MAX_CALLS
+        wakes = self.watcher.next_wakeup(self.now)
         assert wakes > self.now, "it would be woken without end"
         assert wakes < float("inf"), "nothing would ever happen"
 
@@ -355,18 +359,18 @@
             self.version += 1
             self.now += 0.3 if event == PASS else 2.0
         elif calls and event == FAIL:
-            self.watcher.failed(self.now, calls[-1])
+            self.watcher.call_failed(self.now, calls[-1])
         elif calls:
             self.answer(calls[0 if event == ANSWER else -1])
         self.decide()
 
     def answer(self, call: Call) -> None:
-        index, whole, before = self.seen[call.id], call.kind is CallKind.WHOLE, self.index
-        if self.watcher.verdict(call, index, whole, before) is Verdict.TAKE:
+        index, whole, before = self.seen[call.id], call.kind is CallKind.FULL_LIST, self.index
+        if self.watcher.classify_answer(call, index, whole, before) is AnswerAction.APPLY:
             assert index >= before, "the list went backwards"
             self.index = index
-            self.watcher.taken(self.now, call, index, whole, before)
-        self.watcher.answered(self.now, call, index != before)
+            self.watcher.list_applied(self.now, call, index, whole, before)
+        self.watcher.call_answered(self.now, call, index != before)
 
 
 @pytest.mark.parametrize("timing", [ASKED, LARGE, PUSHED], ids=["small", "large", "pushed"])
@@ -386,7 +390,7 @@
         self.watcher = Watcher(ADDRESS, timing, self.random.uniform)
         self.now, self.index, self.version = self.random.uniform(0, 1e5), KNOWN, KNOWN
         self.seen: dict[int, int] = {}
-        self.watcher.asked(self.now)
+        self.watcher.request_watch(self.now)
         self.decide()
 
     def connects(self) -> bool:
@@ -398,7 +402,7 @@
             ("wake", "wake", "wake", "later", "connect", "part", "answer", "fail", "move", "new")
         )
         if event == "wake":
-            self.now = max(self.now, self.watcher.wakes_at(self.now))
+            self.now = max(self.now, self.watcher.next_wakeup(self.now))
         elif event == "later":
             self.now += random.choice((0.001, 0.1, 1.0, 5.0, 70.0))
         elif event == "move":
@@ -408,11 +412,11 @@
         elif calls and event == "connect":
             random.choice(calls).connected = True
         elif calls and event == "part":
-            self.watcher.progressed(self.now, random.choice(calls))
+            self.watcher.answer_progressed(self.now, random.choice(calls))
         elif calls and event == "answer":
             self.answer(random.choice(calls))
         elif calls:
-            self.watcher.failed(self.now, random.choice(calls))
+            self.watcher.call_failed(self.now, random.choice(calls))
         self.decide()
 
 
@@ -429,26 +433,26 @@
 
 
 def test_lateness_follows_a_slow_service_up_and_down():
-    late = Lateness()
+    late = LatenessEstimator()
     assert late.expected == 0.0
     for _ in range(20):
-        late.sample(0.01)
-    late.sample(4.0)
+        late.add_sample(0.01)
+    late.add_sample(4.0)
     assert late.expected >= 4.0
     for _ in range(30):
-        late.sample(4.0)
+        late.add_sample(4.0)
     assert 4.0 <= late.expected < 4.5
-    late.sample(0.01)
+    late.add_sample(0.01)
     assert late.expected < 0.1
     for _ in range(3):
-        late.sample(60.0)
+        late.add_sample(60.0)
     assert late.expected == 10.0
 
 
 def test_the_age_of_the_list_counts_from_when_it_was_complete():
     play = Play(LARGE)
-    play.answer_at = lambda call: play.due(call) if call.began < 5 else None
+    play.answer_at = lambda call: play.due(call) if call.started_at < 5 else None
     play.run(4.0)
-    assert play.watcher.age(play.now) < 2.5
+    assert play.watcher.list_age(play.now) < 2.5
     play.run(20.0)
-    assert 12.0 < play.watcher.age(play.now) < 16.0
+    assert 12.0 < play.watcher.list_age(play.now) < 16.0
--- a/tests/test_scale_added.py
+++ b/tests/test_scale_added.py
@@ -213,18 +213,18 @@
     rates = [sum(at > since for at in day.refused) / (max(day.refused) - since) for day in (short, long)]
     assert rates[0] == pytest.approx(rates[1], rel=0.25)
     assert max(short.waits) == pytest.approx(max(long.waits), rel=0.5)
-    assert max(short.waits + long.waits) < watcher.LARGE_RETRY + 0.1
+    assert max(short.waits + long.waits) < watcher.LARGE_FLEET_RETRY_S + 0.1
 
 
 def test_a_pause_that_grows_with_failures_would_be_seen(monkeypatch):
     """By the longest wait, where it grows only after so many that a short absence does not show it. Where
     lists are asked for the module's own pauses go before the watch's."""
-    pause_after_failure = watcher.Watcher.pause
+    pause_after_failure = watcher.Watcher.retry_delay
 
     def growing(one: watcher.Watcher, took: float) -> float:
         return pause_after_failure(one, took) * min(10.0, max(1.0, one.failures / 30))
 
-    monkeypatch.setattr(watcher.Watcher, "pause", growing)
+    monkeypatch.setattr(watcher.Watcher, "retry_delay", growing)
     short, long = absences(*ABSENT[1])
     assert max(short.waits) != pytest.approx(max(long.waits), rel=0.5)
 
@@ -240,8 +240,8 @@
     def later_rounds():
         """The move lets calls begin within 0.3 s; waits that differ by 0.48 s drift apart round by round."""
         day = returns.fleet(200, False, 1, 5000.0, "moved")
-        return returns.dearest([(at, 1.0) for at in day.calls if at > 20.0], watcher.MOVE)
+        return returns.dearest([(at, 1.0) for at in day.calls if at > 20.0], watcher.MOVE_JITTER_S)
 
     apart = later_rounds()
-    monkeypatch.setattr(watcher, "SPREAD", 1.0)
+    monkeypatch.setattr(watcher, "MIN_WAIT_FRACTION", 1.0)
     assert later_rounds() > 2 * apart
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -501,8 +501,8 @@
 
 def test_a_discovery_that_fell_silent_is_noticed_and_asked_anew(monkeypatch):
     """Seen failing with 23 s of silence: launches went on to endpoints that drained, and to no new one."""
-    monkeypatch.setattr(driver, "wait_of", lambda instances: 0.3)
-    monkeypatch.setattr(watcher, "BESIDE", 0.5)
+    monkeypatch.setattr(driver, "watch_wait", lambda instances: 0.3)
+    monkeypatch.setattr(watcher, "PARALLEL_CALL_INTERVAL_S", 0.5)
 
     async def check(net: Net):
         await until(lambda: len(net.discovery.seen) == 1)
