--- a/lupinmill/discovery/__init__.py
+++ b/lupinmill/discovery/__init__.py
@@ -1,3 +1,4 @@
-"""The watch on the list of endpoints: when discovery is called, for what, and when a call is given up.
+"""Client of the discovery service: watches the list of endpoints.
 
-`watcher` decides and is pure; `driver` owns the connections and tasks."""
+`watcher` is the pure state machine that decides when to call discovery, for what, and when to cancel a call;
+`driver` owns the connections and tasks."""
--- a/lupinmill/discovery/calls.py
+++ b/lupinmill/discovery/calls.py
@@ -1,4 +1,4 @@
-"""What the watcher and its driver say to one another: calls of discovery, how they end, and commands."""
+"""Types shared by the watcher and its driver: calls to discovery, their outcomes, and commands."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 
 class CallKind(Enum):
-    """What a call asks for."""
+    """What a call requests."""
 
-    WATCH = "watch"  # changes since a version, as soon as there are any
+    WATCH = "watch"  # long poll: changes since a version, as soon as there are any
     FULL_LIST = "whole list"
 
 
 class CallEnd(Enum):
-    """Why a call ended, as the log tells it."""
+    """Why a call ended; the values appear in the log."""
 
     ANSWERED = "answered"
     STALE = "answered, older than the list here"
@@ -26,55 +26,55 @@
 
 
 class AnswerAction(Enum):
-    """What becomes of an answer."""
+    """What to do with an answer."""
 
     APPLY = "take"
-    STALE = "stale"  # from before what is known: it would take the list backwards
-    FETCH_FULL_LIST = "ask for the whole list"  # changes of a service that came back from an older state
-    UNUSABLE = "misfit"  # changes where only a whole list can be used
+    STALE = "stale"  # older than the known list, which must not go backwards
+    FETCH_FULL_LIST = "ask for the whole list"  # changes from a service restored to an older state
+    UNUSABLE = "misfit"  # changes where only a full list can be applied
 
 
 @dataclass(slots=True, eq=False)
 class Call:
-    """One call of discovery. Times are seconds of a monotonic clock."""
+    """One call to discovery. Times are seconds of a monotonic clock."""
 
     id: int
     kind: CallKind
     address: str
-    epoch: int  # how often discovery had moved when it began
+    epoch: int  # number of address changes before the call started
     started_at: float
-    wait: float  # seconds for which discovery is asked to wait for news; 0 for a whole list
-    index: int | None  # the version that was known when it began
-    jitter: float  # part of the patience with it, before another call begins beside it
+    wait: float  # seconds that discovery may hold the call while nothing changes; 0 for a full list
+    index: int | None  # list version known when the call started
+    jitter: float  # random factor of the delay before a parallel call
     connected: bool = False
-    first_byte_at: float | None = None  # when the first byte of its answer came
-    superseded: bool = False  # a call that began after this one was due has been answered
+    first_byte_at: float | None = None  # time of the first byte of the answer
+    superseded: bool = False  # a call started after this one was due has been answered
 
     @property
     def due(self) -> float:
-        """When a prompt service would have answered it at the latest."""
+        """Latest time at which a prompt service would have answered."""
         latest = self.started_at + self.wait
         return latest if self.first_byte_at is None else min(latest, self.first_byte_at)
 
     def age(self, now: float) -> float:
-        """Seconds since it began."""
+        """Seconds since the call started."""
         return now - self.started_at
 
     def late(self, now: float) -> float:
-        """Seconds since it was due."""
+        """Seconds by which the answer is overdue."""
         return max(0.0, now - self.due)
 
 
 @dataclass(frozen=True, slots=True)
 class StartCall:
-    """Command: make this call."""
+    """Command: start this call."""
 
     call: Call
 
 
 @dataclass(frozen=True, slots=True)
 class CancelCall:
-    """Command: end this call."""
+    """Command: cancel this call."""
 
     call: Call
     end: CallEnd
--- a/lupinmill/discovery/driver.py
+++ b/lupinmill/discovery/driver.py
@@ -1,4 +1,4 @@
-"""Carries out what the watcher decides: one task and one connection for each call of discovery."""
+"""Executes the commands of the watcher: one task and one connection for each call to discovery."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 from anyio.abc import TaskGroup
 
 from lupinmill import terms as t
-from lupinmill.discovery.calls import StartCall, Call, CallEnd, CallKind, Command, AnswerAction
+from lupinmill.discovery.calls import AnswerAction, Call, CallEnd, CallKind, Command, StartCall
 from lupinmill.discovery.watcher import (
-    MIN_WATCH_WAIT_S,
-    MAX_WATCH_WAIT_S,
     MAX_CALL_AGE_S,
+    MAX_WATCH_WAIT_S,
+    MIN_WATCH_WAIT_S,
     PROPAGATION_LIMIT_S,
-    WatchTiming,
     Watcher,
+    WatchTiming,
 )
 from lupinmill.protocol import lists
 from lupinmill.protocol.http import Answer, ClientSide, Garbled
@@ -24,25 +24,23 @@
 from lupinmill.transport.connection import Connection, NoDescriptor, Unconnected, connect
 from lupinmill.transport.ring import Store
 
-# Seconds, at most, before a broken watch begins anew where the list is pushed, the same as a part of the
-# grace, and at least: what the agent got at discovery's return counts as told at once.
+# Delay before a failed watch restarts where lists are pushed: the maximum, also as a fraction of the grace,
+# and the minimum. A change that the agent received when discovery returned counts as known at once.
 MAX_REWATCH_DELAY_S, REWATCH_GRACE_FRACTION, MIN_REWATCH_DELAY_S = 1.0, 0.5, 0.1
-MAX_FLEET_CALLS_PER_S = (
-    200.0  # a second, that watches of all sidecars together may make as long as LONGEST_WAIT allows it
-)
-MIN_SLEEP_S = 0.001  # seconds; guards the loop against a core that wants to be woken without end
-LARGE_FLEET_SIDECARS = 30  # sidecars, beyond which whole lists for all at once are avoided
+MAX_FLEET_CALLS_PER_S = 200.0  # of all watches together, as far as MAX_WATCH_WAIT_S allows
+MIN_SLEEP_S = 0.001  # prevents a busy loop if the watcher keeps asking to be woken at once
+LARGE_FLEET_SIDECARS = 30  # larger fleets avoid requesting full lists all at once
 MICROSECONDS = 1_000_000
 EXPECTED_ERRORS = (OSError, TimeoutError, Unconnected, NoDescriptor, Garbled)
 
 
 def watch_wait(instances: int) -> float:
-    """Seconds for which a watch of one of so many sidecars waits for news."""
+    """Seconds for which a watch waits for a change, in a fleet of this many sidecars."""
     return min(MAX_WATCH_WAIT_S, max(MIN_WATCH_WAIT_S, instances / MAX_FLEET_CALLS_PER_S))
 
 
 def watch_timing(deployment: t.Deployment) -> WatchTiming:
-    """Where the settings say that changes are pushed, the module never asks for the list."""
+    """Timing for a deployment. Where lists are pushed, the decision module never asks for the list."""
     rewatch_within = max(
         MIN_REWATCH_DELAY_S,
         min(MAX_REWATCH_DELAY_S, REWATCH_GRACE_FRACTION * deployment.grace / MICROSECONDS),
@@ -55,10 +53,10 @@
 
 
 class DiscoveryClient:
-    """The watch on the list of one sidecar.
+    """Keeps the endpoint list of one sidecar up to date.
 
-    Owns all connections to discovery: each is its call's, and one that can be used again is kept for another.
-    `hang_up` and the end of `run` give all back."""
+    Owns all connections to discovery: each belongs to its call, and one reusable connection is kept for a
+    later call. `close_spare` and the end of `run` close them all."""
 
     def __init__(
         self, address: str, deployment: t.Deployment, directory: Directory, store: Store, log: Log
@@ -69,39 +67,39 @@
             address, watch_timing(deployment), lambda least, most: random.uniform(least, most)
         )
         self.wakeup = anyio.Event()
-        self.scopes: dict[int, anyio.CancelScope] = {}  # by call
-        self.spare: tuple[str, Connection] | None = None  # its address; kept for the next call
-        self.steady = False  # the last call brought an answer, and nothing has moved since
-        self.list_old_logged = False  # the log was told that the list is old
+        self.scopes: dict[int, anyio.CancelScope] = {}  # by call id
+        self.spare: tuple[str, Connection] | None = None  # address and idle connection for the next call
+        self.steady = False  # the last call was answered, and the address has not changed since
+        self.list_old_logged = False  # the log says that the list is old
 
     @property
     def wait(self) -> float:
-        """Seconds for which a watch waits for news."""
+        """Seconds for which a watch waits for a change."""
         return self.watcher.timing.wait
 
     def set_instances(self, instances: int) -> None:
-        """How many sidecars ask the same discovery, from now on."""
+        """Sets the number of sidecars that call the same discovery."""
         timing = self.watcher.timing
         timing.wait, timing.large_fleet = watch_wait(instances), instances > LARGE_FLEET_SIDECARS
 
     def move(self, address: str) -> None:
-        """Discovery is at another address from now on. Its list is asked for whole: nothing says that
-        versions count on from the old service's."""
+        """Switches to another address. The full list is requested there, as versions need not continue those
+        of the old service."""
         self.watcher.move(anyio.current_time(), address)
         self.steady = False
         self.wakeup.set()
 
     def watch(self, _: t.Watch) -> None:
-        """The module wants the list to be watched."""
+        """The decision module requests that the list be watched."""
         self.watcher.request_watch(anyio.current_time())
         self.wakeup.set()
 
     def list_age(self) -> float | None:
-        """Seconds for which the list here may have missed a change; None before the first answer."""
+        """Seconds for which the known list may have missed a change; None before the first answer."""
         return self.watcher.list_age(anyio.current_time())
 
     def show(self) -> dict[str, object]:
-        """For operators: how old the list is, how late discovery answers, and each call that is out."""
+        """For operators: age of the list, lateness of discovery, and each call in flight."""
         now, age = anyio.current_time(), self.list_age()
         return {
             "address": self.watcher.address,
@@ -114,7 +112,7 @@
         }
 
     async def run(self) -> None:
-        """For as long as the program lives."""
+        """Runs for the lifetime of the program."""
         if self.pushed:
             self.watcher.request_watch(anyio.current_time())
         try:
@@ -134,7 +132,7 @@
             self.close_spare()
 
     def close_spare(self) -> None:
-        """Closes what no call is using."""
+        """Closes the connection that no call is using."""
         if self.spare is not None:
             self.spare[1].close()
             self.spare = None
@@ -155,7 +153,7 @@
             scope.cancel()
 
     async def run_call(self, call: Call) -> None:
-        """One call, to its end."""
+        """Runs one call to its end."""
         scope = self.scopes[call.id]
         try:
             with scope:
@@ -170,8 +168,8 @@
             self.wakeup.set()
 
     async def exchange(self, call: Call) -> Answer:
-        """Asks, and gathers the answer. Only the watcher limits its time: what has come is never dropped for
-        a call that asks the same."""
+        """Sends the request and reads the answer. Only the watcher limits the duration: a partial answer is
+        never dropped in favour of a call that requests the same."""
         connection = self.take_spare(call.address)
         if connection is None:
             connection = await connect(call.address, MAX_CALL_AGE_S, self.store, lambda: None)
@@ -198,7 +196,7 @@
             self.wakeup.set()
 
     def take_spare(self, address: str) -> Connection | None:
-        """The connection kept, if it is one to this address and still open."""
+        """The idle connection, if it is to this address and still open."""
         if self.spare is None:
             return None
         (kept_address, connection), self.spare = self.spare, None
@@ -216,13 +214,13 @@
     # Answers.
 
     def process_answer(self, call: Call, answer: Answer) -> None:
-        """An answer that can't be used raises Garbled."""
+        """Raises Garbled for an answer that can't be used."""
         if call not in self.watcher.calls:
-            return  # given up in the pass in which its last byte came
+            return  # cancelled in the loop iteration that read its last byte
         known, previous_index = lists.read(answer), self.directory.index
         action = self.watcher.classify_answer(call, known.index, known.whole, previous_index)
         if action is AnswerAction.UNUSABLE:
-            raise Garbled("changes where only the whole list can be used")
+            raise Garbled("discovery sent changes where only a full list can be applied")
         if action is AnswerAction.FETCH_FULL_LIST:
             self.log("watch_older", index=known.index, known=previous_index)
             self.watcher.request_full_list()
@@ -238,10 +236,10 @@
             self.log("list_rows_refused", index=known.index, why=known.refused)
         self.directory.update(known, t.ListKind.FULL if known.whole else t.ListKind.CHANGES)
         if self.directory.index is None:
-            raise Garbled("the module did not take the list")
+            raise Garbled("the decision module did not accept the list")
         self.watcher.list_applied(anyio.current_time(), call, known.index, known.whole, previous_index)
         if known.unnamed and not known.whole:
-            self.watcher.request_full_list()  # nobody can tell which endpoint the row was about
+            self.watcher.request_full_list()  # the endpoint of that row is unknown
 
     def on_call_failed(self, call: Call, error: str) -> None:
         if call not in self.watcher.calls:
@@ -251,7 +249,7 @@
         if self.watcher.call_failed(anyio.current_time(), call) and not self.pushed:
             self.directory.failed()
 
-    # What the log is told.
+    # Logging.
 
     def log_fields_at_end(self, call: Call) -> dict[str, object]:
         now = anyio.current_time()
@@ -259,7 +257,7 @@
         return call_fields(call) | times
 
     def log_list_age(self, now: float) -> None:
-        """Once when the list gets old, and once when it is up to date again."""
+        """Logs once when the list becomes old, and once when it is up to date again."""
         age = self.watcher.list_age(now)
         if age is None or (age > PROPAGATION_LIMIT_S) == self.list_old_logged:
             return
--- a/lupinmill/discovery/watcher.py
+++ b/lupinmill/discovery/watcher.py
@@ -1,67 +1,66 @@
-"""Decides when discovery is called, for what, and when a call is given up. Pure: `decide(now, ...)` gives
-commands, and the driver tells what became of them.
+"""Decides when to call discovery, what to request, and when to cancel a call.
 
-A drain counts as told TOLD_AFTER seconds after discovery had it, and discovery may answer up to PROMISED
-seconds late. So no call that may still answer is dropped for one that asks the same: a further one begins
-beside it, soon enough that its own late answer would be in time. The first asks for the whole list, as only
-watches may be dead; once discovery is known to be slow it is another watch. MOST_CALLS bounds what is out."""
+Pure: `decide(now, ...)` returns commands, and the driver reports their outcomes.
+
+A sidecar must know of a change PROPAGATION_LIMIT_S after discovery had it, and discovery may answer up to
+TOLERATED_LATENESS_S late. So a call that may still be answered is not cancelled in favour of one that
+requests the same: a parallel call starts, early enough that its own late answer would still be in time. The
+first parallel call requests the full list, since watches alone may be dead; once discovery is known to be
+slow it is another watch. MAX_CALLS bounds the calls in flight."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from lupinmill.discovery.calls import StartCall, Call, CallEnd, CallKind, Command, CancelCall, AnswerAction
+from lupinmill.discovery.calls import AnswerAction, Call, CallEnd, CallKind, CancelCall, Command, StartCall
 from lupinmill.discovery.lateness import LatenessEstimator
 
-# All in seconds.
-PROPAGATION_LIMIT_S = (
-    6.0  # after discovery had a change and could be reached, whatever failed, it counts as told
-)
-TOLERATED_LATENESS_S = 4.0  # lateness of answers with which that still holds
-SCHEDULING_SLACK_S = 0.3  # for a loop that lags and the way
-PARALLEL_CALL_INTERVAL_S = (
-    PROPAGATION_LIMIT_S - TOLERATED_LATENESS_S - SCHEDULING_SLACK_S
-)  # between the begins of two calls, in trouble
-OVERDUE_AFTER_S = 0.6  # behind its time at which a watch of a prompt discovery is doubted
-OVERDUE_JITTER_S = 0.1  # at most, later
-MIN_RETRY_DELAY_S = 0.3  # at most, before a call that failed late is repeated
-# For which a watch waits for news. A change may be due on a watch that came just before it, and the next
-# one right behind it is then covered by no call: so the wait and what follows it are within BESIDE. Only
-# fleets of over 200 wait longer; they are told of a second change up to 1.4 s later where discovery becomes
-# 4 s late.
+# A change counts as known this long after discovery had it and could be reached, whatever failed.
+PROPAGATION_LIMIT_S = 6.0
+TOLERATED_LATENESS_S = 4.0  # lateness of answers up to which PROPAGATION_LIMIT_S still holds
+SCHEDULING_SLACK_S = 0.3  # for event loop lag and network latency
+# Between the starts of two parallel calls while answers are missing.
+PARALLEL_CALL_INTERVAL_S = PROPAGATION_LIMIT_S - TOLERATED_LATENESS_S - SCHEDULING_SLACK_S
+OVERDUE_AFTER_S = 0.6  # past its due time a watch of a prompt service is suspected to be dead
+OVERDUE_JITTER_S = 0.1
+MIN_RETRY_DELAY_S = 0.3  # before jitter, after a call that took long to fail
+# How long a watch waits for a change. A watch may be due at once, for a change made right after it arrived,
+# and a second change right behind the first is then covered by no call: so the wait and the delay of the next
+# call must fit into PARALLEL_CALL_INTERVAL_S. Only fleets of over 200 sidecars wait longer: they learn of
+# such a second change up to 1.4 s later if discovery becomes 4 s late.
 MIN_WATCH_WAIT_S, MAX_WATCH_WAIT_S = 1.0, 2.4
-NO_CHANGE_DELAY_S = 0.05  # before the next call after an answer without any
-MOVE_JITTER_S = 0.3  # at most, before the first call at a new address, lest all sidecars come at once
-SUPERSEDED_GRACE_S = (
-    TOLERATED_LATENESS_S + 0.5
-)  # after it was due at which a call that was overtaken is given up
-MAX_CALL_AGE_S = 60.0  # age of a call at which it is given up
-DEAD_WATCH_RETEST_S = 10.0  # between two watches while watches are found to be dead
-
-MAX_CALLS = 4  # out at a time, of all addresses
-MIN_WAIT_FRACTION = (
-    0.8  # least part of its wait that a watch waits: those answered together would fall due together
-)
-MIN_RETRY_DELAY_FRACTION = 0.6  # least part of a pause that is taken, so that sidecars do not call together
-MIN_INTERVAL_FRACTION = 0.75  # least part of BESIDE that is taken
-MAX_WATCHES = 3  # out at a time, of a discovery that is known to be late: they alone may be dead
-LATENESS_INTERVAL_FACTOR = 0.5  # parts of a lateness beyond what is promised after which another call begins
-DEAD_WATCH_LIMIT = 2  # in a row that were overtaken by whole lists, before only whole lists are asked for
-# In a large fleet consecutive failures, and calls that nobody answers, are repeated after so long: discovery
-# may refuse them because there are too many. Within what is told, with 2.4 and 1.7 s for the answer.
+NO_CHANGE_DELAY_S = 0.05  # before the next call after an answer without changes
+# Upper bound before the first call at a new address, so that sidecars do not call at once.
+MOVE_JITTER_S = 0.3
+SUPERSEDED_GRACE_S = TOLERATED_LATENESS_S + 0.5  # after its due time a superseded call is cancelled
+MAX_CALL_AGE_S = 60.0
+DEAD_WATCH_RETEST_S = 10.0  # between two watches while watches are known to be dead
+
+MAX_CALLS = 4  # in flight, over all addresses
+MIN_WAIT_FRACTION = 0.8  # jitter of a watch's wait: watches answered together would fall due together
+MIN_RETRY_DELAY_FRACTION = 0.6  # jitter of the retry delay, so that sidecars do not call together
+MIN_INTERVAL_FRACTION = 0.75  # jitter of PARALLEL_CALL_INTERVAL_S
+# In flight when discovery is known to be late; the last call is a full list, as watches may be dead.
+MAX_WATCHES = 3
+LATENESS_INTERVAL_FACTOR = 0.5  # parallel call interval, of a lateness above the tolerated one
+# Consecutive watches superseded by full lists, after which only full lists are requested.
+DEAD_WATCH_LIMIT = 2
+# In a large fleet, consecutive failures and unanswered calls are repeated at these longer intervals, as
+# discovery may be refusing calls because there are too many. Still within PROPAGATION_LIMIT_S: 2.4 s and 1.7 s
+# remain for the answer.
 LARGE_FLEET_RETRY_S, LARGE_FLEET_REPLACE_S = 3.3, 4.0
-REPLACE_LATENESS_FACTOR = (
-    1.5  # parts of the expected lateness without any answer after which one call gives way to a newer
-)
+# Without any answer for this multiple of the expected lateness, a call is replaced.
+REPLACE_LATENESS_FACTOR = 1.5
 
 
 @dataclass(slots=True)
 class WatchTiming:
-    """What the settings say.
+    """Timing that follows from the settings.
 
-    `again` is None where the list has to be asked for, else the most seconds before a pushed list is watched
-    again after a failure. `large`: whole lists for all sidecars at once are more than discovery may carry."""
+    `rewatch_within` is None where the decision module asks for the list; where lists are pushed it is the
+    maximum delay, in seconds, before a failed watch starts again. `large_fleet`: discovery may not be able to
+    serve full lists to all sidecars at once."""
 
     wait: float
     rewatch_within: float | None = None
@@ -69,55 +68,54 @@
 
     @property
     def retry_interval(self) -> float:
-        """Seconds between the begins of two calls that failed."""
+        """Seconds between the starts of two failed calls."""
         return LARGE_FLEET_RETRY_S if self.large_fleet else PARALLEL_CALL_INTERVAL_S
 
     @property
     def replace_after(self) -> float:
-        """Seconds after which the newest of too many calls gives way."""
+        """Minimum age, in seconds, at which the newest of MAX_CALLS calls may be replaced."""
         return LARGE_FLEET_REPLACE_S if self.large_fleet else PARALLEL_CALL_INTERVAL_S
 
     @property
     def initial_watches(self) -> int:
-        """Watches of a prompt discovery that may be out before the whole list is asked for."""
+        """Watches of a prompt service that may be in flight before the full list is requested."""
         return 2 if self.large_fleet and self.wait <= MIN_WATCH_WAIT_S else 1
 
 
 class Watcher:
-    """The calls that are out, in the order in which they began, and what follows from how others ended."""
+    """The calls in flight, in the order of their start, and what was learned from those that ended."""
 
     def __init__(self, address: str, timing: WatchTiming, draw: Callable[[float, float], float]) -> None:
         self.address, self.timing, self.draw = address, timing, draw
         self.calls: list[Call] = []
         self.lateness = LatenessEstimator()
-        self.epoch = 0  # how often discovery has moved
-        self.list_epoch = 0  # when the list here was told
-        self.full_list_wanted = False  # the whole list is wanted, whatever is known
+        self.epoch = 0  # number of address changes
+        self.list_epoch = 0  # value of `epoch` for the known list
+        self.full_list_wanted = False  # request a full list even if the known one accepts changes
         self.next_id = 1
-        self.next_call_at: float | None = (
-            None  # when a call begins if none is out; None before the first is asked for
-        )
-        self.no_call_before = 0.0  # no call before, after a failure
-        self.first_call_after_move_at: float | None = None  # when the first call at a new address begins
-        self.failures = 0  # in a row
-        self.full_list_failed = False  # the last call failed, and was for the whole list
-        self.dead_watches = 0  # in a row
-        self.last_watch_at = 0.0  # when the last watch began
-        self.last_answer_at: float | None = (
-            None  # when the last answer came; before any, when the first call began
-        )
-        self.complete_as_of: float | None = None  # up to when the list here is known to be complete
-
-    # What the driver tells.
+        # Start of a call if none is in flight; None before `request_watch`.
+        self.next_call_at: float | None = None
+        self.no_call_before = 0.0  # earliest next call after a failure
+        self.first_call_after_move_at: float | None = None  # start of the first call at a new address
+        self.failures = 0  # consecutive
+        self.full_list_failed = False  # the last failed call requested the full list
+        self.dead_watches = 0  # consecutive
+        self.last_watch_at = 0.0  # start of the last watch
+        self.last_answer_at: float | None = None  # before any answer: start of the first call
+        self.complete_as_of: float | None = None  # time up to which the known list is complete
+
+    # Events reported by the driver.
 
     def request_watch(self, now: float) -> None:
-        """The module wants the list to be watched."""
+        """The decision module requests that the list be watched."""
         if not self.active_calls():
             self.next_call_at, self.no_call_before = now, 0.0
 
     def move(self, now: float, address: str) -> None:
-        """Calls at the old address go on: until the new service has told its list, theirs is the newest. The
-        pause is not begun anew by a move that follows soon."""
+        """Discovery has a new address.
+
+        Calls at the old address continue: their list is the newest until the new service has sent its own. A
+        further move during the delay does not restart the delay."""
         self.epoch, self.address = self.epoch + 1, address
         at = now + self.draw(0, MOVE_JITTER_S)
         self.first_call_after_move_at = (
@@ -126,18 +124,18 @@
         self.no_call_before = 0.0
 
     def answer_progressed(self, now: float, call: Call) -> None:
-        """A part of its answer came."""
+        """A part of the answer arrived."""
         if call.first_byte_at is None:
             call.first_byte_at = now
 
     def list_is_current(self) -> bool:
-        """The list here was told by the service that is asked now."""
+        """The known list came from the service at the current address."""
         return self.list_epoch == self.epoch
 
     def classify_answer(
         self, call: Call, index: int, is_full_list: bool, known_index: int | None
     ) -> AnswerAction:
-        """What to do with an answer of version `index`, where `known` is the version of the list here."""
+        """What to do with an answer of version `index`, given the version of the known list."""
         if call.epoch < self.list_epoch:
             return AnswerAction.STALE
         if call.epoch > self.list_epoch:
@@ -145,7 +143,7 @@
         if known_index is None:
             return AnswerAction.APPLY if is_full_list else AnswerAction.UNUSABLE
         if call.index is not None and index < call.index:
-            # The service came back from an older state: what changed since ours it may never tell.
+            # The service was restored to an older state and may never report what changed since our version.
             if is_full_list:
                 return AnswerAction.APPLY
             return AnswerAction.UNUSABLE if call.kind is CallKind.FULL_LIST else AnswerAction.FETCH_FULL_LIST
@@ -157,37 +155,37 @@
     def list_applied(
         self, now: float, call: Call, index: int, is_full_list: bool, known_index: int | None
     ) -> None:
-        """The list is now what this answer says."""
+        """The answer has been applied to the list."""
         if is_full_list:
             self.full_list_wanted = False
         self.list_epoch = call.epoch
         index_decreased = known_index is not None and index < known_index
-        if index_decreased:  # whatever was asked before is the older service's
+        if index_decreased:  # earlier calls refer to the state before the service went back
             for other in self.calls:
                 other.superseded = other.superseded or other.started_at < call.started_at
         complete_as_of = call.started_at if is_full_list or index != known_index else min(now, call.due)
         self.complete_as_of = max(complete_as_of, self.complete_as_of or complete_as_of)
 
     def request_full_list(self) -> None:
-        """Nothing but the whole list can be used from now on."""
+        """Only a full list can be applied from now on."""
         self.full_list_wanted = True
 
     def call_answered(self, now: float, call: Call, list_changed: bool) -> None:
-        """`call` has ended with an answer that could be read; `news` says whether it changed the list."""
+        """`call` has ended with a valid answer."""
         self.calls.remove(call)
         self.record_lateness(now, call)
         self.failures, self.full_list_failed = 0, False
         self.no_call_before, self.last_answer_at = 0.0, now
         self.mark_superseded(call)
         if call.kind is CallKind.WATCH:
-            self.dead_watches = 0  # one that was overtaken by a watch was lost alone
+            self.dead_watches = 0  # watches work: one superseded by a watch was lost alone
         if self.polling() and call.kind is CallKind.FULL_LIST:
             self.next_call_at = max(now, call.started_at + self.parallel_call_delay(call))
         else:
             self.next_call_at = now if list_changed or self.full_list_wanted else now + NO_CHANGE_DELAY_S
 
     def call_failed(self, now: float, call: Call) -> bool:
-        """`call` ended without an answer that can be used. True where no other is out that may bring it."""
+        """`call` ended without a usable answer. True if no other call in flight may still bring one."""
         self.calls.remove(call)
         if call.epoch < self.epoch:
             return False
@@ -198,14 +196,14 @@
         return not self.active_calls()
 
     def forget_calls(self) -> None:
-        """All calls ended with their driver."""
+        """Drops all calls; the driver has ended them."""
         self.calls.clear()
 
-    # What it decides.
+    # Decisions.
 
     def decide(self, now: float, index: int | None, accepts_changes: bool) -> list[Command]:
-        """All that is to be done at this moment. `index` is the version of the list here, None where there is
-        none; `extendable` says whether changes since that version would make it up to date."""
+        """Commands due now. `index` is the version of the known list, if any; `accepts_changes` says whether
+        changes since that version can be applied to it."""
         commands: list[Command] = []
         for call in list(self.calls):
             if (end := self.expiry_reason(now, call)) is not None:
@@ -221,7 +219,7 @@
         return commands
 
     def next_wakeup(self, now: float) -> float:
-        """When `decide` is due at the latest, whatever is told before."""
+        """Latest time of the next `decide`, even if no event is reported before."""
         starts = self.next_start(now)
         if starts <= now and len(self.calls) >= MAX_CALLS:
             starts = min(
@@ -239,21 +237,21 @@
         return min([starts, *ends])
 
     def active_calls(self) -> list[Call]:
-        """The calls at the address that holds now that may bring something new."""
+        """Calls at the current address that may still bring something new."""
         return [call for call in self.calls if call.epoch == self.epoch and not call.superseded]
 
     def polling(self) -> bool:
-        """Watches are not answered, whole lists are."""
+        """Whether full lists are polled, since watches are not answered."""
         return self.dead_watches >= DEAD_WATCH_LIMIT
 
     def list_age(self, now: float) -> float | None:
-        """Seconds for which the list here may have missed a change; None: none was heard yet."""
+        """Seconds for which the known list may have missed a change; None before the first list."""
         return None if self.complete_as_of is None else now - self.complete_as_of
 
-    # Parts of the decisions.
+    # Helpers.
 
     def next_start(self, now: float) -> float:
-        """When the next call is to begin."""
+        """Start time of the next call."""
         if self.first_call_after_move_at is not None:
             return self.first_call_after_move_at
         if self.next_call_at is None:
@@ -265,12 +263,12 @@
         return max(self.no_call_before, newest.started_at + self.parallel_call_delay(newest))
 
     def parallel_call_delay(self, call: Call) -> float:
-        """Seconds after its begin for which nothing is begun beside a call. News may have been due on it at
-        once, so it covers no later change for sure."""
+        """Seconds from the start of a call to the start of a parallel one. A change may have been due on the
+        call right after its start, so the call does not reliably cover any later change."""
         ends = call.wait if call.first_byte_at is None else call.first_byte_at - call.started_at
         overdue_after = ends + OVERDUE_AFTER_S + call.jitter * OVERDUE_JITTER_S
         if self.lateness.expected > OVERDUE_AFTER_S and overdue_after <= PARALLEL_CALL_INTERVAL_S:
-            overdue_after = 0.0  # it is no wonder, and the wider jitter keeps sidecars apart
+            overdue_after = 0.0  # expected lateness; the wider interval jitter keeps sidecars apart
         mean = self.lateness.mean
         interval = LATENESS_INTERVAL_FACTOR * mean if mean > TOLERATED_LATENESS_S + OVERDUE_AFTER_S else 0.0
         return max(
@@ -287,7 +285,7 @@
             skip_watch = self.polling() and now - self.last_watch_at < DEAD_WATCH_RETEST_S
             return CallKind.FULL_LIST if skip_watch else CallKind.WATCH
         if self.full_list_failed:
-            return CallKind.WATCH  # it costs discovery less, and may be answered
+            return CallKind.WATCH  # cheaper for discovery, so it may be answered
         if self.dead_watches:
             return CallKind.FULL_LIST
         lateness_expected = active[-1].late(now) <= self.lateness.expected
@@ -314,7 +312,7 @@
         return CancelCall(call, end)
 
     def expiry_reason(self, now: float, call: Call) -> CallEnd | None:
-        """Why a call can't be of use any more, if so."""
+        """Why a call is of no further use; None if it may still be."""
         if call.epoch < self.list_epoch:
             return CallEnd.ADDRESS_CHANGED
         if call.superseded and now >= call.due + SUPERSEDED_GRACE_S:
@@ -322,7 +320,7 @@
         return CallEnd.TOO_OLD if now >= call.started_at + MAX_CALL_AGE_S else None
 
     def call_to_replace(self, now: float) -> tuple[Call | None, CallEnd]:
-        """Whose place a new call takes. Those that have waited longest are nearest to their answer."""
+        """The call to cancel for a new one. The oldest calls are kept: they are closest to their answer."""
         old = [call for call in self.calls if call.epoch < self.epoch]
         if old:
             return old[-1], CallEnd.ADDRESS_CHANGED
@@ -341,8 +339,8 @@
         return None, CallEnd.REPLACED
 
     def replacement_due(self) -> float:
-        """When the newest of too many calls gives way: nothing was answered for longer than a slow discovery
-        takes, so what is out may be lost."""
+        """When the newest of MAX_CALLS calls may be replaced: nothing was answered for longer than a slow
+        service takes, so the calls may be lost."""
         assert self.last_answer_at is not None
         limit = max(
             self.timing.wait + TOLERATED_LATENESS_S + OVERDUE_AFTER_S,
@@ -360,12 +358,12 @@
         latest = call.started_at + call.wait
         if now >= latest:
             self.lateness.add_sample(now - latest)
-        else:  # it came with news: when that was made nobody tells
+        else:  # it brought a change, made at an unknown time during the call
             self.lateness.add_upper_bound(call.age(now))
 
     def retry_delay(self, call_duration: float) -> float:
-        """Seconds from a failure to the next call. A change made just after the failed call began has to be
-        heard in time: what that call took is not waited for once more."""
+        """Seconds from a failure to the next call. The duration of the failed call counts towards the
+        interval, so that a change made just after its start is still received in time."""
         span = PARALLEL_CALL_INTERVAL_S if self.failures == 1 else self.timing.retry_interval
         delay = max(MIN_RETRY_DELAY_S, span - call_duration) * self.draw(MIN_RETRY_DELAY_FRACTION, 1)
         if self.timing.rewatch_within is None:
--- a/tests/test_discovery_directory.py
+++ b/tests/test_discovery_directory.py
@@ -45,7 +45,7 @@
 
     net = on_network(check, fine, fine, discovery=mode)
     errors = [fields["error"] for event, fields in net.logs if event == "watch_failed"]
-    assert "Garbled: the module did not take the list" in errors
+    assert "Garbled: the decision module did not accept the list" in errors
 
 
 def test_an_update_that_raises_in_the_middle_changes_nothing():
