--- a/lupinmill/admin/__init__.py
+++ b/lupinmill/admin/__init__.py
@@ -1,1 +1,1 @@
-"""What operators' staff ask of a running sidecar, at an address of their own."""
+"""The admin API of a running sidecar, on an address of its own."""
--- a/lupinmill/admin/admin_handler.py
+++ b/lupinmill/admin/admin_handler.py
@@ -1,7 +1,6 @@
-"""Carries the operators' calls out: what stands changes first, then all that go by it hear of it, then yes
-is said.
+"""Handles operators' calls: updates the overrides, notifies everything that depends on them, then answers.
 
-Owns nothing but the order of these steps: a yes holds already when it is read."""
+The order guarantees that a change is in force before its answer is read."""
 
 from __future__ import annotations
 
@@ -10,37 +9,39 @@
 import anyio
 import orjson
 
-from lupinmill.admin.operator_overrides import OperatorOverrides, CordonResult
+from lupinmill.admin.operator_overrides import CordonResult, OperatorOverrides
 from lupinmill.protocol import calls
 from lupinmill.routing.directory import Directory
 from lupinmill.routing.engine import Engine, Log
 
-EXPIRY_CHECK_INTERVAL_S = 1.0  # seconds between two looks at what is long forgotten
+EXPIRY_CHECK_INTERVAL_S = 1.0
 
 CORDON_RESPONSES = {
     CordonResult.DONE: (200, "done"),
-    CordonResult.UNKNOWN: (404, "no list names this endpoint"),
-    CordonResult.FULL: (503, "too many endpoints are out by hand"),
+    CordonResult.UNKNOWN: (404, "unknown endpoint: no endpoint list names it"),
+    CordonResult.FULL: (503, "too many cordoned endpoints"),
 }
 
 
 class AdminHandler:
+    """Routes each call of the admin API. The callbacks are set by the program."""
+
     def __init__(self, overrides: OperatorOverrides, directory: Directory, engine: Engine, log: Log) -> None:
         self.overrides, self.directory, self.engine, self.log = overrides, directory, engine, log
-        self.on_mode_change: Callable[[], None] = lambda: None  # told of each change of mode
-        self.accepting_clients = lambda: False  # does this process take clients?
-        self.peers: Callable[[], dict[str, object]] | None = None  # a plain table of who is there
-        self.rehearse: Callable[[], bool] | None = None  # a decision that says nothing
-        self.zones: Callable[[], dict[str, object]] | None = None  # a plain table of the plan in force
-        self.config: Callable[[], dict[str, object]] | None = None  # a plain table of the version in force
-        self.discovery: Callable[[], dict[str, object]] = dict  # a plain table of the watch on the list
+        self.on_mode_change: Callable[[], None] = lambda: None
+        self.accepting_clients = lambda: False
+        self.peers: Callable[[], dict[str, object]] | None = None  # table of the members
+        self.rehearse: Callable[[], bool] | None = None  # triggers a decision without content
+        self.zones: Callable[[], dict[str, object]] | None = None  # table of the plan in force
+        self.config: Callable[[], dict[str, object]] | None = None  # table of the version in force
+        self.discovery: Callable[[], dict[str, object]] = dict  # table of the watch on the list
         self.run_zone_command: Callable[[str, str, bool], Awaitable[tuple[bool, str]]] | None = None
-        # To the other process of an upgrade.
+        # Sends a call to the other process of an upgrade.
         self.forward: Callable[[calls.Call], Awaitable[None]] | None = None
 
     async def handle(self, call: calls.Call) -> tuple[int, str]:
         if call.what == calls.HEALTH:
-            return (200, "takes clients") if self.accepting_clients() else (503, "takes no clients")
+            return (200, "accepts clients") if self.accepting_clients() else (503, "does not accept clients")
         if call.what == calls.PEERS:
             if self.peers is None:
                 return 404, "peers are off"
@@ -71,7 +72,7 @@
         return (200 if done else 409), text
 
     def apply(self, call: calls.Call, skip_list_check: bool = False) -> tuple[int, str]:
-        """In one go, with no pause between the set, the module and the launches on their way."""
+        """Applies the call to overrides, decision module and open attempts in one step, without a pause."""
         now = self.engine.clock.now()
         if call.what in (calls.OUT, calls.BACK):
             out = call.what == calls.OUT
@@ -92,4 +93,4 @@
             await anyio.sleep(EXPIRY_CHECK_INTERVAL_S)
             for name in self.overrides.expire_cordons(self.engine.clock.now(), self.directory.states):
                 self.directory.by_hand(name, False)
-                self.log("mode", text=f"{name} was out by hand and is forgotten: no list names it")
+                self.log("mode", text=f"cordon of {name} expired: no endpoint list names it")
--- a/lupinmill/admin/admin_server.py
+++ b/lupinmill/admin/admin_server.py
@@ -1,7 +1,7 @@
-"""The operators' listener: bytes to calls, calls to whoever carries them out, answers back.
+"""HTTP server of the admin API: reads calls, passes them to the handler, sends its answers.
 
-Owns the second listening socket and its callers, each a task that closes its own connection. They hold PLACES
-descriptors of their own at most: neither clients nor launches can take these, nor they theirs."""
+Owns the second listening socket and its connections, each with a task that closes it. MAX_CONNECTIONS
+descriptors are reserved for them: clients and attempts can't use these, and admin connections use no more."""
 
 from __future__ import annotations
 
@@ -18,16 +18,12 @@
 from lupinmill.transport.connection import listen_at
 
 MAX_CONNECTIONS = 16
-HEAD_TIMEOUT_S = 2.5  # seconds for a call's head, if nobody else wants the place
-MIN_HEAD_TIME_S = (
-    0.3  # seconds for it that a caller has in any case, so that a crowd of the silent can't drive it out
-)
-RESPONSE_TIMEOUT_S = 1.0  # seconds for an answer to be written and read
-MAX_DISCARDED_BYTES = (
-    64 * 1024
-)  # bytes behind the head that are read and dropped, lest the close reset the answer
+HEAD_TIMEOUT_S = 2.5  # for the head of a call, unless the connection is evicted before
+MIN_HEAD_TIME_S = 0.3  # before eviction, so that many silent connections can't displace a real call
+RESPONSE_TIMEOUT_S = 1.0  # for an answer to be written and read
+MAX_DISCARDED_BYTES = 64 * 1024  # read behind the head, so that the close does not reset the answer
 READ_SIZE = 4 * 1024
-MAX_LOGGED_CHARS = 200  # characters of an answer
+MAX_LOGGED_CHARS = 200  # of an answer
 
 Handler = Callable[[Call], Awaitable[tuple[int, str]]]
 
@@ -36,7 +32,7 @@
     def __init__(self, sock: socket.socket) -> None:
         self.sock, self.accepted_at = sock, time.monotonic()
         self.scope = anyio.CancelScope()
-        self.request_read = False  # its call is whole: from now on it is no longer in anybody's way
+        self.request_read = False  # the call is complete, so the connection is not evicted
 
 
 class AdminServer:
@@ -44,7 +40,7 @@
         self.handler, self.log = handler, log
         self.sock = listen_at(address, 256)
         self.address = "%s:%d" % self.sock.getsockname()[:2]
-        self.connections: dict[AdminConnection, None] = {}  # the one that came first first
+        self.connections: dict[AdminConnection, None] = {}  # in the order of arrival
 
     async def run(self, group: TaskGroup) -> None:
         while True:
@@ -54,7 +50,7 @@
             try:
                 sock, _ = self.sock.accept()
             except OSError:
-                await anyio.sleep(0.002)  # it broke before it was taken, or nothing is to be had just now
+                await anyio.sleep(0.002)  # reset before it was accepted, or no descriptor is free
                 continue
             sock.setblocking(False)
             connection = AdminConnection(sock)
@@ -62,11 +58,11 @@
             group.start_soon(self.serve, connection)
 
     def evict_oldest(self) -> bool:
-        """Of those that have not said their call yet the one that came first goes."""
+        """Evicts the oldest connection without a complete call. False if none may be evicted."""
         now = time.monotonic()
         for connection in self.connections:
             if not connection.request_read and now - connection.accepted_at >= MIN_HEAD_TIME_S:
-                connection.request_read = True  # nobody counts on it any more
+                connection.request_read = True  # already evicted
                 connection.scope.cancel()
                 return True
         return False
@@ -76,7 +72,7 @@
             with connection.scope:
                 await self.handle_request(connection)
         except OSError:
-            pass  # it hung up
+            pass  # the caller hung up
         except Exception as error:
             self.log("task_failed", task="operator", **defect(error))
         finally:
@@ -85,7 +81,7 @@
 
     async def handle_request(self, connection: AdminConnection) -> None:
         parser, call = CallSide(), None
-        status, text = 408, "no whole call came"
+        status, text = 408, "timed out before the call was complete"
         with anyio.move_on_after(HEAD_TIMEOUT_S):
             try:
                 while call is None:
@@ -100,7 +96,7 @@
                 status, text = await self.handler(call)
             except Exception as error:
                 self.log("task_failed", task="operator", **defect(error))
-                status, text = 500, "a defect; see the log"
+                status, text = 500, "internal error; see the log"
             self.log(
                 "operator", call=call.what, member=call.endpoint, status=status, text=text[:MAX_LOGGED_CHARS]
             )
--- a/lupinmill/admin/operator_overrides.py
+++ b/lupinmill/admin/operator_overrides.py
@@ -1,18 +1,18 @@
-"""What stands by operators' word: the endpoints out by hand, and whether this sidecar serves, drains or
-leaves. Pure: each call brings its time, in microseconds. The one place that anybody asks about either.
+"""Operator overrides: the cordoned endpoints, and whether this sidecar serves, drains or shuts down.
 
-Owns the set of endpoints out by hand; an entry is given back by `back`, or by `forget` long after its
-endpoint went."""
+Pure: each call passes its time, in microseconds. The only source for both. An entry of the cordoned endpoints
+is removed by `uncordon`, or by `expire_cordons` long after its endpoint disappeared."""
 
 from __future__ import annotations
 
 from enum import Enum
 
 SECOND = 1_000_000
-MAX_CORDONED = 4_096  # endpoints out by hand
-CORDON_EXPIRY_US = 3_600 * SECOND  # after no list has named it for so long
-# After the call clients are served for so long on the connections that they keep, for they may have no other
-# sidecar; then connections are closed as they fall idle, and hard limits are cut to when nothing may be open.
+MAX_CORDONED = 4_096
+CORDON_EXPIRY_US = 3_600 * SECOND  # after the last list that named the endpoint
+# After the drain call, clients are served on their open connections for DRAIN_SERVING_US, as they may have no
+# other sidecar. Then connections are closed as they become idle. Hard limits are capped at DRAIN_DEADLINE_US,
+# when nothing may be open.
 DRAIN_SERVING_US, DRAIN_DEADLINE_US = 2_800_000, 3_700_000
 
 
@@ -29,17 +29,19 @@
 
 
 class OperatorOverrides:
+    """Cordoned endpoints and the mode of this sidecar."""
+
     def __init__(self) -> None:
-        self.cordoned: dict[str, int] = {}  # by hand; when a list last named each
+        self.cordoned: dict[str, int] = {}  # endpoint to the time when a list last named it
         self.mode = Mode.SERVING
-        self.mode_since = 0  # of the mode
-        self.close_connections_at: int | None = None  # from when on connections close
-        self.drain_deadline: int | None = None  # when nothing may be open
+        self.mode_since = 0
+        self.close_connections_at: int | None = None
+        self.drain_deadline: int | None = None  # when nothing may be open any more
 
-    # Endpoints out by hand.
+    # Cordoned endpoints.
 
     def cordon(self, now: int, endpoint: str, listed: bool) -> CordonResult:
-        """Twice is as good as once."""
+        """Takes an endpoint out of service. Idempotent."""
         if endpoint in self.cordoned:
             return CordonResult.DONE
         if not listed:
@@ -55,7 +57,7 @@
         return CordonResult.DONE
 
     def expire_cordons(self, now: int, listed: set[str] | dict[str, object]) -> list[str]:
-        """Those that no list has named for long; what is listed at this moment is marked as named."""
+        """Removes and returns the endpoints that no list has named for long; `listed` are named now."""
         for name in self.cordoned:
             if name in listed:
                 self.cordoned[name] = now
@@ -67,21 +69,21 @@
     # The mode of this sidecar.
 
     def quiesce(self, now: int) -> bool:
-        """False where it changes nothing: it drains already, or leaves."""
+        """Starts a drain. False if it changes nothing: already draining or leaving."""
         if self.mode is not Mode.SERVING:
             return False
         self.set_mode(Mode.DRAINING, now, now + DRAIN_SERVING_US, now + DRAIN_DEADLINE_US)
         return True
 
     def resume(self, now: int) -> bool:
-        """False where it changes nothing. Leaving is final."""
+        """Ends a drain. False if it changes nothing. Leaving is final."""
         if self.mode is not Mode.DRAINING:
             return False
         self.set_mode(Mode.SERVING, now, None, None)
         return True
 
     def begin_shutdown(self, now: int, closes: int, ends: int) -> None:
-        """The program ends: connections close from `closes` on, nothing may be open at `ends`."""
+        """The program ends: connections close from `closes` on, and nothing may be open at `ends`."""
         first = closes if self.close_connections_at is None else min(closes, self.close_connections_at)
         self.set_mode(Mode.LEAVING, now, first, ends)
 
@@ -92,11 +94,11 @@
         return self.mode is Mode.SERVING
 
     def closes_connections(self, now: int) -> bool:
-        """Answers close their connections, and those that stand idle are closed."""
+        """Whether answers close their connections, and idle connections are closed."""
         return self.close_connections_at is not None and now >= self.close_connections_at
 
     def latest_hard_limit(self, now: int) -> int | None:
-        """The latest hard limit of what is taken now; none where nothing cuts it."""
+        """Upper bound of the hard limit of a request accepted now; None if there is none."""
         if self.drain_deadline is None or self.mode is Mode.DRAINING and now >= self.drain_deadline:
-            return None  # what still comes long after the drain began holds nothing up
+            return None  # requests that still arrive after the deadline of a drain delay nothing
         return self.drain_deadline
--- a/lupinmill/discovery/watcher.py
+++ b/lupinmill/discovery/watcher.py
@@ -47,8 +47,8 @@
 # Consecutive watches superseded by full lists, after which only full lists are requested.
 DEAD_WATCH_LIMIT = 2
 # In a large fleet, consecutive failures and unanswered calls are repeated at these longer intervals, as
-# discovery may be refusing calls because there are too many. Still within PROPAGATION_LIMIT_S: 2.4 s and 1.7 s
-# remain for the answer.
+# discovery may be refusing calls because there are too many. Still within PROPAGATION_LIMIT_S: 2.4 s and
+# 1.7 s remain for the answer.
 LARGE_FLEET_RETRY_S, LARGE_FLEET_REPLACE_S = 3.3, 4.0
 # Without any answer for this multiple of the expected lateness, a call is replaced.
 REPLACE_LATENESS_FACTOR = 1.5
--- a/lupinmill/handover/__init__.py
+++ b/lupinmill/handover/__init__.py
@@ -1,1 +1,1 @@
-"""From one process to the next: the listening socket, idle clients, what stands and what was learned."""
+"""Zero-downtime upgrade: passes the listening socket, idle clients and state to the next process."""
--- a/lupinmill/handover/driver.py
+++ b/lupinmill/handover/driver.py
@@ -1,8 +1,8 @@
-"""The driver of an upgrade: the socket in `$TMPDIR`, the links to the process before and to the one after
-this one.
+"""I/O of an upgrade: the socket in `$TMPDIR`, and the links to the predecessor and the successor of this
+process.
 
-Owns that socket and both links; a link's end gives back all that waits on it. What passes when is
-`Succession`'s."""
+Owns that socket and both links; the end of a link releases everything that waits on it. `UpgradeProtocol`
+decides what is passed when."""
 
 from __future__ import annotations
 
@@ -16,26 +16,26 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from lupinmill.handover.upgrade_protocol import VERSION, CommandKind, Command, UpgradeProtocol
+from lupinmill.handover.upgrade_protocol import VERSION, Command, CommandKind, UpgradeProtocol
 from lupinmill.protocol.calls import Call
 from lupinmill.protocol.http import Malformed
 from lupinmill.routing.engine import Log, defect
 from lupinmill.transport.link import BrokenLink, Link
 
-SOCKET_NAME = "lupinmill-%08x.sock"  # of name and address: other sidecars may share the directory
-MAX_SOCKET_PATH = 100  # bytes that the system takes in a Unix address, with some to spare
-STATE_TIMEOUT_S = 1.5  # seconds: so long a start waits at most for a process that may be there
-FORWARD_TIMEOUT_S = 0.4  # seconds for the other process to carry out an operator's call too
-REPORT_INTERVAL_S = 0.05  # seconds between two words on the descriptors still held
-HELLO_TIMEOUT_S = 1.0  # seconds
-MAX_PENDING_LINKS = 4  # that ask to take over, at a time
+SOCKET_NAME = "lupinmill-%08x.sock"  # by a hash of name and address: sidecars may share the directory
+MAX_SOCKET_PATH = 100  # bytes; a margin below the system's limit for Unix addresses
+STATE_TIMEOUT_S = 1.5  # how long a start waits for the state of a process that may be there
+FORWARD_TIMEOUT_S = 0.4  # for the other process to apply an operator's call as well
+REPORT_INTERVAL_S = 0.05  # between two reports of the work that is still open
+HELLO_TIMEOUT_S = 1.0
+MAX_PENDING_LINKS = 4  # links that have yet to send their hello
 
 Message = dict[str, Any]
 
 
 class UpgradeSocket:
-    """Where processes of this sidecar find one another. A path too long for the system goes by its
-    directory."""
+    """The Unix socket by which processes of one sidecar find each other. A path too long for the system is
+    addressed by a descriptor of its directory."""
 
     def __init__(self, directory: str, name: str, listen: str) -> None:
         file = SOCKET_NAME % crc32(f"{name} {listen}".encode())
@@ -46,7 +46,7 @@
             self.path = f"/proc/self/fd/{self.directory_fd}/{file}"
 
     def listen(self) -> socket.socket:
-        """Replaces whoever listened there in one step; the mode keeps other users out."""
+        """Atomically replaces the previous listener; the file mode excludes other users."""
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         temporary_path = f"{self.path[:-5]}.{os.getpid() % 100_000}"
         try:
@@ -66,7 +66,7 @@
         return sock
 
     def connect(self) -> socket.socket | None:
-        """A process that listens there; a file left by a dead one counts as none."""
+        """Connects to the listening process; None if there is none, also if a dead one left its file."""
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         try:
             sock.setblocking(False)
@@ -91,21 +91,23 @@
 
 
 def listening_socket(descriptor: int) -> socket.socket:
-    """Raises BrokenLink where the descriptor is none of a listening socket."""
+    """Raises BrokenLink if the descriptor is not a listening socket."""
     try:
         sock = socket.socket(fileno=descriptor)
     except OSError as error:
         os.close(descriptor)
-        raise BrokenLink(f"no socket came: {error.strerror}") from error
+        raise BrokenLink(f"received a descriptor that is not a socket: {error.strerror}") from error
     if not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
         sock.close()
-        raise BrokenLink("a socket came that does not listen")
+        raise BrokenLink("received a socket that does not listen")
     sock.setblocking(False)
     return sock
 
 
 class Handover:
-    """What it does to the rest of the program is set by whoever puts the program together."""
+    """Links to the predecessor and the successor of this process.
+
+    The callbacks are set by the program that owns the handover."""
 
     def __init__(self, directory: str | None, name: str, listen: str, log: Log) -> None:
         self.log = log
@@ -118,29 +120,29 @@
                 log("handover_off", error=f"{directory}: {error.strerror}")
         self.predecessor: Link | None = None
         self.successor: Link | None = None
-        self.pending_calls: dict[int, anyio.Event] = {}  # calls that the other process has yet to carry out
+        self.pending_calls: dict[int, anyio.Event] = {}  # operators' calls sent, not yet acknowledged
         self.last_call_number = 0
-        self.listener: socket.socket | None = None  # where the next process asks, while it may
-        self.accept_scope: anyio.CancelScope | None = None  # of letting in
-        self.successor_lost = anyio.Event()  # the next one has gone
-        self.pending_links = 0  # links that have yet to say who they are
+        self.listener: socket.socket | None = None  # for successors, while they are accepted
+        self.accept_scope: anyio.CancelScope | None = None  # of `accept_links`
+        self.successor_lost = anyio.Event()
+        self.pending_links = 0  # without a hello yet
         self.collect_state: Callable[[], Message] = dict
         self.client_listener: Callable[[], socket.socket]
-        self.collect_open_work: Callable[[], Message] = dict  # what this process has open
+        self.collect_open_work: Callable[[], Message] = dict  # work that is still open here
         self.on_yield, self.on_resume = (lambda: None), (lambda: None)
         self.apply_call: Callable[[Call], tuple[int, str]] = lambda call: (500, "")
         self.adopt_client: Callable[[socket.socket], None] = socket.socket.close
         self.on_predecessor_work: Callable[[Message], None] = lambda report: None
-        # A list of another version than the one given, which this process was told after it yielded; and what
-        # is done with one of the process before.
+        # `newer_list` returns the endpoint list if its version differs from the given one: this process may
+        # receive a list after it yielded. `on_list` handles such a list of the predecessor.
         self.newer_list: Callable[[int], Message | None] = lambda index: None
         self.on_list: Callable[[Message], None] = lambda message: None
-        self.sent_list_index = 0  # version of the list that the next process has from this one
+        self.sent_list_index = 0  # version of the list that the successor has from this process
 
-    # The start: is there one to take over from?
+    # At the start: taking over from a predecessor.
 
     async def request_state(self) -> tuple[Message, socket.socket] | None:
-        """The state of the process that serves now, and the listening socket; None: an ordinary start."""
+        """The state of the serving process, and its listening socket; None means an ordinary start."""
         if self.upgrade_socket is None:
             return None
         sock = self.upgrade_socket.connect()
@@ -149,31 +151,31 @@
         link = Link(sock)
         try:
             if not same_user(sock):
-                raise BrokenLink("another user's process listens there")
+                raise BrokenLink("the process that listens there belongs to another user")
             protocol = self.protocol
             hello = {"say": "hello", "version": VERSION, "name": protocol.name, "listen": protocol.listen}
             state = await link.ask(hello, STATE_TIMEOUT_S)
             if state.get("say") != "state":
-                raise BrokenLink(str(state.get("why", "no state"))[:200])
+                raise BrokenLink(str(state.get("why", "the answer is not a state"))[:200])
             listening = listening_socket(link.take_descriptor())
         except (OSError, BrokenLink, TimeoutError) as error:
             self.log("handover_refused", error=f"{type(error).__name__}: {error}")
             link.close()
             return None
-        except BaseException:  # told to end meanwhile
+        except BaseException:  # cancelled by a signal to end
             link.close()
             raise
         self.predecessor = link
         return state, listening
 
     def decline(self) -> None:
-        """What came can't be taken up: the process before this one must not yield to it."""
+        """The state can't be used: the predecessor must not yield to this process."""
         if self.predecessor is not None:
             self.predecessor.close()
             self.predecessor = None
 
     def start(self, group: TaskGroup) -> None:
-        """This process takes clients: whoever starts next finds it, the one before yields."""
+        """This process accepts clients: its successor can find it, and its predecessor yields."""
         if self.predecessor is not None:
             self.predecessor.send({"say": "serving"})
             group.start_soon(self.run_guarded, "follow", self.follow_predecessor, self.predecessor)
@@ -181,13 +183,13 @@
             group.start_soon(self.run_guarded, "keep", self.accept_successors, group)
 
     async def run_guarded(self, name: str, task: Callable[..., Awaitable[None]], *args: object) -> None:
-        """A defect in what passes between two processes must not end the one that serves."""
+        """A defect in the handover must not end a serving process."""
         try:
             await task(*args)
         except Exception as error:
             self.log("task_failed", task=name, **defect(error))
 
-    # To the process before this one.
+    # Link to the predecessor.
 
     async def follow_predecessor(self, link: Link) -> None:
         try:
@@ -195,10 +197,10 @@
         finally:
             self.predecessor = None
             self.on_predecessor_work({})
-            self.log("handover", text="the process before this one has ended")
+            self.log("handover", text="the previous process has ended")
 
     async def run_link(self, link: Link, on_message: Callable[[Message], None]) -> None:
-        """Until the other side ends, and gives the link back."""
+        """Runs the link until the other side ends, and closes it."""
         try:
             await link.run(on_message)
         except* (OSError, BrokenLink):
@@ -221,10 +223,10 @@
         else:
             self.on_call_message(link, message)
 
-    # To the process after this one.
+    # Link to the successor.
 
     async def accept_successors(self, group: TaskGroup) -> None:
-        """Listens for it, also anew after one that took over has died."""
+        """Accepts a successor; listens again if a successor that took over has died."""
         assert self.upgrade_socket is not None
         while True:
             try:
@@ -255,13 +257,13 @@
                 group.start_soon(self.serve_successor, Link(accepted))
 
     async def serve_successor(self, link: Link) -> None:
-        """The one place that gives this link back, whoever asked."""
+        """Owns the link, whoever connected, and closes it at the end."""
         try:
             if not await self.check_hello(link):
                 return
             self.successor = link
             try:
-                self.log("handover", text="another process asks to take over")
+                self.log("handover", text="another process requests to take over")
                 self.send_state(link)
                 async with anyio.create_task_group() as group:
                     group.start_soon(self.report_open_work, link)
@@ -276,7 +278,7 @@
             link.close()
 
     def send_state(self, link: Link) -> None:
-        """Raises whatever keeps the state from being told; the descriptor is given back then."""
+        """Raises whatever prevents sending the state; the descriptor is closed in that case."""
         state, descriptor = self.collect_state(), os.dup(self.client_listener().fileno())
         self.sent_list_index = state.get("list", {}).get("index", 0)
         try:
@@ -311,25 +313,25 @@
     def execute(self, commands: list[Command]) -> None:
         for command in commands:
             if command.kind is CommandKind.YIELD:
-                self.log("handover", text="the next process serves; this one finishes what it has")
+                self.log("handover", text="the next process serves; this one finishes its open requests")
                 if self.accept_scope is not None:
                     self.accept_scope.cancel()
                 self.on_yield()
             elif command.kind is CommandKind.RESUME:
-                self.log("handover", text="the next process has gone; this one serves again")
+                self.log("handover", text="the next process is gone; this one serves again")
                 self.successor_lost.set()
                 self.on_resume()
 
     def send_client(self, sock: socket.socket) -> bool:
-        """The socket is the link's from now on; False, and nothing taken, where there is no link."""
+        """Passes a client connection to the link. False, with the socket untouched, if there is no link."""
         link = self.successor
         if link is None or not link.has_room():
             return False
         return link.send({"say": "client"}, sock.detach())
 
     async def report_open_work(self, link: Link) -> None:
-        """What is open here counts there too, until it has ended, and so does a list that is told here: calls
-        of this process may be answered long before the first of the next one."""
+        """Reports work that is still open here, which counts against the successor's limits too, and newer
+        endpoint lists: discovery may answer this process long before the successor's first call."""
         last_report: Message = {}
         while True:
             await anyio.sleep(REPORT_INTERVAL_S)
@@ -348,7 +350,7 @@
         while self.successor is not None and self.successor.going:
             await anyio.sleep(0.005)
 
-    # Operators' calls hold in both.
+    # Operators' calls apply to both processes.
 
     def on_call_message(self, link: Link, message: Message) -> None:
         say = message.get("say")
--- a/lupinmill/handover/handover_state.py
+++ b/lupinmill/handover/handover_state.py
@@ -1,5 +1,5 @@
-"""What passes at an upgrade beside sockets, as a plain table. Pure. The taker reads it whole or refuses it
-whole."""
+"""State that an upgrade passes beside sockets, as a plain table. Pure. The receiver accepts or rejects it as
+a whole."""
 
 from __future__ import annotations
 
@@ -17,19 +17,21 @@
 
 
 class InvalidHandoverState(Exception):
-    pass
+    """The received state can't be used."""
 
 
 @dataclass(slots=True)
 class HandoverState:
+    """State received from the predecessor. Its operator overrides are applied by `decode` directly."""
+
     known: lists.Known
     learned: Table
-    open_descriptors: int  # descriptors that the older process has open
-    retries: int  # launches beyond a submission's first that it has made so far
+    open_descriptors: int  # of the predecessor
+    retries: int  # attempts beyond a request's first that the predecessor has made so far
 
 
 def encode_list(endpoint_list: dict[str, t.Listing], addresses: dict[str, str], index: int | None) -> Table:
-    """The whole list, as discovery would tell it."""
+    """The full list of endpoints, in the format of discovery."""
     rows = [
         {
             "name": listing.endpoint,
@@ -50,7 +52,7 @@
 def encode(
     endpoint_list: Table, overrides: OperatorOverrides, learned: Table, open_descriptors: int
 ) -> Table:
-    """`listed`: see `write_list`."""
+    """`endpoint_list`: see `encode_list`."""
     return {
         "say": "state",
         "version": VERSION,
@@ -63,7 +65,7 @@
 
 
 def decode(table: Table, overrides: OperatorOverrides) -> HandoverState:
-    """What stands is taken up here; the rest is returned."""
+    """Applies the operator overrides and returns the rest. Raises InvalidHandoverState."""
     if table.get("say") != "state" or table.get("version") != VERSION:
         raise InvalidHandoverState(str(table.get("why") or f"no state of version {VERSION}")[:200])
     try:
@@ -72,7 +74,7 @@
         mode, since = Mode(table["mode"][0]), int(table["mode"][1])
         state = HandoverState(known, dict(table["learned"]), int(table["held"]), int(table.get("repeats", 0)))
         if state.open_descriptors < 0 or state.retries < 0:
-            raise ValueError("held, repeats: under 0")
+            raise ValueError("held, repeats: must not be negative")
     except (KeyError, TypeError, ValueError, IndexError, AttributeError, OverflowError, Garbled) as error:
         raise InvalidHandoverState(f"{type(error).__name__}: {error}"[:200]) from error
     overrides.cordoned.update(cordoned)
--- a/lupinmill/handover/upgrade_protocol.py
+++ b/lupinmill/handover/upgrade_protocol.py
@@ -1,7 +1,9 @@
-"""Who of two processes accepts clients, and who passes what to whom. Pure: notes in, orders out, no clock.
+"""State machine of an upgrade: which of two processes accepts clients.
 
-A process that serves may have one successor. `Succession` is its side; the successor's own side is short: it
-asks before it starts, and says `serving` once."""
+Pure: events in, commands out, no clock.
+
+A serving process may have one successor. `UpgradeProtocol` is the side of the serving process; the successor
+requests the state before it starts, and sends `serving` once."""
 
 from __future__ import annotations
 
@@ -13,17 +15,17 @@
 
 
 class Phase(Enum):
-    NO_SUCCESSOR = "alone"  # accepts
-    OFFERED = "offered"  # accepts; a successor has the listening socket and what stood when it asked
-    YIELDED = "yielded"  # the successor accepts; here only what was taken is finished
+    NO_SUCCESSOR = "alone"  # accepts clients
+    OFFERED = "offered"  # accepts clients; a successor has the listening socket and a copy of the state
+    YIELDED = "yielded"  # the successor accepts clients; this process finishes its open requests
 
 
 class CommandKind(Enum):
     REFUSE = "refuse"
     SEND_STATE = "pass state"
-    YIELD = "yield"  # accept nothing more, pass clients as they fall idle
-    RESUME = "take up"  # accept again: the successor has gone
-    DROP_LINK = "forget"  # that link
+    YIELD = "yield"  # stop accepting, pass client connections on as they become idle
+    RESUME = "take up"  # accept again: the successor is gone
+    DROP_LINK = "forget"  # to the successor
 
 
 @dataclass(slots=True)
@@ -33,10 +35,12 @@
 
 
 class UpgradeProtocol:
+    """The side of a serving process."""
+
     def __init__(self, name: str, listen: str) -> None:
         self.name, self.listen = name, listen
         self.phase = Phase.NO_SUCCESSOR
-        self.shutting_down = False  # told to end: it takes up nothing any more
+        self.shutting_down = False  # received a signal to end, so it never resumes
 
     def accepts_clients(self) -> bool:
         return self.phase is not Phase.YIELDED
@@ -55,17 +59,17 @@
         return Command(CommandKind.SEND_STATE)
 
     def on_serving(self) -> list[Command]:
-        """The successor accepts."""
+        """The successor accepts clients."""
         if self.phase is not Phase.OFFERED:
             return []
         self.phase = Phase.YIELDED
         return [Command(CommandKind.YIELD)]
 
     def on_link_lost(self) -> list[Command]:
-        """The successor's link has ended, by its death or a defect."""
+        """The link to the successor has ended, as the successor died or by a defect."""
         previous, self.phase = self.phase, Phase.NO_SUCCESSOR
         if previous is Phase.YIELDED and self.shutting_down:
-            self.phase = Phase.YIELDED  # it ends anyway, and the platform starts the next one
+            self.phase = Phase.YIELDED  # this process ends anyway, and the platform starts another
             return [Command(CommandKind.DROP_LINK)]
         if previous is Phase.YIELDED:
             return [Command(CommandKind.DROP_LINK), Command(CommandKind.RESUME)]
--- a/lupinmill/program/sidecar.py
+++ b/lupinmill/program/sidecar.py
@@ -14,8 +14,8 @@
 from anyio.abc import TaskGroup, TaskStatus
 
 from lupinmill import terms as t
-from lupinmill.admin.admin_server import MAX_CONNECTIONS, AdminServer
 from lupinmill.admin.admin_handler import AdminHandler
+from lupinmill.admin.admin_server import MAX_CONNECTIONS, AdminServer
 from lupinmill.admin.operator_overrides import Mode, OperatorOverrides
 from lupinmill.handover import handover_state
 from lupinmill.handover.driver import Handover
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -12,7 +12,7 @@
 
 from lupinmill import terms as t
 from lupinmill.admin import admin_server, operator_overrides
-from lupinmill.admin.operator_overrides import Mode, OperatorOverrides, CordonResult
+from lupinmill.admin.operator_overrides import CordonResult, Mode, OperatorOverrides
 from lupinmill.protocol import lists
 from lupinmill.protocol.calls import CallSide
 from lupinmill.protocol.http import Answer, Malformed
--- a/tests/test_discovery_watcher.py
+++ b/tests/test_discovery_watcher.py
@@ -8,9 +8,9 @@
 import pytest
 
 from lupinmill.discovery import watcher
-from lupinmill.discovery.calls import StartCall, Call, CallEnd, CallKind, CancelCall, AnswerAction
+from lupinmill.discovery.calls import AnswerAction, Call, CallEnd, CallKind, CancelCall, StartCall
 from lupinmill.discovery.lateness import LatenessEstimator
-from lupinmill.discovery.watcher import WatchTiming, Watcher
+from lupinmill.discovery.watcher import Watcher, WatchTiming
 
 ASKED, PUSHED = WatchTiming(1.0), WatchTiming(1.0, 0.5)
 LARGE = WatchTiming(2.4, large_fleet=True)
