--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -1,4 +1,4 @@
-"""Operators' calls: endpoints out by hand, drain and resume, at an address that no crowd can hold."""
+"""The admin API: cordoned endpoints, drain and resume, at an address that no crowd of clients can block."""
 
 import random
 import socket
@@ -18,16 +18,16 @@
 from lupinmill.protocol.http import Answer, Malformed
 
 
-def call(method: str, target: str, more: str = "") -> bytes:
+def admin_request(method: str, target: str, more: str = "") -> bytes:
     return f"{method} {target} HTTP/1.1\r\nHost: a\r\n{more}\r\n".encode()
 
 
-async def operate(net, method: str, target: str, more: str = "") -> int:
-    """The status of one call on a connection of its own."""
-    return (await said(net, call(method, target, more)))[0]
+async def admin_status(net, method: str, target: str, more: str = "") -> int:
+    """The status code of one call, on a connection of its own."""
+    return (await send_admin_request(net, admin_request(method, target, more)))[0]
 
 
-async def said(net, data: bytes) -> tuple[int, bytes]:
+async def send_admin_request(net, data: bytes) -> tuple[int, bytes]:
     host, port = net.program.operator.split(":")
     async with await anyio.connect_tcp(host, int(port)) as stream:
         if data:
@@ -46,24 +46,24 @@
 @pytest.mark.parametrize(
     "data, found",
     [
-        (call("GET", "/admin/health"), ("health", "")),
-        (call("PUT", "/admin/quiesce", "Content-Length: 0\r\n"), ("quiesce", "")),
-        (call("PUT", "/admin/cordon?member=e1"), ("cordon", "e1")),
-        (call("PUT", "/admin/cordon?x=1&member=%65%2D1%2b&y"), ("cordon", "e-1+")),
-        (call("PUT", "http://any.host:1/admin/uncordon?%6dember=%C3%A9"), ("uncordon", "é")),
-        (call("GET", "/admin/nothing"), 404),
-        (call("GET", "/health"), 404),
-        (call("GET", "/"), 404),
-        (call("POST", "/admin/cordon?member=e1"), 405),
-        (call("PUT", "/admin/health"), 405),
-        (call("PUT", "/admin/cordon"), 400),
-        (call("PUT", "/admin/cordon?member="), 400),
-        (call("PUT", "/admin/cordon?member=a&member=a"), 400),
-        (call("PUT", "/admin/cordon?member=%ff"), 400),
-        (call("PUT", "/admin/cordon?member=" + "a" * 300), 400),
+        (admin_request("GET", "/admin/health"), ("health", "")),
+        (admin_request("PUT", "/admin/quiesce", "Content-Length: 0\r\n"), ("quiesce", "")),
+        (admin_request("PUT", "/admin/cordon?member=e1"), ("cordon", "e1")),
+        (admin_request("PUT", "/admin/cordon?x=1&member=%65%2D1%2b&y"), ("cordon", "e-1+")),
+        (admin_request("PUT", "http://any.host:1/admin/uncordon?%6dember=%C3%A9"), ("uncordon", "é")),
+        (admin_request("GET", "/admin/nothing"), 404),
+        (admin_request("GET", "/health"), 404),
+        (admin_request("GET", "/"), 404),
+        (admin_request("POST", "/admin/cordon?member=e1"), 405),
+        (admin_request("PUT", "/admin/health"), 405),
+        (admin_request("PUT", "/admin/cordon"), 400),
+        (admin_request("PUT", "/admin/cordon?member="), 400),
+        (admin_request("PUT", "/admin/cordon?member=a&member=a"), 400),
+        (admin_request("PUT", "/admin/cordon?member=%ff"), 400),
+        (admin_request("PUT", "/admin/cordon?member=" + "a" * 300), 400),
         (b"what is this\r\n\r\n", 400),
         (b"\x16\x03\x01\x02\x00" * 20 + b"\r\n\r\n", 400),
-        (call("GET", "/admin/health", "X: " + "a" * 6_000 + "\r\n"), 431),
+        (admin_request("GET", "/admin/health", "X: " + "a" * 6_000 + "\r\n"), 431),
     ],
 )
 def test_calls_are_read_however_they_are_cut(data, found):
@@ -82,13 +82,13 @@
 def test_each_call_twice_and_its_answers():
     async def check(net):
         async def put(what):
-            return await operate(net, "PUT", f"/admin/{what}")
+            return await admin_status(net, "PUT", f"/admin/{what}")
 
-        assert await operate(net, "GET", "/admin/health") == 200
+        assert await admin_status(net, "GET", "/admin/health") == 200
         assert await put("cordon?member=nobody") == 404 and await put("uncordon?member=nobody") == 404
         for what in ("cordon?member=e1", "uncordon?member=e1", "quiesce", "resume"):
             assert [await put(what), await put(what)] == [200, 200]
-        status, whole = await said(net, call("GET", "/admin/nothing"))
+        status, whole = await send_admin_request(net, admin_request("GET", "/admin/nothing"))
         assert status == 404 and b"connection: close" in whole.lower() and whole.endswith(b"unknown path\n")
 
     on_network(check, fine, fine, operator=True)
@@ -103,15 +103,15 @@
             if number % 2:
                 await stream.send(b"PUT /admin/cordon?mem")
             held.append(stream)
-        assert await operate(net, "GET", "/admin/health") == 200
-        assert await operate(net, "PUT", "/admin/quiesce") == 200
+        assert await admin_status(net, "GET", "/admin/health") == 200
+        assert await admin_status(net, "PUT", "/admin/quiesce") == 200
         for stream in held:
             await stream.aclose()
 
     on_network(check, fine, operator=True)
 
 
-# --- endpoints out by hand ----------------------------------------------------------------------
+# --- cordoned endpoints -------------------------------------------------------------------------
 
 
 def test_what_is_out_by_hand_gets_nothing_whatever_lists_say_and_serves_again_once_back():
@@ -127,7 +127,7 @@
 
         await many("a")
         assert found("a")
-        assert await operate(net, "PUT", "/admin/cordon?member=e0") == 200
+        assert await admin_status(net, "PUT", "/admin/cordon?member=e0") == 200
         assert not net.program.pool.idle.get("e0")
         row, update = net.discovery.rows[0], net.program.directory.update
         for fields in (
@@ -140,8 +140,8 @@
             update(lists.known({"index": 9, "endpoints": [row | fields]}), t.ListKind.CHANGES)
             await many("b" + str(len(fields)) + fields.get("status", ""), 5)
         assert not any(found(tag) for tag in ("b0", "b1DRAINING", "b1SERVING", "b1DELETED", "b2SERVING"))
-        assert await operate(net, "PUT", "/admin/cordon?member=e0") == 200
-        assert await operate(net, "PUT", "/admin/uncordon?member=e0") == 200
+        assert await admin_status(net, "PUT", "/admin/cordon?member=e0") == 200
+        assert await admin_status(net, "PUT", "/admin/uncordon?member=e0") == 200
         with anyio.fail_after(5):
             tries = 0
             while not found("c"):
@@ -157,7 +157,7 @@
 
         async def slow(address):
             connection = await whole(address)
-            assert await operate(net, "PUT", "/admin/cordon?member=e0") == 200
+            assert await admin_status(net, "PUT", "/admin/cordon?member=e0") == 200
             return connection
 
         net.program.pool.open = slow
@@ -169,7 +169,7 @@
 
 def test_the_module_sends_nothing_to_what_is_out_and_counts_it_as_cold_afterwards():
     bed = Bed(deployment(cold_share=0.1), 2)
-    bed.state["e0"] = t.State.DRAINING  # what the bed's rules go by
+    bed.state["e0"] = t.State.DRAINING  # for the invariants that the bed checks
     bed.step(t.ByHand("e0", True))
     bed.step(t.ByHand("e0", True))
     for _ in range(30):
@@ -205,7 +205,7 @@
     bed.step(t.ByHand(at, False))
     bed.state[at] = t.State.READY
     bed.run(SECOND // 2)
-    # As what the list says has started: probes of all sidecars would be the whole of its budget.
+    # As for an endpoint that has just started: probes of all sidecars would use up its budget.
     assert at not in bed.probes and f"{at} on trial" in bed.logs
     for _ in range(200):
         name = bed.arrive(bed.workloads["view"])
@@ -218,7 +218,7 @@
 # --- the modes ----------------------------------------------------------------------------------
 
 
-STEPS = strategies.lists(
+OPERATIONS = strategies.lists(
     strategies.tuples(
         strategies.sampled_from(["out", "back", "quiesce", "resume", "leave", "forget"]),
         strategies.integers(0, 3),
@@ -230,7 +230,7 @@
 
 
 @settings(derandomize=True, max_examples=300)
-@given(STEPS)
+@given(OPERATIONS)
 def test_what_stands_keeps_its_promises_after_every_step(steps):
     overrides, now, left, drains, named = OperatorOverrides(), 10 * SECOND, False, None, {}
     for what, number, wait, listed in steps:
@@ -303,7 +303,7 @@
         host, port = net.address.split(":")
         async with await anyio.connect_tcp(host, int(port)) as kept:
             asked = net.program.engine.clock.now()
-            assert await operate(net, "PUT", "/admin/quiesce") == 200
+            assert await admin_status(net, "PUT", "/admin/quiesce") == 200
             closes = net.program.overrides.close_connections_at
             assert closes >= asked + 400_000
             assert (await net.ask(ready)).status == 503
@@ -311,12 +311,12 @@
             await kept.send(wanted("kept"))
             assert b"200 OK" in await kept.receive()
             with pytest.raises(anyio.EndOfStream):
-                await kept.receive()  # closed as idle once the drain closes
+                await kept.receive()  # closed as idle once the drain closes connections
             assert net.program.engine.clock.now() >= closes
         answer = await net.ask(wanted("late"))
         assert answer.status == 200 and answer.header(b"connection") == "close"
         await until(lambda: not net.program.descriptors.open[client_side()])
-        assert await operate(net, "PUT", "/admin/resume") == 200
+        assert await admin_status(net, "PUT", "/admin/resume") == 200
         assert (await net.ask(ready)).status == 200
         assert (await net.ask(wanted("again"))).header(b"connection") is None
 
@@ -334,7 +334,7 @@
     monkeypatch.setattr(operator_overrides, "DRAIN_DEADLINE_US", 400_000)
 
     async def check(net):
-        assert await operate(net, "PUT", "/admin/quiesce") == 200
+        assert await admin_status(net, "PUT", "/admin/quiesce") == 200
         began = time.monotonic()
         assert (await net.ask(wanted("s1", "view", "1.0"))).status == 503
         assert time.monotonic() - began < 0.8
@@ -346,15 +346,15 @@
     async def check(net):
         host, port = net.address.split(":")
         crowd = []
-        for _ in range(120):  # far more than there are places for
+        for _ in range(120):  # far more than the connection limit
             crowd.append(await anyio.connect_tcp(host, int(port)))
         for number, stream in enumerate(crowd[:60]):
             await stream.send(wanted(f"c{number}")[:40])
         await anyio.sleep(0.1)
         for _ in range(5):
-            assert await operate(net, "GET", "/admin/health") == 200
-            assert await operate(net, "PUT", "/admin/cordon?member=e0") == 200
-            assert await operate(net, "PUT", "/admin/uncordon?member=e0") == 200
+            assert await admin_status(net, "GET", "/admin/health") == 200
+            assert await admin_status(net, "PUT", "/admin/cordon?member=e0") == 200
+            assert await admin_status(net, "PUT", "/admin/uncordon?member=e0") == 200
         for stream in crowd:
             await stream.aclose()
 
@@ -364,11 +364,11 @@
 def test_with_every_endpoint_out_submissions_are_denied_and_served_once_one_is_back():
     async def check(net):
         for name in ("e0", "e1"):
-            assert await operate(net, "PUT", f"/admin/cordon?member={name}") == 200
+            assert await admin_status(net, "PUT", f"/admin/cordon?member={name}") == 200
         began = time.monotonic()
         assert (await net.ask(wanted("s1"))).status == 503
         assert time.monotonic() - began < 0.9
-        assert await operate(net, "PUT", "/admin/uncordon?member=e1") == 200
+        assert await admin_status(net, "PUT", "/admin/uncordon?member=e1") == 200
         await until(lambda: net.program.engine.sidecar.desk.seats["e1"].says.open)
         with anyio.fail_after(5):
             while (await net.ask(wanted(f"t{time.monotonic_ns()}"))).status != 200:
--- a/tests/test_config_sidecar.py
+++ b/tests/test_config_sidecar.py
@@ -11,7 +11,7 @@
 import orjson
 import pytest
 from bed import Net, on_network, settings, wanted
-from test_admin import call, said
+from test_admin import admin_request, send_admin_request
 from test_sidecar import always, until
 
 from lupinmill import terms as t
@@ -119,7 +119,7 @@
         return held.refused.why
 
     async def shown(self) -> dict:
-        status, text = await said(self, call("GET", "/admin/config"))
+        status, text = await send_admin_request(self, admin_request("GET", "/admin/config"))
         assert status == 200
         return orjson.loads(text.partition(b"\r\n\r\n")[2])
 
--- a/tests/test_crossings_lists.py
+++ b/tests/test_crossings_lists.py
@@ -9,7 +9,7 @@
 from bed import DiscoveryStand, Net, Stand, on_network, settings, wanted
 from bed import deployment as usual
 from test_crossings import all_quiet, arrived
-from test_discovery_watcher import Play, longest, shortest
+from test_discovery_watcher import Simulation, longest, shortest
 from test_sidecar import fine, seen, until
 
 from lupinmill import terms as t
@@ -72,14 +72,14 @@
     """2 s after the wait of the call, or 6 s after the silence began, if that is later. Each watch is silent:
     whole lists are asked for, and answered within what is left."""
     timing = watch_timing(usual(instances=instances, must_ask=asked))
-    play = Play(timing, longest)
-    play.answer_at = (
+    simulation = Simulation(timing, longest)
+    simulation.answer_at = (
         lambda call: None if call.kind is CallKind.WATCH else call.started_at + watcher.MIN_RETRY_DELAY_S
     )
-    play.run(30.0)
-    watches = [call for call in play.begun if call.kind is CallKind.WATCH]
-    assert len(watches) >= 3 and len(play.begun) > 2 * len(watches) - 2
-    for call, following in itertools.pairwise(play.begun):
+    simulation.run(30.0)
+    watches = [call for call in simulation.started if call.kind is CallKind.WATCH]
+    assert len(watches) >= 3 and len(simulation.started) > 2 * len(watches) - 2
+    for call, following in itertools.pairwise(simulation.started):
         latest = (
             2.0 - watcher.MIN_RETRY_DELAY_S
             if call.kind is CallKind.WATCH
@@ -255,10 +255,12 @@
     """While discovery is down it tells nothing, and what it gets at its return counts as told at once, where
     lists are pushed. The longest pause between two calls that are refused has to leave time for the call."""
     grace = round(LEAST_GRACE * 1_000_000)
-    play = Play(watch_timing(usual(must_ask=False, grace=grace)), draw, answer_at=lambda call: None)
-    play.fail_at = lambda call: call.started_at
-    play.run(5.0)
-    apart = [after.started_at - before.started_at for before, after in itertools.pairwise(play.begun)]
+    simulation = Simulation(
+        watch_timing(usual(must_ask=False, grace=grace)), draw, answer_at=lambda call: None
+    )
+    simulation.fail_at = lambda call: call.started_at
+    simulation.run(5.0)
+    apart = [after.started_at - before.started_at for before, after in itertools.pairwise(simulation.started)]
     assert len(apart) > 5 and max(apart) <= LEAST_GRACE - 0.2
 
 
@@ -272,10 +274,12 @@
     may be made just after a call began that fails `took` seconds later, then comes the longest pause, then a
     call that is answered. Seen failing with 3 s for the list behind 2 s for its connection and up to 5 s of
     pause. The watch does not wait for the module to ask: its own pauses count."""
-    play = Play(watch_timing(usual(instances=instances, must_ask=True)), longest, answer_at=lambda call: None)
-    play.fail_at = lambda call: call.started_at + took
-    play.run(40.0)
-    apart = [after.started_at - before.started_at for before, after in itertools.pairwise(play.begun)]
+    simulation = Simulation(
+        watch_timing(usual(instances=instances, must_ask=True)), longest, answer_at=lambda call: None
+    )
+    simulation.fail_at = lambda call: call.started_at + took
+    simulation.run(40.0)
+    apart = [after.started_at - before.started_at for before, after in itertools.pairwise(simulation.started)]
     assert len(apart) >= 8
     assert max(apart) <= 6.0 - 2.5, apart  # also where failures follow one another; 2.5 s for the answer
     assert (
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""The watch during a release: lists cut off, stalled, older than what is known."""
+"""The watch on discovery: truncated, stalled and outdated answers, and the admin status."""
 
 import itertools
 
@@ -6,7 +6,7 @@
 import orjson
 import pytest
 from bed import Net, deployment, on_network
-from test_admin import call, said
+from test_admin import admin_request, send_admin_request
 from test_sidecar import fine, until
 
 from lupinmill import terms as t
@@ -32,7 +32,7 @@
     for at, status in enumerate(("SERVING", "DRAINING"))
 ]
 CHUNKED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-FORMS = {
+RESPONSE_FORMATS = {
     "length": lambda body: b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body),
     "chunked": lambda body: CHUNKED
     + b"%x\r\n%s\r\n%x\r\n%s\r\n0\r\n\r\n" % (len(body[:50]), body[:50], len(body[50:]), body[50:]),
@@ -40,8 +40,8 @@
 }
 
 
-class Told:
-    """Stands for the directory: what was told, and what the watch asks by."""
+class RecordingDirectory:
+    """Stand-in for the directory: records updates, and provides the known version."""
 
     def __init__(self) -> None:
         self.updates, self.failures, self.states, self.index = [], 0, {"e0": t.State.READY}, 7
@@ -53,17 +53,17 @@
         self.failures += 1
 
 
-@pytest.mark.parametrize("form", list(FORMS))
+@pytest.mark.parametrize("form", list(RESPONSE_FORMATS))
 def test_a_list_cut_at_any_byte_changes_nothing(form):
     body = orjson.dumps({"index": 8, "snapshot": False, "endpoints": ROWS})
-    data = FORMS[form](body)
-    cut = itertools.count()
-    told = Told()
+    data = RESPONSE_FORMATS[form](body)
+    cut_lengths = itertools.count()
+    directory = RecordingDirectory()
 
     async def serve(stream) -> None:
         async with stream:
             await stream.receive()
-            await stream.send(data[: next(cut)])
+            await stream.send(data[: next(cut_lengths)])
 
     async def main() -> None:
         with anyio.fail_after(30):
@@ -71,23 +71,23 @@
                 address = "127.0.0.1:%d" % listener.extra(anyio.abc.SocketAttribute.local_port)
                 async with anyio.create_task_group() as group:
                     group.start_soon(listener.serve, serve)
-                    watch = DiscoveryClient(address, deployment(), told, Store(), lambda *_, **__: None)
-                    one = Call(1, CallKind.WATCH, address, 0, 0.0, 1.0, 7, 1.0)
+                    client = DiscoveryClient(address, deployment(), directory, Store(), lambda *_, **__: None)
+                    watch_call = Call(1, CallKind.WATCH, address, 0, 0.0, 1.0, 7, 1.0)
                     for _ in range(len(data)):
                         with pytest.raises((OSError, Garbled, Unconnected)):
-                            lists.read(await watch.exchange(one))
-                        watch.close_spare()
-                    entries = lists.read(await watch.exchange(one)).entries
+                            lists.read(await client.exchange(watch_call))
+                        client.close_spare()
+                    entries = lists.read(await client.exchange(watch_call)).entries
                     assert [entry.endpoint for entry in entries] == ["e0", "e1"]
-                    watch.close_spare()
+                    client.close_spare()
                     group.cancel_scope.cancel()
 
     anyio.run(main)
-    assert not told.updates
+    assert not directory.updates
 
 
 def test_a_list_that_stops_in_the_middle_is_asked_for_anew_long_before_a_silent_one(monkeypatch):
-    """It is not dropped for that: its rest may come."""
+    """The stalled call is not cancelled: the rest of its answer may still arrive."""
     monkeypatch.setattr(driver, "watch_wait", lambda instances: 30.0)
     monkeypatch.setattr(watcher, "PARALLEL_CALL_INTERVAL_S", 0.1)
     calls = []
@@ -110,7 +110,8 @@
 
 
 def test_a_discovery_that_comes_back_older_is_asked_for_the_whole_list():
-    """Seen failing: its changes were taken for news, and what had changed since was never heard of."""
+    """Guards against applying changes from an older version as new ones, which loses everything in
+    between."""
 
     async def check(net: Net):
         await until(lambda: net.discovery.seen)
@@ -160,29 +161,32 @@
     monkeypatch.setattr(driver, "PROPAGATION_LIMIT_S", 1.0)
 
     async def check(net: Net):
-        async def shown() -> dict:
-            status, data = await said(net, call("GET", "/admin/discovery"))
+        async def read_status() -> dict:
+            status, data = await send_admin_request(net, admin_request("GET", "/admin/discovery"))
             assert status == 200
             return orjson.loads(data.split(b"\r\n\r\n")[1])
 
-        await until(lambda: ended(net, CallEnd.ANSWERED))
-        table = await shown()
+        await until(lambda: call_ended(net, CallEnd.ANSWERED))
+        table = await read_status()
         assert table["address"] == net.discovery.address and table["index"] == net.discovery.index
         assert table["list_age_s"] < 5 and table["watches_answered"] and table["failures"] == 0
         net.discovery.fault = "silent"
         await until(lambda: [event for event, _ in net.logs if event == "list_old"])
-        table = await shown()
+        table = await read_status()
         assert table["list_age_s"] > 1.0 and 0 < len(table["calls"]) <= watcher.MAX_CALLS
         assert {"call", "kind", "address", "age_s"} == set(table["calls"][0])
         net.discovery.fault = None
         net.discovery.change(net.discovery.rows[0], weight=2.0)
         await until(lambda: [event for event, _ in net.logs if event == "list_current"])
         lines = [fields for event, fields in net.logs if event == "list_call"]
-        assert all({"call", "kind", "address", "age_ms", "late_ms", "end"} <= set(one) for one in lines)
-        assert len({one["call"] for one in lines}) == len(lines)
+        assert all(
+            {"call", "kind", "address", "age_ms", "late_ms", "end"} <= set(call_record)
+            for call_record in lines
+        )
+        assert len({call_record["call"] for call_record in lines}) == len(lines)
 
     on_network(check, fine, discovery="push", operator=True)
 
 
-def ended(net: Net, end: CallEnd) -> bool:
+def call_ended(net: Net, end: CallEnd) -> bool:
     return any(event == "list_call" and fields["end"] == end.value for event, fields in net.logs)
--- a/tests/test_discovery_directory.py
+++ b/tests/test_discovery_directory.py
@@ -1,4 +1,5 @@
-"""The directory and the decision module know one list: an update holds for both whole, or is asked anew."""
+"""Directory and decision module share one list: an update applies to both as a whole, or is requested
+again."""
 
 import anyio
 import pytest
@@ -9,33 +10,34 @@
 from lupinmill.protocol import lists
 
 
-def row(net: Net, at: int, **fields) -> dict:
+def changed_row(net: Net, at: int, **fields) -> dict:
     return net.discovery.rows[at] | fields
 
 
-def plant(net: Net, times: int) -> list[t.Listed]:
-    """The module's list raises in the middle of so many updates; gives those."""
+def fail_updates(net: Net, times: int) -> list[t.Listed]:
+    """Makes the module's list raise in the middle of its next `times` updates; returns the failed entries."""
     roster = net.program.engine.sidecar.roster
-    tell, update, failed = roster.tell, roster.handlers[t.Listed], []
+    original_tell, update, failed = roster.tell, roster.handlers[t.Listed], []
 
-    def telling(entry):
+    def failing_tell(entry):
         if len(failed) < times and entry.endpoint == "e1":
             failed.append(entry)
             raise ZeroDivisionError("planted")
-        tell(entry)
+        original_tell(entry)
 
-    roster.tell = telling
+    roster.tell = failing_tell
     assert update is not None
     return failed
 
 
 @pytest.mark.parametrize("mode", ["ask", "push"])
 def test_a_list_that_the_module_failed_on_is_asked_for_again_whole(mode):
-    """Seen failing: the version counted as known, and the module never heard of the rest of that list."""
+    """Guards against counting the version as known, which kept the rest of the list from the module for
+    good."""
 
     async def check(net: Net):
         await until(lambda: b"index=" in net.discovery.seen[-1].target if net.discovery.seen else False)
-        failed = plant(net, times=2)
+        failed = fail_updates(net, times=2)
         net.discovery.change(net.discovery.rows[1], status="DRAINING")
         listed = net.program.engine.sidecar.roster.listed
         with anyio.fail_after(8):
@@ -49,7 +51,7 @@
 
 
 def test_an_update_that_raises_in_the_middle_changes_nothing():
-    """Seen failing: version and states before the bad entry were taken, and the module told nothing."""
+    """Guards against applying version and states up to the bad entry without notifying the module."""
 
     class Unusable(t.Listing):
         @property
@@ -64,7 +66,7 @@
         directory = net.program.directory
         await until(lambda: net.discovery.seen)
         before = directory.index, dict(directory.states), dict(directory.addresses)
-        known = lists.known({"index": 99, "endpoints": [row(net, 0, status="DRAINING")]})
+        known = lists.known({"index": 99, "endpoints": [changed_row(net, 0, status="DRAINING")]})
         known.entries.append(Unusable("e1", t.State.READY))
         with pytest.raises(RuntimeError):
             directory.update(known, t.ListKind.CHANGES)
@@ -78,10 +80,10 @@
         directory, pool = net.program.directory, net.program.pool
         while len(pool.idle) < 2:
             assert (await net.ask(wanted(f"s{len(net.notes)}"))).status == 200
-        whole = lists.known({"index": 99, "snapshot": True, "endpoints": [row(net, 1)]})
+        whole = lists.known({"index": 99, "snapshot": True, "endpoints": [changed_row(net, 1)]})
         directory.update(whole, t.ListKind.FULL)
         assert set(directory.states) == set(directory.addresses) == {"e1"} == set(pool.idle)
-        moved = lists.known({"index": 100, "endpoints": [row(net, 1, address=net.stands[0].address)]})
+        moved = lists.known({"index": 100, "endpoints": [changed_row(net, 1, address=net.stands[0].address)]})
         directory.update(moved, t.ListKind.CHANGES)
         assert not pool.idle and directory.addresses["e1"] == net.stands[0].address
         before = len(seen(net, "last"))
--- a/tests/test_discovery_full.py
+++ b/tests/test_discovery_full.py
@@ -1,5 +1,5 @@
-"""Idle clients fill the descriptors of a whole process, at the limit of the system itself: discovery is
-reached all the same, on new connections."""
+"""Idle clients exhaust the descriptors of a process, at the limit of the system itself: discovery can still
+be reached on new connections."""
 
 import contextlib
 import os
@@ -13,8 +13,8 @@
 from bed import Net, wanted
 from test_sidecar import fine, until
 
-SOCKETS = 64  # descriptors that the process is told, and that the system lets it have
-CROWD = 300  # clients that connect, say half a request and stay
+SOCKETS = 64  # descriptor limit in the settings and of the system
+CROWD = 300  # clients that connect, send half a request and stay
 
 
 def limited() -> None:
@@ -35,7 +35,7 @@
 
 
 async def stay(net: Net, begun: list) -> None:
-    """One of the crowd: as soon as it is closed it comes again."""
+    """One idle client: reconnects as soon as it is closed."""
     host, port = net.address.split(":")
     while True:
         with contextlib.suppress(OSError, anyio.BrokenResourceError, anyio.EndOfStream):
@@ -62,7 +62,7 @@
             net.discovery.fault = trouble
             net.discovery.change(net.discovery.rows[0])
             before = len(net.discovery.seen)
-            await until(lambda: len(net.discovery.seen) >= before + 2)  # new connections, each lost
+            await until(lambda: len(net.discovery.seen) >= before + 2)  # new connections, all of which fail
             net.discovery.fault = None
             net.discovery.change(net.discovery.rows[0], weight=2.0)
             known = b"index=%d&" % net.discovery.index
--- a/tests/test_discovery_watcher.py
+++ b/tests/test_discovery_watcher.py
@@ -1,4 +1,4 @@
-"""The pure core of the watch on discovery: played in virtual time, and walked through all short orders."""
+"""The discovery watcher: simulated in virtual time, and explored over all short sequences of events."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 ASKED, PUSHED = WatchTiming(1.0), WatchTiming(1.0, 0.5)
 LARGE = WatchTiming(2.4, large_fleet=True)
 MIDDLE = WatchTiming(1.0, large_fleet=True)
-KNOWN = 7  # version
-STEP = 0.01  # seconds
+INITIAL_VERSION = 7
+STEP_S = 0.01
 ADDRESS = "127.0.0.1:1"
 
 
@@ -28,32 +28,32 @@
     return least
 
 
-class Play:
-    """A watcher in virtual time. `answer_at(call)` says when a call is answered, None for never, `fail_at`
-    when it fails; `changes` are the times at which discovery gets a new version."""
+class Simulation:
+    """A watcher in virtual time. `answer_at(call)` is the time of its answer, None for never; `fail_at(call)`
+    is the time of its failure; `changes` are the times at which discovery gets a new version."""
 
     def __init__(self, timing=ASKED, draw=longest, answer_at=None, fail_at=None, changes=()) -> None:
         self.watcher = Watcher(ADDRESS, timing, draw)
         self.answer_at = answer_at or (lambda call: self.due(call))
         self.fail_at = fail_at or (lambda call: None)
-        self.changes, self.now, self.index = list(changes), 0.0, KNOWN
-        self.begun: list[Call] = []
-        self.given_up: list[tuple[Call, CallEnd]] = []
-        self.heard: list[tuple[float, int]] = []
+        self.changes, self.now, self.index = list(changes), 0.0, INITIAL_VERSION
+        self.started: list[Call] = []
+        self.cancelled: list[tuple[Call, CallEnd]] = []
+        self.updates: list[tuple[float, int]] = []
         self.moves: list[float] = []
         self.watcher.request_watch(0.0)
 
     def due(self, call: Call) -> float:
-        """When discovery has something to answer: news, or the end of the wait."""
+        """When a prompt service answers: at a change, or at the end of the wait."""
         if call.kind is CallKind.FULL_LIST:
             return call.started_at
-        news = [at for at in self.changes if KNOWN + self.changes.index(at) + 1 > (call.index or 0)]
+        news = [at for at in self.changes if INITIAL_VERSION + self.changes.index(at) + 1 > (call.index or 0)]
         return min([call.started_at + call.wait, *(max(at, call.started_at) for at in news)])
 
     def version(self, at: float) -> int:
-        return KNOWN + sum(change <= at for change in self.changes)
+        return INITIAL_VERSION + sum(change <= at for change in self.changes)
 
-    def run(self, until: float) -> Play:
+    def run(self, until: float) -> Simulation:
         while self.now < until:
             while self.moves and self.moves[0] <= self.now:
                 self.watcher.move(self.moves.pop(0), "127.0.0.1:2")
@@ -61,8 +61,8 @@
                 self.end(call)
             while commands := self.watcher.decide(self.now, self.index, True):
                 for command in commands:
-                    self.note(command)
-            self.now = round(self.now + STEP, 6)
+                    self.on_command(command)
+            self.now = round(self.now + STEP_S, 6)
         return self
 
     def end(self, call: Call) -> None:
@@ -81,24 +81,25 @@
             self.index = index
             self.watcher.list_applied(self.now, call, index, whole, before)
             if index != before:
-                self.heard.append((self.now, index))
+                self.updates.append((self.now, index))
         self.watcher.call_answered(self.now, call, index != before)
 
-    def note(self, command) -> None:
+    def on_command(self, command) -> None:
         if isinstance(command, StartCall):
             command.call.connected = True
-            self.begun.append(command.call)
+            self.started.append(command.call)
             assert len(self.watcher.calls) <= watcher.MAX_CALLS
         else:
             assert isinstance(command, CancelCall)
-            self.given_up.append((command.call, command.end))
+            self.cancelled.append((command.call, command.end))
 
-    def heard_after(self) -> list[float]:
-        """Seconds from each change to when this sidecar knew it."""
+    def update_delays(self) -> list[float]:
+        """Seconds from each change until it is known."""
         found = []
         for number, at in enumerate(self.changes):
             found.append(
-                min((when for when, index in self.heard if index > KNOWN + number), default=1e9) - at
+                min((when for when, index in self.updates if index > INITIAL_VERSION + number), default=1e9)
+                - at
             )
         return found
 
@@ -114,119 +115,130 @@
 @pytest.mark.parametrize("draw", [longest, shortest])
 @pytest.mark.parametrize("late", [0.0, 0.7, 1.5, 1.7, 3.0, 4.0])
 def test_a_change_is_heard_in_time_with_answers_up_to_four_seconds_late(timing, draw, late):
-    """Seen failing for 1.7 s and more on the text before: each call was given up before its answer."""
+    """Guards against cancelling each call before its answer, as happened with 1.7 s and more."""
     for tenth in range(0, 75, 3):
-        play = Play(timing, draw, changes=changes(3.0 + tenth / 10))
-        play.answer_at = lambda call, play=play: play.due(call) + (late if call.started_at > 2 else 0.0)
-        assert max(play.run(40.0).heard_after()) < watcher.PROPAGATION_LIMIT_S, tenth
-        assert not [end for _, end in play.given_up if end is CallEnd.REPLACED]
+        simulation = Simulation(timing, draw, changes=changes(3.0 + tenth / 10))
+        simulation.answer_at = lambda call, simulation=simulation: simulation.due(call) + (
+            late if call.started_at > 2 else 0.0
+        )
+        assert max(simulation.run(40.0).update_delays()) < watcher.PROPAGATION_LIMIT_S, tenth
+        assert not [end for _, end in simulation.cancelled if end is CallEnd.REPLACED]
 
 
 @pytest.mark.parametrize("late", [6.0, 9.0, 15.0])
 def test_with_answers_later_than_promised_the_list_still_gets_there(late):
-    """A limit below the answer time, after which all begins anew, would never be through."""
-    play = Play(changes=changes(3.0, 6, 11.0))
-    play.answer_at = lambda call: play.due(call) + late
-    assert max(play.run(110.0).heard_after()) < 3 * late
+    """Guards against a timeout below the answer time, after which every call would start over."""
+    simulation = Simulation(changes=changes(3.0, 6, 11.0))
+    simulation.answer_at = lambda call: simulation.due(call) + late
+    assert max(simulation.run(110.0).update_delays()) < 3 * late
 
 
 @pytest.mark.parametrize("timing", [ASKED, MIDDLE, LARGE], ids=["small", "middle", "large"])
 def test_with_watches_alone_silent_a_change_is_heard_in_time_and_whole_lists_are_polled(timing):
     for tenth in range(0, 75, 3):
-        play = Play(timing, changes=changes(3.0 + tenth / 10))
-        play.answer_at = lambda call, play=play: (
-            play.due(call) if call.started_at < 2 or call.kind is CallKind.FULL_LIST else None
+        simulation = Simulation(timing, changes=changes(3.0 + tenth / 10))
+        simulation.answer_at = lambda call, simulation=simulation: (
+            simulation.due(call) if call.started_at < 2 or call.kind is CallKind.FULL_LIST else None
         )
-        assert max(play.run(40.0).heard_after()) < watcher.PROPAGATION_LIMIT_S, tenth
-    assert play.watcher.polling()
-    late = [call for call in play.begun if call.started_at > 16.0]
-    assert sum(call.kind is CallKind.WATCH for call in late) <= 3  # one now and then finds out their return
+        assert max(simulation.run(40.0).update_delays()) < watcher.PROPAGATION_LIMIT_S, tenth
+    assert simulation.watcher.polling()
+    late = [call for call in simulation.started if call.started_at > 16.0]
+    assert (
+        sum(call.kind is CallKind.WATCH for call in late) <= 3
+    )  # an occasional one detects that watches work again
 
 
 def test_in_a_small_fleet_watches_may_be_silent_and_whole_lists_four_seconds_late():
     for tenth in range(0, 75, 3):
-        play = Play(changes=changes(3.0 + tenth / 10))
-        play.answer_at = lambda call, play=play: (
-            play.due(call)
+        simulation = Simulation(changes=changes(3.0 + tenth / 10))
+        simulation.answer_at = lambda call, simulation=simulation: (
+            simulation.due(call)
             if call.started_at < 2
             else call.started_at + watcher.TOLERATED_LATENESS_S
             if call.kind is CallKind.FULL_LIST
             else None
         )
-        assert max(play.run(40.0).heard_after()) < watcher.PROPAGATION_LIMIT_S, tenth
+        assert max(simulation.run(40.0).update_delays()) < watcher.PROPAGATION_LIMIT_S, tenth
 
 
 @pytest.mark.parametrize("timing", [ASKED, LARGE], ids=["small", "large"])
 @pytest.mark.parametrize("late", [1.7, 4.0, 8.0])
 def test_the_slower_discovery_the_fewer_calls(timing, late):
-    """In the mean of the draws, counted without the first calls, when nothing is learned yet."""
+    """In the mean over random draws, without the first calls, when no lateness is known yet."""
     counts = []
     for lateness in (0.0, late):
-        play = Play(timing, Random(4).uniform)
-        play.answer_at = lambda call, play=play, lateness=lateness: play.due(call) + lateness
-        play.run(80.0)
-        counts.append(sum(call.started_at > 20.0 for call in play.begun))
+        simulation = Simulation(timing, Random(4).uniform)
+        simulation.answer_at = (
+            lambda call, simulation=simulation, lateness=lateness: simulation.due(call) + lateness
+        )
+        simulation.run(80.0)
+        counts.append(sum(call.started_at > 20.0 for call in simulation.started))
     assert counts[1] < counts[0], counts
 
 
 @pytest.mark.parametrize("timing", [ASKED, MIDDLE], ids=["small", "middle"])
 def test_a_refused_whole_list_is_followed_by_a_watch(timing):
-    """Open watches fell silent once, and discovery refuses whole lists, as many ask for them: seen failing
-    in the standing test's join+mass with 432 whole lists refused, requests 1.45 s after a drain was told."""
+    """Open watches went silent once, and discovery refuses full lists because many clients request them.
+    Guards against requests 1.45 s after a drain had to be known, seen with 432 full lists refused in the
+    standing test's join+mass."""
     for tenth in range(0, 75, 3):
-        play = Play(timing, changes=changes(3.0 + tenth / 10))
-        play.fail_at = lambda call: call.started_at if call.kind is CallKind.FULL_LIST else None
-        play.answer_at = lambda call, play=play: None if 1 < call.started_at < 3 else play.due(call)
-        assert max(play.run(40.0).heard_after()) < watcher.PROPAGATION_LIMIT_S, tenth
-    wholes = sum(call.kind is CallKind.FULL_LIST for call in play.begun)
+        simulation = Simulation(timing, changes=changes(3.0 + tenth / 10))
+        simulation.fail_at = lambda call: call.started_at if call.kind is CallKind.FULL_LIST else None
+        simulation.answer_at = (
+            lambda call, simulation=simulation: None if 1 < call.started_at < 3 else simulation.due(call)
+        )
+        assert max(simulation.run(40.0).update_delays()) < watcher.PROPAGATION_LIMIT_S, tenth
+    wholes = sum(call.kind is CallKind.FULL_LIST for call in simulation.started)
     assert wholes <= 3
 
 
 @pytest.mark.parametrize("timing", [ASKED, LARGE], ids=["small", "large"])
 def test_calls_that_discovery_lost_for_a_while_are_replaced_in_time(timing):
-    """It took them, and never answers; then it is prompt."""
+    """The service accepted them and never answers; afterwards it is prompt."""
     for tenth in range(0, 40, 2):
         back = 9.0 + tenth / 10
-        play = Play(timing, changes=[5.0])
-        play.answer_at = lambda call, play=play, back=back: (
-            play.due(call) if call.started_at < 3 or call.started_at >= back else None
+        simulation = Simulation(timing, changes=[5.0])
+        simulation.answer_at = lambda call, simulation=simulation, back=back: (
+            simulation.due(call) if call.started_at < 3 or call.started_at >= back else None
         )
-        play.run(back + 8.0)
-        assert play.heard and play.heard[0][0] - back < watcher.PROPAGATION_LIMIT_S, tenth
+        simulation.run(back + 8.0)
+        assert simulation.updates and simulation.updates[0][0] - back < watcher.PROPAGATION_LIMIT_S, tenth
 
 
 @pytest.mark.parametrize("timing", [ASKED, LARGE], ids=["small", "large"])
 def test_discovery_away_and_then_four_seconds_late(timing):
-    """For a large fleet only a first refusal: in an outage it calls at longer times."""
+    """For a large fleet only a first refusal: in an outage it calls at longer intervals."""
     for tenth in range(0, 40, 2):
         back = (3.0 if timing is LARGE else 9.0) + tenth / 10
-        play = Play(timing, changes=[back])
+        simulation = Simulation(timing, changes=[back])
         down = back - 0.2 if timing is LARGE else 4.0
-        play.fail_at = (
+        simulation.fail_at = (
             lambda call, down=down, back=back: call.started_at if down <= call.started_at < back else None
         )
-        play.answer_at = lambda call, play=play, back=back: (
-            play.due(call) + (watcher.TOLERATED_LATENESS_S if call.started_at >= back else 0.0)
+        simulation.answer_at = lambda call, simulation=simulation, back=back: (
+            simulation.due(call) + (watcher.TOLERATED_LATENESS_S if call.started_at >= back else 0.0)
         )
-        play.run(back + 9.0)
-        assert play.heard[0][0] - back < watcher.PROPAGATION_LIMIT_S, tenth
+        simulation.run(back + 9.0)
+        assert simulation.updates[0][0] - back < watcher.PROPAGATION_LIMIT_S, tenth
 
 
 def test_moves_in_quick_succession_drop_no_answer_that_is_nearly_there():
-    """Each 0.7 s, with answers 4 s late: seen failing with the only call ended by each move."""
+    """A move every 0.7 s, with answers 4 s late. Guards against cancelling the only call at each move."""
     for tenth in range(0, 40, 2):
-        play = Play(changes=[3.0 + tenth / 10])
-        play.moves = [round(2.0 + 0.7 * at, 2) for at in range(20)]
-        play.answer_at = lambda call, play=play: play.due(call) + watcher.TOLERATED_LATENESS_S
-        play.run(14.0)
-        assert play.heard_after()[0] < watcher.PROPAGATION_LIMIT_S, tenth
+        simulation = Simulation(changes=[3.0 + tenth / 10])
+        simulation.moves = [round(2.0 + 0.7 * at, 2) for at in range(20)]
+        simulation.answer_at = (
+            lambda call, simulation=simulation: simulation.due(call) + watcher.TOLERATED_LATENESS_S
+        )
+        simulation.run(14.0)
+        assert simulation.update_delays()[0] < watcher.PROPAGATION_LIMIT_S, tenth
 
 
 def test_moves_that_come_all_the_time_do_not_put_off_the_first_call():
-    play = Play()
-    play.moves = [round(1.0 + 0.05 * at, 2) for at in range(60)]
-    play.run(4.5)
-    moved = [call for call in play.begun if call.epoch]
+    simulation = Simulation()
+    simulation.moves = [round(1.0 + 0.05 * at, 2) for at in range(60)]
+    simulation.run(4.5)
+    moved = [call for call in simulation.started if call.epoch]
     assert len(moved) >= 8 and all(call.kind is CallKind.FULL_LIST for call in moved[:-1])
 
 
@@ -237,41 +249,48 @@
 @pytest.mark.parametrize("took", [0.0, 0.5, 1.6, 3.0])
 @pytest.mark.parametrize("timing", [ASKED, MIDDLE, LARGE], ids=["small", "middle", "large"])
 def test_a_call_that_failed_is_repeated_soon_enough_and_not_at_once(timing, took, draw):
-    play = Play(timing, draw, answer_at=lambda call: None)
-    play.fail_at = lambda call: call.started_at + took
-    play.run(30.0)
-    begins = [call.started_at for call in play.begun]
+    simulation = Simulation(timing, draw, answer_at=lambda call: None)
+    simulation.fail_at = lambda call: call.started_at + took
+    simulation.run(30.0)
+    begins = [call.started_at for call in simulation.started]
     apart = [after - before for before, after in itertools.pairwise(begins)]
-    assert apart[0] <= max(watcher.PARALLEL_CALL_INTERVAL_S, took + watcher.MIN_RETRY_DELAY_S) + 2 * STEP
-    assert max(apart) <= max(timing.retry_interval, took + watcher.MIN_RETRY_DELAY_S) + 2 * STEP
-    assert min(apart) >= 0.1  # a service that refuses all is not called without end
+    assert apart[0] <= max(watcher.PARALLEL_CALL_INTERVAL_S, took + watcher.MIN_RETRY_DELAY_S) + 2 * STEP_S
+    assert max(apart) <= max(timing.retry_interval, took + watcher.MIN_RETRY_DELAY_S) + 2 * STEP_S
+    assert min(apart) >= 0.1  # no busy loop against a service that refuses everything
 
 
 def test_a_refusal_beside_a_call_that_is_out_begins_no_calls_without_end():
-    play = Play(answer_at=lambda call: None)
-    play.fail_at = lambda call: call.started_at if call.id > 1 else None
-    play.run(20.0)
-    assert len(play.begun) <= 20 / 0.9
+    simulation = Simulation(answer_at=lambda call: None)
+    simulation.fail_at = lambda call: call.started_at if call.id > 1 else None
+    simulation.run(20.0)
+    assert len(simulation.started) <= 20 / 0.9
 
 
-# --- what an answer may change -----------------------------------------------------------------------
+# --- effect of answers -------------------------------------------------------------------------------
 
 
-def call_of(core: Watcher, index: int | None, kind=CallKind.WATCH) -> Call:
+def started_call(core: Watcher, index: int | None, kind=CallKind.WATCH) -> Call:
     made = core.start_call(1.0, index, kind is CallKind.WATCH)
     made.kind = kind
     return made
 
 
 @pytest.mark.parametrize(
-    "kind, begun_at, index, whole, known, verdict",
+    "kind, begun_at, index, whole, known, action",
     [
         (CallKind.WATCH, 7, 8, False, 7, AnswerAction.APPLY),
-        (CallKind.WATCH, 7, 7, False, 7, AnswerAction.APPLY),  # no news
-        (CallKind.WATCH, 7, 8, False, 9, AnswerAction.STALE),  # late: a later call told more
-        (CallKind.WATCH, 7, 9, False, 9, AnswerAction.STALE),  # told already
-        (CallKind.WATCH, 7, 10, False, 9, AnswerAction.APPLY),  # late, and newer all the same
-        (CallKind.WATCH, 7, 6, False, 7, AnswerAction.FETCH_FULL_LIST),  # the service came back older
+        (CallKind.WATCH, 7, 7, False, 7, AnswerAction.APPLY),  # no change
+        (CallKind.WATCH, 7, 8, False, 9, AnswerAction.STALE),  # late: a later call reported a newer version
+        (CallKind.WATCH, 7, 9, False, 9, AnswerAction.STALE),  # already applied
+        (CallKind.WATCH, 7, 10, False, 9, AnswerAction.APPLY),  # late, but still newer
+        (
+            CallKind.WATCH,
+            7,
+            6,
+            False,
+            7,
+            AnswerAction.FETCH_FULL_LIST,
+        ),  # the service was restored to an older state
         (CallKind.WATCH, 7, 6, True, 7, AnswerAction.APPLY),
         (CallKind.FULL_LIST, 7, 6, True, 7, AnswerAction.APPLY),
         (CallKind.FULL_LIST, 7, 6, False, 7, AnswerAction.UNUSABLE),
@@ -280,15 +299,15 @@
         (CallKind.FULL_LIST, None, 3, False, None, AnswerAction.UNUSABLE),
     ],
 )
-def test_an_answer_never_takes_the_list_backwards(kind, begun_at, index, whole, known, verdict):
+def test_an_answer_never_takes_the_list_backwards(kind, begun_at, index, whole, known, action):
     core = Watcher(ADDRESS, ASKED, longest)
-    assert core.classify_answer(call_of(core, begun_at, kind), index, whole, known) is verdict
+    assert core.classify_answer(started_call(core, begun_at, kind), index, whole, known) is action
 
 
 def test_after_a_move_the_old_service_counts_until_the_new_one_has_told_its_list():
     core = Watcher(ADDRESS, ASKED, longest)
     core.request_watch(0.0)
-    old, late = call_of(core, 7), call_of(core, 7)
+    old, late = started_call(core, 7), started_call(core, 7)
     core.move(1.0, "127.0.0.1:2")
     assert core.classify_answer(old, 8, False, 7) is AnswerAction.APPLY
     new = core.start_call(1.3, 8, True)
@@ -311,24 +330,31 @@
     assert before.superseded and not core.active_calls()[0].superseded
 
 
-# --- all short orders ----------------------------------------------------------------------------------
+# --- sequences of events -------------------------------------------------------------------------------
 
 
-MOVE, PASS, LATER, ANSWER, LAST, FAIL = "move", "0.3 s", "2 s", "oldest answered", "newest answered", "fails"
-EVENTS = (MOVE, PASS, LATER, ANSWER, LAST, FAIL)
+MOVE, SHORT_TIME, LONG_TIME, ANSWER_OLDEST, ANSWER_NEWEST, FAIL = (
+    "move",
+    "0.3 s",
+    "2 s",
+    "oldest answered",
+    "newest answered",
+    "fails",
+)
+EVENTS = (MOVE, SHORT_TIME, LONG_TIME, ANSWER_OLDEST, ANSWER_NEWEST, FAIL)
 
 
-class Walk:
-    """One order of events, with what holds after each of them."""
+class EventWalk:
+    """Applies a sequence of events, and checks the invariants after each of them."""
 
     def __init__(self, timing: WatchTiming) -> None:
         self.watcher, self.now, self.index, self.version = (
             Watcher(ADDRESS, timing, longest),
             0.0,
-            KNOWN,
-            KNOWN,
+            INITIAL_VERSION,
+            INITIAL_VERSION,
         )
-        self.seen: dict[int, int] = {}  # discovery's version when a call began
+        self.seen: dict[int, int] = {}  # call id to discovery's version when it started
         self.watcher.request_watch(0.0)
         self.decide()
 
@@ -342,11 +368,11 @@
             if not commands:
                 break
         else:
-            raise AssertionError("it goes on deciding at one moment")
+            raise AssertionError("endless commands at one moment")
         assert len(self.watcher.calls) <= watcher.MAX_CALLS
         wakes = self.watcher.next_wakeup(self.now)
-        assert wakes > self.now, "it would be woken without end"
-        assert wakes < float("inf"), "nothing would ever happen"
+        assert wakes > self.now, "busy loop: the next wake-up is not in the future"
+        assert wakes < float("inf"), "no wake-up is scheduled"
 
     def connects(self) -> bool:
         return True
@@ -355,13 +381,13 @@
         calls = self.watcher.calls
         if event == MOVE:
             self.watcher.move(self.now, "127.0.0.1:2")
-        elif event in (PASS, LATER):
+        elif event in (SHORT_TIME, LONG_TIME):
             self.version += 1
-            self.now += 0.3 if event == PASS else 2.0
+            self.now += 0.3 if event == SHORT_TIME else 2.0
         elif calls and event == FAIL:
             self.watcher.call_failed(self.now, calls[-1])
         elif calls:
-            self.answer(calls[0 if event == ANSWER else -1])
+            self.answer(calls[0 if event == ANSWER_OLDEST else -1])
         self.decide()
 
     def answer(self, call: Call) -> None:
@@ -376,19 +402,19 @@
 @pytest.mark.parametrize("timing", [ASKED, LARGE, PUSHED], ids=["small", "large", "pushed"])
 def test_in_every_order_of_six_events_calls_are_bounded_and_it_always_goes_on(timing):
     for order in itertools.product(EVENTS, repeat=6):
-        walk = Walk(timing)
+        walk = EventWalk(timing)
         for event in order:
             walk.happen(event)
 
 
-class Drawn(Walk):
-    """Events drawn at any time, some connections that never come up, and a service that may go back."""
+class RandomWalk(EventWalk):
+    """Random events at random times, with connections that are never established."""
 
     def __init__(self, seed: int) -> None:
         self.random = Random(seed)
         timing = self.random.choice((ASKED, MIDDLE, LARGE, PUSHED))
         self.watcher = Watcher(ADDRESS, timing, self.random.uniform)
-        self.now, self.index, self.version = self.random.uniform(0, 1e5), KNOWN, KNOWN
+        self.now, self.index, self.version = self.random.uniform(0, 1e5), INITIAL_VERSION, INITIAL_VERSION
         self.seen: dict[int, int] = {}
         self.watcher.request_watch(self.now)
         self.decide()
@@ -422,9 +448,10 @@
 
 @pytest.mark.parametrize("seed", range(0, 1200, 100))
 def test_in_drawn_orders_it_is_never_woken_without_end(seed):
-    """Seen failing: a connection was too old by 1.7 s added to its begin, and not by the difference."""
+    """Guards against float rounding: a call was too old by `start + 1.7`, but not by the difference of
+    times."""
     for one in range(seed, seed + 100):
-        drawn = Drawn(one)
+        drawn = RandomWalk(one)
         for _ in range(120):
             drawn.draw()
 
@@ -450,9 +477,9 @@
 
 
 def test_the_age_of_the_list_counts_from_when_it_was_complete():
-    play = Play(LARGE)
-    play.answer_at = lambda call: play.due(call) if call.started_at < 5 else None
-    play.run(4.0)
-    assert play.watcher.list_age(play.now) < 2.5
-    play.run(20.0)
-    assert 12.0 < play.watcher.list_age(play.now) < 16.0
+    simulation = Simulation(LARGE)
+    simulation.answer_at = lambda call: simulation.due(call) if call.started_at < 5 else None
+    simulation.run(4.0)
+    assert simulation.watcher.list_age(simulation.now) < 2.5
+    simulation.run(20.0)
+    assert 12.0 < simulation.watcher.list_age(simulation.now) < 16.0
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""Upgrades: one process of a sidecar takes over from another, and nobody outside can tell."""
+"""Upgrades: one process of a sidecar takes over from another without any visible interruption."""
 
 import math
 import os
@@ -16,7 +16,7 @@
 import pytest
 from bed import IDEM, NO_CHANCE_OF_STOPPING, Bed, Net, deployment, listing, wanted
 from hypothesis import given, settings, strategies
-from test_admin import operate
+from test_admin import admin_status
 from test_sidecar import always, fine, until
 
 from lupinmill import terms as t
@@ -38,7 +38,7 @@
 # --- the link -----------------------------------------------------------------------------------
 
 
-def pair() -> tuple[Link, Link]:
+def link_pair() -> tuple[Link, Link]:
     ends = socket.socketpair(socket.AF_UNIX, socket.SOCK_STREAM)
     for end in ends:
         end.setblocking(False)
@@ -49,7 +49,7 @@
     before = len(os.listdir("/proc/self/fd"))
 
     async def main() -> None:
-        here, there = pair()
+        here, there = link_pair()
         got: list[tuple[int, str]] = []
 
         def hear(message) -> None:
@@ -88,7 +88,7 @@
 @pytest.mark.parametrize("data", [b"\xff\xff\xff\xff", b"\x00\x00\x00\x02no", b"\x00\x00\x00\x01", b""])
 def test_a_link_that_says_nonsense_or_ends_is_broken_and_no_more(data):
     async def main() -> None:
-        here, there = pair()
+        here, there = link_pair()
         here.sock.send(data)
         here.sock.close()
         with pytest.raises(BrokenLink):
@@ -98,7 +98,7 @@
     anyio.run(main)
 
 
-# --- who accepts, as a model --------------------------------------------------------------------
+# --- the protocol --------------------------------------------------------------------------------
 
 
 EVENTS = strategies.lists(
@@ -111,33 +111,35 @@
 
 @settings(derandomize=True, max_examples=300)
 @given(EVENTS)
-def test_one_process_at_least_accepts_at_each_moment(notes):
+def test_one_process_at_least_accepts_at_each_moment(events):
     one = UpgradeProtocol("n1", "a:1")
-    asked = serves = left = False  # of the successor: its link is up; it accepts
-    for (note,) in notes:
-        if note == "hello":
+    linked = successor_serves = shutting_down = False
+    for (event,) in events:
+        if event == "hello":
             command = one.on_hello(HELLO, True)
-            assert (command.kind is CommandKind.SEND_STATE) == (not asked and not (left and serves))
-            asked = asked or command.kind is CommandKind.SEND_STATE
-        elif note == "foreign":
+            assert (command.kind is CommandKind.SEND_STATE) == (
+                not linked and not (shutting_down and successor_serves)
+            )
+            linked = linked or command.kind is CommandKind.SEND_STATE
+        elif event == "foreign":
             assert one.on_hello(HELLO | {"name": "n2"}, True).kind is CommandKind.REFUSE
-        elif note == "stranger":
+        elif event == "stranger":
             assert one.on_hello(HELLO, False).kind is CommandKind.REFUSE
-        elif note == "serving":
+        elif event == "serving":
             commands = one.on_serving()
-            assert bool(commands) == (asked and not serves)
-            serves = serves or asked
-        elif note == "lost" and asked:
+            assert bool(commands) == (linked and not successor_serves)
+            successor_serves = successor_serves or linked
+        elif event == "lost" and linked:
             commands = [command.kind for command in one.on_link_lost()]
-            assert (CommandKind.RESUME in commands) == (serves and not left)
-            asked, serves = False, serves and left
-        elif note == "leave":
+            assert (CommandKind.RESUME in commands) == (successor_serves and not shutting_down)
+            linked, successor_serves = False, successor_serves and shutting_down
+        elif event == "leave":
             one.on_shutdown()
-            left = True
-        assert one.accepts_clients() == (one.phase is not Phase.YIELDED) == (not serves)
+            shutting_down = True
+        assert one.accepts_clients() == (one.phase is not Phase.YIELDED) == (not successor_serves)
 
 
-# --- what passes --------------------------------------------------------------------------------
+# --- the state -----------------------------------------------------------------------------------
 
 
 def test_what_stands_and_the_list_pass_and_nonsense_changes_nothing():
@@ -203,7 +205,7 @@
     bed.step(t.Elsewhere(full, 3))
     assert desk.retried.total(bed.now) == 3 and desk.flying == sum(full.values())
     name = bed.arrive(IDEM)
-    assert not bed.out(name)  # held: there is no room
+    assert not bed.out(name)  # queued: the cap is reached
     bed.step(t.Elsewhere({"e0": full["e0"]}))
     assert bed.flights[name][0]["endpoint"] == "e1"
     bed.step(t.Listed(t.ListKind.CHANGES, [listing(0, t.State.GONE)]))
@@ -212,11 +214,11 @@
     assert desk.flying == 0 and not desk.busy and set(desk.seats) == {"e1"}
 
 
-# --- two programs -------------------------------------------------------------------------------
+# --- two programs in one process ------------------------------------------------------------------
 
 
-class Pair:
-    """A net whose sidecar can be started beside itself, within one test's process."""
+class UpgradePair:
+    """A test network whose sidecar can be started a second time, within the process of the test."""
 
     def __init__(self, net: Net, directory, group) -> None:
         self.net, self.directory, self.group = net, directory, group
@@ -250,7 +252,7 @@
         return Where
 
 
-def beside(check, *acts) -> None:
+def run_upgrade(check, *acts) -> None:
     import tempfile
 
     net = Net(acts)
@@ -260,9 +262,9 @@
             async with anyio.create_task_group() as group:
                 await net.start(group)
                 async with anyio.create_task_group() as inner:
-                    both = Pair(net, directory, inner)
-                    await both.start()
-                    await check(both)
+                    pair = UpgradePair(net, directory, inner)
+                    await pair.start()
+                    await check(pair)
                     inner.cancel_scope.cancel()
                 group.cancel_scope.cancel()
 
@@ -280,8 +282,8 @@
 
 
 def test_idle_clients_pass_with_what_lies_unread_and_busy_ones_after_their_answer():
-    async def check(both: Pair):
-        net, old = both.net, both.programs[0]
+    async def check(pair: UpgradePair):
+        net, old = pair.net, pair.programs[0]
         host, port = net.address.split(":")
         async with (
             await anyio.connect_tcp(host, int(port)) as idle,
@@ -290,13 +292,13 @@
             assert b"done-a1" in await exchange(idle, "a1")
             await busy.send(wanted("slow"))
             await until(lambda: "slow" in old.book.journeys)
-            new = await both.start()
+            new = await pair.start()
             await until(lambda: clients(new) == 1)
             assert clients(old) == 1
             await until(lambda: "slow" in new.book.elsewhere)
             assert sum(seat.elsewhere for seat in new.engine.sidecar.desk.seats.values()) == 1
-            assert (await net.ask(wanted("slow"))).status == 400  # that id is open
-            await busy.send(wanted("next"))  # behind the one that is open
+            assert (await net.ask(wanted("slow"))).status == 400  # a request with this id is open
+            await busy.send(wanted("next"))  # pipelined behind the open one
             assert b"done-slow" in await busy.receive()
             assert b"done-next" in await busy.receive()
             assert b"done-a2" in await exchange(idle, "a2")
@@ -311,62 +313,63 @@
             await anyio.sleep(0.4)
         return await fine(request)
 
-    beside(check, act, act)
+    run_upgrade(check, act, act)
 
 
 def test_calls_to_either_process_hold_at_both_and_a_drain_passes():
-    async def check(both: Pair):
-        old = both.programs[0]
-        assert await operate(both.operator(0), "PUT", "/admin/cordon?member=e0") == 200
-        assert await operate(both.operator(0), "PUT", "/admin/quiesce") == 200
-        new = await both.start()
-        assert await operate(both.operator(1), "GET", "/admin/health") == 200
+    async def check(pair: UpgradePair):
+        old = pair.programs[0]
+        assert await admin_status(pair.operator(0), "PUT", "/admin/cordon?member=e0") == 200
+        assert await admin_status(pair.operator(0), "PUT", "/admin/quiesce") == 200
+        new = await pair.start()
+        assert await admin_status(pair.operator(1), "GET", "/admin/health") == 200
         assert list(new.overrides.cordoned) == ["e0"] and new.overrides.mode is Mode.DRAINING
         assert not new.engine.sidecar.desk.seats["e0"].says.open
-        assert await operate(both.operator(0), "PUT", "/admin/cordon?member=e1") == 200
+        assert await admin_status(pair.operator(0), "PUT", "/admin/cordon?member=e1") == 200
         assert list(new.overrides.cordoned) == ["e0", "e1"]
-        assert await operate(both.operator(1), "PUT", "/admin/uncordon?member=e0") == 200
+        assert await admin_status(pair.operator(1), "PUT", "/admin/uncordon?member=e0") == 200
         assert list(old.overrides.cordoned) == ["e1"]
-        assert await operate(both.operator(1), "PUT", "/admin/resume") == 200
+        assert await admin_status(pair.operator(1), "PUT", "/admin/resume") == 200
         assert old.overrides.mode is new.overrides.mode is Mode.SERVING
 
-    beside(check, fine, fine, fine)
+    run_upgrade(check, fine, fine, fine)
 
 
 def test_what_can_not_be_read_is_declined_and_the_process_before_goes_on(monkeypatch):
-    """Seen failing: the new one listened by itself, and the old one yielded to it all the same."""
+    """Guards against two owners: the successor listened by itself, and the old process yielded to it as
+    well."""
 
-    async def check(both: Pair):
-        old = both.programs[0]
+    async def check(pair: UpgradePair):
+        old = pair.programs[0]
 
         def unreadable(*_):
             raise handover_state.InvalidHandoverState("of another kind")
 
         monkeypatch.setattr(handover_state, "decode", unreadable)
-        await both.start()
+        await pair.start()
         await until(
             lambda: old.handover.successor is None and old.handover.protocol.phase is Phase.NO_SUCCESSOR
         )
         assert old.handover.protocol.accepts_clients() and not old.descriptors.elsewhere
         for at in range(10):
-            assert (await both.net.ask(wanted(f"s{at}"))).status == 200
+            assert (await pair.net.ask(wanted(f"s{at}"))).status == 200
 
-    beside(check, fine, fine)
+    run_upgrade(check, fine, fine)
 
 
 def test_a_call_holds_where_the_list_is_behind_too():
-    async def check(both: Pair):
-        old, new = both.programs[0], await both.start()
+    async def check(pair: UpgradePair):
+        old, new = pair.programs[0], await pair.start()
         new.directory.states.pop("e1")
-        assert await operate(both.operator(0), "PUT", "/admin/cordon?member=e1") == 200
+        assert await admin_status(pair.operator(0), "PUT", "/admin/cordon?member=e1") == 200
         assert list(old.overrides.cordoned) == list(new.overrides.cordoned) == ["e1"]
 
-    beside(check, fine, fine)
+    run_upgrade(check, fine, fine)
 
 
 def test_a_process_that_is_refused_leaves_no_link_behind():
-    async def check(both: Pair):
-        old = both.programs[0]
+    async def check(pair: UpgradePair):
+        old = pair.programs[0]
         for message in (HELLO | {"version": 99}, HELLO | {"name": "another"}, {"say": "x"}):
             link = Link(old.handover.upgrade_socket.connect())
             assert (await link.ask(message, 2))["say"] == "no"
@@ -375,15 +378,15 @@
                 await link.hear_one()
             link.close()
 
-    beside(check, fine)
+    run_upgrade(check, fine)
 
 
 def test_clients_on_their_way_to_a_process_that_dies_are_closed_between_requests(monkeypatch):
-    """What waits to be sent when the receiver dies is the link's to close; such a client comes again, and is
-    served here."""
+    """The link closes the clients that are still queued when the receiver dies; they reconnect and are served
+    by the old process."""
 
-    async def check(both: Pair):
-        net, old = both.net, both.programs[0]
+    async def check(pair: UpgradePair):
+        net, old = pair.net, pair.programs[0]
         host, port = net.address.split(":")
         async with await anyio.connect_tcp(host, int(port)) as idle:
             assert b"done-a1" in await exchange(idle, "a1")
@@ -392,14 +395,14 @@
             def full(link, data, descriptor):
                 if descriptor is not None and b'"client"' in bytes(data):
                     held.append(descriptor)
-                    raise BlockingIOError  # the receiver reads nothing more
+                    raise BlockingIOError  # the receiver stops reading
                 return put(link, data, descriptor)
 
             monkeypatch.setattr(Link, "put", full)
-            await both.start()
+            await pair.start()
             await until(lambda: held and clients(old) == 0)
             link = old.handover.successor
-            both.ends[1].cancel()
+            pair.ends[1].cancel()
             await until(lambda: old.handover.successor is None and old.handover.protocol.accepts_clients())
             monkeypatch.undo()
             assert link.broken and not link.going
@@ -408,53 +411,53 @@
         assert (await net.ask(wanted("a2"))).body == b"done-a2"
         await until(lambda: clients(old) == 0)
 
-    beside(check, fine, fine)
+    run_upgrade(check, fine, fine)
 
 
 def test_bytes_that_come_between_the_last_look_and_the_passing_are_served_by_the_next(monkeypatch):
-    """Not a byte was read, so all that came goes along in the socket."""
+    """The old process reads nothing of them, so the bytes pass with the socket."""
 
-    async def check(both: Pair):
-        net, old = both.net, both.programs[0]
+    async def check(pair: UpgradePair):
+        net, old = pair.net, pair.programs[0]
         host, port = net.address.split(":")
         async with await anyio.connect_tcp(host, int(port)) as idle:
             assert b"done-a1" in await exchange(idle, "a1")
-            passes, raw = old.handover.send_client, idle.extra(anyio.abc.SocketAttribute.raw_socket)
+            send_client, raw = old.handover.send_client, idle.extra(anyio.abc.SocketAttribute.raw_socket)
 
-            def crossed(sock):
+            def send_before_passing(sock):
                 with socket.socket(fileno=os.dup(raw.fileno())) as same:
-                    same.send(wanted("a2"))  # in that very step
-                return passes(sock)
+                    same.send(wanted("a2"))  # in this very step
+                return send_client(sock)
 
-            monkeypatch.setattr(old.handover, "send_client", crossed)
-            new = await both.start()
+            monkeypatch.setattr(old.handover, "send_client", send_before_passing)
+            new = await pair.start()
             assert b"done-a2" in await idle.receive()
             assert clients(old) == 0 and clients(new) == 1
 
-    beside(check, fine, fine)
+    run_upgrade(check, fine, fine)
 
 
 @pytest.mark.parametrize("moment", ["asked", "serving"])
 def test_a_next_process_that_dies_leaves_the_one_before_in_service(moment, monkeypatch):
-    async def check(both: Pair):
-        old = both.programs[0]
+    async def check(pair: UpgradePair):
+        old = pair.programs[0]
         if moment == "asked":
             monkeypatch.setattr(Handover, "start", lambda *_: None)
-        await both.start()
+        await pair.start()
         if moment == "serving":
             await until(lambda: not old.handover.protocol.accepts_clients())
-        both.ends[1].cancel()
+        pair.ends[1].cancel()
         await until(
             lambda: old.handover.successor is None and old.handover.protocol.phase is Phase.NO_SUCCESSOR
         )
         monkeypatch.undo()
-        assert (await both.net.ask(wanted("s1"))).body == b"done-s1"
+        assert (await pair.net.ask(wanted("s1"))).body == b"done-s1"
         await until(lambda: old.handover.listener is not None)
-        await both.start()
+        await pair.start()
         await until(lambda: not old.handover.protocol.accepts_clients())
-        assert (await both.net.ask(wanted("s2"))).body == b"done-s2"
+        assert (await pair.net.ask(wanted("s2"))).body == b"done-s2"
 
-    beside(check, fine, fine)
+    run_upgrade(check, fine, fine)
 
 
 def test_a_file_of_a_dead_process_and_one_that_says_nothing_mean_an_ordinary_start(tmp_path, monkeypatch):
@@ -464,7 +467,7 @@
     logs: list[str] = []
 
     async def main() -> None:
-        for _ in range(2):  # nothing there, then a file that nobody listens at
+        for _ in range(2):  # no file, then a file without a listener
             found = Handover(str(tmp_path), "n1", "a:1", lambda event, **f: logs.append(event))
             assert await found.request_state() is None and not logs
             found.upgrade_socket.listen().close()
@@ -487,20 +490,22 @@
     return subprocess.Popen([sys.executable, "-m", "lupinmill"], env=environ, stdout=out, stderr=out)
 
 
-RESERVED: list[socket.socket] = []  # ports of this test process, until it ends
+RESERVED_PORTS: list[socket.socket] = []  # held until this test process ends
 
 
 def free_address() -> str:
-    """Of a port that nobody else is given meanwhile: bound here, where the program may bind it too."""
+    """An address with a reserved port: bound here, so that no other process is given it, but the program may
+    bind it."""
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
     sock.bind(("127.0.0.1", 0))
-    RESERVED.append(sock)
+    RESERVED_PORTS.append(sock)
     return "127.0.0.1:%d" % sock.getsockname()[1]
 
 
 def test_a_reserved_port_is_the_programs_alone():
-    """Another test's process once got the port between its choice and the program's start."""
+    """Guards against losing the port to another test's process between its choice and the start of the
+    program."""
     host, port = free_address().split(":")
     with socket.socket() as other, pytest.raises(OSError):
         other.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -510,14 +515,14 @@
         socket.create_connection((host, int(port)), 5)
 
 
-async def healthy(address: str) -> None:
+async def wait_until_healthy(address: str) -> None:
     class Where:
         class program:
             operator = address
 
     while True:
         try:
-            if await operate(Where, "GET", "/admin/health") == 200:
+            if await admin_status(Where, "GET", "/admin/health") == 200:
                 return
         except OSError:
             pass
@@ -525,7 +530,7 @@
 
 
 class Processes:
-    """Of one sidecar, started beside one another. All are ended with the test."""
+    """Processes of one sidecar, running at the same time. All are ended with the test."""
 
     def __init__(self, net: Net, folder) -> None:
         self.net, self.folder, self.all = net, folder, []
@@ -534,10 +539,10 @@
         operator = free_address()
         table = self.net.table | {"listen": self.net.address, "operator": operator}
         self.all.append(spawn(folder or self.folder, table, len(self.all)))
-        await healthy(operator)
+        await wait_until_healthy(operator)
 
     async def end(self, number: int) -> None:
-        """By SIGTERM, to its own end."""
+        """Sends SIGTERM and waits for a regular end."""
         self.all[number].send_signal(signal.SIGTERM)
         assert await anyio.to_thread.run_sync(self.all[number].wait) == 0
 
@@ -547,16 +552,16 @@
             process.wait()
 
 
-async def stand_still(process: subprocess.Popen, span: float) -> None:
-    """From when the next process is about to ask it."""
+async def pause_process(process: subprocess.Popen, span: float) -> None:
+    """Stops the process about when the next one requests its state."""
     await anyio.sleep(0.2)
     process.send_signal(signal.SIGSTOP)
     await anyio.sleep(span)
     process.send_signal(signal.SIGCONT)
 
 
-def among_processes(check, net: Net, folder, limit: float = 30) -> None:
-    """Runs `check(processes, group)` beside the stand-ins; what it starts in the group ends with it."""
+def run_processes(check, net: Net, folder, limit: float = 30) -> None:
+    """Runs `check(processes, group)` with the stand-ins; tasks started in the group end with it."""
 
     async def main() -> None:
         processes = Processes(net, folder)
@@ -573,8 +578,8 @@
     anyio.run(main)
 
 
-class Asking(NamedTuple):
-    """One request as its client saw it; times in Unix seconds."""
+class ClientRequest(NamedTuple):
+    """One request as seen by its client; times in Unix seconds."""
 
     name: str
     sent: float
@@ -582,14 +587,14 @@
 
 
 class Shortage(NamedTuple):
-    """A time in which a process said that its own core was short, in Unix seconds."""
+    """A period in which a process logged that its own core was short, in Unix seconds."""
 
     began: float
     ended: float
 
 
 def shortages(log: bytes) -> list[Shortage]:
-    """Those that one process logged; the last may go on until it said that it stopped."""
+    """The periods logged by one process; an open one lasts until the process logged that it stopped."""
     found: list[Shortage] = []
     began = None
     lines = [orjson.loads(line) for line in log.splitlines()]
@@ -606,8 +611,8 @@
     return found
 
 
-def without_shortage(denied: list[Asking], found: list[Shortage]) -> list[Asking]:
-    """The denials in whose time no process was short; logs round to milliseconds."""
+def outside_shortages(denied: list[ClientRequest], found: list[Shortage]) -> list[ClientRequest]:
+    """The denials that overlap no shortage; log times are rounded to milliseconds."""
     rounding = 0.001
     return [
         one
@@ -629,24 +634,24 @@
     )
     found = shortages(log)
     assert found == [Shortage(10.0, 11.0), Shortage(20.0, math.inf)]
-    within = [Asking("a", 9.9, 10.1), Asking("b", 10.9, 11.2), Asking("c", 30.0, 30.1)]
-    outside = [Asking("d", 9.8, 9.9), Asking("e", 11.1, 11.2), Asking("f", 19.0, 19.9)]
-    assert without_shortage(within + outside, found) == outside
+    within = [ClientRequest("a", 9.9, 10.1), ClientRequest("b", 10.9, 11.2), ClientRequest("c", 30.0, 30.1)]
+    outside = [ClientRequest("d", 9.8, 9.9), ClientRequest("e", 11.1, 11.2), ClientRequest("f", 19.0, 19.9)]
+    assert outside_shortages(within + outside, found) == outside
     stopped = log + b"\n" + orjson.dumps({"at": 21.0, "event": "stopped"})
     assert shortages(stopped)[-1] == Shortage(20.0, 21.0)
-    assert shortages(b"") == [] and without_shortage(within, []) == within
+    assert shortages(b"") == [] and outside_shortages(within, []) == within
 
 
 @pytest.mark.parametrize("upgrades, held_up", [(20, 0.0), (4, 0.3)])
 def test_upgrades_under_load_lose_double_and_turn_back_nothing(upgrades, held_up, tmp_path):
-    """Kept and new connections, judged at the clients and at the endpoints; the old process is told to end
-    each time. `held_up`: seconds for which it stands still in the middle of the hand-over, which forces what
-    a busy machine does at times: its own core is short, and it turns back what it can not take up. That is
-    allowed only while a process says so."""
+    """Persistent and new connections, checked at the clients and at the endpoints; each old process receives
+    SIGTERM. `held_up`: seconds for which it is stopped in the middle of the handover, which forces what can
+    happen on a busy machine: its own core is short, and it denies requests that it can't accept. This is
+    allowed only while a process logs the shortage."""
     net = Net([always(Answer(200, [], b"fine"), 0.03)] * 3)
-    wrong: list[str] = []
+    failures: list[str] = []
     asked: list[str] = []
-    denied: list[Asking] = []
+    denied: list[ClientRequest] = []
 
     async def kept(number: int, over: anyio.Event) -> None:
         host, port = net.address.split(":")
@@ -660,11 +665,11 @@
                     await stream.send(wanted(name))
                     got = await stream.receive()
                     if got.startswith(b"HTTP/1.1 503 ") and b"close" not in got:
-                        denied.append(Asking(name, sent, time.time()))
+                        denied.append(ClientRequest(name, sent, time.time()))
                     elif not got.startswith(b"HTTP/1.1 200 ") or b"fine" not in got or b"close" in got:
-                        wrong.append(f"{name}: {got[:60]!r}")
+                        failures.append(f"{name}: {got[:60]!r}")
                 except (anyio.EndOfStream, anyio.BrokenResourceError) as error:
-                    wrong.append(f"{name}: {error!r}")
+                    failures.append(f"{name}: {error!r}")
                     return
                 await anyio.sleep(random.Random(name).uniform(0, 0.03))
 
@@ -676,9 +681,9 @@
             sent = time.time()
             answer = await net.ask(wanted(name))
             if answer is not None and answer.status == 503:
-                denied.append(Asking(name, sent, time.time()))
+                denied.append(ClientRequest(name, sent, time.time()))
             elif answer is None or answer.status != 200:
-                wrong.append(f"{name}: {answer}")
+                failures.append(f"{name}: {answer}")
             await anyio.sleep(0.01)
 
     async def check(processes: Processes, group) -> None:
@@ -689,15 +694,15 @@
         group.start_soon(fresh, over)
         for number in range(upgrades):
             if held_up:
-                group.start_soon(stand_still, processes.all[number], held_up)
+                group.start_soon(pause_process, processes.all[number], held_up)
             await processes.start()
             await anyio.sleep(0.1)
             await processes.end(number)
         over.set()
         await anyio.sleep(0.3)
 
-    among_processes(check, net, tmp_path, 100)
-    assert not wrong, wrong[:5]
+    run_processes(check, net, tmp_path, 100)
+    assert not failures, failures[:5]
     got = [one.header(b"req-id") for stand in net.stands for one in stand.seen if one.header(b"req-id")]
     names = {one.name for one in denied}
     twice = [name for name, times in Counter(got).items() if times > 1]
@@ -706,8 +711,8 @@
     assert set(got) == set(asked) - names and len(got) > 25 * upgrades
     each = [(tmp_path / f"log{number}").read_bytes() for number in range(upgrades + 1)]
     found = [span for log in each for span in shortages(log)]
-    assert not without_shortage(denied, found), (denied[:5], found)
-    assert not held_up or found, "it was not held up"
+    assert not outside_shortages(denied, found), (denied[:5], found)
+    assert not held_up or found, "no process logged a shortage"
     logs = b"".join(each)
     assert b"task_failed" not in logs and b"_refused" not in logs and b"Traceback" not in logs
 
@@ -723,11 +728,11 @@
         assert (await net.ask(wanted("after"))).status == 200
 
     net = Net([fine, fine])
-    among_processes(check, net, tmp_path)
+    run_processes(check, net, tmp_path)
 
 
 def test_what_is_under_way_at_an_upgrade_ends_where_it_began(tmp_path):
-    """An upload and a large answer, both longer than the time between the yes and SIGTERM."""
+    """An upload and a large answer, both longer than the time between the takeover and SIGTERM."""
     body = random.Random(2).randbytes(2_000_000)
 
     async def act(request):
@@ -763,26 +768,26 @@
         assert whole.partition(b"\r\n\r\n")[2] == body
         await until(lambda: "up" in got)
         assert got["up"].startswith(b"HTTP/1.1 200 ") and got["up"].endswith(b"2000000")
-        for name, stream in (("a", up), ("b", down)):  # both connections have passed by now
+        for name, stream in (("a", up), ("b", down)):  # both connections have been passed on by now
             assert b"done-" + name.encode() in await exchange(stream, name)
         assert await anyio.to_thread.run_sync(processes.all[0].wait) == 0
 
-    among_processes(check, net, tmp_path)
+    run_processes(check, net, tmp_path)
 
 
 def test_a_list_that_the_older_process_hears_after_it_yielded_is_known_to_the_newer_one():
-    """Seen failing in the soak, seed 108: discovery answered 4 s late, the older process's call was answered
-    half a second after an upgrade with a drain, and the newer one began its own call anew; requests went to
-    that endpoint for 9.5 s after the drain."""
+    """Guards against a drain that the successor misses (soak, seed 108): discovery answered 4 s late, so the
+    old process received the drain half a second after an upgrade, while the successor started its own call
+    over; requests went to the drained endpoint for 9.5 s."""
 
-    async def check(both: Pair):
-        net, old = both.net, both.programs[0]
+    async def check(pair: UpgradePair):
+        net, old = pair.net, pair.programs[0]
         answer, held, calls = net.discovery.act, anyio.Event(), []
 
         async def late(request):
             calls.append(request)
-            if len(both.programs) > 1:
-                await anyio.sleep_forever()  # those of the newer process have no answer yet
+            if len(pair.programs) > 1:
+                await anyio.sleep_forever()  # calls of the successor are not answered yet
             answered = await answer(request)
             await held.wait()
             return answered
@@ -790,7 +795,7 @@
         net.discovery.act = late
         await until(lambda: calls)
         net.discovery.change(net.discovery.rows[0], status="DRAINING")
-        new = await both.start()
+        new = await pair.start()
         await until(lambda: not old.handover.protocol.accepts_clients())
         assert new.directory.takes("e0")
         held.set()
@@ -799,16 +804,16 @@
             await until(lambda: not new.directory.takes("e0"))
         assert not new.directory.takes("e0")
 
-    beside(check, fine, fine)
+    run_upgrade(check, fine, fine)
 
 
 def test_a_list_of_the_older_process_counts_only_if_it_is_newer_and_of_the_same_discovery():
-    async def check(both: Pair):
-        old = both.programs[0]
-        new = await both.start()
+    async def check(pair: UpgradePair):
+        old = pair.programs[0]
+        new = await pair.start()
         await until(lambda: not old.handover.protocol.accepts_clients())
         index, address = new.directory.index, new.discovery.watcher.address
-        rows = [row | {"status": "DRAINING"} for row in both.net.discovery.rows]
+        rows = [row | {"status": "DRAINING"} for row in pair.net.discovery.rows]
         for told in (
             {"address": "127.0.0.1:9", "list": {"index": index + 9, "snapshot": True, "endpoints": rows}},
             {"address": address, "list": {"index": index, "snapshot": True, "endpoints": rows}},
@@ -820,4 +825,4 @@
         )
         assert not new.directory.takes("e0") and new.directory.index == index + 1
 
-    beside(check, fine, fine)
+    run_upgrade(check, fine, fine)
--- a/tests/test_slow_discovery_processes.py
+++ b/tests/test_slow_discovery_processes.py
@@ -1,5 +1,5 @@
-"""Real processes before a discovery that is slow: a drain has to be known to each in time. The changes come
-while it is slow, and the referee of the fault campaign judges what the endpoints then get."""
+"""Real processes with a slow discovery: each must know of a drain in time. The drains happen while discovery
+is slow, and the referee of the fault campaign judges the requests that the endpoints then receive."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from lupinmill.lab.faults.run import Campaign
 
 SEED, PROCESSES, SECONDS = 41, 3, 16.0
-SLOW_SINCE = 2.0  # seconds after the campaign's begin
-DRAINS = (4.0, 5.3)  # seconds, one endpoint each; told 6 s later, and then 1.6 s are allowed
+SLOW_SINCE = 2.0  # seconds after the start of the campaign
+DRAINS = (4.0, 5.3)  # seconds, one endpoint each; must be known 6 s later, plus a tolerance of 1.6 s
 LIFE = schedule.LifePlan(schedule.SERVE, 60.0, "TERM", "own", "read", True)
 RELOADS = [schedule.Event(3.0 + 0.7 * at, "move discovery") for at in range(6)]
 RELOADED = schedule.LifePlan(schedule.SERVE, 60.0, "TERM", "own", "read", True, events=RELOADS)
@@ -25,7 +25,7 @@
 
 @pytest.fixture(scope="module")
 def verdicts(tmp_path_factory):
-    """All cases at once: they share no address, and wait for most of the time."""
+    """Runs all cases at once: they share no address, and wait for most of the time."""
     drains = [schedule.ListEvent(at, number, "drain") for number, at in enumerate(DRAINS)]
 
     async def play_all():
@@ -50,14 +50,14 @@
 
 @pytest.mark.parametrize("case", list(CASES))
 def test_nothing_is_sent_to_a_draining_server_while_discovery_is_slow(verdicts, case):
-    """Seen failing with watches given up 0.6 s after they were due and asked anew for ever."""
+    """Guards against cancelling watches 0.6 s after they were due and repeating them for ever."""
     verdict = verdicts[case]
     assert not [one for one in verdict.breaks if one.fault is Fault.TOO_LATE], verdict.text()
     assert verdict.figures["served"] > 100, verdict.figures
 
 
 def test_the_cases_are_heard_of_by_requests_after_the_moment_that_is_judged(verdicts):
-    """Without them no case could fail."""
+    """Requests exist after the judged moment; without them no case could fail."""
     for case, verdict in verdicts.items():
         drained = {change.endpoint for change in verdict.records.changes["c0"]}
         told = max(change.at for change in verdict.records.changes["c0"]) + 6.0
--- a/tests/test_standstill.py
+++ b/tests/test_standstill.py
@@ -9,7 +9,7 @@
 import anyio.lowlevel
 import pytest
 from bed import Net, deployment, wanted
-from test_handover import Processes, among_processes
+from test_handover import Processes, run_processes
 from test_sidecar import always, seen, until
 
 from lupinmill.protocol.http import Answer, ClientSide, Request
@@ -79,7 +79,7 @@
         for stream in streams:
             await stream.aclose()
 
-    among_processes(check, net, tmp_path)
+    run_processes(check, net, tmp_path)
     log = (tmp_path / "log0").read_text()
     assert log.count('"lagging"') >= 1, "it did not stand still"
     return log
