--- a/lupinmill/__main__.py
+++ b/lupinmill/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m lupinmill`: one sidecar, told by its environment; with arguments, the command."""
+"""`python -m lupinmill`: runs one sidecar, configured by its environment; with arguments, the command."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 SERVES = __name__ == "__main__" and len(sys.argv) < 2
 SIGNALS = Signals()
 if SERVES:
-    # Before the imports below, which take most of a start: until then a signal ends the process.
+    # Before the imports below, which take most of the startup time: until then a signal ends the process.
     open_missing()
     SIGNALS.hold()
 
@@ -47,12 +47,12 @@
     if len(sys.argv) < 2:
         return serve()
     try:
-        from lupinmill.cli.main import main as command  # what serves never imports it
+        from lupinmill.cli.main import main as command  # a serving process never imports it
     except ModuleNotFoundError as error:
         if error.name != "click":
             raise
         print(
-            "lupinmill: commands want click: pip install 'lupinmill[peers]' or 'lupinmill[lab]'",
+            "lupinmill: commands require click: pip install 'lupinmill[peers]' or 'lupinmill[lab]'",
             file=sys.stderr,
         )
         return 2
--- a/lupinmill/cli/__init__.py
+++ b/lupinmill/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The `lupinmill` command: a thin file a group of commands. What serves does not import it."""
+"""The `lupinmill` command, one module per group of commands. The serving process does not import it."""
--- a/lupinmill/cli/admin_client.py
+++ b/lupinmill/cli/admin_client.py
@@ -1,4 +1,4 @@
-"""One call at a sidecar's operators' address. Owns nothing beyond the call."""
+"""Client of the admin API: one call per connection."""
 
 from __future__ import annotations
 
@@ -9,55 +9,55 @@
 import click
 import msgspec
 
-ANSWER = 3.0  # seconds
-LARGEST = 4 * 2**20
-AT = click.option(
+TIMEOUT_S = 3.0
+MAX_ANSWER_BYTES = 4 * 2**20
+ADDRESS_OPTION = click.option(
     "--at",
     "address",
     envvar="BALANCER_OPERATOR",
     required=True,
     metavar="HOST:PORT",
-    help="The sidecar's operators' address; else $BALANCER_OPERATOR.",
+    help="The admin address of the sidecar; default: $BALANCER_OPERATOR.",
 )
 
 
-class NoAnswer(Exception):
-    """The text is the one line."""
+class AdminCallFailed(Exception):
+    """The call failed or was refused. Its text is the one line to print."""
 
 
-def call(
+def send_call(
     address: str,
     path: str,
     method: str = "GET",
-    limit: float = ANSWER,
+    timeout: float = TIMEOUT_S,
     body: bytes | None = None,
-    root: str = "/admin/",
-    largest: int = LARGEST,
+    base_path: str = "/admin/",
+    max_bytes: int = MAX_ANSWER_BYTES,
 ) -> tuple[int, bytes]:
-    """Status and body, of which no more than `largest` bytes. Raises NoAnswer."""
+    """Returns the status and at most `max_bytes` of the body. Raises AdminCallFailed."""
     try:
-        connection = http.client.HTTPConnection(address, timeout=limit)
+        connection = http.client.HTTPConnection(address, timeout=timeout)
         try:
-            connection.request(method, f"{root}{path}", body)
+            connection.request(method, f"{base_path}{path}", body)
             response = connection.getresponse()
-            return response.status, response.read(largest)
+            return response.status, response.read(max_bytes)
         finally:
             connection.close()
     except (OSError, http.client.HTTPException, ValueError) as error:
-        raise NoAnswer(f"{address}: {error or type(error).__name__}") from error
+        raise AdminCallFailed(f"{address}: {error or type(error).__name__}") from error
 
 
-def table(address: str, path: str) -> dict[str, Any]:
-    """Raises NoAnswer."""
-    status, data = call(address, path)
+def fetch_table(address: str, path: str) -> dict[str, Any]:
+    """Returns the JSON object at the path. Raises AdminCallFailed."""
+    status, data = send_call(address, path)
     if status != 200:
-        raise NoAnswer(f"{address}: {status} {data[:200].decode('utf-8', 'replace').strip()}")
+        raise AdminCallFailed(f"{address}: {status} {data[:200].decode('utf-8', 'replace').strip()}")
     try:
         return msgspec.json.decode(data, type=dict[str, Any])
     except msgspec.DecodeError as error:
-        raise NoAnswer(f"{address}: {error}") from error
+        raise AdminCallFailed(f"{address}: {error}") from error
 
 
-def refuse(error: Exception) -> NoReturn:
+def exit_with_error(error: Exception) -> NoReturn:
     click.echo(f"lupinmill: {error}", err=True)
     sys.exit(2)
--- a/lupinmill/cli/check.py
+++ b/lupinmill/cli/check.py
@@ -1,4 +1,4 @@
-"""`lupinmill check FILE`: what follows from an operator's file, before anything runs by it."""
+"""`lupinmill check FILE`: validates an operator's file and explains its effects, before it is used."""
 
 from __future__ import annotations
 
@@ -13,126 +13,131 @@
 from lupinmill.program.operators_file import BadFile, File
 
 
-def follows(file: File, name: str | None) -> list[str]:
+def summary(file: File, name: str | None) -> list[str]:
+    """The effects of a file in plain language, one line each; with a name, also for that sidecar."""
     lines = [f"site {file.site}"]
     peers = file.peers
     if peers is None:
-        lines.append("peers: off; each sidecar goes by its own evidence, as ever")
-        return lines + config_in_words(file, name)
+        lines.append("peers: off; each sidecar decides by its own evidence only")
+        return lines + describe_config(file, name)
     zones = sorted({entry.zone for entry in peers.members.values() if entry.zone})
     regions = sorted({entry.region for entry in peers.members.values() if entry.region})
     lines.append(
         f"peers: {len(peers.members)} sidecars in {len(zones) or 1} zones and {len(regions) or 1} regions; "
-        f"each asks one other every {peers.round_ms} ms"
+        f"each probes one other every {peers.round_ms} ms"
     )
     timing = operators_file.Timing(round=peers.round_ms * 1000)
     count = len(peers.members)
     least = timing.suspicion(count, count) / 1e6 + peers.round_ms / 1000
     most = timing.suspicion(count, 0) / 1e6 + 2 * peers.round_ms / 1000
-    lines.append(f"a sidecar that fails is given up {least:.1f} to {most:.1f} s after it was first suspected")
+    lines.append(
+        f"a failed sidecar is declared dead {least:.1f} to {most:.1f} s after it was first suspected"
+    )
     if peers.electors:
-        need = majority(len(peers.electors))
+        quorum = majority(len(peers.electors))
         lines.append(
-            f"decisions: {need} of {len(peers.electors)} electors ({', '.join(peers.electors)}) must agree; "
-            f"with {len(peers.electors) - need + 1} of them away nothing is decided in common"
+            f"decisions: {quorum} of {len(peers.electors)} electors ({', '.join(peers.electors)}) "
+            f"must agree; if {len(peers.electors) - quorum + 1} are unavailable no joint decision is possible"
         )
         lines.append(
-            f"leases run {peers.lease_s:g} s: so long at most a dead holder's topic waits for the next one"
+            f"leases last {peers.lease_s:g} s: after the death of a holder its topic waits at most this long"
         )
         keep = (
             f"kept in {peers.keep}"
             if peers.keep
             else (
                 f"not kept: an elector that restarts gives no vote for {peers.lease_s * 1.02:.1f} s, and "
-                f"decisions are lost where {need} forget at a time"
+                f"decisions are lost if {quorum} restart at the same time"
             )
         )
         lines.append(f"electors' promises are {keep}")
         electors = [peers.members[one] for one in peers.electors]
         for place in ("zone", "region"):
-            where = [getattr(one, place) for one in electors]
-            crowded = [one for one in dict.fromkeys(where) if one and where.count(one) >= need]
-            if crowded:
-                lines.append(f"caution: losing {place} {crowded[0]} alone takes the majority away")
+            places = [getattr(one, place) for one in electors]
+            critical = [one for one in dict.fromkeys(places) if one and places.count(one) >= quorum]
+            if critical:
+                lines.append(f"caution: losing {place} {critical[0]} alone loses the majority")
     else:
         lines.append("decisions: none, there are no electors")
     if peers.live_count:
-        lines.append(
-            "caps are shared out by how many sidecars are there, not by the figure told at the start"
-        )
-    lines += zones_in_words(file)
+        lines.append("caps are divided by the number of live sidecars, not by the configured number")
+    lines += describe_zones(file)
     if name is not None:
-        told = operators_file.told(file, name)
+        peer_settings = operators_file.told(file, name)
         entry = peers.members[name]
         lines.append(
-            f"this sidecar, {name}: zone {entry.zone or 'not told'}, region {entry.region or 'not told'}, "
+            f"this sidecar, {name}: zone {entry.zone or 'not set'}, region {entry.region or 'not set'}, "
             f"listens for peers at {operators_file.bind(file, name)}"
-            f"{', an elector' if name in told.electors else ''}"
-            f"{', asks for ' + ', '.join(told.wants) if told.wants else ''}"
+            f"{', an elector' if name in peer_settings.electors else ''}"
+            f"{', requests leases on ' + ', '.join(peer_settings.wants) if peer_settings.wants else ''}"
         )
-    lines.append("the peers' network must be a trusted one: there are no keys and no sign-in")
+    lines.append("the peers' network must be a trusted one: messages are neither encrypted nor authenticated")
     for row in TABLE.values():
         lines.append(
             f"{row.feature}: alone it {row.alone}; only with a majority it {row.majority}; "
             f"without it {row.falls_back}"
         )
-    return lines + config_in_words(file, name)
+    return lines + describe_config(file, name)
 
 
-def config_in_words(file: File, name: str | None) -> list[str]:
+def describe_config(file: File, name: str | None) -> list[str]:
     config = file.config
     if config is None:
-        return ["config: off; other settings want a new start"]
+        return ["config: off; changed settings require a restart"]
     zone, region = operators_file.place(file, name or "", "")
     lines = [
         f"config: settings and the roster also come from {len(config.relays)} relays "
-        f"({', '.join(config.relays)}), in force without a new start; all that ask anew come within "
-        f"{config.spread_s:g} s, until relays tell their own",
+        f"({', '.join(config.relays)}), in force without a restart; reconnects are spread over "
+        f"{config.spread_s:g} s, until relays send their own value",
         "this sidecar watches " + ", ".join(merge.scopes_of(name or "NAME", zone, region, config.service)),
-        f"the last version in force is kept in {config.keep}, which a start goes by before a relay answers"
+        f"the last version in force is kept in {config.keep}, which a start uses until a relay answers"
         if config.keep
-        else "no version is kept: until a relay answers, a start goes by the platform's file",
+        else "no version is kept: until a relay answers, a start uses the platform's file",
     ]
     if len(config.relays) < 2:
-        lines.append("caution: while its only relay is away no change comes in force here")
+        lines.append("caution: while its only relay is unavailable no change comes into force here")
     if not config.service:
-        lines.append("caution: no config.service is named: no entry of a service concerns it")
+        lines.append("caution: no config.service is set: no service entry applies to it")
     return lines
 
 
-def zones_in_words(file: File) -> list[str]:
+def describe_zones(file: File) -> list[str]:
     zones = file.zones
     if zones is None or file.peers is None:
-        return ["zones: off; launches go to any zone"]
+        return ["zones: off; attempts go to any zone"]
     map_ = operators_file.zone_map(zones, dict.fromkeys(zones.workloads, 1.0) or {"any": 1.0})
-    lines = [f"zones: {len(zones.map)}, traffic stays near, and leaves its zone as decided in common"]
+    lines = [f"zones: {len(zones.map)}, traffic stays near, and leaves its zone by joint decision only"]
     for zone in map_.zones:
-        there = sum(member.zone == zone.name for member in file.peers.members.values())
+        sidecars = sum(member.zone == zone.name for member in file.peers.members.values())
         order = ", ".join(map_.order(zone.name)) or "nowhere"
         lines.append(
-            f"  {zone.name}: {there} sidecars; in trouble to {order}; from others it takes up to "
-            f"{100 * min(0.9, 1 - zone.spare):.0f}% of what it can do"
+            f"  {zone.name}: {sidecars} sidecars; its overflow goes to {order}; from others it accepts up to "
+            f"{100 * min(0.9, 1 - zone.spare):.0f}% of its capacity"
         )
-        if not there:
+        if not sidecars:
             lines.append(
-                f"caution: nobody in {zone.name} tells of it; others spill into it only once they know it"
+                f"caution: no sidecar in {zone.name} reports on it; others use it only once they know it"
             )
     for load in (w for w in map_.workloads if w.name in zones.workloads):
         lines.append(
             f"  {load.name}: {100 * load.leave_zone:.0f}% of a zone's traffic may leave it, "
             f"{100 * load.leave_region:.0f}% its region"
-            + (", more out of a lost zone" if load.breaks else "")
+            + (", more if the zone is lost" if load.breaks else "")
         )
     return lines
 
 
 @click.command()
 @click.argument("path", metavar="FILE")
-@click.option("--name", envvar="BALANCER_NAME", help="The sidecar that shall run by it; else $BALANCER_NAME.")
+@click.option(
+    "--name",
+    envvar="BALANCER_NAME",
+    help="Name of the sidecar that will use the file; default: $BALANCER_NAME.",
+)
 def check(path: str, name: str | None) -> None:
-    """Check an operator's file and tell what follows from it."""
+    """Check an operator's file and explain its effects."""
     try:
-        lines = follows(operators_file.read(path), name)
+        lines = summary(operators_file.read(path), name)
     except BadFile as error:
         text = str(error)
         click.echo(f"lupinmill: {text if text.startswith(path) else f'{path}: {text}'}", err=True)
--- a/lupinmill/cli/config.py
+++ b/lupinmill/cli/config.py
@@ -1,8 +1,8 @@
-"""`lupinmill config`: versioned configuration, asked and changed at the operators' addresses of relays and of
+"""`lupinmill config`: queries and changes versioned configuration, at the admin addresses of relays and of
 the source.
 
-Exit codes: 0 done, or in force everywhere; 1 refused, or not in force everywhere; 2 no answer, or a file or
-an argument that can't be used."""
+Exit codes: 0 done, or in force everywhere; 1 refused, or not in force everywhere; 2 no answer, or an invalid
+file or argument."""
 
 from __future__ import annotations
 
@@ -14,57 +14,59 @@
 import click
 import msgspec
 
-from lupinmill.cli import asking
-from lupinmill.cli.asking import NoAnswer, refuse
-from lupinmill.config import push as pushes
+from lupinmill.cli import admin_client
+from lupinmill.cli.admin_client import AdminCallFailed, exit_with_error
+from lupinmill.config import push as push_files
 from lupinmill.config.model import LARGEST
 from lupinmill.config.push import BadPush
 from lupinmill.config.standing import Times
 
-ROOT = "/v1/"
-PUBLISHED = 20.0  # seconds for a version to be checked and kept
-MOST = 4 * LARGEST  # bytes of an answer
-NAMED = 12  # of those that lag, at most, in words
-AT = click.option(
+BASE_PATH = "/v1/"
+PUBLISH_TIMEOUT_S = 20.0  # for the source to check and store a version
+MAX_ANSWER_BYTES = 4 * LARGEST
+MAX_LISTED = 12  # sidecars named per state
+ADDRESS_OPTION = click.option(
     "--at",
     "address",
     required=True,
     metavar="HOST:PORT",
-    help="The operators' address of a relay or the source.",
+    help="The admin address of a relay or the source.",
 )
-ALL = click.option(
+ADDRESSES_OPTION = click.option(
     "--at",
     "addresses",
     required=True,
     multiple=True,
     metavar="HOST:PORT",
-    help="The operators' address of a relay or the source; once for each of them.",
+    help="The admin address of a relay or the source; may be repeated.",
+)
+IF_INDEX_OPTION = click.option(
+    "--if-index", type=click.IntRange(0), help="Only if this is the current version."
 )
-IF_INDEX = click.option("--if-index", type=click.IntRange(0), help="Only if this is the present version.")
 
 
-def ask(address: str, path: str, method: str = "GET", body: bytes | None = None) -> tuple[int, bytes]:
-    """Raises NoAnswer."""
-    limit = PUBLISHED if method == "POST" else asking.ANSWER
-    return asking.call(address, path, method, limit, body, ROOT, MOST)
+def send_call(address: str, path: str, method: str = "GET", body: bytes | None = None) -> tuple[int, bytes]:
+    """Raises AdminCallFailed."""
+    timeout = PUBLISH_TIMEOUT_S if method == "POST" else admin_client.TIMEOUT_S
+    return admin_client.send_call(address, path, method, timeout, body, BASE_PATH, MAX_ANSWER_BYTES)
 
 
-def table(address: str, path: str) -> dict[str, Any]:
-    """Raises NoAnswer."""
-    status, data = ask(address, path)
+def fetch_table(address: str, path: str) -> dict[str, Any]:
+    """Returns the JSON object at the path. Raises AdminCallFailed."""
+    status, data = send_call(address, path)
     if status != 200:
-        raise NoAnswer(f"{address}: {status} {data[:200].decode('utf-8', 'replace').strip()}")
+        raise AdminCallFailed(f"{address}: {status} {data[:200].decode('utf-8', 'replace').strip()}")
     try:
         return msgspec.json.decode(data, type=dict[str, Any])
     except msgspec.DecodeError as error:
-        raise NoAnswer(f"{address}: {error}") from error
+        raise AdminCallFailed(f"{address}: {error}") from error
 
 
-# --- what is summed ------------------------------------------------------------------------------
+# --- aggregation ---------------------------------------------------------------------------------
 
 
-def summed(tables: list[dict[str, Any]]) -> dict[str, Any]:
-    """Of several relays: each that watches counts once, as the relay says that heard it last."""
+def summarize(tables: list[dict[str, Any]]) -> dict[str, Any]:
+    """Combines the status of several relays: each watcher counts once, as seen by the latest relay."""
     newest = max(one["index"] for one in tables)
     rows: dict[str, dict[str, Any]] = {}
     for one in tables:
@@ -85,15 +87,15 @@
             state = "in_force" if row["index"] >= row["due"] and row["relay_index"] == newest else "lags"
         found[state].append(row)
     found["of"] = sum(len(found[state]) for state in ("in_force", "lags", "refuses", "away"))
-    found["time_in_force"] = merged([one["in_force"] for one in tables])
-    found["time_at_relays"] = merged([one["at_relays"] for one in tables])
+    found["time_in_force"] = merge_times([one["in_force"] for one in tables])
+    found["time_at_relays"] = merge_times([one["at_relays"] for one in tables])
     apart = ("watchers", "in_force", "at_relays")
     found["relays"] = [{key: one[key] for key in one if key not in apart} for one in tables]
     return found
 
 
-def merged(shown: list[dict[str, Any]]) -> dict[str, Any]:
-    """Times of several relays as one, by their classes."""
+def merge_times(shown: list[dict[str, Any]]) -> dict[str, Any]:
+    """Merges the time histograms of several relays."""
     times = Times()
     for one in shown:
         classes = {int(at): count for at, count in one["classes"].items()}
@@ -101,12 +103,12 @@
     return times.show()
 
 
-def whole(found: dict[str, Any]) -> bool:
+def in_force_everywhere(found: dict[str, Any]) -> bool:
     behind = any(one["index"] < found["index"] or one["ahead"] for one in found["relays"])
     return not (found["lags"] or found["refuses"] or found["away"] or behind)
 
 
-def in_words(found: dict[str, Any]) -> list[str]:
+def describe(found: dict[str, Any]) -> list[str]:
     lines = [f"version {found['index']}: in force at {len(found['in_force'])} of {found['of']} sidecars"]
     for what, key in (("time in force", "time_in_force"), ("time to the relays", "time_at_relays")):
         if (times := found[key])["count"]:
@@ -114,18 +116,18 @@
                 f"{what}: p50 {times['p50_ms']:g} ms, p99 {times['p99_ms']:g} ms, "
                 f"last {times['last_ms']:g} ms, of {times['count']}"
             )
-    for row in found["refuses"][:NAMED]:
+    for row in found["refuses"][:MAX_LISTED]:
         lines.append(f"  {row['name']} refuses {row['refused']}, stays at {row['index']}: {row['why']}")
     for state, words in (("lags", "lags"), ("away", "is away")):
-        for row in found[state][:NAMED]:
+        for row in found[state][:MAX_LISTED]:
             due = max(row["due"], row["relay_index"])
             lines.append(
                 f"  {row['name']} {words}: at {row['index']} of {due}, "
                 f"heard {row['heard_s']} s ago by {row['at']}"
             )
     for state in ("refuses", "lags", "away"):
-        if len(found[state]) > NAMED:
-            lines.append(f"  and {len(found[state]) - NAMED} more: {state}")
+        if len(found[state]) > MAX_LISTED:
+            lines.append(f"  and {len(found[state]) - MAX_LISTED} more: {state}")
     for one in found["relays"]:
         lines.append(
             f"{one['role']} {one['name']}: version {one['index']}, {one['kept']} on disk"
@@ -145,40 +147,42 @@
 
 @click.group()
 def config() -> None:
-    """Versioned configuration, in force in running sidecars."""
+    """Versioned configuration of running sidecars."""
 
 
 @config.command()
-@ALL
-@click.option("--json", "as_json", is_flag=True, help="All figures and names, for programs.")
+@ADDRESSES_OPTION
+@click.option("--json", "as_json", is_flag=True, help="Print all figures and names as JSON.")
 def status(addresses: tuple[str, ...], as_json: bool) -> None:
-    """Version in force at how many of how many, who lags, who refuses and why. Ask relays and the source."""
-    tables, silent = [], []
+    """Show where the version is in force, who lags, and who refuses it and why. Ask relays and the source."""
+    tables, unreachable = [], []
     for address in dict.fromkeys(addresses):
         try:
-            tables.append(table(address, "status"))
-        except NoAnswer as error:
-            silent.append(str(error))
+            tables.append(fetch_table(address, "status"))
+        except AdminCallFailed as error:
+            unreachable.append(str(error))
     if not tables:
-        refuse(NoAnswer("; ".join(silent)))
-    found = summed(tables) | {"no_answer": silent}
+        exit_with_error(AdminCallFailed("; ".join(unreachable)))
+    found = summarize(tables) | {"no_answer": unreachable}
     if as_json:
         click.echo(msgspec.json.format(msgspec.json.encode(found)).decode())
     else:
-        click.echo("\n".join([*in_words(found), *(f"no answer: {one}" for one in silent)]))
-    sys.exit(2 if silent else 0 if whole(found) else 1)
+        click.echo("\n".join([*describe(found), *(f"no answer: {one}" for one in unreachable)]))
+    sys.exit(2 if unreachable else 0 if in_force_everywhere(found) else 1)
 
 
 @config.command()
-@AT
-@click.option("--scope", "scopes", multiple=True, help="Only of this one, as service/tender; may come again.")
-@click.option("--json", "as_json", is_flag=True, help="As rows, for programs.")
+@ADDRESS_OPTION
+@click.option(
+    "--scope", "scopes", multiple=True, help="Only this scope, such as service/tender; may be repeated."
+)
+@click.option("--json", "as_json", is_flag=True, help="Print the rows as JSON.")
 def show(address: str, scopes: tuple[str, ...], as_json: bool) -> None:
-    """All entries of the version there."""
+    """Show all entries of the version at an address."""
     try:
-        found = table(address, "entries")
-    except NoAnswer as error:
-        refuse(error)
+        found = fetch_table(address, "entries")
+    except AdminCallFailed as error:
+        exit_with_error(error)
     rows = [row for row in found["entries"] if not scopes or row["scope"] in scopes]
     if as_json:
         text = {"index": found["index"], "mark": found["mark"], "entries": rows}
@@ -189,66 +193,70 @@
         click.echo(f"{row['scope']} {row['kind']} {msgspec.json.encode(row['value']).decode()}")
 
 
-def publish(address: str, path: str, body: bytes | None = None) -> None:
+def publish_version(address: str, path: str, body: bytes | None = None) -> None:
     try:
-        status, data = ask(address, path, "POST", body)
+        status, data = send_call(address, path, "POST", body)
         text = data.decode("utf-8", "replace").strip()
         if status == 200:
             text = f"version {msgspec.json.decode(data)['index']}"
-    except (NoAnswer, msgspec.DecodeError, KeyError, TypeError) as error:
-        refuse(error if isinstance(error, NoAnswer) else NoAnswer(f"{address}: no answer of a source"))
+    except (AdminCallFailed, msgspec.DecodeError, KeyError, TypeError) as error:
+        exit_with_error(
+            error
+            if isinstance(error, AdminCallFailed)
+            else AdminCallFailed(f"{address}: the answer is not one of a source")
+        )
     click.echo(text if status == 200 else f"lupinmill: {text}", err=status != 200)
     sys.exit(0 if status == 200 else 1)
 
 
 @config.command()
 @click.argument("path", metavar="FILE")
-@AT
-@IF_INDEX
+@ADDRESS_OPTION
+@IF_INDEX_OPTION
 def push(path: str, address: str, if_index: int | None) -> None:
-    """Publish the entries of FILE, TOML or JSON, as the next version. Checked by the source first."""
+    """Publish the entries of FILE (TOML or JSON) as the next version, after the source has checked them."""
     try:
-        entries = pushes.entries_of(read(path))
+        entries = push_files.entries_of(read_entries_file(path))
     except BadPush as error:
-        refuse(BadPush(f"{path}: {error}"))
+        exit_with_error(BadPush(f"{path}: {error}"))
     rows = [{"scope": key.scope, "kind": key.kind, "value": value} for key, value in entries.items()]
     body: dict[str, Any] = {"entries": rows}
     if if_index is not None:
         body["if_index"] = if_index
-    publish(address, "push", msgspec.json.encode(body))
+    publish_version(address, "push", msgspec.json.encode(body))
 
 
 @config.command()
 @click.argument("index", type=click.IntRange(0))
-@AT
-@IF_INDEX
+@ADDRESS_OPTION
+@IF_INDEX_OPTION
 def rollback(index: int, address: str, if_index: int | None) -> None:
-    """Publish the content of version INDEX as the next one."""
-    publish(address, f"rollback?to={index}" + ("" if if_index is None else f"&if_index={if_index}"))
+    """Publish the content of version INDEX as the next version."""
+    publish_version(address, f"rollback?to={index}" + ("" if if_index is None else f"&if_index={if_index}"))
 
 
 @config.command()
-@AT
+@ADDRESS_OPTION
 def restore(address: str) -> None:
-    """Publish what the source has beyond all versions heard of: after it came back from an older backup."""
-    publish(address, "restore")
+    """Publish the source's content above all known versions, after a restore from an older backup."""
+    publish_version(address, "restore")
 
 
-def read(path: str) -> dict[str, Any]:
+def read_entries_file(path: str) -> dict[str, Any]:
     """Raises BadPush."""
     try:
         data = Path(path).read_bytes()
         if len(data) > LARGEST:
-            raise BadPush(f"over {LARGEST} bytes")
+            raise BadPush(f"larger than {LARGEST} bytes")
         if path.endswith(".json"):
             found = msgspec.json.decode(data)
             if not isinstance(found, dict):
-                raise BadPush("wants a table")
+                raise BadPush("must be a table")
             return found
         return tomllib.loads(data.decode())
     except OSError as error:
         raise BadPush(str(error.strerror)) from error
     except UnicodeDecodeError as error:
-        raise BadPush("no UTF-8") from error
+        raise BadPush("not valid UTF-8") from error
     except (tomllib.TOMLDecodeError, msgspec.DecodeError) as error:
         raise BadPush(str(error)) from error
--- a/lupinmill/cli/exit_codes.py
+++ b/lupinmill/cli/exit_codes.py
@@ -1,4 +1,4 @@
-"""Exit codes of the `lab` commands, and the one way in which they refuse what they were told."""
+"""Exit codes of the `lab` commands, and their common way to report bad input."""
 
 from __future__ import annotations
 
@@ -7,10 +7,11 @@
 
 import click
 
-BROKEN, BAD, VOID, STOPPED = 1, 2, 3, 130  # a rule, what was told, the run itself; by a signal
+# A rule was broken, the input is invalid, the run itself is void, stopped by a signal.
+EXIT_BROKEN, EXIT_BAD_INPUT, EXIT_VOID, EXIT_STOPPED = 1, 2, 3, 130
 
 
-def refuse(error: object) -> NoReturn:
-    """One line on standard error, and exit code BAD."""
+def exit_with_error(error: object) -> NoReturn:
+    """Prints one line on standard error and exits with EXIT_BAD_INPUT."""
     click.echo(f"lupinmill: {error}", err=True)
-    sys.exit(BAD)
+    sys.exit(EXIT_BAD_INPUT)
--- a/lupinmill/cli/faults.py
+++ b/lupinmill/cli/faults.py
@@ -6,22 +6,30 @@
 
 import click
 
-from lupinmill.cli.exits import BROKEN
+from lupinmill.cli.exit_codes import EXIT_BROKEN
 
 
 @click.command()
-@click.option("--seed", default=1, show_default=True, type=click.IntRange(0), help="Of the first run.")
+@click.option("--seed", default=1, show_default=True, type=click.IntRange(0), help="Seed of the first run.")
 @click.option(
-    "--seeds", default=1, show_default=True, type=click.IntRange(1), help="Runs, from that seed on."
+    "--seeds",
+    default=1,
+    show_default=True,
+    type=click.IntRange(1),
+    help="Number of runs, with consecutive seeds.",
 )
 @click.option("--processes", default=30, show_default=True, type=click.IntRange(1, 200))
 @click.option(
-    "--seconds", default=30.0, show_default=True, type=click.FloatRange(1, 3600), help="Of each run."
+    "--seconds", default=30.0, show_default=True, type=click.FloatRange(1, 3600), help="Length of each run."
+)
+@click.option(
+    "--soak",
+    is_flag=True,
+    help="Soak test: long-lived processes, slow discovery, clients that stay until the kill.",
 )
-@click.option("--soak", is_flag=True, help="Long lives, slow discovery, clients up to the kill.")
 def faults(seed: int, seeds: int, processes: int, seconds: float, soak: bool) -> None:
-    """Real processes among stand-ins under drawn faults, judged by a referee. Exit code 1 where it finds a
-    break; it prints the seed and the schedule that replay it, and where its full report is kept."""
+    """Run real processes among stand-ins under random faults, checked by a referee. Exit code 1 if a rule is
+    broken; prints the seed and the schedule to replay it, and the path of the full report."""
     from lupinmill.lab.faults import reports, run
 
     broken = False
@@ -29,4 +37,4 @@
         verdict = run.play(one, processes, seconds, soak=soak)
         click.echo(reports.verdict_text(verdict))
         broken |= bool(verdict.breaks)
-    sys.exit(BROKEN if broken else 0)
+    sys.exit(EXIT_BROKEN if broken else 0)
--- a/lupinmill/cli/fleets.py
+++ b/lupinmill/cli/fleets.py
@@ -8,25 +8,31 @@
 import click
 import msgspec
 
-from lupinmill.cli.exits import BROKEN, refuse
+from lupinmill.cli.exit_codes import EXIT_BROKEN, exit_with_error
 from lupinmill.lab import scenario
 from lupinmill.lab.scenario import BadScenario
 
 
 @click.command("fleet")
 @click.argument("name", metavar="SCENARIO")
-@click.option("--seed", default=None, type=click.IntRange(0, 2**31), help="Else the scenario's own.")
 @click.option(
-    "--seeds", default=1, show_default=True, type=click.IntRange(1, 1000), help="Runs, from that seed on."
+    "--seed", default=None, type=click.IntRange(0, 2**31), help="Default: the seed of the scenario."
 )
-@click.option("--sockets", is_flag=True, help="Real processes with a relay between every two, in real time.")
 @click.option(
-    "--html", "page", type=click.Path(dir_okay=False), help="Write the last run as a page of strips."
+    "--seeds",
+    default=1,
+    show_default=True,
+    type=click.IntRange(1, 1000),
+    help="Number of runs, with consecutive seeds.",
 )
-@click.option("--json", "path", type=click.Path(dir_okay=False), help="Write the last run's result.")
+@click.option(
+    "--sockets", is_flag=True, help="Use real processes with a relay between every two, in real time."
+)
+@click.option("--html", "page", type=click.Path(dir_okay=False), help="Write the last run as an HTML page.")
+@click.option("--json", "path", type=click.Path(dir_okay=False), help="Write the result of the last run.")
 def fleet(name: str, seed: int | None, seeds: int, sockets: bool, page: str | None, path: str | None) -> None:
-    """Sidecars that know each other, with faults between them; `random` draws the faults by the seed. Exit
-    code 1 where an invariant was broken."""
+    """Run a fleet of sidecars that know each other, with faults between them; `random` draws the faults from
+    the seed. Exit code 1 if an invariant was broken."""
     import asyncio
 
     from lupinmill.lab import fleet as scenarios
@@ -35,7 +41,7 @@
     try:
         read = None if name == "random" else scenarios.load(name)
     except scenarios.BadFleet as error:
-        refuse(error)
+        exit_with_error(error)
     broken = False
     first = seed if seed is not None else read.seed if read is not None else 1
     for number in range(first, first + seeds):
@@ -56,22 +62,21 @@
         from lupinmill.lab import fleet_report
 
         fleet_report.write(page, one)
-    sys.exit(BROKEN if broken else 0)
+    sys.exit(EXIT_BROKEN if broken else 0)
 
 
 @click.command("zones")
 @click.argument("name", metavar="SCENARIO", default="zone-loss")
-@click.option("--modes", default="off,near,alone,plan,sight", show_default=True, help="What is compared.")
+@click.option("--modes", default="off,near,alone,plan,sight", show_default=True, help="Modes to compare.")
 @click.option("--seeds", default=10, show_default=True, type=click.IntRange(1, 1000))
 @click.option(
     "--set", "changes", multiple=True, metavar="KEY=VALUE", help="Change a setting of the scenario."
 )
-@click.option("--jobs", default=0, help="Runs at once; all cores if not told.")
+@click.option("--jobs", default=0, help="Parallel runs; default: all cores.")
 def zones(name: str, modes: str, seeds: int, changes: tuple[str, ...], jobs: int) -> None:
-    """A scenario of zones in virtual time: today, near only, each alone, the plan in common, one that sees
-    all.
+    """Compare zone modes in virtual time: off, near only, each sidecar alone, common plan, full view.
 
-    Exit code 1 where a rule was broken or two held one epoch.
+    Exit code 1 if a rule was broken or two sidecars held the same epoch.
     """
     import os
 
@@ -87,18 +92,18 @@
             name, chosen, list(range(1, seeds + 1)), pairs, jobs or os.cpu_count() or 1, click.echo
         )
     except (BadScenario, ValueError) as error:
-        refuse(error)
-    sys.exit(BROKEN if any(row.broken for rows in found.values() for row in rows) else 0)
+        exit_with_error(error)
+    sys.exit(EXIT_BROKEN if any(row.broken for rows in found.values() for row in rows) else 0)
 
 
 @click.command()
-@click.option("--kind", "kinds", multiple=True, help="Rows: death, quiet, 'loss 10%', ...; all if not told.")
-@click.option("--sizes", default="10,100", show_default=True, help="Members.")
+@click.option("--kind", "kinds", multiple=True, help="Rows: death, quiet, 'loss 10%', ...; default: all.")
+@click.option("--sizes", default="10,100", show_default=True, help="Numbers of members.")
 @click.option("--seeds", default=10, show_default=True, type=click.IntRange(1, 1000))
-@click.option("--seconds", default=300.0, show_default=True, help="Of simulated time, of the rows with loss.")
-@click.option("--jobs", default=0, help="Runs at once; all cores if not told.")
+@click.option("--seconds", default=300.0, show_default=True, help="Simulated time of the rows with loss.")
+@click.option("--jobs", default=0, help="Parallel runs; default: all cores.")
 def members(kinds: tuple[str, ...], sizes: str, seeds: int, seconds: float, jobs: int) -> None:
-    """Membership by size, in virtual time, each figure beside theory's."""
+    """Measure membership by fleet size, in virtual time, next to the theoretical figures."""
     import os
 
     from lupinmill.lab import fleet_measure
@@ -111,12 +116,12 @@
                 f"--kind {wrong[0]}: one of {', '.join(fleet_measure.KINDS)}" if wrong else "--sizes"
             )
     except ValueError as error:
-        refuse(error)
+        exit_with_error(error)
     chosen = list(kinds) or list(fleet_measure.KINDS)
     fleet_measure.table(chosen, counts, seeds, seconds, jobs or os.cpu_count() or 1, click.echo)
 
 
-def explore_versions(departures: int, states: int, walks: int) -> None:
+def explore_config_versions(departures: int, states: int, walks: int) -> None:
     from lupinmill.lab import explore_config
 
     outcome = explore_config.check(departures, states)
@@ -128,19 +133,26 @@
         click.echo(f"{count} walks")
     click.echo(wrong or "nothing goes wrong")
     if wrong:
-        sys.exit(BROKEN)
+        sys.exit(EXIT_BROKEN)
 
 
 @click.command()
 @click.option("--members", "size", default=3, show_default=True, type=click.Choice([3, 5]))
-@click.option("--wanting", default=2, show_default=True, help="How many of them ask for the lease.")
-@click.option("--forgetful", is_flag=True, help="Electors without directories.")
-@click.option("--departures", default=1, show_default=True, help="All schedules with so many.")
-@click.option("--states", default=1_000_000, show_default=True, help="At most.")
-@click.option("--walks", default=0, show_default=True, help="Schedules by chance, after them.")
-@click.option("--seconds", default=3.0, show_default=True, help="Of the small world's time.")
-@click.option("--replay", "schedule", default="", help="Play this schedule instead.")
-@click.option("--config", is_flag=True, help="Of versioned configuration: source, relays and sidecars.")
+@click.option("--wanting", default=2, show_default=True, help="Number of members that request the lease.")
+@click.option("--forgetful", is_flag=True, help="Electors without stable storage.")
+@click.option(
+    "--departures",
+    default=1,
+    show_default=True,
+    help="Explore all schedules with up to this many departures.",
+)
+@click.option("--states", default=1_000_000, show_default=True, help="Upper bound of explored states.")
+@click.option("--walks", default=0, show_default=True, help="Number of random schedules afterwards.")
+@click.option("--seconds", default=3.0, show_default=True, help="Simulated time of a schedule.")
+@click.option("--replay", "schedule", default="", help="Replay this schedule instead.")
+@click.option(
+    "--config", is_flag=True, help="Check versioned configuration instead: source, relays and sidecars."
+)
 def explore(
     size: int,
     wanting: int,
@@ -152,9 +164,9 @@
     schedule: str,
     config: bool,
 ) -> None:
-    """Model check of leases and decisions over the very cores; prints a failing schedule, shortest first."""
+    """Model-check leases and decisions on the production code; prints the shortest failing schedule."""
     if config:
-        explore_versions(departures, states, walks)
+        explore_config_versions(departures, states, walks)
         return
     from functools import partial
 
@@ -164,7 +176,7 @@
     if schedule:
         wrong = explorer.replay(make, schedule)
         click.echo(wrong or "nothing goes wrong")
-        sys.exit(BROKEN if wrong else 0)
+        sys.exit(EXIT_BROKEN if wrong else 0)
     outcome = explorer.explore(make, departures, states)
     how = "all" if outcome.whole else "not all"
     click.echo(f"{outcome.states} states, {how} schedules with up to {outcome.departures} departures")
@@ -177,5 +189,5 @@
     if found is not None:
         short = explorer.shortened(make, found)
         click.echo(f"BROKEN: {short.wrong}\n{short.text()}")
-        sys.exit(BROKEN)
+        sys.exit(EXIT_BROKEN)
     click.echo(f"nothing broken, also in {walks} walks" if walks else "nothing broken")
--- a/lupinmill/cli/lab.py
+++ b/lupinmill/cli/lab.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from lupinmill.cli.capacity import capacity
-from lupinmill.cli.exits import BROKEN, STOPPED, VOID, refuse
+from lupinmill.cli.exit_codes import EXIT_BROKEN, EXIT_STOPPED, EXIT_VOID, exit_with_error
 from lupinmill.cli.faults import faults
 from lupinmill.cli.fleets import explore, fleet, members, zones
 from lupinmill.cli.scale import slopes
@@ -23,19 +23,19 @@
 from lupinmill.lab.scenario import BadScenario
 
 
-def interrupt(signum: int, frame: Any) -> None:
+def raise_interrupt(signum: int, frame: Any) -> None:
     raise KeyboardInterrupt
 
 
 @click.group()
 def lab() -> None:
-    """Rehearse: emulator, load, experiments, reports. Figures are of simulated servers."""
-    signal.signal(signal.SIGTERM, interrupt)  # as Ctrl-C: nothing that was started outlives it
+    """Simulate and test: emulator, load, experiments, reports. All figures are of simulated servers."""
+    signal.signal(signal.SIGTERM, raise_interrupt)  # like Ctrl-C: child processes are ended
 
 
 @lab.command("list")
 def list_() -> None:
-    """The shipped scenarios."""
+    """List the shipped scenarios."""
     for name in scenario.shipped():
         click.echo(f"{name:<22} {scenario.load(name).title}")
 
@@ -43,22 +43,22 @@
 @lab.command()
 @click.argument("name", metavar="SCENARIO")
 def check(name: str) -> None:
-    """Check a scenario file; says file, key and reason of what is wrong."""
+    """Check a scenario file; reports the file, key and reason of an error."""
     try:
         read = scenario.load(name)
     except BadScenario as error:
-        refuse(error)
+        exit_with_error(error)
     click.echo(f"{scenario.find(name).name}: good: {read.title}")
 
 
 @lab.command()
 def schema() -> None:
-    """The scenario format as a JSON schema."""
+    """Print the JSON schema of the scenario format."""
     click.echo(msgspec.json.format(msgspec.json.encode(msgspec.json.schema(scenario.Scenario))).decode())
 
 
-def live(second: int, measure: Any) -> None:
-    """One line a second."""
+def print_second(second: int, measure: Any) -> None:
+    """Prints one line per simulated second."""
     entry = measure.seconds[max(0, second - 1)]
     click.echo(
         f"{second:4d} s  asked {entry.asked:4d}  in time {entry.in_time:4d}  denied {entry.denied:4d}"
@@ -67,7 +67,7 @@
     )
 
 
-def summary(one: Result) -> None:
+def print_summary(one: Result) -> None:
     f = one.figures
     click.echo(f"\n{one.scenario.get('title') or one.name} (seed {one.seed}, {one.policy}, {one.driver})")
     click.echo(
@@ -111,23 +111,23 @@
 
 def exit_code(one: Result) -> int:
     if not one.kept():
-        return BROKEN
+        return EXIT_BROKEN
     if one.void:
-        return VOID
-    return 0 if one.complete else STOPPED
+        return EXIT_VOID
+    return 0 if one.complete else EXIT_STOPPED
 
 
 @lab.command()
 @click.argument("name", metavar="SCENARIO")
 @click.option("--seed", default=1, show_default=True, type=click.IntRange(0, 2**62))
-@click.option("--sockets", is_flag=True, help="Real processes on loopback, in real time.")
-@click.option("--peers", is_flag=True, help="With --sockets: the front sidecars know each other.")
+@click.option("--sockets", is_flag=True, help="Use real processes on loopback, in real time.")
+@click.option("--peers", is_flag=True, help="With --sockets: the front sidecars are peers of each other.")
 @click.option("--policy", default="lupinmill", show_default=True, type=click.Choice(list(POLICIES)))
 @click.option(
     "--set", "changes", multiple=True, metavar="KEY=VALUE", help="Change a setting of the scenario."
 )
 @click.option("--json", "path", type=click.Path(dir_okay=False), help="Write the result to this file.")
-@click.option("--quiet", is_flag=True, help="No line a second.")
+@click.option("--quiet", is_flag=True, help="Do not print a line per second.")
 def run(
     name: str,
     seed: int,
@@ -138,26 +138,26 @@
     path: str | None,
     quiet: bool,
 ) -> None:
-    """Play one scenario. Exit code 1 where a rule was broken, 3 where the run is void."""
+    """Run one scenario. Exit code 1 if a rule was broken, 3 if the run is void."""
     from lupinmill.lab import experiments
 
     if sockets and policy != "lupinmill":
-        refuse(BadScenario("--sockets runs the program itself; baselines play in virtual time only"))
+        exit_with_error(BadScenario("--sockets runs the program itself; baselines run in virtual time only"))
     if peers and not sockets:
-        refuse(BadScenario("--peers goes with --sockets; `lab fleet` plays them in virtual time"))
+        exit_with_error(BadScenario("--peers requires --sockets; `lab fleet` runs peers in virtual time"))
     try:
         which = experiments.variant(";".join(changes), name)
         read = which.read()
     except BadScenario as error:
-        refuse(error)
-    one = experiments.play(read, name, seed, policy, sockets, None if quiet else live, peers=peers)
-    summary(one)
+        exit_with_error(error)
+    one = experiments.play(read, name, seed, policy, sockets, None if quiet else print_second, peers=peers)
+    print_summary(one)
     if path:
         result.write(path, one)
     sys.exit(exit_code(one))
 
 
-def bar(length: int, label: str) -> Any:
+def progress_bar(length: int, label: str) -> Any:
     return click.progressbar(length=length, label=label, file=sys.stderr)
 
 
@@ -169,21 +169,21 @@
 @click.argument("name", metavar="SCENARIO")
 @click.argument("first", metavar="A")
 @click.argument("second", metavar="B", required=False, default="")
-@click.option("--against", metavar="REV", help="B is the decision module of this earlier version.")
+@click.option("--against", metavar="REV", help="Use the decision module of this earlier version as B.")
 @click.option("--seeds", default=8, show_default=True, type=click.IntRange(2, 1000))
 @click.option("--first-seed", default=1, show_default=True)
-@click.option("--jobs", default=0, help="Runs at once; all cores if not told.")
+@click.option("--jobs", default=0, help="Parallel runs; default: all cores.")
 def compare(
     name: str, first: str, second: str, against: str | None, seeds: int, first_seed: int, jobs: int
 ) -> None:
-    """Play two variants with the same seeds and tell the difference with its 95% interval.
+    """Run two variants with the same seeds and print the difference with its 95% confidence interval.
 
-    A and B are a policy (lupinmill, fewest, ...) or settings (load.part=0.6;limits.copies=false).
+    A and B are each a policy (lupinmill, fewest, ...) or settings (load.part=0.6;limits.copies=false).
     """
     from lupinmill.lab import experiments
 
     if bool(second) == bool(against):
-        refuse(BadScenario("either B or --against REV is wanted"))
+        exit_with_error(BadScenario("either B or --against REV is required"))
     try:
         one = experiments.variant(first, name)
         two = (
@@ -192,13 +192,13 @@
             else experiments.Variant(f"{against}", name, one.policy, one.changes, str(against))
         )
         if one.name == two.name:
-            refuse(BadScenario("A and B are the same"))
+            exit_with_error(BadScenario("A and B must differ"))
         for which in (one, two):
             which.read()
-        with bar(2 * seeds, f"{one.name} | {two.name}") as shown:
+        with progress_bar(2 * seeds, f"{one.name} | {two.name}") as shown:
             found = experiments.compare(one, two, seed_list(seeds, first_seed), lambda: shown.update(1), jobs)
     except (BadScenario, NoSuchVersion) as error:
-        refuse(error)
+        exit_with_error(error)
     click.echo(f"{name}: {two.name} less {one.name}, {seeds} seeds paired")
     click.echo(f"  {'':24} {one.name[:14]:>14} {two.name[:14]:>14} {'difference':>11}   95% interval")
     for d in found.differences():
@@ -208,20 +208,20 @@
             f"[{d.low:+.4f}, {d.high:+.4f}]{sure}"
         )
     broken = any(not r.kept() for results in found.results.values() for r in results.values())
-    sys.exit(BROKEN if broken else 0)
+    sys.exit(EXIT_BROKEN if broken else 0)
 
 
 @lab.command()
 @click.argument("names", metavar="SCENARIO...", nargs=-1, required=True)
 @click.option(
-    "--set", "settings", multiple=True, metavar="KEY=V1|V2", help="Values of a setting, for the grid."
+    "--set", "settings", multiple=True, metavar="KEY=V1|V2", help="Values of a setting in the grid."
 )
 @click.option(
     "--policy", "policies", multiple=True, type=click.Choice(list(POLICIES)), default=("lupinmill",)
 )
 @click.option("--seeds", default=5, show_default=True, type=click.IntRange(1, 10_000))
 @click.option("--into", type=click.Path(file_okay=False), default="found/sweep", show_default=True)
-@click.option("--jobs", default=0, help="Runs at once; all cores if not told.")
+@click.option("--jobs", default=0, help="Parallel runs; default: all cores.")
 def sweep(
     names: tuple[str, ...],
     settings: tuple[str, ...],
@@ -230,7 +230,7 @@
     into: str,
     jobs: int,
 ) -> None:
-    """A grid of settings times policies times seeds, over all cores; goes on where it was stopped."""
+    """Run a grid of settings, policies and seeds over all cores; resumes where it was stopped."""
     from lupinmill.lab import experiments
 
     try:
@@ -238,31 +238,31 @@
         for text in settings:
             key, equals, values = text.partition("=")
             if not equals:
-                raise BadScenario(f"--set {text}: KEY=V1|V2 is wanted")
+                raise BadScenario(f"--set {text}: expected KEY=V1|V2")
             table[key] = values.split("|")
         variants = [one for name in names for one in experiments.grid(name, table, list(policies))]
         for one in variants:
             one.read()
-        with bar(len(variants) * seeds, "runs") as shown:
+        with progress_bar(len(variants) * seeds, "runs") as shown:
             done = 0
 
-            def heard(there: int, _: int) -> None:
+            def on_progress(there: int, _: int) -> None:
                 nonlocal done
                 shown.update(there - done)
                 done = there
 
-            paths = experiments.sweep(variants, seed_list(seeds, 1), Path(into), heard, jobs)
+            paths = experiments.sweep(variants, seed_list(seeds, 1), Path(into), on_progress, jobs)
         results = [result.read(path) for path in paths]
     except (BadScenario, BadResult) as error:
-        refuse(error)
+        exit_with_error(error)
     except KeyboardInterrupt:
-        click.echo("stopped; the same command goes on from here", err=True)
-        sys.exit(STOPPED)
-    sweep_table(variants, results, seeds)
-    sys.exit(BROKEN if any(not one.kept() for one in results) else 0)
+        click.echo("stopped; run the same command again to resume", err=True)
+        sys.exit(EXIT_STOPPED)
+    print_sweep_table(variants, results, seeds)
+    sys.exit(EXIT_BROKEN if any(not one.kept() for one in results) else 0)
 
 
-def sweep_table(variants: list[Any], results: list[Result], seeds: int) -> None:
+def print_sweep_table(variants: list[Any], results: list[Result], seeds: int) -> None:
     click.echo(
         f"  {'variant':52} {'service':>15} {'worst 10 s':>11} {'denied':>7} {'launches':>8}  rules broken"
     )
@@ -286,46 +286,53 @@
 @click.argument("results", metavar="RESULT...", nargs=-1, required=True, type=click.Path(dir_okay=False))
 @click.option("--html", "path", default="report.html", show_default=True, type=click.Path(dir_okay=False))
 def report(results: tuple[str, ...], path: str) -> None:
-    """Results as one HTML page that opens offline."""
+    """Write results as one self-contained HTML page."""
     from lupinmill.lab import report as pages
 
     try:
         found = [result.read(name) for name in results]
     except BadResult as error:
-        refuse(error)
+        exit_with_error(error)
     pages.write(path, found)
     click.echo(path)
 
 
 @lab.command()
 @click.argument("name", metavar="RESULT", type=click.Path(dir_okay=False))
-@click.option("--step", type=click.IntRange(1), help="Tell the notes and orders of this step.")
-@click.option("--around", default=0, type=click.IntRange(0, 1000), help="And of so many before and after it.")
-@click.option("--submission", default="", help="Tell all steps that name this submission.")
+@click.option("--step", type=click.IntRange(1), help="Print the notes and orders of this step.")
+@click.option(
+    "--around",
+    default=0,
+    type=click.IntRange(0, 1000),
+    help="Also print this many steps before and after it.",
+)
+@click.option("--submission", default="", help="Print all steps that name this submission.")
 def replay(name: str, step: int | None, around: int, submission: str) -> None:
-    """Play a result again; exit code 1 where the steps differ from it."""
+    """Replay a result; exit code 1 if the steps differ."""
     from lupinmill.lab import replay as replays
 
     try:
         found = result.read(name)
         again = replays.replay(found, click.echo, step, submission, around)
     except (BadResult, BadScenario) as error:
-        refuse(error)
+        exit_with_error(error)
     if again.same:
         click.echo(f"the same {again.steps} steps")
         return
     click.echo(f"differs from second {again.differs_at} on (recorded by version {found.version})")
-    sys.exit(BROKEN)
+    sys.exit(EXIT_BROKEN)
 
 
 @lab.command()
-@click.option("--clients", default="16,64,200,400", help="Closed loops that ask again at once.")
-@click.option("--times", default="0.5,1,1.5,3,6,0.5", help="Open loops, multiples of what it carries.")
-@click.option("--seconds", default=5.0, show_default=True, help="Of each loop.")
+@click.option(
+    "--clients", default="16,64,200,400", help="Closed loops: numbers of clients that send again at once."
+)
+@click.option("--times", default="0.5,1,1.5,3,6,0.5", help="Open loops: multiples of the measured capacity.")
+@click.option("--seconds", default=5.0, show_default=True, help="Length of each loop.")
 @click.option("--memory-mb", default=192, show_default=True)
-@click.option("--against", metavar="REV", help="An earlier version before it, in the same run.")
+@click.option("--against", metavar="REV", help="Measure an earlier version first, in the same run.")
 def overload(clients: str, times: str, seconds: float, memory_mb: int, against: str | None) -> None:
-    """One sidecar on one core before idle endpoints: what it carries, and what it does beyond that."""
+    """Measure one sidecar on one core with idle endpoints: its capacity, and its behaviour beyond it."""
     from lupinmill.lab import earlier
     from lupinmill.lab import overload as loads
 
@@ -333,7 +340,7 @@
         counts = [int(one) for one in clients.split(",") if one]
         multiples = [float(one) for one in times.split(",") if one]
     except ValueError as error:
-        refuse(error)
+        exit_with_error(error)
 
     def play(label: str, root: Path) -> None:
         with loads.Site(root, memory_mb) as site:
@@ -349,7 +356,7 @@
                 play(against, Path(folder))
         play("this version", loads.ROOT)
     except NoSuchVersion as error:
-        refuse(error)
+        exit_with_error(error)
 
 
 for command in (capacity, explore, faults, fleet, members, slopes, zones):
--- a/lupinmill/cli/main.py
+++ b/lupinmill/cli/main.py
@@ -1,5 +1,5 @@
-"""The command's root. Groups are imported when they are asked for, so that one's extra is not wanted by the
-others."""
+"""Root of the command. Each group is imported on use only, so that it does not require the extras of other
+groups."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 import click
 
-GROUPS = {  # module, command, help, and the extra that it wants
-    "check": ("lupinmill.cli.check", "check", "Check an operator's file, tell what follows.", "peers"),
+GROUPS = {  # name: module, command, help, and the required extra
+    "check": ("lupinmill.cli.check", "check", "Check an operator's file and explain it.", "peers"),
     "config": ("lupinmill.cli.config", "config", "Versioned configuration: status, pushes.", "peers"),
-    "lab": ("lupinmill.cli.lab", "lab", "Rehearse: emulator, load, experiments, reports.", "lab"),
+    "lab": ("lupinmill.cli.lab", "lab", "Simulate: emulator, load, experiments, reports.", "lab"),
     "zones": ("lupinmill.cli.zones", "zones", "Traffic between zones: the plan, drains.", "peers"),
     "relay": ("lupinmill.cli.relay", "relay", "Run a relay of configuration, or its source.", "peers"),
-    "peers": ("lupinmill.cli.peers", "peers", "What a sidecar knows of the others.", "peers"),
+    "peers": ("lupinmill.cli.peers", "peers", "A sidecar's view of its peers.", "peers"),
 }
 
 
@@ -32,7 +32,7 @@
             if error.name and error.name.startswith("lupinmill"):
                 raise
             raise click.ClickException(
-                f"{name} wants {error.name}: pip install 'lupinmill[{extra}]'"
+                f"{name} requires {error.name}: pip install 'lupinmill[{extra}]'"
             ) from error
 
     def format_commands(self, ctx: click.Context, formatter: click.HelpFormatter) -> None:
@@ -49,13 +49,13 @@
 def root() -> None:
     """A load balancer for services that call services.
 
-    Without arguments it serves, told by BALANCER_CONFIG and its like.
+    Without arguments it serves, configured by BALANCER_CONFIG and related variables.
     """
 
 
 @root.command()
 def serve() -> None:
-    """Serve, as without arguments."""
+    """Serve; the same as without arguments."""
     from lupinmill.__main__ import serve as run
 
     sys.exit(run())
--- a/lupinmill/cli/peers.py
+++ b/lupinmill/cli/peers.py
@@ -1,4 +1,4 @@
-"""`lupinmill peers`: what one sidecar knows of the others, asked at its operators' address."""
+"""`lupinmill peers`: a sidecar's view of its peers, queried at its admin address."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 import click
 import msgspec
 
-from lupinmill.cli import asking
-from lupinmill.cli.asking import AT, NoAnswer, refuse
+from lupinmill.cli import admin_client
+from lupinmill.cli.admin_client import ADDRESS_OPTION, AdminCallFailed, exit_with_error
 
-STANDINGS = {
-    "together": "it sees most of the sidecars, and decisions in common can be made",
-    "in doubt": "views differ, or it is late itself: it keeps what it holds, and asks for nothing new",
+STANDING_TEXTS = {
+    "together": "it sees most of the sidecars, and joint decisions are possible",
+    "in doubt": "views differ, or it is late itself: it keeps its leases, and requests no new ones",
     "cut off": "it sees fewer than half: it serves by its own evidence and decides nothing for others",
     "alone": "it sees no other sidecar: it serves by its own evidence and decides nothing for others",
 }
-STATES = {
+STATUSES = {
     "alive": "there",
     "suspect": "silent, not yet given up",
     "dead": "failed",
@@ -26,31 +26,31 @@
 }
 
 
-def ask(address: str) -> dict[str, Any]:
-    """Raises NoAnswer."""
-    return asking.table(address, "peers")
+def fetch_peers(address: str) -> dict[str, Any]:
+    """Raises AdminCallFailed."""
+    return admin_client.fetch_table(address, "peers")
 
 
-def in_words(table: dict[str, Any]) -> list[str]:
-    """For a person: who is there, what this one may do, who holds what."""
+def describe(table: dict[str, Any]) -> list[str]:
+    """Describes in plain language the members, what this sidecar may do, and the lease holders."""
     standing = table["standing"]
     if "members" not in table:
         return [f"{table['name']}: {standing}"]
     lines = [
         f"{table['name']} is {standing}, for {table['standing_s']} s, sees {table['sees']} of {table['of']}: "
-        f"{STANDINGS.get(standing, '')}"
+        f"{STANDING_TEXTS.get(standing, '')}"
     ]
     if table["status"] == "left":
-        lines.append("It has told the others that it goes.")
+        lines.append("It has announced to the others that it leaves.")
     if table["late"] >= 3:
-        lines.append("It is late itself, or hears badly: it waits longer before it suspects others.")
+        lines.append("It is late itself, or loses messages: it waits longer before it suspects others.")
     width = max([len(row["name"]) for row in table["members"]] + [6])
     for row in table["members"]:
         place = " ".join(part for part in (row["region"], row["zone"]) if part)
         answered = f", answered {row['answered_s']} s ago" if row["answered_s"] is not None else ""
         elector = ", elector" if row["elector"] else ""
         lines.append(
-            f"  {row['name']:<{width}}  {STATES.get(row['status'], row['status'])} for {row['since_s']} s"
+            f"  {row['name']:<{width}}  {STATUSES.get(row['status'], row['status'])} for {row['since_s']} s"
             f"{', ' + place if place else ''}{elector}{answered}, told by {row['by'] or 'nobody'}"
         )
     elector = table["elector"]
@@ -58,7 +58,7 @@
         vote = (
             "votes"
             if elector["votes"]
-            else "gives no vote yet: it waits until what it once promised has run out"
+            else "gives no vote yet: it waits until its earlier promises have expired"
         )
         lines.append(f"It is an elector and {vote}.")
         for row in elector["registers"]:
@@ -71,10 +71,10 @@
         if row["held"]:
             lines.append(f"It holds {row['topic']} under epoch {row['epoch']}, for {row['runs_s']} s more.")
         else:
-            lines.append(f"It asks for {row['topic']}; {row['holder'] or 'nobody'} has it.")
+            lines.append(f"It requests {row['topic']}; {row['holder'] or 'nobody'} has it.")
     for row in table["decisions"]:
         lines.append(
-            f"It goes by decision {row['version']} on {row['topic']}, made under epoch {row['epoch']}."
+            f"It follows decision {row['version']} on {row['topic']}, made under epoch {row['epoch']}."
         )
     refused = {**table["dropped"], **table["datagrams"]["refused"]}
     if refused:
@@ -93,13 +93,13 @@
         was = old.pop(row["name"], "not in the roster")
         if was != row["status"]:
             lines.append(f"{row['name']} is {row['status']}, was {was} (told by {row['by'] or 'nobody'})")
-    lines += [f"{name} is in the roster no more" for name in old]
+    lines += [f"{name} is no longer in the roster" for name in old]
     held = {row["topic"]: row["epoch"] for row in before.get("leases", []) if row["held"]}
     for row in after.get("leases", []):
         if row["held"] and held.get(row["topic"]) != row["epoch"]:
             lines.append(f"{after['name']} holds {row['topic']} under epoch {row['epoch']}")
         elif not row["held"] and row["topic"] in held:
-            lines.append(f"{after['name']} holds {row['topic']} no more")
+            lines.append(f"{after['name']} no longer holds {row['topic']}")
     versions = {row["topic"]: row["version"] for row in before.get("decisions", [])}
     for row in after.get("decisions", []):
         if versions.get(row["topic"]) != row["version"]:
@@ -109,41 +109,41 @@
 
 @click.group()
 def peers() -> None:
-    """What a sidecar knows of the others."""
+    """A sidecar's view of its peers."""
 
 
 @peers.command()
-@AT
-@click.option("--json", "as_json", is_flag=True, help="The whole table, for programs.")
+@ADDRESS_OPTION
+@click.option("--json", "as_json", is_flag=True, help="Print the whole table as JSON.")
 def show(address: str, as_json: bool) -> None:
-    """Members, standing, leases and decisions, once."""
+    """Show members, standing, leases and decisions."""
     try:
-        table = ask(address)
-    except NoAnswer as error:
-        refuse(error)
+        table = fetch_peers(address)
+    except AdminCallFailed as error:
+        exit_with_error(error)
     if as_json:
         click.echo(msgspec.json.format(msgspec.json.encode(table)).decode())
     else:
-        click.echo("\n".join(in_words(table)))
+        click.echo("\n".join(describe(table)))
 
 
 @peers.command()
-@AT
-@click.option("--every", default=1.0, show_default=True, help="Seconds between two looks.")
-@click.option("--looks", default=0, help="End after so many; 0: go on.")
+@ADDRESS_OPTION
+@click.option("--every", default=1.0, show_default=True, help="Seconds between two polls.")
+@click.option("--looks", default=0, help="Stop after this many polls; 0: never.")
 def watch(address: str, every: float, looks: int) -> None:
-    """A line for each change, until interrupted."""
+    """Print a line for each change, until interrupted."""
     before: dict[str, Any] | None = None
-    look = 0
+    polls = 0
     while True:
         try:
-            table = ask(address)
-            for line in in_words(table)[:1] if before is None else differences(before, table):
+            table = fetch_peers(address)
+            for line in describe(table)[:1] if before is None else differences(before, table):
                 click.echo(f"{time.strftime('%H:%M:%S')} {line}")
             before = table
-        except NoAnswer as error:
+        except AdminCallFailed as error:
             click.echo(f"{time.strftime('%H:%M:%S')} no answer: {error}")
-        look += 1
-        if look == looks:
+        polls += 1
+        if polls == looks:
             return
         time.sleep(max(0.1, every))
--- a/lupinmill/cli/relay.py
+++ b/lupinmill/cli/relay.py
@@ -1,4 +1,4 @@
-"""`lupinmill relay FILE`: a relay of versioned configuration, or its source."""
+"""`lupinmill relay FILE`: runs a relay of versioned configuration, or its source."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 import anyio
 import click
 
-from lupinmill.cli.asking import refuse
+from lupinmill.cli.admin_client import exit_with_error
 from lupinmill.config import relay_file
 from lupinmill.program.operators_file import BadFile
 
 
 @click.command()
 @click.argument("path", metavar="FILE")
-@click.option("--check", "checks", is_flag=True, help="Tell what follows from the file; run nothing.")
+@click.option("--check", "checks", is_flag=True, help="Check and explain the file without running anything.")
 def relay(path: str, checks: bool) -> None:
-    """Run a relay of configuration, or its source (a file without upstreams)."""
+    """Run a configuration relay, or the source if the file has no upstreams."""
     try:
         file = relay_file.read(path)
     except BadFile as error:
         text = str(error)
-        refuse(BadFile(text if text.startswith(path) else f"{path}: {text}"))
+        exit_with_error(BadFile(text if text.startswith(path) else f"{path}: {text}"))
     if checks:
         click.echo("\n".join(relay_file.follows(file)))
         return
@@ -36,7 +36,7 @@
     try:
         anyio.run(run)
     except BadStart as error:
-        refuse(BadStart(f"{path}: {error}"))
+        exit_with_error(BadStart(f"{path}: {error}"))
     finally:
         logs.close()
     sys.exit(0)
--- a/lupinmill/cli/scale.py
+++ b/lupinmill/cli/scale.py
@@ -1,4 +1,4 @@
-"""`lupinmill lab slopes`."""
+"""`lupinmill lab slopes`: measures how costs grow with the size of the fleet."""
 
 from __future__ import annotations
 
@@ -9,39 +9,45 @@
 import click
 import msgspec
 
-from lupinmill.cli.exits import BROKEN, refuse
+from lupinmill.cli.exit_codes import EXIT_BROKEN, exit_with_error
 
 if TYPE_CHECKING:
     from lupinmill.lab.scale.measured import Measured
 
 
 @click.command()
-@click.option("--quick", is_flag=True, help="Small sizes; checks shapes and bounds, judges no times.")
-@click.option("--sizes", default="", help="Members, with commas; 100,300,1000,3000,20000 if not told.")
-@click.option("--seeds", default="", help="With commas; 1,2 if not told, 1 with --quick.")
-@click.option("--out", default="", metavar="FILE", help="Else the text's own, and none with --quick.")
-@click.option("--only", default="", metavar="PARTS", help="Of members,added,returns,fanout; into the file.")
+@click.option("--quick", is_flag=True, help="Small sizes; checks growth and bounds, but no times.")
+@click.option(
+    "--sizes", default="", help="Numbers of members, comma-separated; default: 100,300,1000,3000,20000."
+)
+@click.option("--seeds", default="", help="Comma-separated; default: 1,2, with --quick 1.")
+@click.option(
+    "--out", default="", metavar="FILE", help="Output file; default: the project's own, with --quick none."
+)
+@click.option(
+    "--only", default="", metavar="PARTS", help="Some of members,added,returns,fanout; merged into the file."
+)
 def slopes(quick: bool, sizes: str, seeds: str, out: str, only: str) -> None:
-    """What grows with the fleet: figures by role and size, with fits."""
+    """Measure what grows with the fleet: figures by role and size, with fits."""
     from lupinmill.lab.scale import measured, slopes
 
     try:
         usual = slopes.QUICK if quick else slopes.SIZES
-        chosen = numbers(sizes, "--sizes", slopes.LEAST, slopes.MOST) or list(usual)
-        drawn = numbers(seeds, "--seeds", 0, 2**31) or ([1] if quick else [1, 2])
+        chosen = parse_numbers(sizes, "--sizes", slopes.LEAST, slopes.MOST) or list(usual)
+        drawn = parse_numbers(seeds, "--seeds", 0, 2**31) or ([1] if quick else [1, 2])
         parts = (slopes.MEMBERS,) if quick else (slopes.MEMBERS, *slopes.OTHERS)
         if only:
             if wrong := [part for part in only.split(",") if part not in (slopes.MEMBERS, *slopes.OTHERS)]:
                 every = ", ".join((slopes.MEMBERS, *slopes.OTHERS))
-                raise ValueError(f"--only {wrong[0] or only}: wants some of {every}")
+                raise ValueError(f"--only {wrong[0] or only}: expected some of {every}")
             parts = tuple(only.split(","))
         path = Path(out) if out else measured.FILE
         if not path.resolve().parent.is_dir() or path.is_dir():
-            raise ValueError(f"--out {out}: no such directory, or it is one itself")
-        before = earlier(path) if only else None
+            raise ValueError(f"--out {out}: its directory does not exist, or it is a directory itself")
+        before = read_earlier_run(path) if only else None
         slopes.refuse_too_large(slopes.plan(chosen, drawn, quick))
     except ValueError as error:
-        refuse(error)
+        exit_with_error(error)
     command = "lupinmill lab slopes" + "".join(
         f" {text}"
         for text in (
@@ -60,28 +66,28 @@
         measured.write(slopes.merged(before, found, parts) if before is not None else found, path)
     for text in wrong:
         click.echo(f"BROKEN: {text}")
-    sys.exit(BROKEN if wrong else 0)
+    sys.exit(EXIT_BROKEN if wrong else 0)
 
 
-def earlier(path: Path) -> Measured | None:
-    """What a run of some parts goes into. Raises ValueError."""
+def read_earlier_run(path: Path) -> Measured | None:
+    """The earlier run into which a partial run is merged. Raises ValueError."""
     from lupinmill.lab.scale import measured
 
     try:
         return measured.read(path) if path.exists() else None
     except (OSError, msgspec.DecodeError) as error:
-        raise ValueError(f"--out {path}: no file of an earlier run: {error}") from error
+        raise ValueError(f"--out {path}: not the file of an earlier run: {error}") from error
 
 
-def numbers(text: str, key: str, least: int, most: int) -> list[int]:
-    """Raises ValueError."""
+def parse_numbers(text: str, key: str, least: int, most: int) -> list[int]:
+    """Parses comma-separated, distinct integers within bounds. Raises ValueError."""
     try:
         found = [int(part) for part in text.split(",")] if text else []
     except ValueError:
-        raise ValueError(f"{key} {text}: wants whole numbers with commas") from None
+        raise ValueError(f"{key} {text}: expected comma-separated integers") from None
     for one in found:
         if not least <= one <= most:
-            raise ValueError(f"{key} {one}: wants {least} to {most}")
+            raise ValueError(f"{key} {one}: must be {least} to {most}")
     if len(set(found)) < len(found):
-        raise ValueError(f"{key} {text}: one is told twice")
+        raise ValueError(f"{key} {text}: a number is repeated")
     return found
--- a/tests/test_config_relay.py
+++ b/tests/test_config_relay.py
@@ -13,7 +13,7 @@
 from click.testing import CliRunner
 
 from lupinmill.cli import main
-from lupinmill.cli.config import summed
+from lupinmill.cli.config import summarize
 from lupinmill.config import keep, model, server, wire
 from lupinmill.config.driver import ConfigWatch
 from lupinmill.config.follower import Follower
@@ -806,7 +806,7 @@
     one = of("one", 7, [row("a", 7, 0.1), row("b", 6, 90.0, away=True), row("c", 5, 1, due=7)], 5_000)
     two = of("two", 7, [row("b", 7, 0.2), row("d", 6, 1, refused=7, why="key: no"), row("one", 7, 0)], 9_000)
     old = of("old", 6, [row("e", 6, 0.3)], 1_000)
-    found = summed([one, two, old])
+    found = summarize([one, two, old])
     states = ("in_force", "lags", "refuses", "away")
     names = {state: [row["name"] for row in found[state]] for state in states}
     assert names == {"in_force": ["a", "b"], "lags": ["c", "e"], "refuses": ["d"], "away": []}
--- a/tests/test_operators_file.py
+++ b/tests/test_operators_file.py
@@ -276,7 +276,7 @@
 
 
 def test_show_says_it_in_words_a_clerk_understands():
-    text = "\n".join(commands.in_words(TABLE))
+    text = "\n".join(commands.describe(TABLE))
     for part in (
         "m0 is in doubt, for 1.5 s, sees 2 of 3",
         "m1  ",
