--- /dev/null
+++ b/lupinmill/handover/upgrade_protocol.py
@@ -0,0 +1,79 @@
+"""State machine of an upgrade: which of two processes accepts clients.
+
+Pure: events in, commands out, no clock.
+
+A serving process may have one successor. `UpgradeProtocol` is the side of the serving process; the successor
+requests the state before it starts, and sends `serving` once."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from enum import Enum
+from typing import Any
+
+VERSION = 1
+
+
+class Phase(Enum):
+    NO_SUCCESSOR = "alone"  # accepts clients
+    OFFERED = "offered"  # accepts clients; a successor has the listening socket and a copy of the state
+    YIELDED = "yielded"  # the successor accepts clients; this process finishes its open requests
+
+
+class CommandKind(Enum):
+    REFUSE = "refuse"
+    SEND_STATE = "pass state"
+    YIELD = "yield"  # stop accepting, pass client connections on as they become idle
+    RESUME = "take up"  # accept again: the successor is gone
+    DROP_LINK = "forget"  # to the successor
+
+
+@dataclass(slots=True)
+class Command:
+    kind: CommandKind
+    reason: str = ""
+
+
+class UpgradeProtocol:
+    """The side of a serving process."""
+
+    def __init__(self, name: str, listen: str) -> None:
+        self.name, self.listen = name, listen
+        self.phase = Phase.NO_SUCCESSOR
+        self.shutting_down = False  # received a signal to end, so it never resumes
+
+    def accepts_clients(self) -> bool:
+        return self.phase is not Phase.YIELDED
+
+    def on_hello(self, message: dict[str, Any], same_user: bool) -> Command:
+        """The first message of a new link."""
+        if not same_user:
+            return Command(CommandKind.REFUSE, "another user's process")
+        if message.get("say") != "hello" or message.get("version") != VERSION:
+            return Command(CommandKind.REFUSE, f"this speaks version {VERSION} alone")
+        if (message.get("name"), message.get("listen")) != (self.name, self.listen):
+            return Command(CommandKind.REFUSE, "another sidecar's name or address")
+        if self.phase is not Phase.NO_SUCCESSOR:
+            return Command(CommandKind.REFUSE, "another process takes over already")
+        self.phase = Phase.OFFERED
+        return Command(CommandKind.SEND_STATE)
+
+    def on_serving(self) -> list[Command]:
+        """The successor accepts clients."""
+        if self.phase is not Phase.OFFERED:
+            return []
+        self.phase = Phase.YIELDED
+        return [Command(CommandKind.YIELD)]
+
+    def on_link_lost(self) -> list[Command]:
+        """The link to the successor has ended, as the successor died or by a defect."""
+        previous, self.phase = self.phase, Phase.NO_SUCCESSOR
+        if previous is Phase.YIELDED and self.shutting_down:
+            self.phase = Phase.YIELDED  # this process ends anyway, and the platform starts another
+            return [Command(CommandKind.DROP_LINK)]
+        if previous is Phase.YIELDED:
+            return [Command(CommandKind.DROP_LINK), Command(CommandKind.RESUME)]
+        return [Command(CommandKind.DROP_LINK)] if previous is Phase.OFFERED else []
+
+    def on_shutdown(self) -> None:
+        self.shutting_down = True
--- a/lupinmill/program/sidecar.py
+++ b/lupinmill/program/sidecar.py
@@ -14,13 +14,13 @@
 from anyio.abc import TaskGroup, TaskStatus
 
 from lupinmill import terms as t
-from lupinmill.admin.desk import PLACES, AdminDesk
-from lupinmill.admin.office import Office
-from lupinmill.admin.standing import Mode, Standing
-from lupinmill.handover import papers
+from lupinmill.admin.admin_handler import AdminHandler
+from lupinmill.admin.admin_server import MAX_CONNECTIONS, AdminServer
+from lupinmill.admin.operator_overrides import Mode, OperatorOverrides
+from lupinmill.handover import handover_state
 from lupinmill.handover.driver import Handover
 from lupinmill.limits.gate import Gate
-from lupinmill.discovery.driver import Discovery
+from lupinmill.discovery.driver import DiscoveryClient
 from lupinmill.program.signals import ENDING, HANDLED, Signals
 from lupinmill.program.told import BadStart, Told, fixed
 from lupinmill.protocol import lists
@@ -86,40 +86,42 @@
         self.told_to_end: signal.Signals | None = None  # while it started
         self.found: tuple[dict[str, Any], socket.socket] | None = None  # by the process before this one
         self.beside_older = False  # a process before this one is there, whether or not it is taken over from
-        self.papers: papers.Papers | None = None
+        self.predecessor_state: handover_state.HandoverState | None = None
         self.listener: Listener | None = None
-        self.desk: AdminDesk | None = None
+        self.admin_server: AdminServer | None = None
         if watched := told.operators is not None and told.operators.config is not None:
             from lupinmill.program import in_force
 
             told, kept = in_force.begin(base, log)
         self.told, self.log, self.read_again = told, log, read_again
-        own = (PLACES if told.operator is not None else 0) + (PEERS_OWN if told.operators is not None else 0)
+        own = (MAX_CONNECTIONS if told.operator is not None else 0) + (
+            PEERS_OWN if told.operators is not None else 0
+        )
         own += CONFIG_OWN if watched else 0
         self.store, self.descriptors = Store(), Descriptors(allowed(told.descriptors) - own, told.memory)
         self.shelf = Shelf(shelf_of(told.memory))
         self.pool = Pool(self.descriptors, self.store, told.idle_limit, told.connect_limit)
         self.engine = Engine(told.deployment, Clock(), log)
-        self.standing = Standing()
-        self.directory = Directory(self.engine, self.pool, self.standing.out)
+        self.overrides = OperatorOverrides()
+        self.directory = Directory(self.engine, self.pool, self.overrides.cordoned)
         self.book = Book(self.engine)
         workloads = {w.name for w in told.deployment.workloads}
-        self.admit = Admit(self.book, self.directory, workloads, self.standing)
-        self.office = Office(self.standing, self.directory, self.engine, log)
-        self.discovery = Discovery(told.discovery, told.deployment, self.directory, self.store, log)
+        self.admit = Admit(self.book, self.directory, workloads, self.overrides)
+        self.admin_handler = AdminHandler(self.overrides, self.directory, self.engine, log)
+        self.discovery = DiscoveryClient(told.discovery, told.deployment, self.directory, self.store, log)
         self.engine.carriers[t.StartWatch] = self.discovery.watch
-        self.office.discovery = self.discovery.show
+        self.admin_handler.discovery = self.discovery.show
         self.handover = Handover(told.directory, told.name, told.listen, log)
         self.repeats_before = 0  # launches again of the process before this one, when it told what it knew
         self.to_close = anyio.Event()  # something may ask for idle clients to be closed or passed
-        self.office.changed = self.mode_changed
+        self.admin_handler.on_mode_change = self.mode_changed
         self.common: Common | None = None  # what the module goes by of the others
         self.peers = self.know_peers()
         self.operator: str | None = None  # where operators call, once bound
         self.in_force: InForce | None = None  # the watch on configuration, where the operator's file has one
         if watched:
             self.in_force = in_force.InForce(self, base, kept, log)
-            self.office.config = self.in_force.show
+            self.admin_handler.config = self.in_force.show
 
     def know_peers(self) -> Driver | None:
         """Only where the operator's file says so; nothing is imported for it otherwise."""
@@ -137,7 +139,7 @@
             file.peers.keep or None,
             self.log,
         )
-        self.office.peers, self.office.rehearse = peers.show, peers.rehearse
+        self.admin_handler.peers, self.admin_handler.rehearse = peers.show, peers.rehearse
         if file.peers.live_count or file.zones is not None:
             self.hold_in_common(file, peers)
         return peers
@@ -154,7 +156,7 @@
             zone_driver = ZoneDriver(
                 map_, operators_file.told(file, self.told.name), peers, self.engine, self.log
             )
-            self.office.zones, self.office.move_zones = zone_driver.show, zone_driver.request_action
+            self.admin_handler.zones, self.admin_handler.run_zone_command = zone_driver.show, zone_driver.request_action
         live = file.peers.live_count
         self.common = Common(self.engine, peers, deployment.instances, live, zone_driver, self.log)
 
@@ -162,7 +164,7 @@
         self.to_close.set()
         if self.peers is None:
             return
-        tell = self.peers.rejoin if self.standing.mode is Mode.SERVING else self.peers.leave
+        tell = self.peers.rejoin if self.overrides.mode is Mode.SERVING else self.peers.leave
         try:
             tell()
         except Exception as error:
@@ -208,8 +210,8 @@
             group.cancel_scope.cancel()
         if self.listener is not None:
             return True
-        if self.desk is not None:
-            self.desk.close()
+        if self.admin_server is not None:
+            self.admin_server.close()
         self.handover.close()
         if failed is not None:
             raise failed
@@ -229,19 +231,21 @@
 
     async def take_over(self) -> None:
         """The listener comes last: from then on nothing is waited for before clients are served."""
-        self.found, sock = await self.handover.ask(), None
+        self.found, sock = await self.handover.request_state(), None
         self.beside_older = self.found is not None
         if self.found is not None:
             table, sock = self.found
             try:
-                self.papers = papers.read(table, self.standing)
-            except papers.BadPapers as error:
+                self.predecessor_state = handover_state.decode(table, self.overrides)
+            except handover_state.InvalidHandoverState as error:
                 self.log("handover_refused", error=str(error))
                 self.handover.decline()
                 sock.close()
                 self.found = sock = None
         if self.told.operator is not None:
-            self.desk = await self.bound(AdminDesk, self.told.operator, self.office.carry_out, self.log)
+            self.admin_server = await self.bound(
+                AdminServer, self.told.operator, self.admin_handler.handle, self.log
+            )
         if self.found is not None or self.told_to_end is None:
             self.listener = await self.bound(Listener, self.told.listen, self.descriptors, self.store, sock)
 
@@ -255,11 +259,13 @@
         self.take_in = take_in = TakeIn(
             listener, self.admit, Relay(self.book, self.log), door, advice, self.log, self.shelf
         )
-        take_in.closing = lambda: not listener.passing and self.standing.closing(self.engine.clock.now())
+        take_in.closing = lambda: not listener.passing and self.overrides.closes_connections(
+            self.engine.clock.now()
+        )
         try:
             async with anyio.create_task_group() as group:
                 Route(self.engine, self.book, send, group)
-                self.begin_list(self.papers)
+                self.begin_list(self.predecessor_state)
                 self.start_tasks(group, listener)
                 self.log_start(listener)
                 gc.collect()
@@ -273,10 +279,10 @@
         finally:
             listener.close()
             self.handover.close()
-            if self.desk is not None:
-                self.desk.close()
+            if self.admin_server is not None:
+                self.admin_server.close()
             self.pool.close()
-            self.discovery.hang_up()
+            self.discovery.close_spare()
 
     def start_tasks(self, group: TaskGroup, listener: Listener) -> None:
         for task in (
@@ -284,22 +290,22 @@
             self.discovery.run,
             self.sweep,
             self.measure_lag,
-            self.office.sweep,
+            self.admin_handler.sweep,
         ):
             group.start_soon(self.keep_up, task)
         group.start_soon(self.keep_up, listener.run, group, self.take_in.serve)
         self.hand_over(listener, self.take_in, group)
         group.start_soon(self.keep_up, self.close_idle, listener)
-        if self.desk is not None:
-            group.start_soon(self.keep_up, self.desk.run, group)
-            self.operator = self.desk.address
+        if self.admin_server is not None:
+            group.start_soon(self.keep_up, self.admin_server.run, group)
+            self.operator = self.admin_server.address
         if self.peers is not None:
             group.start_soon(self.keep_up, self.peers.run, self.beside_older)
         if self.common is not None:
             group.start_soon(self.keep_up, self.common.run)
         if self.in_force is not None:
             group.start_soon(self.keep_up, self.in_force.run)
-        self.office.taking = lambda: True
+        self.admin_handler.accepting_clients = lambda: True
 
     def log_start(self, listener: Listener) -> None:
         told = self.told
@@ -393,17 +399,17 @@
         longest = max(workload.hard_limit for workload in self.told.deployment.workloads) / 1_000_000
         stay = min(longest, LONGEST_WAIT) + KILLED_AFTER - SPARE
         last = max(stay, LONGEST + ANSWERED)
-        self.handover.succession.leave()
+        self.handover.protocol.on_shutdown()
         now = self.engine.clock.now()
         ends = now + int(stay * 1_000_000)
-        self.standing.leave(now, ends - CLOSING, ends)
+        self.overrides.begin_shutdown(now, ends - CLOSING, ends)
         self.mode_changed()
         began = anyio.current_time()
         # Answers under way count too: a submission is settled some passes before its client has the answer.
         while (waited := anyio.current_time() - began) < stay or self.book.journeys or take_in.answering:
             # Those just accepted count, whose tasks have not begun.
             clients = self.descriptors.open[Side.CLIENT] + listener.turning_away
-            if not clients and (waited >= STILL_COMING or not self.handover.succession.accepts()):
+            if not clients and (waited >= STILL_COMING or not self.handover.protocol.accepts_clients()):
                 break
             if waited >= last:
                 # Guards against an end that never comes, for a request that a defect has left open.
@@ -413,7 +419,7 @@
         with anyio.move_on_after(SPARE):
             await self.handover.flush()
 
-    def begin_list(self, taken: papers.Papers | None) -> None:
+    def begin_list(self, taken: handover_state.HandoverState | None) -> None:
         """As told at the start, or as the process before this one knew it, with what it learned."""
         try:
             self.directory.update(self.told.known if taken is None else taken.known, t.ListKind.CACHED)
@@ -422,14 +428,14 @@
             self.directory.update(lists.Known(0, True, [], {}), t.ListKind.CACHED)
         if taken is None:
             return
-        for name in self.standing.out:
+        for name in self.overrides.cordoned:
             self.directory.by_hand(name, True)
         try:
             learned.recall(self.engine.sidecar, taken.learned, self.engine.clock.now())
         except Exception as error:
             self.log("handover_refused", **defect(error))
         self.engine.tell(t.TimerFired(1))
-        self.descriptors.elsewhere, self.repeats_before = taken.held, taken.repeats
+        self.descriptors.elsewhere, self.repeats_before = taken.open_descriptors, taken.retries
         self.discovery.watch(t.StartWatch())  # at once: what it tells from now on binds this process
 
     def hand_over(self, listener: Listener, take_in: TakeIn, group: TaskGroup) -> None:
@@ -441,22 +447,24 @@
 
         def state() -> dict[str, Any]:
             known = learned.learned(self.engine.sidecar)
-            return papers.write(listed(), self.standing, known, held()) | {"repeats": self.book.repeats}
+            return handover_state.encode(listed(), self.overrides, known, held()) | {
+                "repeats": self.book.repeats
+            }
 
         def listed() -> dict[str, Any]:
             directory = self.directory
             rows = self.engine.sidecar.registry.listed
-            return papers.write_list(rows, directory.addresses, directory.index)
+            return handover_state.encode_list(rows, directory.addresses, directory.index)
 
         def later_list(index: int) -> dict[str, Any] | None:
-            if self.directory.index in (None, index) or not self.discovery.watcher.current():
+            if self.directory.index in (None, index) or not self.discovery.watcher.list_is_current():
                 return None
             return {"address": self.discovery.watcher.address, "list": listed()}
 
         def take_list(told: dict[str, Any]) -> None:
             """Versions can be compared only where both processes ask the same discovery."""
             known, before, watcher = lists.known(told["list"]), self.directory.index, self.discovery.watcher
-            if told["address"] != watcher.address or not watcher.current():
+            if told["address"] != watcher.address or not watcher.list_is_current():
                 return
             if before is not None and known.index > before:
                 self.log("handover", text=f"list {known.index} of the process before this one")
@@ -466,7 +474,7 @@
             listener.pause()
             listener.passing = True
             self.to_close.set()
-            take_in.pass_on = lambda client: handover.pass_client(client.sock)
+            take_in.pass_on = lambda client: handover.send_client(client.sock)
             self.pool.close()
             listener.dismiss_all()
             if self.peers is not None:
@@ -505,23 +513,27 @@
             self.engine.tell(t.PredecessorLoad(flying, max(0, now_repeats - repeats)))
             repeats = now_repeats
 
-        handover.state, handover.still, handover.listening = state, still, lambda: listener.sock
-        handover.yield_, handover.take_up = yield_, take_up
-        handover.adopt, handover.elsewhere = adopt, elsewhere
-        handover.later_list, handover.take_list = later_list, take_list
+        handover.collect_state, handover.collect_open_work, handover.client_listener = (
+            state,
+            still,
+            lambda: listener.sock,
+        )
+        handover.on_yield, handover.on_resume = yield_, take_up
+        handover.adopt_client, handover.on_predecessor_work = adopt, elsewhere
+        handover.newer_list, handover.on_list = later_list, take_list
         # The other process knew the endpoint; this one's list may be behind.
-        handover.apply = lambda call: self.office.apply(call, True)
-        self.office.pass_on = handover.pass_on
+        handover.apply_call = lambda call: self.admin_handler.apply(call, True)
+        self.admin_handler.forward = handover.forward_call
         handover.start(group)
 
     async def close_idle(self, listener: Listener) -> None:
         """While this sidecar drains, leaves or passes its clients on; else it sleeps."""
         while True:
-            while not listener.passing and self.standing.closes is None:
+            while not listener.passing and self.overrides.close_connections_at is None:
                 await self.to_close.wait()
                 self.to_close = anyio.Event()
             await anyio.sleep(CLOSE_EVERY)
-            if listener.passing or self.standing.closing(self.engine.clock.now()):
+            if listener.passing or self.overrides.closes_connections(self.engine.clock.now()):
                 listener.dismiss_all()
 
     async def sweep(self) -> None:
--- a/tests/test_crossings_lists.py
+++ b/tests/test_crossings_lists.py
@@ -9,13 +9,13 @@
 from bed import DiscoveryStand, Net, Stand, on_network, settings, wanted
 from bed import deployment as usual
 from test_crossings import all_quiet, arrived
-from test_discovery_watcher import Play, longest, shortest
+from test_discovery_watcher import Simulation, longest, shortest
 from test_sidecar import fine, seen, until
 
 from lupinmill import terms as t
 from lupinmill.discovery import driver, watcher
 from lupinmill.discovery.calls import CallKind
-from lupinmill.discovery.driver import timing_of
+from lupinmill.discovery.driver import watch_timing
 from lupinmill.protocol import lists
 from lupinmill.protocol.http import Answer
 from lupinmill.transport.pool import REST
@@ -71,29 +71,35 @@
 def test_what_a_silent_watch_missed_is_asked_for_before_it_counts_as_told(instances, asked):
     """2 s after the wait of the call, or 6 s after the silence began, if that is later. Each watch is silent:
     whole lists are asked for, and answered within what is left."""
-    timing = timing_of(usual(instances=instances, poll_discovery=asked))
-    play = Play(timing, longest)
-    play.answer_at = lambda call: None if call.kind is CallKind.WATCH else call.began + watcher.SOON
-    play.run(30.0)
-    watches = [call for call in play.begun if call.kind is CallKind.WATCH]
-    assert len(watches) >= 3 and len(play.begun) > 2 * len(watches) - 2
-    for call, following in itertools.pairwise(play.begun):
-        latest = 2.0 - watcher.SOON if call.kind is CallKind.WATCH else watcher.BESIDE + 0.02
-        assert following.began < call.began + call.wait + latest, "asked anew too late"
+    timing = watch_timing(usual(instances=instances, poll_discovery=asked))
+    simulation = Simulation(timing, longest)
+    simulation.answer_at = (
+        lambda call: None if call.kind is CallKind.WATCH else call.started_at + watcher.MIN_RETRY_DELAY_S
+    )
+    simulation.run(30.0)
+    watches = [call for call in simulation.started if call.kind is CallKind.WATCH]
+    assert len(watches) >= 3 and len(simulation.started) > 2 * len(watches) - 2
+    for call, following in itertools.pairwise(simulation.started):
+        latest = (
+            2.0 - watcher.MIN_RETRY_DELAY_S
+            if call.kind is CallKind.WATCH
+            else watcher.PARALLEL_CALL_INTERVAL_S + 0.02
+        )
+        assert following.started_at < call.started_at + call.wait + latest, "asked anew too late"
 
 
 @pytest.mark.parametrize("mode", ["ask", "push"])
 def test_a_silent_watch_is_opened_anew_without_the_pause_for_a_discovery_in_trouble(mode, monkeypatch):
     """Seen failing where lists are asked for: the module heard of a failure, and its pause, up to 2.5 s with
     200 sidecars, ended after what the silent watch missed counted as told."""
-    monkeypatch.setattr(driver, "wait_of", lambda instances: 0.3)
-    monkeypatch.setattr(watcher, "BESIDE", 0.5)
+    monkeypatch.setattr(driver, "watch_wait", lambda instances: 0.3)
+    monkeypatch.setattr(watcher, "PARALLEL_CALL_INTERVAL_S", 0.5)
 
     async def check(net: Net):
         await until(lambda: len(net.discovery.seen) > 1)
         before, net.discovery.fault = len(net.discovery.seen), "silent"
         await until(lambda: len(net.discovery.seen) > before + 2)  # also a second silence in a row
-        assert t.ListReceived(t.ListKind.FAILED, []) not in net.events
+        assert t.ListReceived(t.ListKind.FAILED, []) not in net.notes
 
     on_network(check, fine, discovery=mode)
 
@@ -126,7 +132,7 @@
         async def both(order):
             rows = [row | {"status": status} for status in order]
             net.program.directory.update(lists.known({"index": 9, "endpoints": rows}), t.ListKind.CHANGES)
-            return net.program.engine.sidecar.registry.listed.get("e0")
+            return net.program.engine.sidecar.roster.listed.get("e0")
 
         assert await both(["SERVING", "DELETED"]) is None and "e0" not in net.program.directory.states
         assert await both(["DELETED", "SERVING"]) is not None and net.program.directory.takes("e0")
@@ -235,7 +241,7 @@
             await stream.send(wanted("s1"))
             await arrived(net, "s1")
             await there.wait()
-        await until(lambda: any(isinstance(event, t.RequestCancelled) for event in net.events))
+        await until(lambda: any(isinstance(note, t.RequestCancelled) for note in net.notes))
         net.program.directory.by_hand("e0", True)
         gone.set()
         await all_quiet(net)
@@ -249,10 +255,12 @@
     """While discovery is down it tells nothing, and what it gets at its return counts as told at once, where
     lists are pushed. The longest pause between two calls that are refused has to leave time for the call."""
     grace = round(LEAST_GRACE * 1_000_000)
-    play = Play(timing_of(usual(poll_discovery=False, grace=grace)), draw, answer_at=lambda call: None)
-    play.fail_at = lambda call: call.began
-    play.run(5.0)
-    apart = [after.began - before.began for before, after in itertools.pairwise(play.begun)]
+    simulation = Simulation(
+        watch_timing(usual(poll_discovery=False, grace=grace)), draw, answer_at=lambda call: None
+    )
+    simulation.fail_at = lambda call: call.started_at
+    simulation.run(5.0)
+    apart = [after.started_at - before.started_at for before, after in itertools.pairwise(simulation.started)]
     assert len(apart) > 5 and max(apart) <= LEAST_GRACE - 0.2
 
 
@@ -266,12 +274,14 @@
     may be made just after a call began that fails `took` seconds later, then comes the longest pause, then a
     call that is answered. Seen failing with 3 s for the list behind 2 s for its connection and up to 5 s of
     pause. The watch does not wait for the module to ask: its own pauses count."""
-    play = Play(
-        timing_of(usual(instances=instances, poll_discovery=True)), longest, answer_at=lambda call: None
+    simulation = Simulation(
+        watch_timing(usual(instances=instances, poll_discovery=True)), longest, answer_at=lambda call: None
     )
-    play.fail_at = lambda call: call.began + took
-    play.run(40.0)
-    apart = [after.began - before.began for before, after in itertools.pairwise(play.begun)]
+    simulation.fail_at = lambda call: call.started_at + took
+    simulation.run(40.0)
+    apart = [after.started_at - before.started_at for before, after in itertools.pairwise(simulation.started)]
     assert len(apart) >= 8
     assert max(apart) <= 6.0 - 2.5, apart  # also where failures follow one another; 2.5 s for the answer
-    assert apart[0] <= max(watcher.BESIDE, took + watcher.SOON) + 0.02  # 4 s for the answer after a first one
+    assert (
+        apart[0] <= max(watcher.PARALLEL_CALL_INTERVAL_S, took + watcher.MIN_RETRY_DELAY_S) + 0.02
+    )  # 4 s for the answer after a first one
