--- a/lupinmill/cli/check.py
+++ b/lupinmill/cli/check.py
@@ -63,13 +63,13 @@
         lines.append("caps are divided by the number of live sidecars, not by the configured number")
     lines += describe_zones(file)
     if name is not None:
-        peer_settings = operators_file.told(file, name)
+        peering = operators_file.told(file, name)
         entry = peers.members[name]
         lines.append(
             f"this sidecar, {name}: zone {entry.zone or 'not set'}, region {entry.region or 'not set'}, "
             f"listens for peers at {operators_file.bind(file, name)}"
-            f"{', an elector' if name in peer_settings.electors else ''}"
-            f"{', requests leases on ' + ', '.join(peer_settings.wanted_topics) if peer_settings.wanted_topics else ''}"
+            f"{', an elector' if name in peering.electors else ''}"
+            f"{', requests leases on ' + ', '.join(peering.wanted_topics) if peering.wanted_topics else ''}"
         )
     lines.append("the peers' network must be a trusted one: messages are neither encrypted nor authenticated")
     for row in POLICY_TABLE.values():
--- a/lupinmill/lab/commons.py
+++ b/lupinmill/lab/commons.py
@@ -184,7 +184,9 @@
             sidecars = self.count.step(self.commons.run.timeline.now, together, len(self.present()))
         assert self.tally is not None
         self.seat.tell(
-            t.FleetState(sidecars, order.plan, brakes, self.tally.listed_by_zone(self.seat.module), order.until)
+            t.FleetState(
+                sidecars, order.plan, brakes, self.tally.listed_by_zone(self.seat.module), order.until
+            )
         )
 
 
--- a/lupinmill/program/sidecar.py
+++ b/lupinmill/program/sidecar.py
@@ -156,7 +156,10 @@
             zone_driver = ZoneDriver(
                 map_, operators_file.told(file, self.told.name), peers, self.engine, self.log
             )
-            self.admin_handler.zones, self.admin_handler.run_zone_command = zone_driver.show, zone_driver.request_action
+            self.admin_handler.zones, self.admin_handler.run_zone_command = (
+                zone_driver.show,
+                zone_driver.request_action,
+            )
         live = file.peers.live_count
         self.common = Common(self.engine, peers, deployment.instances, live, zone_driver, self.log)
 
--- a/lupinmill/zones/driver.py
+++ b/lupinmill/zones/driver.py
@@ -27,12 +27,16 @@
 
 
 class ZoneDriver:
-    def __init__(self, map_: ZoneMap, told: peer.PeerSettings, peers: Driver, engine: Engine, log: Log) -> None:
+    def __init__(
+        self, map_: ZoneMap, told: peer.PeerSettings, peers: Driver, engine: Engine, log: Log
+    ) -> None:
         self.map, self.peers, self.engine, self.log = map_, peers, engine, log
         now = engine.clock.now()
         seats = {seat.name: seat for seat in told.roster}
         home = seats[told.name].zone
-        member_zones = tuple(zone.name for zone in map_.zones if any(s.zone == zone.name for s in told.roster))
+        member_zones = tuple(
+            zone.name for zone in map_.zones if any(s.zone == zone.name for s in told.roster)
+        )
         self.core = Member(map_, told.name, home, told.electors, member_zones, now)
         self.monitor = TrafficMonitor(map_, home, now)
         self.period = REPORT_PERIOD_S * max(1.0, len(told.roster) / MAX_MEMBERS_AT_FULL_RATE)
--- a/lupinmill/zones/traffic_monitor.py
+++ b/lupinmill/zones/traffic_monitor.py
@@ -75,7 +75,9 @@
                 gauge = sidecar.dispatcher.gauges.get(request.workload.name)
                 self.attempt_ended(now, counters, event, gauge.uncrowded if gauge is not None else 0.0)
 
-    def attempt_ended(self, now: int, counters: ZoneCounters, event: t.AttemptEnded, uncrowded: float) -> None:
+    def attempt_ended(
+        self, now: int, counters: ZoneCounters, event: t.AttemptEnded, uncrowded: float
+    ) -> None:
         if event.outcome is t.Outcome.HANDLED:
             counters.attempts.add(now)
             counters.handled.add(now)
--- a/tests/test_crossings_lists.py
+++ b/tests/test_crossings_lists.py
@@ -99,7 +99,7 @@
         await until(lambda: len(net.discovery.seen) > 1)
         before, net.discovery.fault = len(net.discovery.seen), "silent"
         await until(lambda: len(net.discovery.seen) > before + 2)  # also a second silence in a row
-        assert t.ListReceived(t.ListKind.FAILED, []) not in net.notes
+        assert t.ListReceived(t.ListKind.FAILED, []) not in net.events
 
     on_network(check, fine, discovery=mode)
 
@@ -132,7 +132,7 @@
         async def both(order):
             rows = [row | {"status": status} for status in order]
             net.program.directory.update(lists.known({"index": 9, "endpoints": rows}), t.ListKind.CHANGES)
-            return net.program.engine.sidecar.roster.listed.get("e0")
+            return net.program.engine.sidecar.registry.listed.get("e0")
 
         assert await both(["SERVING", "DELETED"]) is None and "e0" not in net.program.directory.states
         assert await both(["DELETED", "SERVING"]) is not None and net.program.directory.takes("e0")
@@ -241,7 +241,7 @@
             await stream.send(wanted("s1"))
             await arrived(net, "s1")
             await there.wait()
-        await until(lambda: any(isinstance(note, t.RequestCancelled) for note in net.notes))
+        await until(lambda: any(isinstance(event, t.RequestCancelled) for event in net.events))
         net.program.directory.by_hand("e0", True)
         gone.set()
         await all_quiet(net)
