--- a/lupinmill/cli/config.py
+++ b/lupinmill/cli/config.py
@@ -19,7 +19,7 @@
 from lupinmill.config import push as pushes
 from lupinmill.config.model import LARGEST
 from lupinmill.config.push import BadPush
-from lupinmill.config.standing import Times
+from lupinmill.config.watcher_table import Times
 
 ROOT = "/v1/"
 PUBLISHED = 20.0  # seconds for a version to be checked and kept
--- a/lupinmill/config/driver.py
+++ b/lupinmill/config/driver.py
@@ -11,7 +11,7 @@
 
 import anyio
 
-from lupinmill.config import keep, wire
+from lupinmill.config import stable_store, wire
 from lupinmill.config.follower import Follower
 from lupinmill.config.model import (
     LARGEST,
@@ -227,7 +227,7 @@
             assert self.path is not None
             try:
                 with anyio.CancelScope(shield=True):  # a thread that writes can't be called off
-                    await anyio.to_thread.run_sync(keep.save, self.path, version, entries)
+                    await anyio.to_thread.run_sync(stable_store.save, self.path, version, entries)
             except OSError as error:
                 if not failing:
                     why = f"{self.path}: {error.strerror}"
--- a/lupinmill/config/fanout.py
+++ b/lupinmill/config/fanout.py
@@ -16,7 +16,7 @@
 
 from lupinmill.config.history import History
 from lupinmill.config.model import Log, Reply, Status, Version, WakeMe
-from lupinmill.config.standing import ALL, Standing, leave
+from lupinmill.config.watcher_table import ALL, Standing, leave
 
 MOST_CACHED = 512  # encoded replies
 PATIENCE = 2_000_000  # for which one that is ahead of this relay waits for it to catch up
--- a/lupinmill/config/relay.py
+++ b/lupinmill/config/relay.py
@@ -19,12 +19,12 @@
 import anyio
 from anyio import to_thread
 
-from lupinmill.config import keep, wire
+from lupinmill.config import stable_store, wire
 from lupinmill.config.fanout import Fanout, Had
 from lupinmill.config.follower import Follower
 from lupinmill.config.history import History
 from lupinmill.config.model import Entries, Reply, Status, Version
-from lupinmill.config.office import LARGEST_PUSH, Office
+from lupinmill.config.config_handler import LARGEST_PUSH, Office
 from lupinmill.config.relay_file import RelayFile
 from lupinmill.config.server import Calls, Watches
 from lupinmill.config.source import Source
@@ -81,7 +81,7 @@
                 continue
             (version, entries), self.latest = self.latest, None
             try:
-                await to_thread.run_sync(keep.save, self.path, version, entries)
+                await to_thread.run_sync(stable_store.save, self.path, version, entries)
             except OSError as error:
                 if not self.failing:
                     self.log("keep_failed", error=f"{self.path}: {error.strerror}", serves="from memory")
@@ -142,8 +142,8 @@
     def begin(self) -> tuple[Version, Entries]:
         """What was kept. A source that has nothing begins with a first version, empty."""
         try:
-            found = keep.load(self.file.keep)
-        except keep.BadKeep as error:
+            found = stable_store.load(self.file.keep)
+        except stable_store.BadKeep as error:
             if self.file.source:
                 raise BadStart(
                     f"keep: {error}; a source begins with what it published last: restore it from a backup"
@@ -155,7 +155,7 @@
             fresh.restore()
             found = fresh.version, fresh.entries
             try:
-                keep.save(self.file.keep, *found)
+                stable_store.save(self.file.keep, *found)
             except OSError as error:
                 raise BadStart(f"keep: {self.file.keep}: {error.strerror}") from error
         return found or (Version(), {})
--- a/lupinmill/config/source.py
+++ b/lupinmill/config/source.py
@@ -13,7 +13,7 @@
 import anyio
 from anyio import to_thread
 
-from lupinmill.config import keep, push
+from lupinmill.config import stable_store, push
 from lupinmill.config.history import History, difference
 from lupinmill.config.model import Entries, Version
 
@@ -81,7 +81,7 @@
             return version
         changes = difference(entries, made.entries)
         try:
-            await to_thread.run_sync(keep.save, self.path, version, made.entries)
+            await to_thread.run_sync(stable_store.save, self.path, version, made.entries)
         except OSError as error:
             self.made = History(served.version, served.entries)  # what rolls back is in `served`
             self.made.settled = served.settled
--- a/lupinmill/lab/scale/fanout.py
+++ b/lupinmill/lab/scale/fanout.py
@@ -17,7 +17,7 @@
 from dataclasses import replace
 from pathlib import Path
 
-from lupinmill.config import keep, wire
+from lupinmill.config import stable_store, wire
 from lupinmill.config.fanout import Asked, Fanout
 from lupinmill.config.follower import Follower
 from lupinmill.config.history import History, merged
@@ -95,7 +95,7 @@
             copy.replace(answer.version, dict(follower.entries))
             replaces.append(time.process_time() - began)
             began = time.perf_counter()
-            keep.save(Path(folder) / "kept", history.version, history.entries)
+            stable_store.save(Path(folder) / "kept", history.version, history.entries)
             keeps.append(time.perf_counter() - began)
     micros = [max(1, round(statistics.median(one) * SECOND)) for one in (replaces, keeps)]
     return Costs(call or usual.call, reply or usual.reply, *micros, usual.force)
--- a/lupinmill/program/in_force.py
+++ b/lupinmill/program/in_force.py
@@ -13,7 +13,7 @@
 from zlib import crc32
 
 from lupinmill import terms as t
-from lupinmill.config import checks, keep, merge
+from lupinmill.config import checks, stable_store, merge
 from lupinmill.config.driver import ConfigWatch
 from lupinmill.config.follower import Follower
 from lupinmill.config.model import SETTINGS, Entries, Version
@@ -112,7 +112,7 @@
     assert base.operators is not None and base.operators.config is not None
     path = base.operators.config.keep
     try:
-        found = keep.load(path) if path else None
+        found = stable_store.load(path) if path else None
         if found is None:
             return base, Offered(Version(), {})
         version, entries = found
@@ -120,7 +120,7 @@
             raise Unfit("kept for other scopes")
         told = combine(base, entries)
         stays(base, told)
-    except (keep.BadKeep, Unfit) as error:
+    except (stable_store.BadKeep, Unfit) as error:
         log("config", text="what was kept is not gone by", error=str(error))
         return base, Offered(Version(), {})
     return told, Offered(version, entries)
--- a/tests/test_config_core.py
+++ b/tests/test_config_core.py
@@ -14,7 +14,7 @@
 from hypothesis import strategies as st
 
 from lupinmill.config import follower as following
-from lupinmill.config import keep, wire
+from lupinmill.config import stable_store, wire
 from lupinmill.config.follower import MS, SECOND, Follower
 from lupinmill.config.history import MOST_AHEAD, Behind, History, TooLarge, difference, merged
 from lupinmill.config.model import (
@@ -943,28 +943,32 @@
 
 def test_what_is_kept_comes_back_and_only_the_owner_reads_it(tmp_path):
     path = tmp_path / "config"
-    assert keep.load(path) is None
+    assert stable_store.load(path) is None
     previous = os.umask(0)
     try:
-        keep.save(path, *KEPT)
+        stable_store.save(path, *KEPT)
     finally:
         os.umask(previous)
-    assert keep.load(path) == KEPT and path.stat().st_mode & 0o777 == 0o600 and left(tmp_path) == ["config"]
-    keep.save(path, Version(8, "cd"), {})
-    assert keep.load(path) == (Version(8, "cd"), {})
+    assert (
+        stable_store.load(path) == KEPT
+        and path.stat().st_mode & 0o777 == 0o600
+        and left(tmp_path) == ["config"]
+    )
+    stable_store.save(path, Version(8, "cd"), {})
+    assert stable_store.load(path) == (Version(8, "cd"), {})
 
 
 def test_a_file_cut_at_any_byte_or_with_any_byte_changed_is_refused(tmp_path):
     path = tmp_path / "config"
-    keep.save(path, *KEPT)
+    stable_store.save(path, *KEPT)
     whole = path.read_bytes()
     damaged = [whole[:at] for at in range(len(whole))] + [whole + b"\0", whole * 2]
     for at in range(len(whole)):
         damaged += [whole[:at] + bytes([whole[at] ^ flip]) + whole[at + 1 :] for flip in (1, 0x80, 0xFF)]
     for data in damaged:
         path.write_bytes(data)
-        with pytest.raises(keep.BadKeep) as raised:
-            keep.load(path)
+        with pytest.raises(stable_store.BadKeep) as raised:
+            stable_store.load(path)
         assert str(raised.value).startswith(str(path)) and "\n" not in str(raised.value)
         assert path.read_bytes() == data
 
@@ -972,21 +976,21 @@
 def test_a_later_format_is_said_and_left_as_it_is(tmp_path):
     path = tmp_path / "config"
     path.write_bytes(b"lmc2 whatever")
-    with pytest.raises(keep.BadKeep, match="does not know"):
-        keep.load(path)
+    with pytest.raises(stable_store.BadKeep, match="does not know"):
+        stable_store.load(path)
     assert path.read_bytes() == b"lmc2 whatever"
-    path.write_bytes(b"\0" * (keep.MOST_BYTES + 1))
-    with pytest.raises(keep.BadKeep, match="too large"):
-        keep.load(path)
-    with pytest.raises(keep.BadKeep, match="directory"):
-        keep.load(tmp_path)
+    path.write_bytes(b"\0" * (stable_store.MOST_BYTES + 1))
+    with pytest.raises(stable_store.BadKeep, match="too large"):
+        stable_store.load(path)
+    with pytest.raises(stable_store.BadKeep, match="directory"):
+        stable_store.load(tmp_path)
 
 
 @pytest.mark.parametrize("room", [0, 1, 5, 40, 10**6])
 @pytest.mark.parametrize("call", ["write", "fsync", "rename"])
 def test_a_full_disk_leaves_the_old_file_whole_and_nothing_beside_it(tmp_path, monkeypatch, call, room):
     path = tmp_path / "config"
-    keep.save(path, *KEPT)
+    stable_store.save(path, *KEPT)
     real, used = os.write, [0]
 
     def full(*_):
@@ -1000,14 +1004,14 @@
 
     monkeypatch.setattr(os, call, some if call == "write" else full)
     if call == "write" and room > 1000:
-        keep.save(path, Version(8, "new"), {FLEET: "n" * 500})  # all fits, in parts
+        stable_store.save(path, Version(8, "new"), {FLEET: "n" * 500})  # all fits, in parts
         monkeypatch.undo()
-        assert keep.load(path) == (Version(8, "new"), {FLEET: "n" * 500})
+        assert stable_store.load(path) == (Version(8, "new"), {FLEET: "n" * 500})
         return
     with pytest.raises(OSError, match="No space"):
-        keep.save(path, Version(8, "new"), {FLEET: "n" * 500})
+        stable_store.save(path, Version(8, "new"), {FLEET: "n" * 500})
     monkeypatch.undo()
-    assert keep.load(path) == KEPT and left(tmp_path) == ["config"]
+    assert stable_store.load(path) == KEPT and left(tmp_path) == ["config"]
 
 
 def test_file_and_directory_are_on_disk_before_it_counts_as_kept(tmp_path, monkeypatch):
@@ -1015,18 +1019,18 @@
     rename = os.rename
     monkeypatch.setattr(os, "fsync", lambda fd: (order.append(stat.S_ISDIR(os.fstat(fd).st_mode)), real(fd)))
     monkeypatch.setattr(os, "rename", lambda *paths: (order.append("renamed"), rename(*paths)))
-    keep.save(tmp_path / "config", *KEPT)
+    stable_store.save(tmp_path / "config", *KEPT)
     assert order == [False, "renamed", True]
 
 
 def test_what_a_killed_process_left_half_written_does_not_stand_in_the_way(tmp_path):
     path, fresh = tmp_path / "config", tmp_path / ".config.new"
-    keep.save(path, *KEPT)
+    stable_store.save(path, *KEPT)
     fresh.write_bytes(b"half")
     fresh.chmod(0o644)
-    assert keep.load(path) == KEPT
-    keep.save(path, Version(8, "cd"), {})
-    assert keep.load(path) == (Version(8, "cd"), {}) and path.stat().st_mode & 0o777 == 0o600
+    assert stable_store.load(path) == KEPT
+    stable_store.save(path, Version(8, "cd"), {})
+    assert stable_store.load(path) == (Version(8, "cd"), {}) and path.stat().st_mode & 0o777 == 0o600
     assert left(tmp_path) == ["config"]
 
 
@@ -1035,8 +1039,8 @@
 def test_any_entries_are_kept_as_they_are(tmp_path_factory, entries, version):
     entries = {key: value for key, value in entries.items() if value is not None}
     path = tmp_path_factory.mktemp("kept") / "config"
-    keep.save(path, version, entries)
-    got = keep.load(path)
+    stable_store.save(path, version, entries)
+    got = stable_store.load(path)
     assert got is not None and got[0] == version and exactly(got[1]) == exactly(entries)
 
 
--- a/tests/test_config_fanout.py
+++ b/tests/test_config_fanout.py
@@ -11,7 +11,7 @@
 from lupinmill.config.history import History
 from lupinmill.config.model import Answered, Ask, Failed, Key, Reply, Status, Version
 from lupinmill.config.relay_file import RelayFile
-from lupinmill.config.standing import MOST_PENDING, Times
+from lupinmill.config.watcher_table import MOST_PENDING, Times
 from lupinmill.protocol.http import Answer
 
 from config_bed import FLEET, NOTHING, SECOND, of_service
--- a/tests/test_config_relay.py
+++ b/tests/test_config_relay.py
@@ -14,13 +14,13 @@
 
 from lupinmill.cli import main
 from lupinmill.cli.config import summed
-from lupinmill.config import keep, model, server, wire
+from lupinmill.config import stable_store, model, server, wire
 from lupinmill.config.driver import ConfigWatch
 from lupinmill.config.follower import Follower
 from lupinmill.config.model import Key, Reply, Status, Version
 from lupinmill.config.relay import BadStart, Relay
 from lupinmill.config.relay_file import RelayFile
-from lupinmill.config.standing import Times
+from lupinmill.config.watcher_table import Times
 from lupinmill.protocol.http import Answer, ClientSide, Request
 from lupinmill.transport.ring import Store
 
@@ -116,7 +116,7 @@
             assert status == 200 and orjson.loads(text)["index"] == 2
             await until(lambda: answers)
             assert answers[0].entries == {FLEET: {"instances": 2}} and answers[0].spread_ms == 2_000
-            assert keep.load(tmp_path / "keep" / "source") == (
+            assert stable_store.load(tmp_path / "keep" / "source") == (
                 run.relay.history.version,
                 {FLEET: {"instances": 2}},
             )
@@ -196,7 +196,7 @@
                 assert run.relay.history.version.index == before + 1
                 assert run.relay.history.entries == contents[to]
             assert (await run.operate("POST", "/v1/rollback?to=1&if_index=3"))[0] == 409
-            assert keep.load(tmp_path / "keep" / "source") == (run.relay.history.version, {})
+            assert stable_store.load(tmp_path / "keep" / "source") == (run.relay.history.version, {})
 
     on_loopback(check)
 
@@ -217,7 +217,7 @@
             answer = wire.decode(await call(run.relay.watches.address, watch(ahead, 10)))
             assert answer.whole and answer.version == version and answer.entries == {FLEET: {"instances": 1}}
             assert (await run.push({FLEET: {"instances": 2}}))[0] == 200
-            assert keep.load(tmp_path / "keep" / "source")[0].index == 11
+            assert stable_store.load(tmp_path / "keep" / "source")[0].index == 11
 
     on_loopback(check)
 
@@ -230,8 +230,8 @@
             raise OSError(errno.ENOSPC, "No space left on device")
         whole_write(path, data)
 
-    whole_write = keep.write
-    monkeypatch.setattr(keep, "write", write)
+    whole_write = stable_store.write
+    monkeypatch.setattr(stable_store, "write", write)
 
     async def check():
         async with running(source_file(tmp_path)) as run:
@@ -243,7 +243,7 @@
             status, text = await run.push({FLEET: {"instances": 2}})
             assert status == 507 and "No space left" in text
             assert (run.relay.history.version, run.relay.history.entries) == before
-            assert keep.load(tmp_path / "keep" / "source") == before
+            assert stable_store.load(tmp_path / "keep" / "source") == before
             reply = wire.decode(await call(run.relay.watches.address, watch()))
             assert (reply.version, reply.entries) == before
             full.clear()
@@ -481,8 +481,8 @@
                     assert (await second.push({FLEET: {"instances": 1}}))[0] == 404
                     # Also the relays have kept it.
                     path = tmp_path / "keep" / "second"
-                    await until(lambda: (keep.load(path) or (None,))[0] == held)
-                    assert keep.load(path)[1] == {FLEET: {"instances": 5}}
+                    await until(lambda: (stable_store.load(path) or (None,))[0] == held)
+                    assert stable_store.load(path)[1] == {FLEET: {"instances": 5}}
 
     on_loopback(check)
 
@@ -528,14 +528,14 @@
 
 
 def test_a_relay_whose_disk_is_full_serves_on_from_memory_and_says_so_once(tmp_path, soon, monkeypatch):
-    full, whole_write = [True], keep.write
+    full, whole_write = [True], stable_store.write
 
     def write(path, data) -> None:
         if full and path.name == ".relay.new":
             raise OSError(errno.ENOSPC, "No space left on device")
         whole_write(path, data)
 
-    monkeypatch.setattr(keep, "write", write)
+    monkeypatch.setattr(stable_store, "write", write)
     monkeypatch.setattr("lupinmill.config.relay.KEEP_AGAIN", 0.05)
 
     async def check():
--- a/tests/test_config_sidecar.py
+++ b/tests/test_config_sidecar.py
@@ -15,7 +15,7 @@
 from test_sidecar import always, until
 
 from lupinmill import terms as t
-from lupinmill.config import keep, wire
+from lupinmill.config import stable_store, wire
 from lupinmill.config.driver import ConfigWatch
 from lupinmill.config.follower import Follower
 from lupinmill.config.history import History
@@ -277,7 +277,7 @@
 
 def kept_file(tmp_path, entries: Entries = CHANGED, scopes=SCOPES) -> str:
     path = tmp_path / "kept"
-    keep.save(path, Version(7, "mark"), entries | {ConfigWatch.WATCHED: scopes})
+    stable_store.save(path, Version(7, "mark"), entries | {ConfigWatch.WATCHED: scopes})
     return str(path)
 
 
@@ -305,7 +305,7 @@
         await net.in_force(CHANGED)
         assert (await net.ask(wanted("s3", "quick"))).status == 200
         await until(lambda: net.program.in_force.watch.kept_index == 1)
-        version, entries = keep.load(tmp_path / "kept")
+        version, entries = stable_store.load(tmp_path / "kept")
         assert version == net.relay.history.version
         assert entries == CHANGED | {ConfigWatch.WATCHED: SCOPES}
 
@@ -347,8 +347,8 @@
     for at in cuts:
         if at is not None:
             Path(path).write_bytes(whole[:at])
-            with pytest.raises(keep.BadKeep):
-                keep.load(path)
+            with pytest.raises(stable_store.BadKeep):
+                stable_store.load(path)
     network(check, fine, keep=path, before=silent_for_a_while)
 
 
@@ -360,7 +360,7 @@
     from lupinmill.config import driver
 
     monkeypatch.setattr(driver, "DISK_AGAIN", 0.01)
-    full, save = [True], keep.save
+    full, save = [True], stable_store.save
 
     def failing(path, version, entries):
         if full[0]:
@@ -378,7 +378,7 @@
         full[0] = False
         await until(lambda: net.program.in_force.watch.kept_index == 3)
         assert any("kept again" in fields["text"] for event, fields in net.logs if event == "config")
-        assert keep.load(tmp_path / "kept")[0].index == 3
+        assert stable_store.load(tmp_path / "kept")[0].index == 3
 
     network(check, fine, keep=str(tmp_path / "kept"))
 
