--- a/lupinmill/cli/check.py
+++ b/lupinmill/cli/check.py
@@ -88,7 +88,8 @@
         f"config: settings and the roster also come from {len(config.relays)} relays "
         f"({', '.join(config.relays)}), in force without a new start; all that ask anew come within "
         f"{config.spread_s:g} s, until relays tell their own",
-        "this sidecar watches " + ", ".join(merge.scopes_of(name or "NAME", zone, region, config.service)),
+        "this sidecar watches "
+        + ", ".join(merge.watched_scopes(name or "NAME", zone, region, config.service)),
         f"the last version in force is kept in {config.keep}, which a start goes by before a relay answers"
         if config.keep
         else "no version is kept: until a relay answers, a start goes by the platform's file",
--- a/lupinmill/cli/config.py
+++ b/lupinmill/cli/config.py
@@ -17,13 +17,13 @@
 from lupinmill.cli import asking
 from lupinmill.cli.asking import NoAnswer, refuse
 from lupinmill.config import push as pushes
-from lupinmill.config.model import LARGEST
-from lupinmill.config.push import BadPush
-from lupinmill.config.watcher_table import Times
+from lupinmill.config.model import MAX_REPLY_BYTES
+from lupinmill.config.push import InvalidPush
+from lupinmill.config.watcher_table import LatencyHistogram
 
 ROOT = "/v1/"
 PUBLISHED = 20.0  # seconds for a version to be checked and kept
-MOST = 4 * LARGEST  # bytes of an answer
+MOST = 4 * MAX_REPLY_BYTES  # bytes of an answer
 NAMED = 12  # of those that lag, at most, in words
 AT = click.option(
     "--at",
@@ -94,7 +94,7 @@
 
 def merged(shown: list[dict[str, Any]]) -> dict[str, Any]:
     """Times of several relays as one, by their classes."""
-    times = Times()
+    times = LatencyHistogram()
     for one in shown:
         classes = {int(at): count for at, count in one["classes"].items()}
         times.merge(classes, round((one["last_ms"] or 0) * 1000))
@@ -208,9 +208,9 @@
 def push(path: str, address: str, if_index: int | None) -> None:
     """Publish the entries of FILE, TOML or JSON, as the next version. Checked by the source first."""
     try:
-        entries = pushes.entries_of(read(path))
-    except BadPush as error:
-        refuse(BadPush(f"{path}: {error}"))
+        entries = pushes.parse_entries(read(path))
+    except InvalidPush as error:
+        refuse(InvalidPush(f"{path}: {error}"))
     rows = [{"scope": key.scope, "kind": key.kind, "value": value} for key, value in entries.items()]
     body: dict[str, Any] = {"entries": rows}
     if if_index is not None:
@@ -238,17 +238,17 @@
     """Raises BadPush."""
     try:
         data = Path(path).read_bytes()
-        if len(data) > LARGEST:
-            raise BadPush(f"over {LARGEST} bytes")
+        if len(data) > MAX_REPLY_BYTES:
+            raise InvalidPush(f"over {MAX_REPLY_BYTES} bytes")
         if path.endswith(".json"):
             found = msgspec.json.decode(data)
             if not isinstance(found, dict):
-                raise BadPush("wants a table")
+                raise InvalidPush("wants a table")
             return found
         return tomllib.loads(data.decode())
     except OSError as error:
-        raise BadPush(str(error.strerror)) from error
+        raise InvalidPush(str(error.strerror)) from error
     except UnicodeDecodeError as error:
-        raise BadPush("no UTF-8") from error
+        raise InvalidPush("no UTF-8") from error
     except (tomllib.TOMLDecodeError, msgspec.DecodeError) as error:
-        raise BadPush(str(error)) from error
+        raise InvalidPush(str(error)) from error
--- a/lupinmill/cli/relay.py
+++ b/lupinmill/cli/relay.py
@@ -23,9 +23,9 @@
         text = str(error)
         refuse(BadFile(text if text.startswith(path) else f"{path}: {text}"))
     if checks:
-        click.echo("\n".join(relay_file.follows(file)))
+        click.echo("\n".join(relay_file.describe(file)))
         return
-    from lupinmill.config.relay import BadStart, Relay
+    from lupinmill.config.relay import StartError, Relay
     from lupinmill.program.logs import Logs
 
     logs = Logs(file.name)
@@ -35,8 +35,8 @@
 
     try:
         anyio.run(run)
-    except BadStart as error:
-        refuse(BadStart(f"{path}: {error}"))
+    except StartError as error:
+        refuse(StartError(f"{path}: {error}"))
     finally:
         logs.close()
     sys.exit(0)
--- a/lupinmill/config/checks.py
+++ b/lupinmill/config/checks.py
@@ -9,7 +9,7 @@
 from lupinmill.protocol.settings import Fields, number_at
 
 # All that `protocol.settings` reads. What the platform's file holds beyond it says nothing to this program.
-KEYS = frozenset(
+KNOWN_KEYS = frozenset(
     (
         "random-seed",
         "tier",
@@ -49,7 +49,7 @@
         "prices.connection",
     )
 )
-KEYS_OF = {
+KNOWN_ROW_KEYS = {
     "workloads": frozenset(
         (
             "name",
@@ -66,8 +66,8 @@
     ),
     "accounts": frozenset(("name", "quota-per-s")),
 }
-MOST_ROWS = 256  # workloads, or tenants
-LONGEST_SPAN = 86_400.0  # seconds
+MAX_ROWS = 256  # workloads, or tenants
+MAX_DURATION_S = 86_400.0  # seconds
 # Numbers: the least and the most of each.
 RANGES = {
     "instances": (1, 1e6),
@@ -76,32 +76,32 @@
     "blend.worst-window": (0, 1e6),
     "blend.worst-class": (0, 1e6),
     "blend.kept-promises": (0, 1e6),
-    "invariants.ask-within-s": (0, LONGEST_SPAN),
+    "invariants.ask-within-s": (0, MAX_DURATION_S),
     "invariants.cold-share": (0, 1),
-    "invariants.cold-s": (0, LONGEST_SPAN),
-    "invariants.fall-s": (0, LONGEST_SPAN),
-    "invariants.stop-sending-within-s": (0, LONGEST_SPAN),
-    "round-s": (0, LONGEST_SPAN),
+    "invariants.cold-s": (0, MAX_DURATION_S),
+    "invariants.fall-s": (0, MAX_DURATION_S),
+    "invariants.stop-sending-within-s": (0, MAX_DURATION_S),
+    "round-s": (0, MAX_DURATION_S),
     "tier": (0, 100),
     "limits.most-launches": (1, 1_000),
-    "limits.max-retry-after-s": (0, LONGEST_SPAN),
-    "limits.conn-idle-s": (0, LONGEST_SPAN),
-    "limits.connect-timeout-s": (0, LONGEST_SPAN),
+    "limits.max-retry-after-s": (0, MAX_DURATION_S),
+    "limits.conn-idle-s": (0, MAX_DURATION_S),
+    "limits.connect-timeout-s": (0, MAX_DURATION_S),
     "limits.streams-per-conn": (1, 1e6),
     "prices.cross-zone": (0, 1e6),
     "prices.connection": (0, 1e6),
 }
-RANGES_OF = {
+ROW_RANGES = {
     "workloads": {
-        "contract-time-s": (0, LONGEST_SPAN),
-        "hard-limit-s": (0, LONGEST_SPAN),
+        "contract-time-s": (0, MAX_DURATION_S),
+        "hard-limit-s": (0, MAX_DURATION_S),
         "value": (0, 1e6),
         "overdue-value": (0, 1e6),
-        "window-s": (0, LONGEST_SPAN),
+        "window-s": (0, MAX_DURATION_S),
     },
     "accounts": {"quota-per-s": (0, 1e9)},
 }
-FLAGS = (
+BOOLEAN_KEYS = (
     "limits.may-duplicate",
     "limits.cancel",
     "limits.probes",
@@ -111,47 +111,47 @@
 )
 
 
-def check_closely(fields: Fields) -> None:
+def check_ranges(fields: Fields) -> None:
     """What people push is judged more closely than what the platform tells: each number and switch, names
     once each. Raises ValueError, its text the key and what is wrong there."""
-    for key, (least, most) in RANGES.items():
-        check_range(fields, key, least, most)
-    for key in FLAGS:
+    for key, (minimum, maximum) in RANGES.items():
+        check_range(fields, key, minimum, maximum)
+    for key in BOOLEAN_KEYS:
         if fields.get(key, "") not in ("", "true", "false", "1", "0"):
             raise ValueError(f"settings.{key}: {fields[key]!r} is neither true nor false")
-    for kind, ranges in RANGES_OF.items():
+    for kind, ranges in ROW_RANGES.items():
         count = int(number_at(fields, f"{kind}.count", "0"))
-        if not 0 <= count <= MOST_ROWS:
-            raise ValueError(f"settings.{kind}: {count} are more than {MOST_ROWS}")
-        names = [fields.get(f"{kind}.{at}.name", "") for at in range(count)]
-        for at, name in enumerate(names):
-            if not name or name in names[:at]:
-                raise ValueError(f"settings.{kind}.{at}.name: {name!r} is none, or there already")
-            for key, (least, most) in ranges.items():
-                check_range(fields, f"{kind}.{at}.{key}", least, most)
+        if not 0 <= count <= MAX_ROWS:
+            raise ValueError(f"settings.{kind}: {count} are more than {MAX_ROWS}")
+        names = [fields.get(f"{kind}.{index}.name", "") for index in range(count)]
+        for index, name in enumerate(names):
+            if not name or name in names[:index]:
+                raise ValueError(f"settings.{kind}.{index}.name: {name!r} is none, or there already")
+            for key, (minimum, maximum) in ranges.items():
+                check_range(fields, f"{kind}.{index}.{key}", minimum, maximum)
 
 
-def check_range(fields: Fields, key: str, least: float, most: float) -> None:
-    if fields.get(key) and not least <= number_at(fields, key, "0") <= most:
-        raise ValueError(f"settings.{key}: {fields[key]!r} is not within {least:g} to {most:g}")
+def check_range(fields: Fields, key: str, minimum: float, maximum: float) -> None:
+    if fields.get(key) and not minimum <= number_at(fields, key, "0") <= maximum:
+        raise ValueError(f"settings.{key}: {fields[key]!r} is not within {minimum:g} to {maximum:g}")
 
 
-def check_keys(table: dict[str, Any]) -> None:
+def check_known_keys(table: dict[str, Any]) -> None:
     """Of settings that somebody sets, as `merge.settings` takes them. Raises ValueError."""
     for key, value in table.items():
-        if key in KEYS_OF:
+        if key in KNOWN_ROW_KEYS:
             rows = value.values() if isinstance(value, dict) else value if isinstance(value, list) else ()
             for row in rows:
                 for inner in row if isinstance(row, dict) else ():
-                    known(inner, KEYS_OF[key], f"settings.{key}.")
+                    check_key(inner, KNOWN_ROW_KEYS[key], f"settings.{key}.")
         elif isinstance(value, dict):
             for inner in value:
-                known(f"{key}.{inner}", KEYS, "settings.")
+                check_key(f"{key}.{inner}", KNOWN_KEYS, "settings.")
         else:
-            known(key, KEYS, "settings.")
+            check_key(key, KNOWN_KEYS, "settings.")
 
 
-def known(key: str, keys: frozenset[str], path: str) -> None:
+def check_key(key: str, keys: frozenset[str], path: str) -> None:
     if key not in keys:
-        near = get_close_matches(key, sorted(keys), 1, 0.0)
-        raise ValueError(f"{path}{key}: unknown; the nearest known key is {near[0]}")
+        nearest = get_close_matches(key, sorted(keys), 1, 0.0)
+        raise ValueError(f"{path}{key}: unknown; the nearest known key is {nearest[0]}")
--- a/lupinmill/config/config_handler.py
+++ b/lupinmill/config/config_handler.py
@@ -9,38 +9,38 @@
 import orjson
 
 from lupinmill.config import wire
-from lupinmill.config.history import Behind
-from lupinmill.config.model import LARGEST, Version
-from lupinmill.config.push import BadPush
-from lupinmill.config.server import JSON
-from lupinmill.config.source import NotKept, Source, Unlike, Unreached
+from lupinmill.config.history import SourceBehind
+from lupinmill.config.model import MAX_REPLY_BYTES, Version
+from lupinmill.config.push import InvalidPush
+from lupinmill.config.server import JSON_HEADERS
+from lupinmill.config.source import SaveFailed, Source, IndexMismatch, VersionNotKept
 from lupinmill.protocol.http import Answer, Garbled, Malformed, Request, plain
 
-LARGEST_PUSH = LARGEST  # bytes
-AFTER_RESTORE = (
+MAX_PUSH_BYTES = MAX_REPLY_BYTES  # bytes
+RESTORE_HINT = (
     "`lupinmill config restore` publishes what is here beyond all versions heard of; if what is here is too "
     "old, push its newer content after that"
 )
 
 
-class Office:
+class ConfigHandler:
     def __init__(
         self, status: Callable[[], dict[str, Any]], entries: Callable[[], bytes], source: Source | None
     ) -> None:
         self.status, self.entries, self.source = status, entries, source
 
-    async def carry_out(self, request: Request) -> Answer:
+    async def handle(self, request: Request) -> Answer:
         """Raises Malformed."""
         path, _, query = request.target.partition(b"?")
         calls = {b"/v1/push": self.push, b"/v1/rollback": self.rollback, b"/v1/restore": self.restore}
         if path == b"/v1/status":
             if request.method != b"GET":
                 raise Malformed(405, "status: only GET")
-            return Answer(200, JSON, orjson.dumps(self.status()))
+            return Answer(200, JSON_HEADERS, orjson.dumps(self.status()))
         if path == b"/v1/entries":
             if request.method != b"GET":
                 raise Malformed(405, "entries: only GET")
-            return Answer(200, JSON, self.entries())
+            return Answer(200, JSON_HEADERS, self.entries())
         if path not in calls:
             raise Malformed(404, "no such path")
         if request.method != b"POST":
@@ -48,60 +48,60 @@
         if self.source is None:
             raise Malformed(404, "this is a relay; a source takes that")
         try:
-            version = await calls[path](self.source, request, given(query))
-        except (BadPush, Garbled) as error:
+            version = await calls[path](self.source, request, parse_query(query))
+        except (InvalidPush, Garbled) as error:
             return plain(400, f"{error}\n")
         except ValueError as error:  # a value that JSON can't hold, or too much of it
             return plain(400, f"{error}\n")
-        except Unlike as error:
+        except IndexMismatch as error:
             return plain(409, f"{error}\n")
-        except Behind as error:
-            return plain(409, f"{error}; {AFTER_RESTORE}\n")
-        except Unreached as error:
+        except SourceBehind as error:
+            return plain(409, f"{error}; {RESTORE_HINT}\n")
+        except VersionNotKept as error:
             return plain(404, f"{error}\n")
-        except NotKept as error:
+        except SaveFailed as error:
             return plain(507, f"{error}\n")
-        return Answer(200, JSON, orjson.dumps({"index": version.index, "mark": version.mark}))
+        return Answer(200, JSON_HEADERS, orjson.dumps({"index": version.index, "mark": version.mark}))
 
-    async def push(self, source: Source, request: Request, told: dict[str, int]) -> Version:
-        only(told, "if_index")
+    async def push(self, source: Source, request: Request, parameters: dict[str, int]) -> Version:
+        reject_unknown(parameters, "if_index")
         try:
             table = orjson.loads(request.body)
         except orjson.JSONDecodeError as error:
-            raise BadPush(f"the body: {error}") from error
+            raise InvalidPush(f"the body: {error}") from error
         if not isinstance(table, dict):
-            raise BadPush("the body: not a table")
-        if_index = table.pop("if_index", told.get("if_index"))
+            raise InvalidPush("the body: not a table")
+        if_index = table.pop("if_index", parameters.get("if_index"))
         if if_index is not None and (type(if_index) is not int or if_index < 0):
-            raise BadPush("if_index: wants a whole number")
-        return await source.push(wire.config_entries(table), if_index)
+            raise InvalidPush("if_index: wants a whole number")
+        return await source.push(wire.decode_push(table), if_index)
 
-    async def rollback(self, source: Source, request: Request, told: dict[str, int]) -> Version:
-        only(told, "to", "if_index")
-        if "to" not in told:
-            raise BadPush("to: missing; the index to go back to")
-        return await source.rollback(told["to"], told.get("if_index"))
+    async def rollback(self, source: Source, request: Request, parameters: dict[str, int]) -> Version:
+        reject_unknown(parameters, "to", "if_index")
+        if "to" not in parameters:
+            raise InvalidPush("to: missing; the index to go back to")
+        return await source.rollback(parameters["to"], parameters.get("if_index"))
 
-    async def restore(self, source: Source, request: Request, told: dict[str, int]) -> Version:
-        only(told)
+    async def restore(self, source: Source, request: Request, parameters: dict[str, int]) -> Version:
+        reject_unknown(parameters)
         return await source.restore()
 
 
-def given(query: bytes) -> dict[str, int]:
+def parse_query(query: bytes) -> dict[str, int]:
     """Of a call's query: whole numbers by their names."""
-    told: dict[str, int] = {}
+    parameters: dict[str, int] = {}
     try:
         pairs = parse_qsl(query.decode("ascii"), True, bool(query), max_num_fields=4)
     except ValueError as error:
         raise Malformed(400, "query: can't be read") from error
     for key, value in pairs:
-        if key in told or not wire.DIGITS.fullmatch(value):
+        if key in parameters or not wire.DIGITS.fullmatch(value):
             raise Malformed(400, f"{key[:40]!r}: wants one whole number")
-        told[key] = int(value)
-    return told
+        parameters[key] = int(value)
+    return parameters
 
 
-def only(told: dict[str, int], *keys: str) -> None:
-    for key in told:
+def reject_unknown(parameters: dict[str, int], *keys: str) -> None:
+    for key in parameters:
         if key not in keys:
             raise Malformed(400, f"{key[:40]!r}: is not known here")
--- a/lupinmill/config/driver.py
+++ b/lupinmill/config/driver.py
@@ -14,22 +14,22 @@
 from lupinmill.config import stable_store, wire
 from lupinmill.config.follower import Follower
 from lupinmill.config.model import (
-    LARGEST,
-    Answered,
-    Apply,
-    Ask,
+    MAX_REPLY_BYTES,
+    ReplyReceived,
+    ApplyVersion,
+    SendWatch,
     Entries,
-    Failed,
-    FollowerNote,
-    FollowerOrder,
+    WatchFailed,
+    FollowerEvent,
+    FollowerCommand,
     Key,
-    Log,
-    Refused,
+    LogLine,
+    VersionRefused,
     Reply,
-    Took,
+    VersionApplied,
     Version,
-    WakeMe,
-    Woke,
+    SetTimer,
+    TimerFired,
 )
 from lupinmill.protocol.http import ClientSide, Garbled
 from lupinmill.routing.engine import Log as Logs
@@ -38,11 +38,11 @@
 from lupinmill.transport.ring import Store
 
 SECOND = 1_000_000
-DISK_AGAIN = 5.0  # seconds before a disk that failed is tried again
-LONGEST_WHY = 200
+SAVE_RETRY_S = 5.0  # seconds before a disk that failed is tried again
+MAX_REASON_CHARS = 200
 
 # None: in force now; else why not, and then what was in force before still is.
-Take = Callable[[Version, Entries], str | None]
+ApplyCallback = Callable[[Version, Entries], str | None]
 
 
 def now() -> int:
@@ -50,159 +50,168 @@
 
 
 class ConfigWatch:
-    WATCHED = Key("fleet", "watched")  # in the kept file alone: the scopes whose entries it has
+    WATCHED_SCOPES_KEY = Key("fleet", "watched")  # in the kept file alone: the scopes whose entries it has
 
     def __init__(
         self,
         follower: Follower,
         scopes: tuple[str, ...],
         store: Store,
-        take: Take,
+        apply_version: ApplyCallback,
         log: Logs,
-        keep: str | Path | None = None,
+        store_path: str | Path | None = None,
     ) -> None:
         """`scopes`: those watched; none: all. `keep`: the file for the last version in force."""
-        self.follower, self.scopes, self.store, self.take, self.log = follower, scopes, store, take, log
-        self.path = keep
+        self.follower, self.scopes, self.store, self.apply_version, self.log = (
+            follower,
+            scopes,
+            store,
+            apply_version,
+            log,
+        )
+        self.store_path = store_path
         self.connection: Connection | None = None
-        self.at = ""  # the relay that it leads to
-        self.wanted: Ask | None = None  # the call that goes out next
-        self.asked = anyio.Event()
-        self.calling: anyio.CancelScope | None = None
-        self.wake_at: int | None = None
-        self.rearmed = anyio.Event()
-        self.inbox: list[FollowerNote] = []
-        self.stepping = False
-        self.to_keep: tuple[Version, Entries] | None = None
-        self.kept = anyio.Event()
-        self.kept_index = 0  # of the version on disk
-        self.keeping = True  # else another process of this sidecar has the file
+        self.relay = ""  # the relay that it leads to
+        self.next_call: SendWatch | None = None  # the call that goes out next
+        self.call_requested = anyio.Event()
+        self.call_scope: anyio.CancelScope | None = None
+        self.timer_at: int | None = None
+        self.timer_changed = anyio.Event()
+        self.inbox: list[FollowerEvent] = []
+        self.in_step = False
+        self.unsaved: tuple[Version, Entries] | None = None
+        self.save_requested = anyio.Event()
+        self.saved_index = 0  # of the version on disk
+        self.saving_enabled = True  # else another process of this sidecar has the file
 
     async def run(self) -> None:
         """Until it is cancelled; after a failure it may be run again, and goes on from what it holds."""
         try:
             async with anyio.create_task_group() as group:
-                group.start_soon(self.call)
-                group.start_soon(self.keep_time)
-                if self.path is not None:
-                    group.start_soon(self.save)
-                self.tell(Woke())
+                group.start_soon(self.run_calls)
+                group.start_soon(self.run_timer)
+                if self.store_path is not None:
+                    group.start_soon(self.run_saves)
+                self.notify(TimerFired())
         finally:
-            self.hang_up()
+            self.disconnect()
 
     def change_relays(self, relays: tuple[str, ...]) -> None:
         self.follower.change_relays(relays)
-        if self.wanted is not None and self.wanted.at not in relays:
-            self.wanted = None
-        if self.at not in relays and self.calling is not None:
-            self.calling.cancel()
-        self.tell(Woke())
+        if self.next_call is not None and self.next_call.relay not in relays:
+            self.next_call = None
+        if self.relay not in relays and self.call_scope is not None:
+            self.call_scope.cancel()
+        self.notify(TimerFired())
 
-    def offer_again(self) -> None:
+    def retry_refused(self) -> None:
         """What was refused may fit by now."""
         self.follower.refused, self.follower.why = 0, ""
-        self.tell(Woke())
+        self.notify(TimerFired())
 
-    def hang_up(self) -> None:
+    def disconnect(self) -> None:
         if self.connection is not None:
             self.connection.close()
             self.connection = None
 
     # Notes in, orders out.
 
-    def tell(self, *notes: FollowerNote) -> None:
-        self.inbox += notes
-        if self.stepping:
+    def notify(self, *events: FollowerEvent) -> None:
+        self.inbox += events
+        if self.in_step:
             return
-        self.stepping = True
+        self.in_step = True
         try:
             while self.inbox:
                 taken, self.inbox = self.inbox, []
-                self.wake_at = None
-                for order in self.follower.step(now(), taken):
-                    self.carry_out(order)
+                self.timer_at = None
+                for command in self.follower.step(now(), taken):
+                    self.execute(command)
         finally:
-            self.stepping = False
-
-    def carry_out(self, order: FollowerOrder) -> None:
-        if isinstance(order, Ask):
-            self.wanted = order
-            if self.calling is not None:
-                self.calling.cancel()
-            self.asked.set()
-        elif isinstance(order, Apply):
-            self.apply(order)
-        elif isinstance(order, WakeMe):
-            self.wake_at = order.at if self.wake_at is None else min(self.wake_at, order.at)
-            self.rearmed.set()
-        elif isinstance(order, Log):
-            self.log("config", text=order.text)
-
-    def apply(self, order: Apply) -> None:
+            self.in_step = False
+
+    def execute(self, command: FollowerCommand) -> None:
+        if isinstance(command, SendWatch):
+            self.next_call = command
+            if self.call_scope is not None:
+                self.call_scope.cancel()
+            self.call_requested.set()
+        elif isinstance(command, ApplyVersion):
+            self.apply(command)
+        elif isinstance(command, SetTimer):
+            self.timer_at = command.at if self.timer_at is None else min(self.timer_at, command.at)
+            self.timer_changed.set()
+        elif isinstance(command, LogLine):
+            self.log("config", text=command.text)
+
+    def apply(self, command: ApplyVersion) -> None:
         try:
-            why = self.take(order.version, order.entries)
+            why = self.apply_version(command.version, command.entries)
         except Exception as error:  # a defect there must not end the watch
             self.log("task_failed", task="take", **defect(error))
             why = f"a defect: {type(error).__name__}"
         if why is not None:
-            self.inbox.append(Refused(order.version, why[:LONGEST_WHY]))
+            self.inbox.append(VersionRefused(command.version, why[:MAX_REASON_CHARS]))
             return
-        self.inbox.append(Took(order.version))
-        if self.path is not None and self.keeping:
-            watched = {self.WATCHED: list(self.scopes)} if self.scopes else {}
-            self.to_keep = order.version, order.entries | watched
-            self.kept.set()
+        self.inbox.append(VersionApplied(command.version))
+        if self.store_path is not None and self.saving_enabled:
+            watched = {self.WATCHED_SCOPES_KEY: list(self.scopes)} if self.scopes else {}
+            self.unsaved = command.version, command.entries | watched
+            self.save_requested.set()
 
-    async def keep_time(self) -> None:
+    async def run_timer(self) -> None:
         while True:
-            self.rearmed = anyio.Event()
-            wait = None if self.wake_at is None else self.wake_at - now()
+            self.timer_changed = anyio.Event()
+            wait = None if self.timer_at is None else self.timer_at - now()
             if wait is not None and wait <= 0:
                 await anyio.sleep(0)  # guards the loop against a core that wants to be woken without end
-                self.tell(Woke())
+                self.notify(TimerFired())
                 continue
             with anyio.move_on_after(None if wait is None else wait / SECOND):
-                await self.rearmed.wait()
+                await self.timer_changed.wait()
 
     # One call at a time.
 
-    async def call(self) -> None:
+    async def run_calls(self) -> None:
         while True:
-            while self.wanted is None:
-                self.asked = anyio.Event()
-                await self.asked.wait()
-            ask, self.wanted, note = self.wanted, None, None
-            with anyio.CancelScope() as self.calling:
-                note = await self.answer(ask)
-            self.calling = None
-            if note is None or isinstance(note, Failed):
-                self.hang_up()
-            if note is not None and self.wanted is None:
-                self.tell(note)
-
-    async def answer(self, ask: Ask) -> Answered | Failed:
+            while self.next_call is None:
+                self.call_requested = anyio.Event()
+                await self.call_requested.wait()
+            ask, self.next_call, event = self.next_call, None, None
+            with anyio.CancelScope() as self.call_scope:
+                event = await self.send_watch(ask)
+            self.call_scope = None
+            if event is None or isinstance(event, WatchFailed):
+                self.disconnect()
+            if event is not None and self.next_call is None:
+                self.notify(event)
+
+    async def send_watch(self, ask: SendWatch) -> ReplyReceived | WatchFailed:
         try:
-            left = max(0, ask.until - now()) / SECOND
-            with anyio.fail_after(left):
-                return Answered(ask.at, await self.exchange(ask, left - ask.wait / SECOND))
+            remaining_s = max(0, ask.deadline - now()) / SECOND
+            with anyio.fail_after(remaining_s):
+                return ReplyReceived(ask.relay, await self.exchange(ask, remaining_s - ask.wait_us / SECOND))
         except Garbled as error:
-            return Failed(ask.at, str(error), garbled=True)
+            return WatchFailed(ask.relay, str(error), garbled=True)
         except TimeoutError:
-            return Failed(ask.at, "silent", silent=True)
+            return WatchFailed(ask.relay, "silent", silent=True)
         except (OSError, Unconnected, NoDescriptor) as error:
-            return Failed(ask.at, str(error) or type(error).__name__)
+            return WatchFailed(ask.relay, str(error) or type(error).__name__)
         except Exception as error:
             self.log("task_failed", task="config", **defect(error))
-            return Failed(ask.at, f"a defect: {type(error).__name__}", garbled=True)
+            return WatchFailed(ask.relay, f"a defect: {type(error).__name__}", garbled=True)
 
-    async def exchange(self, ask: Ask, margin: float) -> Reply:
+    async def exchange(self, ask: SendWatch, margin: float) -> Reply:
         """`margin`: seconds for the connection to come up, and between two parts of an answer, beyond which
         TimeoutError is raised; it grows with the follower's own."""
-        if self.connection is None or self.at != ask.at or not self.connection.quiet():
-            self.hang_up()
-            self.connection, self.at = await connect(ask.at, margin, self.store, lambda: None), ask.at
-        side = ClientSide(LARGEST, LARGEST)
-        request = wire.call(ask.since, ask.wait // 1000, self.scopes, self.follower.status())
+        if self.connection is None or self.relay != ask.relay or not self.connection.quiet():
+            self.disconnect()
+            self.connection, self.relay = (
+                await connect(ask.relay, margin, self.store, lambda: None),
+                ask.relay,
+            )
+        side = ClientSide(MAX_REPLY_BYTES, MAX_REPLY_BYTES)
+        request = wire.encode_watch(ask.since, ask.wait_us // 1000, self.scopes, self.follower.status())
         await self.connection.send(side.ask(request))
         while (answer := side.next_answer()) is None:
             with anyio.move_on_after(margin if side.begun() else None) as pause:
@@ -212,30 +221,30 @@
             if not pause.cancelled_caught:
                 side.feed(data)
         if not side.reusable():
-            self.hang_up()
-        return wire.decode(answer)
+            self.disconnect()
+        return wire.decode_reply(answer)
 
     # The disk is slow, full or gone: none of that holds up what is in force.
 
-    async def save(self) -> None:
+    async def run_saves(self) -> None:
         failing = False
         while True:
-            while self.to_keep is None:
-                self.kept = anyio.Event()
-                await self.kept.wait()
-            (version, entries), self.to_keep = self.to_keep, None
-            assert self.path is not None
+            while self.unsaved is None:
+                self.save_requested = anyio.Event()
+                await self.save_requested.wait()
+            (version, entries), self.unsaved = self.unsaved, None
+            assert self.store_path is not None
             try:
                 with anyio.CancelScope(shield=True):  # a thread that writes can't be called off
-                    await anyio.to_thread.run_sync(stable_store.save, self.path, version, entries)
+                    await anyio.to_thread.run_sync(stable_store.save, self.store_path, version, entries)
             except OSError as error:
                 if not failing:
-                    why = f"{self.path}: {error.strerror}"
+                    why = f"{self.store_path}: {error.strerror}"
                     self.log("config", text="what is in force can't be kept", error=why)
-                failing, self.to_keep = True, self.to_keep or (version, entries)
-                await anyio.sleep(DISK_AGAIN)
+                failing, self.unsaved = True, self.unsaved or (version, entries)
+                await anyio.sleep(SAVE_RETRY_S)
                 continue
-            self.kept_index = version.index
+            self.saved_index = version.index
             if failing:
                 failing = False
                 self.log("config", text="what is in force is kept again")
--- a/lupinmill/config/follower.py
+++ b/lupinmill/config/follower.py
@@ -11,55 +11,62 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from lupinmill.config.history import difference, merged
+from lupinmill.config.history import difference, apply_changes
 from lupinmill.config.model import (
-    Answered,
-    Apply,
-    Ask,
+    ReplyReceived,
+    ApplyVersion,
+    SendWatch,
     Entries,
-    Failed,
-    FollowerNote,
-    FollowerOrder,
-    Log,
-    Refused,
+    WatchFailed,
+    FollowerEvent,
+    FollowerCommand,
+    LogLine,
+    VersionRefused,
     Reply,
     Status,
-    Took,
+    VersionApplied,
     Version,
-    WakeMe,
+    SetTimer,
 )
 from lupinmill.workings import Chance
 
 MS, SECOND = 1_000, 1_000_000
-LONGEST_WAIT = 60 * SECOND  # what a watch allows
+MAX_WAIT_US = 60 * SECOND  # what a watch allows
 # Beyond the wait before a relay counts as silent. It doubles where a round of all relays brought no answer:
 # a limit that stays below the time that they take would begin each call anew for ever.
-MARGIN, LONGEST_MARGIN = 2 * SECOND, 60 * SECOND
-LATENESSES = 2  # of the last late answer that the margin stays above
-PART = 0.8  # of the wait that a call waits at least: calls that began together shall not end together
-PACE = 10 * MS  # between two calls at the least: bounds what a relay that always has news can cost
-NO_NEWS, LONGEST_NO_NEWS = 50 * MS, SECOND  # before the next call after none; longer where it came early
-HOLD = SECOND  # so long the next call waits for the word on what is offered, to carry it
-LEAST_SPREAD, LONGEST_SPREAD = 100 * MS, 600 * SECOND
-LEAST_PENALTY, LONGEST_PENALTY = SECOND, 60 * SECOND
-LOG_AGAIN, LONGEST_LOG_AGAIN = 30 * SECOND, 3600 * SECOND
-LONGEST_WHY = 200
+MIN_MARGIN_US, MAX_MARGIN_US = 2 * SECOND, 60 * SECOND
+LATENESS_FACTOR = 2  # of the last late answer that the margin stays above
+MIN_WAIT_FRACTION = (
+    0.8  # of the wait that a call waits at least: calls that began together shall not end together
+)
+MIN_CALL_INTERVAL_US = (
+    10 * MS
+)  # between two calls at the least: bounds what a relay that always has news can cost
+NO_CHANGES_PAUSE_US, MAX_NO_CHANGES_PAUSE_US = (
+    50 * MS,
+    SECOND,
+)  # before the next call after none; longer where it came early
+APPLY_WAIT_US = SECOND  # so long the next call waits for the word on what is offered, to carry it
+MIN_SPREAD_US, MAX_SPREAD_US = 100 * MS, 600 * SECOND
+MIN_PENALTY_US, MAX_PENALTY_US = SECOND, 60 * SECOND
+LOG_INTERVAL_US, MAX_LOG_INTERVAL_US = 30 * SECOND, 3600 * SECOND
+MAX_REASON_CHARS = 200
 
 
 @dataclass(slots=True)
-class Standing:
+class RelayState:
     """How one relay has behaved."""
 
-    spread: int = 0  # told by it; 0: none was
-    margin: int = MARGIN  # beyond the wait before it counts as silent
-    penalty: int = 0  # the last one; doubles while it goes on
+    spread_us: int = 0  # told by it; 0: none was
+    margin_us: int = MIN_MARGIN_US  # beyond the wait before it counts as silent
+    penalty_us: int = 0  # the last one; doubles while it goes on
     behind_until: int = 0  # till then the others are asked before it
 
 
 @dataclass(slots=True)
-class Said:
-    at: int
-    again: int  # microseconds until the like is said again
+class LogThrottle:
+    logged_at: int
+    interval: int  # microseconds until the like is said again
 
 
 class Follower:
@@ -75,227 +82,255 @@
     ) -> None:
         """`version` and `entries` are in force already. The spread is the fleet's, until relays tell theirs:
         over so long all of it comes anew."""
-        self.name, self.wait, self.spread = name, min(LONGEST_WAIT, wait_us), spread_us
+        self.name, self.wait_us, self.spread_us = name, min(MAX_WAIT_US, wait_us), spread_us
         self.chance = Chance(seed)
         self.version, self.entries = version, dict(entries)  # the newest heard
         self.in_force, self.refused, self.why = version, 0, ""
         self.offered: Version | None = None
         self.offered_at = 0
-        self.out: Ask | None = None
-        self.asked_at = -PACE
-        self.due: int | None = None  # when the next call goes out; None: not drawn yet
-        self.whole = False  # the next call asks for the snapshot: what came did not lead on
-        self.renew = False  # so does each call until one came: the scopes may be others than what is held
-        self.again = False  # what is held has changed within its version, and is offered again
-        self.early = 0  # answers without news in a row, each long before its wait was over
+        self.outstanding: SendWatch | None = None
+        self.sent_at = -MIN_CALL_INTERVAL_US
+        self.next_call_at: int | None = None  # when the next call goes out; None: not drawn yet
+        self.needs_snapshot = False  # the next call asks for the snapshot: what came did not lead on
+        self.refresh_pending = (
+            False  # so does each call until one came: the scopes may be others than what is held
+        )
+        self.reapply_pending = False  # what is held has changed within its version, and is offered again
+        self.early_replies = 0  # answers without news in a row, each long before its wait was over
         self.failures = 0  # calls without a good answer in a row
         self.relays: list[str] = []  # in this follower's own order, the one that it asks first
-        self.standings: dict[str, Standing] = {}
-        self.said: dict[str, Said] = {}
-        self.orders: list[FollowerOrder] = []
+        self.relay_states: dict[str, RelayState] = {}
+        self.log_throttles: dict[str, LogThrottle] = {}
+        self.commands: list[FollowerCommand] = []
         self.change_relays(relays)
 
     def change_relays(self, relays: tuple[str, ...]) -> None:
         """In force with the next step. A call at one that is gone is given up; the others keep their
         standing."""
-        others = [at for at in dict.fromkeys(relays) if at not in self.standings]
-        self.relays = [at for at in self.relays if at in relays]
+        others = [relay for relay in dict.fromkeys(relays) if relay not in self.relay_states]
+        self.relays = [relay for relay in self.relays if relay in relays]
         while others:
             self.relays.append(others.pop(self.chance.upto(len(others) - 1)))
-        self.standings = {at: self.standings.get(at, Standing()) for at in self.relays}
-        if self.out is not None and self.out.at not in self.standings:
-            self.out, self.due, self.whole = None, None, False
+        self.relay_states = {relay: self.relay_states.get(relay, RelayState()) for relay in self.relays}
+        if self.outstanding is not None and self.outstanding.relay not in self.relay_states:
+            self.outstanding, self.next_call_at, self.needs_snapshot = None, None, False
 
     def refresh(self) -> None:
         """The snapshot is asked for, and taken also at the version held. For drivers to call where the scopes
         have changed, and at a start with kept entries, which may be of other scopes."""
-        self.renew = True
-        if self.out is not None:
-            self.out, self.due = None, self.asked_at
+        self.refresh_pending = True
+        if self.outstanding is not None:
+            self.outstanding, self.next_call_at = None, self.sent_at
 
     def status(self) -> Status:
         return Status(self.name, self.in_force, self.refused, self.why)
 
     # --- one step ---
 
-    def step(self, now: int, notes: Iterable[FollowerNote]) -> list[FollowerOrder]:
-        self.orders = []
-        for note in notes:
-            if isinstance(note, Answered):
-                if self.out is not None and self.out.at == note.at:
-                    self.answered(now, self.out, note.reply)
-            elif isinstance(note, Failed):
-                if self.out is not None and self.out.at == note.at:
-                    self.failed(now, note)
-            elif isinstance(note, Took):
-                self.took(note.version)
-            elif isinstance(note, Refused):
-                self.refuse(now, note)
-        if self.out is not None and now >= self.out.until:
-            self.silent(now)
-        self.offer(now)
-        self.ask(now)
-        times = [self.out.until] if self.out is not None else [self.next_call()] if self.relays else []
-        self.orders += [WakeMe(at) for at in times]
-        return self.orders
-
-    def next_call(self) -> int:
-        due = max(self.due or 0, self.asked_at + PACE)
-        return max(due, self.offered_at + HOLD) if self.offered is not None else due
-
-    def ask(self, now: int) -> None:
-        if self.due is None:
-            self.due = now + self.chance.upto(self.spread)
-        if self.out is not None or not self.relays or now < self.next_call():
+    def step(self, now: int, events: Iterable[FollowerEvent]) -> list[FollowerCommand]:
+        self.commands = []
+        for event in events:
+            if isinstance(event, ReplyReceived):
+                if self.outstanding is not None and self.outstanding.relay == event.relay:
+                    self.reply_received(now, self.outstanding, event.reply)
+            elif isinstance(event, WatchFailed):
+                if self.outstanding is not None and self.outstanding.relay == event.relay:
+                    self.watch_failed(now, event)
+            elif isinstance(event, VersionApplied):
+                self.version_applied(event.version)
+            elif isinstance(event, VersionRefused):
+                self.version_refused(now, event)
+        if self.outstanding is not None and now >= self.outstanding.deadline:
+            self.watch_timed_out(now)
+        self.offer_version(now)
+        self.send_watch(now)
+        times = (
+            [self.outstanding.deadline]
+            if self.outstanding is not None
+            else [self.next_call_time()]
+            if self.relays
+            else []
+        )
+        self.commands += [SetTimer(time) for time in times]
+        return self.commands
+
+    def next_call_time(self) -> int:
+        due = max(self.next_call_at or 0, self.sent_at + MIN_CALL_INTERVAL_US)
+        return max(due, self.offered_at + APPLY_WAIT_US) if self.offered is not None else due
+
+    def send_watch(self, now: int) -> None:
+        if self.next_call_at is None:
+            self.next_call_at = now + self.chance.upto(self.spread_us)
+        if self.outstanding is not None or not self.relays or now < self.next_call_time():
             return
-        self.choose(now)
-        wait = int(self.wait * (PART + (1 - PART) * self.chance.draw()))
+        self.choose_relay(now)
+        wait_us = int(self.wait_us * (MIN_WAIT_FRACTION + (1 - MIN_WAIT_FRACTION) * self.chance.draw()))
         # Every other one that fails tells the version held: else nobody hears that a source is behind it.
-        renew = self.renew and self.failures % 2 == 0
-        since = Version() if self.whole or renew else self.version
-        self.out = Ask(self.relays[0], since, wait, now + wait + self.standings[self.relays[0]].margin)
-        self.asked_at = now
-        self.orders.append(self.out)
+        refresh = self.refresh_pending and self.failures % 2 == 0
+        since = Version() if self.needs_snapshot or refresh else self.version
+        self.outstanding = SendWatch(
+            self.relays[0], since, wait_us, now + wait_us + self.relay_states[self.relays[0]].margin_us
+        )
+        self.sent_at = now
+        self.commands.append(self.outstanding)
 
     # --- what is offered to the process ---
 
-    def offer(self, now: int) -> None:
+    def offer_version(self, now: int) -> None:
         newer = self.version.index > max(self.in_force.index, self.refused)
-        if self.offered is None and (newer or self.again):
-            self.again = False
+        if self.offered is None and (newer or self.reapply_pending):
+            self.reapply_pending = False
             self.offered, self.offered_at = self.version, now
-            self.orders.append(Apply(self.version, dict(self.entries)))
+            self.commands.append(ApplyVersion(self.version, dict(self.entries)))
 
-    def took(self, version: Version) -> None:
+    def version_applied(self, version: Version) -> None:
         if version == self.offered:
             self.in_force, self.offered, self.refused, self.why = version, None, 0, ""
 
-    def refuse(self, now: int, note: Refused) -> None:
-        if note.version == self.offered:
-            self.offered, self.refused, self.why = None, note.version.index, note.why[:LONGEST_WHY]
-            text = f"version {note.version.index} refused, {self.in_force.index} stays: {self.why}"
-            self.say(now, "refused", text)
+    def version_refused(self, now: int, event: VersionRefused) -> None:
+        if event.version == self.offered:
+            self.offered, self.refused, self.why = None, event.version.index, event.why[:MAX_REASON_CHARS]
+            text = f"version {event.version.index} refused, {self.in_force.index} stays: {self.why}"
+            self.log_throttled(now, "refused", text)
 
     # --- what comes of a call ---
 
-    def answered(self, now: int, ask: Ask, reply: Reply) -> None:
-        self.out = None
-        self.learn_lateness(self.standings[ask.at], now - self.asked_at, ask.wait)
-        standing = self.standings[ask.at]
+    def reply_received(self, now: int, ask: SendWatch, reply: Reply) -> None:
+        self.outstanding = None
+        self.adjust_margin(self.relay_states[ask.relay], now - self.sent_at, ask.wait_us)
+        state = self.relay_states[ask.relay]
         if reply.spread_ms > 0:
-            standing.spread = min(LONGEST_SPREAD, reply.spread_ms * MS)
+            state.spread_us = min(MAX_SPREAD_US, reply.spread_ms * MS)
         held, version = self.version, reply.version
         if version.index == 0:
-            self.distrust(now, "it knows of no version yet")
+            self.reject_reply(now, "it knows of no version yet")
         elif version.index < held.index:
-            self.distrust(now, f"it is at version {version.index}, this one at {held.index}")
+            self.reject_reply(now, f"it is at version {version.index}, this one at {held.index}")
         elif version.index == held.index and version != held:
-            self.distrust(now, f"its version {version.index} is another than the one here")
-        elif reply.whole:
-            self.take_snapshot(now, ask, reply)
+            self.reject_reply(now, f"its version {version.index} is another than the one here")
+        elif reply.is_snapshot:
+            self.accept_snapshot(now, ask, reply)
         elif reply.since != held:
             if ask.since.index == 0:
-                self.distrust(now, "changes where the snapshot was asked for")
+                self.reject_reply(now, "changes where the snapshot was asked for")
             else:
-                text = f"{ask.at}: changes that don't lead on from version {held.index}; asks for a snapshot"
-                self.say(now, "gap", text)
-                self.whole, self.due = True, now
+                text = (
+                    f"{ask.relay}: changes that don't lead on from version {held.index}; asks for a snapshot"
+                )
+                self.log_throttled(now, "gap", text)
+                self.needs_snapshot, self.next_call_at = True, now
         elif version == held and reply.entries:
-            self.distrust(now, "changes without a new version")
+            self.reject_reply(now, "changes without a new version")
         elif version == held:
-            self.no_news(now, ask)
+            self.no_changes(now, ask)
         else:
-            self.take(now, version, merged(self.entries, reply.entries))
+            self.accept(now, version, apply_changes(self.entries, reply.entries))
 
-    def learn_lateness(self, standing: Standing, took: int, wait: int) -> None:
+    def adjust_margin(self, state: RelayState, elapsed_us: int, wait_us: int) -> None:
         """An answer with news, before the wait was over, tells only that it was no later than it took."""
-        late = took - wait if took >= wait else min(took, standing.margin // LATENESSES)
-        standing.margin = min(LONGEST_MARGIN, max(MARGIN, LATENESSES * late))
-
-    def take_snapshot(self, now: int, ask: Ask, reply: Reply) -> None:
+        late = (
+            elapsed_us - wait_us
+            if elapsed_us >= wait_us
+            else min(elapsed_us, state.margin_us // LATENESS_FACTOR)
+        )
+        state.margin_us = min(MAX_MARGIN_US, max(MIN_MARGIN_US, LATENESS_FACTOR * late))
+
+    def accept_snapshot(self, now: int, ask: SendWatch, reply: Reply) -> None:
         if reply.version == self.version:
-            if self.renew and difference(self.entries, reply.entries):
-                self.entries, self.again = merged({}, reply.entries), True
-            self.renew = False
-            self.no_news(now, ask)
+            if self.refresh_pending and difference(self.entries, reply.entries):
+                self.entries, self.reapply_pending = apply_changes({}, reply.entries), True
+            self.refresh_pending = False
+            self.no_changes(now, ask)
             return
         if self.version.index:
-            self.say(
+            self.log_throttled(
                 now,
                 "snapshot",
-                f"{ask.at}: snapshot of version {reply.version.index} in place of {self.version.index}",
+                f"{ask.relay}: snapshot of version {reply.version.index} in place of {self.version.index}",
             )
-        self.renew = False
-        self.take(now, reply.version, merged({}, reply.entries))
+        self.refresh_pending = False
+        self.accept(now, reply.version, apply_changes({}, reply.entries))
 
-    def take(self, now: int, version: Version, entries: Entries) -> None:
+    def accept(self, now: int, version: Version, entries: Entries) -> None:
         self.version, self.entries = version, entries
-        self.good(now)
-        self.due, self.early = now, 0
+        self.mark_healthy(now)
+        self.next_call_at, self.early_replies = now, 0
 
-    def no_news(self, now: int, ask: Ask) -> None:
-        self.good(now)
-        self.early = self.early + 1 if now - self.asked_at < ask.wait // 2 else 0
-        self.due = now + min(LONGEST_NO_NEWS, NO_NEWS << min(self.early, 10))
+    def no_changes(self, now: int, ask: SendWatch) -> None:
+        self.mark_healthy(now)
+        self.early_replies = self.early_replies + 1 if now - self.sent_at < ask.wait_us // 2 else 0
+        self.next_call_at = now + min(
+            MAX_NO_CHANGES_PAUSE_US, NO_CHANGES_PAUSE_US << min(self.early_replies, 10)
+        )
 
-    def good(self, now: int) -> None:
+    def mark_healthy(self, now: int) -> None:
         if self.failures > 1:
-            self.say(now, "again", f"{self.relays[0]} answers, after {self.failures} calls that failed")
-        self.whole, self.failures = False, 0
-        standing = self.standings[self.relays[0]]
-        standing.penalty = standing.behind_until = 0
+            self.log_throttled(
+                now, "again", f"{self.relays[0]} answers, after {self.failures} calls that failed"
+            )
+        self.needs_snapshot, self.failures = False, 0
+        state = self.relay_states[self.relays[0]]
+        state.penalty_us = state.behind_until = 0
 
-    def distrust(self, now: int, why: str) -> None:
+    def reject_reply(self, now: int, why: str) -> None:
         """It answered, but nothing that can be taken: for a while the others go before it."""
-        standing = self.standings[self.relays[0]]
-        least = max(LEAST_PENALTY, 2 * (standing.spread or self.spread))  # beyond when the next is asked
-        standing.penalty = min(LONGEST_PENALTY, max(least, 2 * standing.penalty))
-        standing.behind_until = now + standing.penalty
-        self.lost(now, "distrusted", why)
-
-    def silent(self, now: int) -> None:
-        standing = self.standings[self.relays[0]]
+        state = self.relay_states[self.relays[0]]
+        least = max(MIN_PENALTY_US, 2 * (state.spread_us or self.spread_us))  # beyond when the next is asked
+        state.penalty_us = min(MAX_PENALTY_US, max(least, 2 * state.penalty_us))
+        state.behind_until = now + state.penalty_us
+        self.fail_over(now, "distrusted", why)
+
+    def watch_timed_out(self, now: int) -> None:
+        state = self.relay_states[self.relays[0]]
         if self.failures + 1 >= len(self.relays):
-            standing.margin = min(LONGEST_MARGIN, 2 * standing.margin)
-        self.lost(now, "failed", "silent")
+            state.margin_us = min(MAX_MARGIN_US, 2 * state.margin_us)
+        self.fail_over(now, "failed", "silent")
 
-    def failed(self, now: int, note: Failed) -> None:
-        if note.silent:
-            self.silent(now)
+    def watch_failed(self, now: int, event: WatchFailed) -> None:
+        if event.silent:
+            self.watch_timed_out(now)
             return
-        self.standings[note.at].margin = MARGIN  # it is quick to fail
-        if note.garbled:
-            self.distrust(now, f"can't be read: {note.why}")
+        self.relay_states[event.relay].margin_us = MIN_MARGIN_US  # it is quick to fail
+        if event.garbled:
+            self.reject_reply(now, f"can't be read: {event.why}")
         else:
-            self.lost(now, "failed", note.why)
+            self.fail_over(now, "failed", event.why)
 
-    def lost(self, now: int, kind: str, why: str) -> None:
+    def fail_over(self, now: int, kind: str, why: str) -> None:
         """On to another relay. All that lost this one come spread over its time; who finds no other goes on
         coming once in that time at most, so that calls a second stay below fleet over spread also when all
         relays come back."""
-        at = self.relays.pop(0)
-        self.relays.append(at)
-        self.out, self.whole, self.early = None, False, 0
+        relay = self.relays.pop(0)
+        self.relays.append(relay)
+        self.outstanding, self.needs_snapshot, self.early_replies = None, False, 0
         self.failures += 1
-        spread = max(LEAST_SPREAD, self.standings[at].spread or self.spread)
+        spread = max(MIN_SPREAD_US, self.relay_states[relay].spread_us or self.spread_us)
         first = self.failures == 1
         delay = self.chance.upto(spread) if first else spread + self.chance.upto(spread // 4)
-        self.due = now + delay
-        self.say(now, kind, f"{at}: {why[:LONGEST_WHY]}; another is asked in {delay // MS} ms")
+        self.next_call_at = now + delay
+        self.log_throttled(
+            now, kind, f"{relay}: {why[:MAX_REASON_CHARS]}; another is asked in {delay // MS} ms"
+        )
 
-    def choose(self, now: int) -> None:
+    def choose_relay(self, now: int) -> None:
         """To the front the first that is not put behind, else the one that is so for the shortest time."""
-        usable = [at for at in self.relays if self.standings[at].behind_until <= now]
-        first = usable[0] if usable else min(self.relays, key=lambda at: self.standings[at].behind_until)
+        usable = [relay for relay in self.relays if self.relay_states[relay].behind_until <= now]
+        first = (
+            usable[0] if usable else min(self.relays, key=lambda relay: self.relay_states[relay].behind_until)
+        )
         self.relays.remove(first)
         self.relays.insert(0, first)
 
-    def say(self, now: int, kind: str, text: str) -> None:
+    def log_throttled(self, now: int, kind: str, text: str) -> None:
         """Each kind of line at longer and longer intervals while it goes on: an outage is no flood."""
-        said = self.said.get(kind)
-        if said is not None and now < said.at + said.again:
+        throttle = self.log_throttles.get(kind)
+        if throttle is not None and now < throttle.logged_at + throttle.interval:
             return
-        doubled = said is not None and now < said.at + 4 * said.again
-        again = min(LONGEST_LOG_AGAIN, 2 * said.again) if said is not None and doubled else LOG_AGAIN
-        self.said[kind] = Said(now, again)
-        self.orders.append(Log(text))
+        doubled = throttle is not None and now < throttle.logged_at + 4 * throttle.interval
+        interval = (
+            min(MAX_LOG_INTERVAL_US, 2 * throttle.interval)
+            if throttle is not None and doubled
+            else LOG_INTERVAL_US
+        )
+        self.log_throttles[kind] = LogThrottle(now, interval)
+        self.commands.append(LogLine(text))
--- a/lupinmill/config/history.py
+++ b/lupinmill/config/history.py
@@ -13,29 +13,29 @@
 import orjson
 import xxhash
 
-from lupinmill.config.model import LARGEST, Entries, Key, Reply, Version
+from lupinmill.config.model import MAX_REPLY_BYTES, Entries, Key, Reply, Version
 
-MOST_BYTES = LARGEST - 64 * 1024  # of all entries as rows: the rest is for their frame
+MAX_ENTRIES_BYTES = MAX_REPLY_BYTES - 64 * 1024  # of all entries as rows: the rest is for their frame
 MISSING = object()
-MOST_AHEAD = 2**32  # an index so far beyond the own one is no source's, and not remembered
+MAX_INDEX_LEAD = 2**32  # an index so far beyond the own one is no source's, and not remembered
 
 
-class Behind(Exception):
+class SourceBehind(Exception):
     """Versions from beyond this source's own are about: it came back from an older backup, or another source
     published beside it. Nothing is pushed until `restore`."""
 
 
-class TooLarge(ValueError):
+class EntriesTooLarge(ValueError):
     """All entries together would not fit in an answer."""
 
 
-def canonical(value: Any) -> bytes:
+def canonical_json(value: Any) -> bytes:
     return orjson.dumps(value, option=orjson.OPT_SORT_KEYS)
 
 
-def same(one: Any, other: Any) -> bool:
+def json_equal(left: Any, right: Any) -> bool:
     """As JSON: 1, 1.0 and true are three values."""
-    return one is other or one == other and canonical(one) == canonical(other)
+    return left is right or left == right and canonical_json(left) == canonical_json(right)
 
 
 def row_size(key: Key, value: Any) -> int:
@@ -44,7 +44,7 @@
 
 def next_mark(mark: str, index: int, changes: Entries) -> str:
     """Chained: it stands for all changes so far, in their order."""
-    rows = sorted([key.scope, key.kind, canonical(value).decode()] for key, value in changes.items())
+    rows = sorted([key.scope, key.kind, canonical_json(value).decode()] for key, value in changes.items())
     return xxhash.xxh3_64_hexdigest(orjson.dumps([mark, index, rows]))
 
 
@@ -53,19 +53,19 @@
     changes: Entries = {}
     added = 0
     for key, value in new.items():
-        was = old.get(key, MISSING)
-        if was is value:  # what most are: a relay does this for each version
+        old_value = old.get(key, MISSING)
+        if old_value is value:  # what most are: a relay does this for each version
             continue
-        if was is MISSING:
+        if old_value is MISSING:
             added += 1
-        if was is MISSING or not same(was, value):
+        if old_value is MISSING or not json_equal(old_value, value):
             changes[key] = value
     if len(old) > len(new) - added:
         changes.update((key, None) for key in old if key not in new)
     return changes
 
 
-def check_value(key: Key, value: Any) -> None:
+def check_json_value(key: Key, value: Any) -> None:
     """Guards against what JSON can't hold, such as NaN or a tuple, and would turn into something else."""
     try:
         good = orjson.loads(orjson.dumps(value)) == value
@@ -80,7 +80,7 @@
     number: int  # counts those of this history
     version: Version
     entries: Entries
-    before: Entries  # what stood there; None: nothing
+    previous: Entries  # what stood there; None: nothing
     size: int  # bytes of both
 
 
@@ -88,22 +88,24 @@
     """Owns the entries: `entries` is for reading, and is replaced whole with each version."""
 
     def __init__(
-        self, version: Version, entries: Entries, most_changes: int = 1000, most_bytes: int = 4 * 1024 * 1024
+        self, version: Version, entries: Entries, max_changes: int = 1000, max_bytes: int = 4 * 1024 * 1024
     ) -> None:
         self.version, self.entries = version, dict(entries)
-        self.most_changes, self.most_bytes = most_changes, most_bytes
+        self.max_changes, self.max_bytes = max_changes, max_bytes
         self.changes: deque[Change] = deque()
-        self.size = 0  # bytes of the changes kept
-        self.count = 0  # changes so far, in this life
-        self.numbers: dict[Version, int] = {version: 0}  # of the versions kept: the change that led there
+        self.changes_bytes = 0  # bytes of the changes kept
+        self.change_count = 0  # changes so far, in this life
+        self.change_numbers: dict[Version, int] = {
+            version: 0
+        }  # of the versions kept: the change that led there
         self.marks: dict[int, str] = {version.index: version.mark}
-        self.newest: dict[str, int] = {}  # by scope: number of the newest change kept
-        self.scopes: dict[str, Entries] = {}
+        self.newest_changes: dict[str, int] = {}  # by scope: number of the newest change kept
+        self.entries_by_scope: dict[str, Entries] = {}
         for key, value in self.entries.items():
-            self.scopes.setdefault(key.scope, {})[key] = value
-        self.bytes = sum(row_size(key, value) for key, value in self.entries.items())
+            self.entries_by_scope.setdefault(key.scope, {})[key] = value
+        self.entries_bytes = sum(row_size(key, value) for key, value in self.entries.items())
         self.ahead: Version | None = None  # the highest that was asked from and never was here
-        self.settled = 0  # foreign versions below this index were overruled by `restore`
+        self.restored_index = 0  # foreign versions below this index were overruled by `restore`
 
     # --- new versions ---
 
@@ -111,7 +113,7 @@
         """These changes as the next version; the present one where they change nothing. Raises Behind,
         ValueError, and then all is as before."""
         if self.ahead is not None:
-            raise Behind(
+            raise SourceBehind(
                 f"version {self.ahead.index} is about, which this source never made (its own: "
                 f"{self.version.index}): restored from an older backup, or not the only one; restore first"
             )
@@ -121,8 +123,8 @@
                 if key in self.entries:
                     changes[key] = None
                 continue
-            check_value(key, value)
-            if key not in self.entries or not same(self.entries[key], value):
+            check_json_value(key, value)
+            if key not in self.entries or not json_equal(self.entries[key], value):
                 changes[key] = value
         if not changes:
             return self.version
@@ -132,7 +134,7 @@
     def restore(self) -> Version:
         """The present content as a version beyond all that were heard of, so that everyone takes it."""
         index = max(self.version.index, self.ahead.index if self.ahead else 0) + 1
-        self.ahead, self.settled = None, index
+        self.ahead, self.restored_index = None, index
         return self.advance(Version(index, next_mark(self.version.mark, index, {})), {})
 
     def replace(self, version: Version, entries: Entries) -> None:
@@ -144,87 +146,87 @@
         self.advance(version, difference(self.entries, entries))
 
     def advance(self, version: Version, changes: Entries) -> Version:
-        before = {key: self.entries.get(key) for key in changes}
-        more = sum(row_size(key, value) for key, value in changes.items() if value is not None)
-        less = sum(row_size(key, value) for key, value in before.items() if value is not None)
-        if self.bytes + more - less > MOST_BYTES:
-            raise TooLarge(f"all entries together would be over {MOST_BYTES} bytes")
-        self.bytes += more - less
-        self.entries = merged(self.entries, changes)
+        previous = {key: self.entries.get(key) for key in changes}
+        added_bytes = sum(row_size(key, value) for key, value in changes.items() if value is not None)
+        removed_bytes = sum(row_size(key, value) for key, value in previous.items() if value is not None)
+        if self.entries_bytes + added_bytes - removed_bytes > MAX_ENTRIES_BYTES:
+            raise EntriesTooLarge(f"all entries together would be over {MAX_ENTRIES_BYTES} bytes")
+        self.entries_bytes += added_bytes - removed_bytes
+        self.entries = apply_changes(self.entries, changes)
         for key, value in changes.items():
-            self.put(key, value)
-        self.count += 1
-        size = more + less + 64 * (1 + len(changes))
-        self.changes.append(Change(self.count, version, changes, before, size))
-        self.size += size
+            self.update_scope(key, value)
+        self.change_count += 1
+        size = added_bytes + removed_bytes + 64 * (1 + len(changes))
+        self.changes.append(Change(self.change_count, version, changes, previous, size))
+        self.changes_bytes += size
         self.version = version
-        self.numbers[version], self.marks[version.index] = self.count, version.mark
-        self.newest.update((key.scope, self.count) for key in changes)
-        while self.changes and (len(self.changes) > self.most_changes or self.size > self.most_bytes):
-            self.fold()
+        self.change_numbers[version], self.marks[version.index] = self.change_count, version.mark
+        self.newest_changes.update((key.scope, self.change_count) for key in changes)
+        while self.changes and (len(self.changes) > self.max_changes or self.changes_bytes > self.max_bytes):
+            self.drop_oldest_change()
         if self.ahead is not None and (self.ahead.index < version.index or self.ahead == version):
             self.ahead = None
         return version
 
-    def put(self, key: Key, value: Any) -> None:
-        part = self.scopes.setdefault(key.scope, {})
+    def update_scope(self, key: Key, value: Any) -> None:
+        scope_entries = self.entries_by_scope.setdefault(key.scope, {})
         if value is None:
-            part.pop(key, None)
+            scope_entries.pop(key, None)
         else:
-            part[key] = value
-        if not part:
-            del self.scopes[key.scope]
+            scope_entries[key] = value
+        if not scope_entries:
+            del self.entries_by_scope[key.scope]
 
-    def fold(self) -> None:
+    def drop_oldest_change(self) -> None:
         """The oldest change becomes part of what history begins with."""
-        base = next(iter(self.numbers))
-        del self.numbers[base], self.marks[base.index]
+        base = next(iter(self.change_numbers))
+        del self.change_numbers[base], self.marks[base.index]
         oldest = self.changes.popleft()
-        self.size -= oldest.size
+        self.changes_bytes -= oldest.size
         for scope in {key.scope for key in oldest.entries}:
-            if self.newest[scope] == oldest.number:
-                del self.newest[scope]
+            if self.newest_changes[scope] == oldest.number:
+                del self.newest_changes[scope]
 
     # --- watches ---
 
     def knows(self, version: Version) -> bool:
-        return version in self.numbers
+        return version in self.change_numbers
 
-    def content(self, version: Version) -> Entries | None:
+    def entries_at(self, version: Version) -> Entries | None:
         """All entries as of a version kept, for a rollback: `push(difference(history.entries, content))`."""
-        number = self.numbers.get(version)
+        number = self.change_numbers.get(version)
         if number is None:
             return None
         entries = self.entries
         for change in reversed(self.changes):
             if change.number <= number:
                 break
-            entries = merged(entries, change.before)
+            entries = apply_changes(entries, change.previous)
         return dict(entries)
 
-    def heard_of(self, version: Version) -> None:
+    def observe_version(self, version: Version) -> None:
         """Someone has this version. One that never was here is remembered, as `ahead`."""
         index = version.index
-        if index < self.settled or index > self.version.index + MOST_AHEAD or self.knows(version):
+        if index < self.restored_index or index > self.version.index + MAX_INDEX_LEAD or self.knows(version):
             return
         foreign = index > self.version.index or index in self.marks
         if foreign and (self.ahead is None or index > self.ahead.index):
             self.ahead = version
 
-    def news(self, since: Version, scopes: tuple[str, ...]) -> bool:
+    def has_changes(self, since: Version, scopes: tuple[str, ...]) -> bool:
         """Is there anything to tell now to a watch from there?"""
         if since == self.version:
             return False
-        number = self.numbers.get(since)
+        number = self.change_numbers.get(since)
         if number is None or since.index == 0:
             return True
-        return not scopes or any(self.newest.get(scope, 0) > number for scope in scopes)
+        return not scopes or any(self.newest_changes.get(scope, 0) > number for scope in scopes)
 
     def reply(self, since: Version, scopes: tuple[str, ...], spread_ms: int = 0) -> Reply:
         """The changes since then, of each key the last; a snapshot where they are not known. Without scopes:
         all."""
-        self.heard_of(since)
-        number = self.numbers.get(since)
+        self.observe_version(since)
+        number = self.change_numbers.get(since)
         if number is None or since.index == 0:
             return Reply(self.version, True, self.snapshot(scopes), since, spread_ms)
         changes: Entries = {}
@@ -239,12 +241,12 @@
     def snapshot(self, scopes: tuple[str, ...]) -> Entries:
         if not scopes:
             return dict(self.entries)
-        return {key: value for scope in scopes for key, value in self.scopes.get(scope, {}).items()}
+        return {key: value for scope in scopes for key, value in self.entries_by_scope.get(scope, {}).items()}
 
 
-def merged(entries: Entries, changes: Entries) -> Entries:
-    found = {**entries, **changes}
+def apply_changes(entries: Entries, changes: Entries) -> Entries:
+    result = {**entries, **changes}
     for key, value in changes.items():
         if value is None:
-            found.pop(key, None)
-    return found
+            result.pop(key, None)
+    return result
--- a/lupinmill/config/model.py
+++ b/lupinmill/config/model.py
@@ -24,7 +24,7 @@
 SCOPES = ("fleet", "region", "zone", "service", "sidecar")
 SETTINGS, ZONES, MEMBER = "settings", "zones", "member/"
 
-LARGEST = 8 * 1024 * 1024  # bytes of an answer to a watch; no source publishes more than fits
+MAX_REPLY_BYTES = 8 * 1024 * 1024  # bytes of an answer to a watch; no source publishes more than fits
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,7 +39,7 @@
     entries of the scopes asked for alone."""
 
     version: Version
-    whole: bool
+    is_snapshot: bool
     entries: Entries
     since: Version = field(default_factory=Version)  # that the changes lead on from; of changes alone
     spread_ms: int = 0  # over so long this relay wants its callers to come again when they all lost it
@@ -62,32 +62,32 @@
 
 
 @dataclass(slots=True)
-class Answered:
+class ReplyReceived:
     """The call that `Ask` ordered was answered."""
 
-    at: str  # address of the relay
+    relay: str  # address of the relay
     reply: Reply
 
 
 @dataclass(slots=True)
-class Failed:
+class WatchFailed:
     """It was not: refused, broke, came to its time limit (silent), or what came can't be read (garbled)."""
 
-    at: str
+    relay: str
     why: str
     garbled: bool = False
     silent: bool = False
 
 
 @dataclass(slots=True)
-class Took:
+class VersionApplied:
     """The version that `Apply` offered is in force."""
 
     version: Version
 
 
 @dataclass(slots=True)
-class Refused:
+class VersionRefused:
     """It is not, and the one before stays in force, whole."""
 
     version: Version
@@ -95,28 +95,28 @@
 
 
 @dataclass(slots=True)
-class Woke:
+class TimerFired:
     pass
 
 
-FollowerNote = Answered | Failed | Took | Refused | Woke
+FollowerEvent = ReplyReceived | WatchFailed | VersionApplied | VersionRefused | TimerFired
 
 # --- orders of `Follower` -----------------------------------------------------------------------
 
 
 @dataclass(slots=True)
-class Ask:
+class SendWatch:
     """A watch at this relay from the version held; from index 0 the snapshot, at once. One call is out at a
     time; another `Ask` gives the one before it up."""
 
-    at: str
+    relay: str
     since: Version
-    wait: int  # microseconds that the relay may hold it
-    until: int  # when the call counts as silent
+    wait_us: int  # microseconds that the relay may hold it
+    deadline: int  # when the call counts as silent
 
 
 @dataclass(slots=True)
-class Apply:
+class ApplyVersion:
     """All entries held (of the scopes watched) as of this version, for reading alone; the driver says `Took`
     or `Refused`. The next call waits for that word, a second at most, so as to carry it. A relay takes each
     one; what it serves before it has kept it, it may lack after a restart, which harms nobody."""
@@ -126,13 +126,13 @@
 
 
 @dataclass(slots=True)
-class WakeMe:
+class SetTimer:
     at: int
 
 
 @dataclass(slots=True)
-class Log:
+class LogLine:
     text: str
 
 
-FollowerOrder = Ask | Apply | WakeMe | Log
+FollowerCommand = SendWatch | ApplyVersion | SetTimer | LogLine
--- a/lupinmill/config/relay_file.py
+++ b/lupinmill/config/relay_file.py
@@ -14,8 +14,8 @@
 
 from lupinmill.program.operators_file import LONGEST_NAME, BadFile, known_keys, usable
 
-LARGEST = 64 * 1024  # bytes of the file
-MOST_UPSTREAMS = 8
+MAX_FILE_BYTES = 64 * 1024  # bytes of the file
+MAX_UPSTREAMS = 8
 
 
 class RelayFile(Struct, forbid_unknown_fields=True, frozen=True):
@@ -32,7 +32,7 @@
     memory_mb: float = 64.0  # of answers on their way, all together
 
     @property
-    def source(self) -> bool:
+    def is_source(self) -> bool:
         return not self.upstreams
 
     @property
@@ -48,16 +48,16 @@
     except OSError as error:
         raise BadFile(f"{path}: {error.strerror}") from error
     try:
-        if len(data) > LARGEST:
-            raise BadFile(f"over {LARGEST} bytes")
-        return understand(tomllib.loads(data.decode()))
+        if len(data) > MAX_FILE_BYTES:
+            raise BadFile(f"over {MAX_FILE_BYTES} bytes")
+        return parse(tomllib.loads(data.decode()))
     except UnicodeDecodeError as error:
         raise BadFile(f"{path}: no UTF-8") from error
     except (tomllib.TOMLDecodeError, BadFile) as error:
         raise BadFile(f"{path}: {error}") from error
 
 
-def understand(table: dict[str, object]) -> RelayFile:
+def parse(table: dict[str, object]) -> RelayFile:
     known_keys(table, RelayFile, "")
     try:
         file = msgspec.convert(table, RelayFile)
@@ -76,12 +76,12 @@
         usable(file.operator, "operator")
         if file.operator == file.listen:
             raise BadFile("operator: is `listen`; operators need an address of their own")
-    elif file.source:
+    elif file.is_source:
         raise BadFile("operator: missing; without it nobody can push to a source (a file without upstreams)")
     if not file.keep.startswith("/"):
         raise BadFile("keep: wants a whole path")
-    if len(file.upstreams) > MOST_UPSTREAMS:
-        raise BadFile(f"upstreams: wants {MOST_UPSTREAMS} at most")
+    if len(file.upstreams) > MAX_UPSTREAMS:
+        raise BadFile(f"upstreams: wants {MAX_UPSTREAMS} at most")
     for at, upstream in enumerate(file.upstreams):
         usable(upstream, f"upstreams.{at}")
         if upstream == file.listen:
@@ -98,9 +98,9 @@
             raise BadFile(f"{key}: wants {least} to {most}")
 
 
-def follows(file: RelayFile) -> list[str]:
+def describe(file: RelayFile) -> list[str]:
     """For a person: what it will do."""
-    if file.source:
+    if file.is_source:
         lines = [f"{file.name} is a source: pushes are taken at {file.operator} and kept in {file.keep}"]
     else:
         lines = [f"{file.name} follows {' or '.join(file.upstreams)} and keeps the last state in {file.keep}"]
--- a/lupinmill/config/server.py
+++ b/lupinmill/config/server.py
@@ -15,7 +15,15 @@
 from anyio.abc import TaskGroup
 
 from lupinmill.config import wire
-from lupinmill.config.fanout import Asked, Away, Fanout, Gone, Note, Say, Woke
+from lupinmill.config.fanout import (
+    WatchReceived,
+    RejectWatch,
+    Fanout,
+    WatchClosed,
+    FanoutEvent,
+    SendReply,
+    TimerFired,
+)
 from lupinmill.protocol.http import Answer, Malformed, Request, ServerSide, plain
 from lupinmill.routing.engine import Clock, Log, defect
 from lupinmill.transport.client import Client
@@ -23,12 +31,12 @@
 from lupinmill.transport.listener import Listener
 from lupinmill.transport.ring import Shelf, Store
 
-WRITE = 10.0  # seconds for an answer to be read
-CALL = 2.5  # seconds from a call's first byte to its last
-LARGEST_CALL = 64 * 1024  # bytes of a call's body, which a watch has no use for
-TOGETHER = 8 * 1024  # bytes of an answer that go out in one piece with their head
-SPARE = 64  # connections beyond the watchers, for those that are told to come again
-JSON = [(b"Content-Type", b"application/json")]
+WRITE_TIMEOUT_S = 10.0  # seconds for an answer to be read
+CALL_TIMEOUT_S = 2.5  # seconds from a call's first byte to its last
+MAX_CALL_BYTES = 64 * 1024  # bytes of a call's body, which a watch has no use for
+SINGLE_WRITE_BYTES = 8 * 1024  # bytes of an answer that go out in one piece with their head
+EXTRA_CONNECTIONS = 64  # connections beyond the watchers, for those that are told to come again
+JSON_HEADERS = [(b"Content-Type", b"application/json")]
 
 
 def descriptors_for(connections: int) -> Descriptors:
@@ -36,56 +44,58 @@
     return Descriptors(math.ceil(connections * 4 / 3) + OWN + 4)
 
 
-class Served:
+class HttpServer:
     """Connections at one address, call after call. Who inherits says what an answer is."""
 
-    limit, largest = CALL, LARGEST_CALL
+    call_timeout_s, max_body_bytes = CALL_TIMEOUT_S, MAX_CALL_BYTES
 
     def __init__(self, address: str, connections: int, log: Log) -> None:
         self.log = log
         self.store, self.descriptors = Store(), descriptors_for(connections)
         self.listener = Listener(address, self.descriptors, self.store)
         self.address = self.listener.address
-        self.leaving = False  # each answer ends its connection
+        self.draining = False  # each answer ends its connection
         self.cut_off = 0  # that did not read
 
     async def run(self, group: TaskGroup) -> None:
         await self.listener.run(group, self.serve)
 
-    async def serve(self, client: Client, welcome: bool) -> None:
+    async def serve(self, client: Client, admitted: bool) -> None:
         try:
             with client:
-                await self.converse(client, welcome)
+                await self.handle_calls(client, admitted)
         except (OSError, TimeoutError):
             pass  # the other side broke or is stuck: all it held is given back above
         except Exception as error:
             self.log("task_failed", task="caller", **defect(error))
 
-    async def converse(self, client: Client, welcome: bool) -> None:
-        side = ServerSide(self.largest)
+    async def handle_calls(self, client: Client, admitted: bool) -> None:
+        side = ServerSide(self.max_body_bytes)
         try:
-            while (request := await self.read(client, side, welcome)) is not None:
+            while (request := await self.read(client, side, admitted)) is not None:
                 client.asked = True
-                going = welcome and not client.overrun
-                if not await (self.answer(client, side, request) if going else self.no_room(client, side)):
+                has_room = admitted and not client.overrun
+                if not await (
+                    self.answer(client, side, request) if has_room else self.send_unavailable(client, side)
+                ):
                     return
         except Malformed as error:
             await self.write(client, side, plain(error.status, f"{error}\n"), True)
 
-    async def read(self, client: Client, side: ServerSide, welcome: bool) -> Request | None:
+    async def read(self, client: Client, side: ServerSide, admitted: bool) -> Request | None:
         request = side.next_request()
         if request is None and not side.begun():
-            if welcome:
+            if admitted:
                 data = await self.listener.next_bytes(client)
             else:
-                with anyio.fail_after(self.limit):
+                with anyio.fail_after(self.call_timeout_s):
                     data = await client.receive()
             if not data:
                 return None
             side.feed(data)
             request = side.next_request()
         if request is None:
-            with anyio.fail_after(self.limit):  # however it trickles
+            with anyio.fail_after(self.call_timeout_s):  # however it trickles
                 while request is None:
                     if go_ahead := side.go_ahead():
                         await client.send(go_ahead)
@@ -99,17 +109,17 @@
         """True when the connection serves another call."""
         raise NotImplementedError
 
-    async def no_room(self, client: Client, side: ServerSide) -> bool:
+    async def send_unavailable(self, client: Client, side: ServerSide) -> bool:
         return await self.write(client, side, plain(503, "too many connections\n"), True)
 
     async def write(self, client: Client, side: ServerSide, answer: Answer, close: bool = False) -> bool:
         """Bytes of some size go out as they are, never copied whole."""
-        close = close or self.leaving or client.overrun
+        close = close or self.draining or client.overrun
         data = side.begin(answer, len(answer.body), close)
         body = side.part(answer.body) if answer.body else b""
         end = side.end()
-        with anyio.move_on_after(WRITE) as limit:
-            if len(body) <= TOGETHER:
+        with anyio.move_on_after(WRITE_TIMEOUT_S) as limit:
+            if len(body) <= SINGLE_WRITE_BYTES:
                 await client.send(data + body + end)
             else:
                 await client.send(data)
@@ -128,126 +138,130 @@
     """One watch, from its call to its answer."""
 
     def __init__(self) -> None:
-        self.said: Say | Away | None = None
+        self.outcome: SendReply | RejectWatch | None = None
         self.scope = anyio.CancelScope()
 
 
-class Watches(Served):
+class WatchServer(HttpServer):
     """Drives the fan-out: calls to notes, orders to answers, one timer."""
 
-    def __init__(self, address: str, fanout: Fanout, most: int, memory: int, clock: Clock, log: Log) -> None:
-        super().__init__(address, most + SPARE, log)
+    def __init__(
+        self, address: str, fanout: Fanout, max_watches: int, reply_memory: int, clock: Clock, log: Log
+    ) -> None:
+        super().__init__(address, max_watches + EXTRA_CONNECTIONS, log)
         self.fanout, self.clock = fanout, clock
         self.tokens = itertools.count(1)
         self.watchers: dict[int, Watcher] = {}
-        self.shelf = Shelf(memory)
+        self.shelf = Shelf(reply_memory)
         self.sending: dict[int, int] = {}  # by identity of an answer's bytes: how many connections write it
-        self.due: int | None = None
-        self.rearmed = anyio.Event()
+        self.timer_at: int | None = None
+        self.timer_changed = anyio.Event()
         self.refused = 0  # calls that there was no room for
 
     # The core.
 
-    def step(self, *notes: Note) -> None:
+    def step(self, *events: FanoutEvent) -> None:
         """Orders arise and are carried out in one go; none leads to another note at once."""
-        for order in self.fanout.step(self.clock.now(), list(notes)):
-            if isinstance(order, Say | Away):
-                if (watcher := self.watchers.pop(order.token, None)) is not None:
-                    watcher.said = order
+        for command in self.fanout.step(self.clock.now(), list(events)):
+            if isinstance(command, SendReply | RejectWatch):
+                if (watcher := self.watchers.pop(command.token, None)) is not None:
+                    watcher.outcome = command
                     watcher.scope.cancel()
-            elif self.due is None or order.at < self.due:
-                self.due = order.at
-                self.rearmed.set()
+            elif self.timer_at is None or command.at < self.timer_at:
+                self.timer_at = command.at
+                self.timer_changed.set()
 
-    async def keep_time(self) -> None:
+    async def run_timer(self) -> None:
         while True:
-            self.rearmed = anyio.Event()
-            left = None if self.due is None else (self.due - self.clock.now()) / 1_000_000
-            if left is None or left > 0:
-                with anyio.move_on_after(left):
-                    await self.rearmed.wait()
+            self.timer_changed = anyio.Event()
+            remaining = None if self.timer_at is None else (self.timer_at - self.clock.now()) / 1_000_000
+            if remaining is None or remaining > 0:
+                with anyio.move_on_after(remaining):
+                    await self.timer_changed.wait()
                 continue
-            self.due = None
-            self.step(Woke())
+            self.timer_at = None
+            self.step(TimerFired())
 
     # Calls.
 
     async def answer(self, client: Client, side: ServerSide, request: Request) -> bool:
-        watch = wire.asked(request)
-        said = Away(0) if self.leaving else await self.wait(client, watch)
-        if said is None:
+        watch = wire.decode_watch(request)
+        outcome = RejectWatch(0) if self.draining else await self.wait_for_outcome(client, watch)
+        if outcome is None:
             return False
-        if isinstance(said, Away):
-            return await self.no_room(client, side)
-        return await self.say(client, side, said.data)
+        if isinstance(outcome, RejectWatch):
+            return await self.send_unavailable(client, side)
+        return await self.send_reply(client, side, outcome.data)
 
-    async def wait(self, client: Client, watch: wire.Watch) -> Say | Away | None:
+    async def wait_for_outcome(
+        self, client: Client, watch: wire.WatchRequest
+    ) -> SendReply | RejectWatch | None:
         """None where the caller left, and is forgotten."""
         token, watcher = next(self.tokens), Watcher()
         self.watchers[token] = watcher
         try:
-            until = self.clock.now() + watch.wait_ms * 1000
-            self.step(Asked(token, watch.scopes, watch.since, until, watch.status))
-            if watcher.said is None:
+            deadline = self.clock.now() + watch.wait_ms * 1000
+            self.step(WatchReceived(token, watch.scopes, watch.since, deadline, watch.status))
+            if watcher.outcome is None:
                 with watcher.scope:
                     await client.gone()
         finally:
             if self.watchers.pop(token, None) is not None:
-                self.step(Gone(token))
-        return watcher.said
+                self.step(WatchClosed(token))
+        return watcher.outcome
 
-    async def say(self, client: Client, side: ServerSide, data: bytes) -> bool:
+    async def send_reply(self, client: Client, side: ServerSide, data: bytes) -> bool:
         """Bytes of all answers on their way are bounded, however slowly each is read."""
         key = id(data)
         if key not in self.sending and not self.shelf.lease(len(data)):
-            return await self.no_room(client, side)
+            return await self.send_unavailable(client, side)
         self.sending[key] = self.sending.get(key, 0) + 1
         try:
-            return await self.write(client, side, Answer(200, JSON, data))
+            return await self.write(client, side, Answer(200, JSON_HEADERS, data))
         finally:
             self.sending[key] -= 1
             if not self.sending[key]:
                 del self.sending[key]
                 self.shelf.give_back(len(data))
 
-    async def no_room(self, client: Client, side: ServerSide) -> bool:
+    async def send_unavailable(self, client: Client, side: ServerSide) -> bool:
         self.refused += 1
         spread = math.ceil(self.fanout.spread_ms / 1000)
-        more = [(b"Retry-After", b"%d" % spread)]
-        answer = plain(503, f"no room here; come again within {spread} s, or ask another relay\n", more)
+        headers = [(b"Retry-After", b"%d" % spread)]
+        answer = plain(503, f"no room here; come again within {spread} s, or ask another relay\n", headers)
         return await self.write(client, side, answer, True)
 
-    async def leave(self, within: float, chance: random.Random) -> None:
+    async def drain(self, duration_s: float, chance: random.Random) -> None:
         """Sends all that wait away, one after the other over `within` seconds: each asks another relay, and
         these are not to be asked by all at once."""
-        self.leaving = True
+        self.draining = True
         self.listener.pause()
         self.listener.close()
         tokens = list(self.watchers)
         chance.shuffle(tokens)
-        for left in range(len(tokens), 0, -1):
-            token = tokens[left - 1]
+        for remaining in range(len(tokens), 0, -1):
+            token = tokens[remaining - 1]
             if (watcher := self.watchers.get(token)) is not None:
-                self.step(Gone(token))
+                self.step(WatchClosed(token))
                 self.watchers.pop(token, None)
-                watcher.said = Away(token)
+                watcher.outcome = RejectWatch(token)
                 watcher.scope.cancel()
-            await anyio.sleep(within / len(tokens))
+            await anyio.sleep(duration_s / len(tokens))
         self.listener.dismiss_all()
 
 
-class Calls(Served):
+class AdminServer(HttpServer):
     """Operators' calls, few at a time: `carry_out` gives the answer."""
 
     def __init__(
-        self, address: str, carry_out: Callable[[Request], Awaitable[Answer]], largest: int, log: Log
+        self, address: str, handle: Callable[[Request], Awaitable[Answer]], max_body_bytes: int, log: Log
     ) -> None:
         super().__init__(address, 16, log)
-        self.carry_out, self.largest, self.limit = carry_out, largest, WRITE
+        self.handle, self.max_body_bytes, self.call_timeout_s = handle, max_body_bytes, WRITE_TIMEOUT_S
 
     async def answer(self, client: Client, side: ServerSide, request: Request) -> bool:
         try:
-            answer = await self.carry_out(request)
+            answer = await self.handle(request)
         except Malformed as error:
             answer = plain(error.status, f"{error}\n")
         except Exception as error:
--- a/lupinmill/config/stable_store.py
+++ b/lupinmill/config/stable_store.py
@@ -14,45 +14,45 @@
 import xxhash
 
 from lupinmill.config.model import Entries, Version
-from lupinmill.config.wire import LARGEST, parsed, read_rows, read_version, rows
+from lupinmill.config.wire import MAX_REPLY_BYTES, parse_table, read_rows, read_version, encode_rows
 from lupinmill.protocol.http import Garbled
 
-FORMAT, FAMILY = b"lmc1", b"lmc"
-HEAD = len(FORMAT) + 8
-MOST_BYTES = LARGEST + 64 * 1024
+FORMAT_MAGIC, FORMAT_FAMILY = b"lmc1", b"lmc"
+HEADER_BYTES = len(FORMAT_MAGIC) + 8
+MAX_FILE_BYTES = MAX_REPLY_BYTES + 64 * 1024
 
 
-class BadKeep(Exception):
+class StableStoreError(Exception):
     """The file can't be used, and is left as it is; the text, one line, says why."""
 
 
 def save(path: str | Path, version: Version, entries: Entries) -> None:
     """Raises OSError, and then the file is as before, and nothing else is left beside it."""
     path = Path(path)
-    body = orjson.dumps({"index": version.index, "mark": version.mark, "entries": rows(entries)})
-    fresh = path.with_name(f".{path.name}.new")
+    body = orjson.dumps({"index": version.index, "mark": version.mark, "entries": encode_rows(entries)})
+    temporary = path.with_name(f".{path.name}.new")
     try:
-        write(fresh, FORMAT + xxhash.xxh64(body).digest() + body)
-        os.rename(fresh, path)
+        write_synced(temporary, FORMAT_MAGIC + xxhash.xxh64(body).digest() + body)
+        os.rename(temporary, path)
     except BaseException:
         with suppress(OSError):
-            os.unlink(fresh)
+            os.unlink(temporary)
         raise
-    folder = os.open(path.parent, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
+    directory = os.open(path.parent, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
     try:
-        os.fsync(folder)
+        os.fsync(directory)
     finally:
-        os.close(folder)
+        os.close(directory)
 
 
-def write(path: Path, data: bytes) -> None:
+def write_synced(path: Path, data: bytes) -> None:
     flags = os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_NOFOLLOW | os.O_CLOEXEC
     descriptor = os.open(path, flags, 0o600)
     try:
         os.fchmod(descriptor, 0o600)  # a file left by a process that was killed may have had another mode
-        left = memoryview(data)
-        while left:
-            left = left[os.write(descriptor, left) :]
+        remaining = memoryview(data)
+        while remaining:
+            remaining = remaining[os.write(descriptor, remaining) :]
         os.fsync(descriptor)
     finally:
         os.close(descriptor)
@@ -62,19 +62,23 @@
     """None: there is no file. Raises BadKeep."""
     try:
         with open(path, "rb") as file:
-            data = file.read(MOST_BYTES + 1)
+            data = file.read(MAX_FILE_BYTES + 1)
     except FileNotFoundError:
         return None
     except OSError as error:
-        raise BadKeep(f"{path}: {error.strerror}") from error
-    if len(data) > MOST_BYTES:
-        raise BadKeep(f"{path}: too large")
-    if data[:3] == FAMILY and len(data) > 3 and data[3:4] > FORMAT[3:]:
-        raise BadKeep(f"{path}: of a format that this release does not know")
-    if len(data) < HEAD or data[:4] != FORMAT or xxhash.xxh64(data[HEAD:]).digest() != data[4:HEAD]:
-        raise BadKeep(f"{path}: cut or damaged")
+        raise StableStoreError(f"{path}: {error.strerror}") from error
+    if len(data) > MAX_FILE_BYTES:
+        raise StableStoreError(f"{path}: too large")
+    if data[:3] == FORMAT_FAMILY and len(data) > 3 and data[3:4] > FORMAT_MAGIC[3:]:
+        raise StableStoreError(f"{path}: of a format that this release does not know")
+    if (
+        len(data) < HEADER_BYTES
+        or data[:4] != FORMAT_MAGIC
+        or xxhash.xxh64(data[HEADER_BYTES:]).digest() != data[4:HEADER_BYTES]
+    ):
+        raise StableStoreError(f"{path}: cut or damaged")
     try:
-        table = parsed(data[HEAD:])
-        return read_version(table, "index", "mark"), read_rows(table.get("entries"), gone=False)
+        table = parse_table(data[HEADER_BYTES:])
+        return read_version(table, "index", "mark"), read_rows(table.get("entries"), allow_null=False)
     except Garbled as error:
-        raise BadKeep(f"{path}: {error}") from error
+        raise StableStoreError(f"{path}: {error}") from error
--- a/lupinmill/config/watcher_table.py
+++ b/lupinmill/config/watcher_table.py
@@ -11,161 +11,167 @@
 from lupinmill.config.history import History
 from lupinmill.config.model import Status
 
-ALL = ""  # in tables by scope: of one that watches all scopes
-MOST_PENDING = 64  # versions whose coming into force is awaited of one watcher
-MOST_TIMES = 4_096  # versions whose time here is remembered
-AWAY_AFTER = 3  # waits without a word
-LEAST_AWAY = 5_000_000
-FORGOTTEN = 3_600_000_000  # after its last word
-MOST_WHY = 200  # characters
+ALL_SCOPES = ""  # in tables by scope: of one that watches all scopes
+MAX_PENDING = 64  # versions whose coming into force is awaited of one watcher
+MAX_VERSIONS = 4_096  # versions whose time here is remembered
+AWAY_AFTER_WAITS = 3  # waits without a word
+MIN_AWAY_US = 5_000_000
+FORGET_AFTER_US = 3_600_000_000  # after its last word
+MAX_REASON_CHARS = 200  # characters
 # Upper edges of the time in force's classes: a tenth apart, from a millisecond to half an hour.
-EDGES = tuple(round(1_000 * 1.1**at) for at in range(152))
+BUCKET_EDGES_US = tuple(round(1_000 * 1.1**step) for step in range(152))
 
 
-class Times:
+class LatencyHistogram:
     """How long versions took to be in force: counts by class, the longest exact. Microseconds."""
 
     def __init__(self) -> None:
         self.counts: dict[int, int] = {}
         self.count, self.longest = 0, 0
 
-    def add(self, took: int) -> None:
-        at = min(len(EDGES) - 1, bisect_left(EDGES, took))
-        self.counts[at] = self.counts.get(at, 0) + 1
+    def add(self, duration: int) -> None:
+        bucket = min(len(BUCKET_EDGES_US) - 1, bisect_left(BUCKET_EDGES_US, duration))
+        self.counts[bucket] = self.counts.get(bucket, 0) + 1
         self.count += 1
-        self.longest = max(self.longest, took)
+        self.longest = max(self.longest, duration)
 
     def merge(self, counts: dict[int, int], longest: int) -> None:
-        for at, count in counts.items():
-            self.counts[at] = self.counts.get(at, 0) + count
+        for bucket, count in counts.items():
+            self.counts[bucket] = self.counts.get(bucket, 0) + count
             self.count += count
         self.longest = max(self.longest, longest)
 
-    def part(self, share: float) -> int | None:
+    def quantile(self, share: float) -> int | None:
         """By which this share of them was in force, a tenth too late at most; None where there are none."""
-        left = share * self.count
-        for at in sorted(self.counts):
-            left -= self.counts[at]
-            if left <= 0:
-                return min(EDGES[at], self.longest)
+        remaining = share * self.count
+        for bucket in sorted(self.counts):
+            remaining -= self.counts[bucket]
+            if remaining <= 0:
+                return min(BUCKET_EDGES_US[bucket], self.longest)
         return None
 
     def show(self) -> dict[str, Any]:
-        def ms(micros: int | None) -> float | None:
-            return None if micros is None else round(micros / 1000, 1)
+        def ms(us: int | None) -> float | None:
+            return None if us is None else round(us / 1000, 1)
 
         return {
             "count": self.count,
-            "p50_ms": ms(self.part(0.5)),
-            "p99_ms": ms(self.part(0.99)),
+            "p50_ms": ms(self.quantile(0.5)),
+            "p99_ms": ms(self.quantile(0.99)),
             "last_ms": ms(self.longest if self.count else None),
-            "classes": {str(at): count for at, count in sorted(self.counts.items())},
+            "classes": {str(bucket): count for bucket, count in sorted(self.counts.items())},
         }
 
 
 @dataclass(slots=True)
-class Row:
+class WatcherRow:
     """What one that watches, by its name, has said."""
 
     scopes: tuple[str, ...]
     status: Status
-    heard: int
+    last_heard: int
     wait: int
     due: int  # index of the newest version that concerns it
     pending: deque[int] = field(default_factory=deque)  # those that concern it and are not in force there
-    waiting: int = 0  # the token of its watch, while it waits
+    waiting_token: int = 0  # the token of its watch, while it waits
 
 
-def leave(table: dict[str, set[Any]], scope: str, one: Any) -> None:
-    if (there := table.get(scope)) is not None:
-        there.discard(one)
-        if not there:
+def discard_from(table: dict[str, set[Any]], scope: str, item: Any) -> None:
+    if (items := table.get(scope)) is not None:
+        items.discard(item)
+        if not items:
             del table[scope]
 
 
-class Standing:
-    def __init__(self, history: History, most: int) -> None:
-        self.history, self.most = history, most
-        self.rows: OrderedDict[str, Row] = OrderedDict()  # the one heard longest ago first
+class WatcherTable:
+    def __init__(self, history: History, max_watchers: int) -> None:
+        self.history, self.max_watchers = history, max_watchers
+        self.rows: OrderedDict[str, WatcherRow] = OrderedDict()  # the one heard longest ago first
         self.by_scope: dict[str, set[str]] = {}  # names
-        self.latest = dict.fromkeys(history.scopes, history.version.index)  # by scope: its newest change
+        self.newest_index = dict.fromkeys(
+            history.entries_by_scope, history.version.index
+        )  # by scope: its newest change
         # By index: when each version came, and the scopes of what it changed.
-        self.had: OrderedDict[int, tuple[int, frozenset[str]]] = OrderedDict()
-        self.times = Times()  # until sidecars told that a version is in force, ...
-        self.relay_times = Times()  # ... and until relays told that they have it
+        self.versions: OrderedDict[int, tuple[int, frozenset[str]]] = OrderedDict()
+        self.sidecar_times = LatencyHistogram()  # until sidecars told that a version is in force, ...
+        self.relay_times = LatencyHistogram()  # ... and until relays told that they have it
 
-    def have(self, now: int, index: int, scopes: frozenset[str]) -> None:
+    def version_available(self, now: int, index: int, scopes: frozenset[str]) -> None:
         """The history has this version now."""
-        self.had[index] = now, scopes
-        if len(self.had) > MOST_TIMES:
-            self.had.popitem(last=False)
-        for scope in (ALL, *scopes):
+        self.versions[index] = now, scopes
+        if len(self.versions) > MAX_VERSIONS:
+            self.versions.popitem(last=False)
+        for scope in (ALL_SCOPES, *scopes):
             for name in self.by_scope.get(scope, ()):
                 row = self.rows[name]
                 if row.due < index:
                     row.due = index
-                    if len(row.pending) < MOST_PENDING:
+                    if len(row.pending) < MAX_PENDING:
                         row.pending.append(index)
-        self.latest.update(dict.fromkeys(scopes, index))
-        if len(self.latest) > 2 * len(self.history.scopes) + 1_000:  # of scopes long empty
-            self.latest = {one: at for one, at in self.latest.items() if one in self.history.scopes}
+        self.newest_index.update(dict.fromkeys(scopes, index))
+        if len(self.newest_index) > 2 * len(self.history.entries_by_scope) + 1_000:  # of scopes long empty
+            self.newest_index = {
+                scope: index
+                for scope, index in self.newest_index.items()
+                if scope in self.history.entries_by_scope
+            }
 
-    def hear(self, now: int, status: Status, scopes: tuple[str, ...], wait: int) -> None:
+    def record_status(self, now: int, status: Status, scopes: tuple[str, ...], wait: int) -> None:
         """It may hold the watch for `wait` before it says more."""
         name = status.name
         row = self.rows.get(name)
         if row is None:
-            if len(self.rows) >= self.most:
-                self.forget(next(iter(self.rows)))
-            row = self.rows[name] = Row(scopes, status, now, 0, 0)
-            self.index_row(name, row, scopes)
+            if len(self.rows) >= self.max_watchers:
+                self.remove(next(iter(self.rows)))
+            row = self.rows[name] = WatcherRow(scopes, status, now, 0, 0)
+            self.index_watcher(name, row, scopes)
         elif row.scopes != scopes:
-            self.index_row(name, row, scopes)
-        row.status = Status(name, status.in_force, status.refused, status.why[:MOST_WHY])
-        row.heard, row.wait = now, wait
+            self.index_watcher(name, row, scopes)
+        row.status = Status(name, status.in_force, status.refused, status.why[:MAX_REASON_CHARS])
+        row.last_heard, row.wait = now, wait
         self.rows.move_to_end(name)
         while row.pending and row.pending[0] <= max(status.in_force.index, status.refused):
             index = row.pending.popleft()
-            if index <= status.in_force.index and index > status.refused and index in self.had:
-                (self.times if scopes else self.relay_times).add(now - self.had[index][0])
+            if index <= status.in_force.index and index > status.refused and index in self.versions:
+                (self.sidecar_times if scopes else self.relay_times).add(now - self.versions[index][0])
 
-    def index_row(self, name: str, row: Row, scopes: tuple[str, ...]) -> None:
-        for scope in row.scopes or (ALL,):
-            leave(self.by_scope, scope, name)
+    def index_watcher(self, name: str, row: WatcherRow, scopes: tuple[str, ...]) -> None:
+        for scope in row.scopes or (ALL_SCOPES,):
+            discard_from(self.by_scope, scope, name)
         row.scopes = scopes
-        for scope in scopes or (ALL,):
+        for scope in scopes or (ALL_SCOPES,):
             self.by_scope.setdefault(scope, set()).add(name)
-        row.due = max((self.latest.get(one, 0) for one in scopes), default=0)
+        row.due = max((self.newest_index.get(item, 0) for item in scopes), default=0)
         if not scopes:
             row.due = self.history.version.index
         row.pending = deque()
         held = row.status.in_force.index
         if held:  # it may come from another relay: what it missed on its way counts as well
-            for index, (_, changed) in reversed(self.had.items()):
-                if index <= held or len(row.pending) >= MOST_PENDING:
+            for index, (_, changed) in reversed(self.versions.items()):
+                if index <= held or len(row.pending) >= MAX_PENDING:
                     break
                 if not scopes or not changed.isdisjoint(scopes):
                     row.pending.appendleft(index)
 
-    def forget(self, name: str) -> None:
+    def remove(self, name: str) -> None:
         row = self.rows.pop(name)
-        for scope in row.scopes or (ALL,):
-            leave(self.by_scope, scope, name)
+        for scope in row.scopes or (ALL_SCOPES,):
+            discard_from(self.by_scope, scope, name)
 
-    def away(self, now: int, row: Row) -> bool:
-        return not row.waiting and now - row.heard > max(LEAST_AWAY, AWAY_AFTER * row.wait)
+    def is_away(self, now: int, row: WatcherRow) -> bool:
+        return not row.waiting_token and now - row.last_heard > max(MIN_AWAY_US, AWAY_AFTER_WAITS * row.wait)
 
-    def left(self, name: str, token: int) -> None:
+    def watch_ended(self, name: str, token: int) -> None:
         """That watch waits no more."""
-        if (row := self.rows.get(name)) is not None and row.waiting == token:
-            row.waiting = 0
+        if (row := self.rows.get(name)) is not None and row.waiting_token == token:
+            row.waiting_token = 0
 
     def show(self, now: int) -> list[dict[str, Any]]:
-        while self.rows and now - next(iter(self.rows.values())).heard > FORGOTTEN:
+        while self.rows and now - next(iter(self.rows.values())).last_heard > FORGET_AFTER_US:
             name, row = next(iter(self.rows.items()))
-            if row.waiting:
+            if row.waiting_token:
                 break
-            self.forget(name)
+            self.remove(name)
         return [
             {
                 "name": name,
@@ -174,8 +180,8 @@
                 "due": row.due,
                 "refused": row.status.refused,
                 "why": row.status.why,
-                "heard_s": round((now - row.heard) / 1_000_000, 1),
-                "away": self.away(now, row),
+                "heard_s": round((now - row.last_heard) / 1_000_000, 1),
+                "away": self.is_away(now, row),
             }
             for name, row in self.rows.items()
         ]
--- a/lupinmill/config/wire.py
+++ b/lupinmill/config/wire.py
@@ -11,7 +11,7 @@
 import orjson
 
 from lupinmill.config.model import (
-    LARGEST,
+    MAX_REPLY_BYTES,
     MEMBER,
     SCOPES,
     SETTINGS,
@@ -25,62 +25,73 @@
 from lupinmill.protocol.http import Answer, Garbled, Malformed, Request
 
 PATH = b"/v1/config"
-MOST_SCOPES = 64  # in one watch
-LONGEST_WAIT = 60_000  # milliseconds
-LONGEST_WHY = 200  # characters of a refusal's reason
-LONGEST_SPREAD = 600_000  # milliseconds
-DEEPEST = 32  # nesting of a value; orjson writes no more than 254
-HIGHEST = 2**53 - 1  # index
-WORD = re.compile(r"[a-z][a-z_-]{0,31}")
+MAX_SCOPES = 64  # in one watch
+MAX_WAIT_MS = 60_000  # milliseconds
+MAX_REASON_CHARS = 200  # characters of a refusal's reason
+MAX_SPREAD_MS = 600_000  # milliseconds
+MAX_DEPTH = 32  # nesting of a value; orjson writes no more than 254
+MAX_INDEX = 2**53 - 1  # index
+KIND_WORD = re.compile(r"[a-z][a-z_-]{0,31}")
 MARK = re.compile(r"[A-Za-z0-9._-]{0,32}")
 DIGITS = re.compile(r"[0-9]{1,16}")
-ONCE = ("index", "mark", "wait", "name", "in_force", "in_force_mark", "refused", "why", "ahead", "ahead_mark")
+SINGLE_KEYS = (
+    "index",
+    "mark",
+    "wait",
+    "name",
+    "in_force",
+    "in_force_mark",
+    "refused",
+    "why",
+    "ahead",
+    "ahead_mark",
+)
 
 
-def good_name(text: str) -> bool:
+def is_valid_name(text: str) -> bool:
     """1 to 64 bytes that can be shown, as members' names in the operators' file."""
     return text.isprintable() and 0 < len(text.encode()) <= 64
 
 
-def good_scope(text: str) -> bool:
+def is_valid_scope(text: str) -> bool:
     """`fleet`, or `region/NAME`, `zone/NAME`, `service/NAME`, `sidecar/NAME`."""
     level, slash, name = text.partition("/")
-    return text == "fleet" if level == "fleet" else level in SCOPES and bool(slash) and good_name(name)
+    return text == "fleet" if level == "fleet" else level in SCOPES and bool(slash) and is_valid_name(name)
 
 
-def good_kind(text: str) -> bool:
+def is_valid_kind(text: str) -> bool:
     """One that a source of this release publishes."""
-    return text in (SETTINGS, ZONES) or text.startswith(MEMBER) and good_name(text[len(MEMBER) :])
+    return text in (SETTINGS, ZONES) or text.startswith(MEMBER) and is_valid_name(text[len(MEMBER) :])
 
 
-def formed_kind(text: str) -> bool:
+def is_well_formed_kind(text: str) -> bool:
     """One that a relay passes on: a later release may have kinds that this one knows nothing of."""
     word, slash, name = text.partition("/")
-    return WORD.fullmatch(word) is not None and (not slash or good_name(name))
+    return KIND_WORD.fullmatch(word) is not None and (not slash or is_valid_name(name))
 
 
 # --- the call ------------------------------------------------------------------------------------
 
 
-def call(since: Version, wait_ms: int, scopes: tuple[str, ...], status: Status) -> Request:
+def encode_watch(since: Version, wait_ms: int, scopes: tuple[str, ...], status: Status) -> Request:
     """A watch from this version on; from index 0 the snapshot. Without scopes: all of them."""
-    asked = [("index", str(since.index)), ("mark", since.mark), ("wait", str(wait_ms))]
-    asked += [("scope", scope) for scope in scopes]
-    asked += [
+    pairs = [("index", str(since.index)), ("mark", since.mark), ("wait", str(wait_ms))]
+    pairs += [("scope", scope) for scope in scopes]
+    pairs += [
         ("name", status.name),
         ("in_force", str(status.in_force.index)),
         ("in_force_mark", status.in_force.mark),
     ]
     if status.refused:
-        why = status.why[:LONGEST_WHY].encode("utf-8", "replace").decode()
-        asked += [("refused", str(status.refused)), ("why", why)]
+        why = status.why[:MAX_REASON_CHARS].encode("utf-8", "replace").decode()
+        pairs += [("refused", str(status.refused)), ("why", why)]
     if status.ahead.index:
-        asked += [("ahead", str(status.ahead.index)), ("ahead_mark", status.ahead.mark)]
-    query = "&".join(f"{key}={quote(value, safe='/')}" for key, value in asked)
+        pairs += [("ahead", str(status.ahead.index)), ("ahead_mark", status.ahead.mark)]
+    query = "&".join(f"{key}={quote(value, safe='/')}" for key, value in pairs)
     return Request(b"GET", PATH + b"?" + query.encode(), [(b"Host", b"config")])
 
 
-class Watch:
+class WatchRequest:
     """What a call asks for."""
 
     __slots__ = ("since", "wait_ms", "scopes", "status")
@@ -89,7 +100,7 @@
         self.since, self.wait_ms, self.scopes, self.status = since, wait_ms, scopes, status
 
 
-def asked(request: Request) -> Watch:
+def decode_watch(request: Request) -> WatchRequest:
     """Raises Malformed with what is wrong; nothing else, whatever came."""
     if request.method != b"GET":
         raise Malformed(405, "only GET", trusted=True)
@@ -98,106 +109,106 @@
         raise Malformed(404, "no such path", trusted=True)
     if request.body:
         raise Malformed(400, "a watch has no body", trusted=True)
-    once, scopes = fields(query)
-    name = once.get("name", "")
-    if not good_name(name):
+    single, scopes = parse_query(query)
+    name = single.get("name", "")
+    if not is_valid_name(name):
         raise Malformed(400, "name: none, or not a name", trusted=True)
     status = Status(
         name,
-        version_in(once, "in_force", "in_force_mark"),
-        number(once, "refused", HIGHEST),
-        once.get("why", ""),
-        version_in(once, "ahead", "ahead_mark"),
+        query_version(single, "in_force", "in_force_mark"),
+        query_number(single, "refused", MAX_INDEX),
+        single.get("why", ""),
+        query_version(single, "ahead", "ahead_mark"),
     )
-    if len(status.why) > LONGEST_WHY:
-        raise Malformed(400, f"why: over {LONGEST_WHY} characters", trusted=True)
-    wait = min(LONGEST_WAIT, number(once, "wait", HIGHEST))
-    return Watch(version_in(once, "index", "mark"), wait, scopes, status)
+    if len(status.why) > MAX_REASON_CHARS:
+        raise Malformed(400, f"why: over {MAX_REASON_CHARS} characters", trusted=True)
+    wait_ms = min(MAX_WAIT_MS, query_number(single, "wait", MAX_INDEX))
+    return WatchRequest(query_version(single, "index", "mark"), wait_ms, scopes, status)
 
 
-def fields(query: bytes) -> tuple[dict[str, str], tuple[str, ...]]:
+def parse_query(query: bytes) -> tuple[dict[str, str], tuple[str, ...]]:
     try:
         pairs = parse_qsl(
             query.decode("ascii"),
             keep_blank_values=True,
             strict_parsing=bool(query),
             errors="strict",
-            max_num_fields=MOST_SCOPES + len(ONCE),
+            max_num_fields=MAX_SCOPES + len(SINGLE_KEYS),
         )
     except ValueError as error:  # also bytes that are no ASCII, escapes that are no UTF-8
         raise Malformed(400, "query: can't be read", trusted=True) from error
-    once: dict[str, str] = {}
+    single: dict[str, str] = {}
     scopes: dict[str, None] = {}
     for key, value in pairs:
         if key == "scope":
-            if not good_scope(value):
+            if not is_valid_scope(value):
                 raise Malformed(400, "scope: not a scope", trusted=True)
             scopes[value] = None
-        elif key not in ONCE:
+        elif key not in SINGLE_KEYS:
             raise Malformed(400, "query: a key that is not known", trusted=True)
-        elif key in once:
+        elif key in single:
             raise Malformed(400, f"{key}: given twice", trusted=True)
         else:
-            once[key] = value
-    if len(scopes) > MOST_SCOPES:
-        raise Malformed(400, f"scope: over {MOST_SCOPES}", trusted=True)
-    return once, tuple(scopes)
+            single[key] = value
+    if len(scopes) > MAX_SCOPES:
+        raise Malformed(400, f"scope: over {MAX_SCOPES}", trusted=True)
+    return single, tuple(scopes)
 
 
-def number(once: dict[str, str], key: str, most: int) -> int:
-    value = once.get(key, "0")
-    if not DIGITS.fullmatch(value) or int(value) > most:
-        raise Malformed(400, f"{key}: not a whole number from 0 to {most}", trusted=True)
+def query_number(single: dict[str, str], key: str, maximum: int) -> int:
+    value = single.get(key, "0")
+    if not DIGITS.fullmatch(value) or int(value) > maximum:
+        raise Malformed(400, f"{key}: not a whole number from 0 to {maximum}", trusted=True)
     return int(value)
 
 
-def version_in(once: dict[str, str], index: str, mark: str) -> Version:
-    if not MARK.fullmatch(once.get(mark, "")):
+def query_version(single: dict[str, str], index: str, mark: str) -> Version:
+    if not MARK.fullmatch(single.get(mark, "")):
         raise Malformed(400, f"{mark}: not a mark", trusted=True)
-    return Version(number(once, index, HIGHEST), once.get(mark, ""))
+    return Version(query_number(single, index, MAX_INDEX), single.get(mark, ""))
 
 
 # --- the answer ----------------------------------------------------------------------------------
 
 
-def rows(entries: Entries) -> list[dict[str, Any]]:
+def encode_rows(entries: Entries) -> list[dict[str, Any]]:
     return [{"scope": key.scope, "kind": key.kind, "value": value} for key, value in entries.items()]
 
 
-def encode(reply: Reply) -> bytes:
+def encode_reply(reply: Reply) -> bytes:
     return orjson.dumps(
         {
             "index": reply.version.index,
             "mark": reply.version.mark,
-            "snapshot": reply.whole,
+            "snapshot": reply.is_snapshot,
             "since": reply.since.index,
             "since_mark": reply.since.mark,
             "spread_ms": reply.spread_ms,
-            "entries": rows(reply.entries),
+            "entries": encode_rows(reply.entries),
         }
     )
 
 
-def decode(answer: Answer) -> Reply:
+def decode_reply(answer: Answer) -> Reply:
     """Raises Garbled for anything but a good answer; nothing else, whatever came."""
     if answer.status != 200:
         raise Garbled(f"a watch on configuration was answered {answer.status}")
-    if len(answer.body) > LARGEST:
+    if len(answer.body) > MAX_REPLY_BYTES:
         raise Garbled("configuration: the answer is too large")
-    table = parsed(answer.body)
-    whole = table.get("snapshot")
-    if not isinstance(whole, bool):
+    table = parse_table(answer.body)
+    is_snapshot = table.get("snapshot")
+    if not isinstance(is_snapshot, bool):
         raise Garbled("configuration: snapshot is neither true nor false")
     return Reply(
         read_version(table, "index", "mark"),
-        whole,
-        read_rows(table.get("entries"), gone=not whole),
+        is_snapshot,
+        read_rows(table.get("entries"), allow_null=not is_snapshot),
         read_version(table, "since", "since_mark"),
-        whole_number(table, "spread_ms", LONGEST_SPREAD),
+        whole_number(table, "spread_ms", MAX_SPREAD_MS),
     )
 
 
-def parsed(body: bytes) -> dict[str, Any]:
+def parse_table(body: bytes) -> dict[str, Any]:
     try:
         table = orjson.loads(body)
     except (orjson.JSONDecodeError, RecursionError) as error:
@@ -207,10 +218,10 @@
     return table
 
 
-def whole_number(table: dict[str, Any], key: str, most: int) -> int:
+def whole_number(table: dict[str, Any], key: str, maximum: int) -> int:
     value = table.get(key)
-    if type(value) is not int or not 0 <= value <= most:
-        raise Garbled(f"configuration: {key} is not a whole number from 0 to {most}")
+    if type(value) is not int or not 0 <= value <= maximum:
+        raise Garbled(f"configuration: {key} is not a whole number from 0 to {maximum}")
     return value
 
 
@@ -218,10 +229,10 @@
     value = table.get(mark)
     if not isinstance(value, str) or not MARK.fullmatch(value):
         raise Garbled(f"configuration: {mark} is not a mark")
-    return Version(whole_number(table, index, HIGHEST), value)
+    return Version(whole_number(table, index, MAX_INDEX), value)
 
 
-def read_rows(found: Any, gone: bool) -> Entries:
+def read_rows(found: Any, allow_null: bool) -> Entries:
     """The entries of a list of rows; `gone`: a value may be null, which takes the entry away."""
     if not isinstance(found, list):
         raise Garbled("configuration: entries are not a list")
@@ -230,24 +241,24 @@
         if not isinstance(row, dict) or "value" not in row:
             raise Garbled("configuration: an entry without a value")
         scope, kind, value = row.get("scope"), row.get("kind"), row["value"]
-        if not isinstance(scope, str) or not good_scope(scope):
+        if not isinstance(scope, str) or not is_valid_scope(scope):
             raise Garbled("configuration: an entry's scope is not a scope")
-        if not isinstance(kind, str) or not formed_kind(kind):
+        if not isinstance(kind, str) or not is_well_formed_kind(kind):
             raise Garbled(f"configuration: an entry's kind under {scope} is not a kind")
         key = Key(scope, kind)
         if key in entries:
             raise Garbled(f"configuration: {scope} {kind} comes twice")
-        if value is None and not gone:
+        if value is None and not allow_null:
             raise Garbled(f"configuration: {scope} {kind} has no value")
-        if not shallow(value):
-            raise Garbled(f"configuration: {scope} {kind} is nested more than {DEEPEST} deep")
+        if not within_depth(value):
+            raise Garbled(f"configuration: {scope} {kind} is nested more than {MAX_DEPTH} deep")
         entries[key] = value
     return entries
 
 
-def shallow(value: Any) -> bool:
+def within_depth(value: Any) -> bool:
     level = [value]
-    for _ in range(DEEPEST):
+    for _ in range(MAX_DEPTH):
         level = [
             one
             for part in level
@@ -259,14 +270,14 @@
     return not any(isinstance(part, dict | list) for part in level)
 
 
-def config_entries(table: Any) -> Entries:
+def decode_push(table: Any) -> Entries:
     """The rows of a push, `{"entries": [...]}`; null takes an entry away. Raises Garbled, in one line."""
     if not isinstance(table, dict):
         raise Garbled("configuration: not a table")
     if other := sorted(set(table) - {"entries"}, key=str):
         raise Garbled(f"configuration: {other[0]!r:.60} is not known")
-    entries = read_rows(table.get("entries"), gone=True)
+    entries = read_rows(table.get("entries"), allow_null=True)
     for key in entries:
-        if not good_kind(key.kind):
+        if not is_valid_kind(key.kind):
             raise Garbled(f"configuration: {key.scope} {key.kind}: no such kind")
     return entries
--- a/lupinmill/lab/config_rig.py
+++ b/lupinmill/lab/config_rig.py
@@ -15,7 +15,7 @@
 import orjson
 
 from lupinmill.config.model import Entries
-from lupinmill.config.wire import rows
+from lupinmill.config.wire import encode_rows
 from lupinmill.lab.fleet_sockets import TAKEN, free_port
 from lupinmill.lab.processes import Process
 from lupinmill.protocol.http import Answer, ClientSide, Request
@@ -148,7 +148,7 @@
 
     async def push(self, changes: Entries) -> int:
         """The new version's index. Raises RuntimeError where the source refuses."""
-        status, found = await self.call("source", "POST", "/v1/push", {"entries": rows(changes)})
+        status, found = await self.call("source", "POST", "/v1/push", {"entries": encode_rows(changes)})
         if status != 200:
             raise RuntimeError(f"push: {status} {found}")
         return found["index"]
--- a/lupinmill/lab/explore_config.py
+++ b/lupinmill/lab/explore_config.py
@@ -18,22 +18,22 @@
 from dataclasses import dataclass, field
 
 from lupinmill.config.follower import MS, SECOND, Follower
-from lupinmill.config.history import Behind, History
+from lupinmill.config.history import SourceBehind, History
 from lupinmill.config.model import (
-    Answered,
-    Apply,
-    Ask,
+    ReplyReceived,
+    ApplyVersion,
+    SendWatch,
     Entries,
-    Failed,
-    FollowerNote,
-    FollowerOrder,
+    WatchFailed,
+    FollowerEvent,
+    FollowerCommand,
     Key,
-    Refused,
+    VersionRefused,
     Reply,
-    Took,
+    VersionApplied,
     Version,
-    WakeMe,
-    Woke,
+    SetTimer,
+    TimerFired,
 )
 from lupinmill.lab.explorer import Action, Outcome, explore, walk
 
@@ -70,7 +70,7 @@
     entries: Entries
     kept: tuple[Version, Entries]
     history: History | None = None  # of a relay
-    applying: Apply | None = None
+    applying: ApplyVersion | None = None
     calls: int = 0  # number of the call that is out
     wake: int = 0
     lives: int = 1
@@ -117,7 +117,7 @@
     wrong: str = ""
 
     def __post_init__(self) -> None:
-        self.source = self.history(Version(), {}, most_changes=3)
+        self.source = self.history(Version(), {}, max_changes=3)
         for name in RELAYS + SIDECARS:
             self.start(name, (Version(), {}), 1)
 
@@ -126,7 +126,7 @@
         relay = name in RELAYS
         servers, seed = (SOURCE,) if relay else RELAYS, life * 1000 + sum(name.encode())
         follower = self.follower(name, servers, seed, WAIT, SPREAD, version, entries)
-        history = self.history(version, entries, most_changes=3) if relay else None
+        history = self.history(version, entries, max_changes=3) if relay else None
         if not relay:
             follower.refresh()  # as the sidecar's driver does at a start
         self.nodes[name] = Node(
@@ -166,10 +166,10 @@
             self.flying.pop(at)
         elif what == "garble":
             call = self.call_of(self.flying.pop(at))
-            self.step(call.client, [Failed(call.server, "garbage", garbled=True)])
+            self.step(call.client, [WatchFailed(call.server, "garbage", garbled=True)])
         elif what == "repeat":
             call = self.call_of(self.flying.pop(at))
-            self.step(call.client, [Answered(call.server, self.nodes[call.client].last[call.server])])
+            self.step(call.client, [ReplyReceived(call.server, self.nodes[call.client].last[call.server])])
         elif what == "apply":
             self.put_in_force(self.nodes[list(self.nodes)[at]])
         elif what == "keep":
@@ -183,7 +183,7 @@
             self.cut.discard(LINKS[at])
         elif what == "back up":
             self.hang_up(SOURCE)
-            self.source = self.history(*self.backup, most_changes=3)
+            self.source = self.history(*self.backup, max_changes=3)
         else:
             self.pass_time()
         self.judge()
@@ -207,7 +207,7 @@
         self.parked = [one for one in self.parked if one.server != server]
         for call in broken:
             if self.open(call):
-                self.step(call.client, [Failed(server, "broke")])
+                self.step(call.client, [WatchFailed(server, "broke")])
 
     @staticmethod
     def call_of(one: Call | Back) -> Call:
@@ -220,7 +220,7 @@
         if isinstance(one, Back):
             if self.open(call):
                 self.nodes[call.client].last[call.server] = one.reply
-                self.step(call.client, [Answered(call.server, one.reply)])
+                self.step(call.client, [ReplyReceived(call.server, one.reply)])
         elif (call.client, call.server) not in self.cut:
             self.parked.append(one)
             self.answer(call.server)
@@ -240,24 +240,24 @@
         """Parked watches with news, and those whose time is over."""
         history = self.served_by(server)
         for call in [one for one in self.parked if one.server == server]:
-            if self.now >= call.until or history.news(call.since, WATCHED[call.client]):
+            if self.now >= call.until or history.has_changes(call.since, WATCHED[call.client]):
                 self.parked.remove(call)
                 self.flying.append(Back(call, history.reply(call.since, WATCHED[call.client], SPREAD // MS)))
             if server == SOURCE:
                 ahead = self.served_by(call.client).ahead  # as the relay's driver tells with each call
-                self.source.heard_of(ahead or Version())
+                self.source.observe_version(ahead or Version())
 
-    def step(self, name: str, notes: list[FollowerNote]) -> None:
+    def step(self, name: str, notes: list[FollowerEvent]) -> None:
         node = self.nodes[name]
-        orders: list[FollowerOrder] = node.follower.step(self.now, notes)
+        orders: list[FollowerCommand] = node.follower.step(self.now, notes)
         for order in orders:
-            if isinstance(order, Ask):
+            if isinstance(order, SendWatch):
                 node.calls += 1
-                self.flying.append(Call(name, order.at, node.calls, order.since, self.now + order.wait))
+                self.flying.append(Call(name, order.relay, node.calls, order.since, self.now + order.wait_us))
                 self.parked = [one for one in self.parked if one.client != name]
-            elif isinstance(order, Apply):
+            elif isinstance(order, ApplyVersion):
                 node.applying = order
-            elif isinstance(order, WakeMe):
+            elif isinstance(order, SetTimer):
                 node.wake = order.at
 
     def put_in_force(self, node: Node) -> None:
@@ -265,7 +265,7 @@
         assert order is not None
         node.applying = None
         if node.name == "s0" and order.entries.get(ONE) == BAD:
-            self.step(node.name, [Refused(order.version, "service/one settings: bad")])
+            self.step(node.name, [VersionRefused(order.version, "service/one settings: bad")])
             return
         if order.version.index <= node.in_force.index:
             self.wrong = f"{node.name} falls back from {node.in_force.index} to {order.version.index}"
@@ -278,7 +278,7 @@
             node.kept = (order.version, order.entries)
         if node.history is not None:
             node.history.replace(order.version, order.entries)
-        self.step(node.name, [Took(order.version)])
+        self.step(node.name, [VersionApplied(order.version)])
         if node.history is not None:
             self.answer(node.name)
 
@@ -296,13 +296,13 @@
             self.answer(server)
         for name in RELAYS + SIDECARS:
             if self.now >= self.nodes[name].wake:
-                self.step(name, [Woke()])
+                self.step(name, [TimerFired()])
 
     def push(self, entries: Entries) -> None:
         self.pushed += 1
         try:
             self.source.push(entries)
-        except Behind:
+        except SourceBehind:
             self.restore()
             self.source.push(entries)
         self.publish()
--- a/lupinmill/lab/scale/fanout.py
+++ b/lupinmill/lab/scale/fanout.py
@@ -18,9 +18,9 @@
 from pathlib import Path
 
 from lupinmill.config import stable_store, wire
-from lupinmill.config.fanout import Asked, Fanout
+from lupinmill.config.fanout import WatchReceived, Fanout
 from lupinmill.config.follower import Follower
-from lupinmill.config.history import History, merged
+from lupinmill.config.history import History, apply_changes
 from lupinmill.config.model import Entries, Key, Reply, Status, Version
 from lupinmill.lab.scale import fanout_sockets
 from lupinmill.lab.scale.fanout_shape import SECOND, Costs, Shape, change, state
@@ -73,7 +73,7 @@
 
 def entries_of(data: bytes) -> Entries:
     """As one that got these bytes has them: nothing shared with others."""
-    return wire.decode(Answer(200, [], data)).entries
+    return wire.decode_reply(Answer(200, [], data)).entries
 
 
 def calibrate(shape: Shape, repeats: int = 5, call: int = 0, reply: int = 0) -> Costs:
@@ -91,7 +91,7 @@
             history.push(change(shape, chance))
             answer = history.reply(version, ())
             began = time.process_time()
-            follower.take(0, answer.version, merged(follower.entries, answer.entries))
+            follower.accept(0, answer.version, apply_changes(follower.entries, answer.entries))
             copy.replace(answer.version, dict(follower.entries))
             replaces.append(time.process_time() - began)
             began = time.perf_counter()
@@ -328,9 +328,10 @@
     """Bytes that Python's allocator counts, of cores alone."""
     world = World(replace(shape, watching=max(counts), relays=1, most_watchers=4 * max(counts)), 1, Costs())
     history = world.source.history
-    data = wire.encode(Reply(history.version, True, history.entries))
+    data = wire.encode_reply(Reply(history.version, True, history.entries))
     parts = [
-        wire.encode(Reply(history.version, True, history.snapshot(one.scopes))) for one in world.sidecars
+        wire.encode_reply(Reply(history.version, True, history.snapshot(one.scopes)))
+        for one in world.sidecars
     ]
     gc.collect()
     tracemalloc.start()
@@ -350,7 +351,7 @@
         entries = entries_of(data)
         place = History(history.version, entries)
         follower = Follower("relay", ("source",), 1, SECOND, SECOND, history.version, entries)
-        fan = Fanout(place, wire.encode, 0, 4 * max(counts), 1000)
+        fan = Fanout(place, wire.encode_reply, 0, 4 * max(counts), 1000)
         gc.collect()
         empty = tracemalloc.get_traced_memory()[0] - base
         texts, there = (
@@ -363,7 +364,7 @@
                 fan.step(
                     0,
                     [
-                        Asked(
+                        WatchReceived(
                             at + 1,
                             tuple(map(str, world.sidecars[at].scopes)),
                             history.version,
--- a/lupinmill/lab/scale/fanout_world.py
+++ b/lupinmill/lab/scale/fanout_world.py
@@ -17,24 +17,31 @@
 from typing import Any
 
 from lupinmill.config import fanout, wire
-from lupinmill.config.fanout import Asked, Away, Fanout, Gone, Had, Say
+from lupinmill.config.fanout import (
+    WatchReceived,
+    RejectWatch,
+    Fanout,
+    WatchClosed,
+    VersionAvailable,
+    SendReply,
+)
 from lupinmill.config.follower import Follower
 from lupinmill.config.history import History
 from lupinmill.config.model import (
-    Answered,
-    Apply,
-    Ask,
+    ReplyReceived,
+    ApplyVersion,
+    SendWatch,
     Entries,
-    Failed,
-    FollowerNote,
+    WatchFailed,
+    FollowerEvent,
     Reply,
     Status,
-    Took,
+    VersionApplied,
     Version,
-    WakeMe,
-    Woke,
+    SetTimer,
+    TimerFired,
 )
-from lupinmill.config.relay import SPREAD, WAIT, Relay, Upstream
+from lupinmill.config.relay import UPSTREAM_SPREAD_US, UPSTREAM_WAIT_US, Relay, UpstreamFollower
 from lupinmill.lab.scale.fanout_shape import SECOND, Costs, Shape, change, scopes_of, state
 from lupinmill.protocol.http import Answer, ClientSide
 
@@ -68,36 +75,36 @@
         self.side: ClientSide | None = None
         self.on = True
 
-    def tell(self, *notes: FollowerNote) -> None:
+    def tell(self, *notes: FollowerEvent) -> None:
         if not self.on:
             return
         world, began = self.world, time.process_time()
         orders = self.follower.step(world.now, notes)
         self.cpu += time.process_time() - began
         for order in orders:
-            if isinstance(order, Ask):
+            if isinstance(order, SendWatch):
                 self.ask(order)
-            elif isinstance(order, Apply):
+            elif isinstance(order, ApplyVersion):
                 self.apply(order)
-            elif isinstance(order, WakeMe) and order.at != self.wakes:
+            elif isinstance(order, SetTimer) and order.at != self.wakes:
                 self.wakes = order.at
                 world.at(max(order.at, world.now + 1), self.wake, order.at)
 
     def wake(self, at: int) -> None:
         if at == self.wakes:
             self.wakes = -1
-            self.tell(Woke())
+            self.tell(TimerFired())
 
-    def ask(self, order: Ask) -> None:
+    def ask(self, order: SendWatch) -> None:
         world = self.world
         if self.token:
             world.give_up(self.token)
         self.token, self.calls = world.next_token(), self.calls + 1
         began = time.process_time()
         status = self.follower.status()
-        request = wire.call(order.since, order.wait // 1000, self.scopes, status)
+        request = wire.encode_watch(order.since, order.wait_us // 1000, self.scopes, status)
         if self.whole:
-            self.side = ClientSide(wire.LARGEST, wire.LARGEST)
+            self.side = ClientSide(wire.MAX_REPLY_BYTES, wire.MAX_REPLY_BYTES)
             size = len(self.side.ask(request))
             self.cpu += time.process_time() - began
         else:
@@ -115,24 +122,24 @@
         began = time.process_time()
         if self.whole:
             self.side.feed(head + data)
-            reply = wire.decode(self.side.next_answer())
+            reply = wire.decode_reply(self.side.next_answer())
             self.cpu += time.process_time() - began
         else:
             reply = self.world.read(data)
-        self.tell(Answered(at, reply))
+        self.tell(ReplyReceived(at, reply))
 
     def failed(self, token: int, at: str, why: str) -> None:
         self.world.calls_out.pop(token, None)
         if token == self.token:
             self.token = 0
-            self.tell(Failed(at, why))
+            self.tell(WatchFailed(at, why))
 
-    def apply(self, order: Apply) -> None:
+    def apply(self, order: ApplyVersion) -> None:
         self.world.at(self.world.now + self.world.costs.force, self.took, order.version)
 
     def took(self, version: Version) -> None:
         self.world.in_force(self, version)
-        self.tell(Took(version))
+        self.tell(VersionApplied(version))
 
 
 class Place:
@@ -141,20 +148,22 @@
     def __init__(self, world: World, name: str, zone: int, version: Version, entries: Entries) -> None:
         self.world, self.name, self.zone, self.up = world, name, zone, True
         self.count, self.free, self.wakes = Count(), 0, -1
-        self.kept = self
+        self.store = self
         self.out: dict[int, tuple[Watching, str]] = {}
         self.begin(version, entries)
 
     def begin(self, version: Version, entries: Entries) -> None:
         shape = self.world.shape
         self.history = History(version, entries)
-        self.fanout = Fanout(self.history, wire.encode, self.world.now, shape.most_watchers, shape.spread_ms)
+        self.fanout = Fanout(
+            self.history, wire.encode_reply, self.world.now, shape.most_watchers, shape.spread_ms
+        )
 
     def work(self, cost: int) -> int:
         self.free = max(self.world.now, self.free) + cost
         return self.free
 
-    def arrive(self, token: int, caller: Watching, order: Ask, status: Status, size: int) -> None:
+    def arrive(self, token: int, caller: Watching, order: SendWatch, status: Status, size: int) -> None:
         way = self.world.shape.way(self.zone, caller.zone)
         if not self.up:
             self.count.refused += 1
@@ -163,52 +172,52 @@
         self.count.calls.append(self.world.now)
         self.count.bytes_in += size
         self.out[token] = caller, self.name
-        note = Asked(token, caller.scopes, order.since, 0, status)
-        self.world.at(self.work(self.world.costs.call), self.asked, note, order.wait)
+        note = WatchReceived(token, caller.scopes, order.since, 0, status)
+        self.world.at(self.work(self.world.costs.call), self.asked, note, order.wait_us)
 
-    def asked(self, note: Asked, wait: int) -> None:
+    def asked(self, note: WatchReceived, wait: int) -> None:
         if note.token in self.out:
-            note.until = self.world.now + wait
+            note.deadline = self.world.now + wait
             self.step(note)
 
     def gone(self, token: int) -> None:
         if self.out.pop(token, None) is not None:
-            self.step(Gone(token))
+            self.step(WatchClosed(token))
 
-    def step(self, *notes: fanout.Note) -> None:
+    def step(self, *notes: fanout.FanoutEvent) -> None:
         began = time.process_time()
         orders = self.fanout.step(self.world.now, notes)
         self.count.cpu += time.process_time() - began
         for order in orders:
-            if isinstance(order, Say):
+            if isinstance(order, SendReply):
                 self.say(order)
-            elif isinstance(order, Away):
+            elif isinstance(order, RejectWatch):
                 self.count.turned_away += 1
                 caller, name = self.out.pop(order.token)
                 way = self.world.shape.way(self.zone, caller.zone)
                 self.world.at(
                     self.work(self.world.costs.reply) + way, caller.failed, order.token, name, "503"
                 )
-            elif isinstance(order, WakeMe) and order.at != self.wakes:
+            elif isinstance(order, SetTimer) and order.at != self.wakes:
                 self.wakes = order.at
                 self.world.at(max(order.at, self.world.now + 1), self.wake, order.at)
 
     def wake(self, at: int) -> None:
         if at == self.wakes and self.up:
             self.wakes = -1
-            self.step(fanout.Woke())
+            self.step(fanout.TimerFired())
 
-    def say(self, order: Say) -> None:
+    def say(self, order: SendReply) -> None:
         caller, name = self.out.pop(order.token)
         self.count.bytes_out += len(order.data) + len(HEAD % len(order.data))
         self.count.wholes += b'"snapshot":true' in order.data[:200]
         at = self.work(self.world.costs.reply) + self.world.shape.way(self.zone, caller.zone)
         self.world.at(at, caller.answered, order.token, name, order.data)
 
-    def had(self, version: Version, scopes: frozenset[str]) -> None:
-        self.step(Had(version, scopes))
+    def announce(self, version: Version, scopes: frozenset[str]) -> None:
+        self.step(VersionAvailable(version, scopes))
 
-    def put(self, version: Version, entries: Entries) -> None:
+    def schedule_save(self, version: Version, entries: Entries) -> None:
         """The relay's disk, which takes it by a thread beside the core."""
 
     def go_down(self) -> None:
@@ -240,7 +249,9 @@
         super().begin(version, entries)
         self.lives += 1
         seed = self.at * 1_000 + self.lives
-        follower = Upstream(self.name, ("source",), seed, WAIT, SPREAD, version, entries)
+        follower = UpstreamFollower(
+            self.name, ("source",), seed, UPSTREAM_WAIT_US, UPSTREAM_SPREAD_US, version, entries
+        )
         follower.history = self.history
         self.watch = RelayWatch(self.world, follower, (), self.zone, False)
         self.watch.place = self
@@ -253,24 +264,24 @@
 
     def come_up(self, kept: bool = True) -> None:
         super().come_up(kept)
-        self.watch.tell(Woke())
+        self.watch.tell(TimerFired())
 
 
 class RelayWatch(Watching):
     place: RelayPlace
 
-    def apply(self, order: Apply) -> None:
+    def apply(self, order: ApplyVersion) -> None:
         self.world.at(self.place.work(self.world.costs.replace), self.take, order)
 
-    def take(self, order: Apply) -> None:
+    def take(self, order: ApplyVersion) -> None:
         if not self.on:
             return
         count, began = self.place.count, time.process_time()
         before = count.cpu
-        why = Relay.take(self.place, order.version, order.entries)  # type: ignore[arg-type]
+        why = Relay.apply_version(self.place, order.version, order.entries)  # type: ignore[arg-type]
         count.cpu = before + time.process_time() - began  # in which the steps that it led to lie
         assert why is None, why
-        self.tell(Took(order.version))
+        self.tell(VersionApplied(order.version))
 
 
 class World:
@@ -300,9 +311,9 @@
         ] = []  # microseconds from pushed to in force, for each sidecar that a change concerns
         self.pushed = 0
         for place in self.relays:
-            place.watch.tell(Woke())
+            place.watch.tell(TimerFired())
         for sidecar in self.sidecars:  # a fleet that has long run: watches began at any time
-            self.at(self.now + self.chance.randrange(shape.wait), sidecar.tell, Woke())
+            self.at(self.now + self.chance.randrange(shape.wait), sidecar.tell, TimerFired())
 
     def sidecar(self, at: int, version: Version, first: History) -> Watching:
         shape, zone, scopes = self.shape, at % self.shape.zones, scopes_of(self.shape, at)
@@ -339,8 +350,8 @@
         self.tokens += 1
         return self.tokens
 
-    def call(self, caller: Watching, order: Ask, status: Status, size: int) -> None:
-        place = self.places[order.at]
+    def call(self, caller: Watching, order: SendWatch, status: Status, size: int) -> None:
+        place = self.places[order.relay]
         self.calls_out[caller.token] = place
         way = self.shape.way(place.zone, caller.zone)
         self.at(self.now + way, place.arrive, caller.token, caller, order, status, size)
@@ -353,7 +364,7 @@
     def read(self, data: bytes) -> Reply:
         reply = self.reads.get(data)
         if reply is None:
-            reply = self.reads[data] = wire.decode(Answer(200, [], data))
+            reply = self.reads[data] = wire.decode_reply(Answer(200, [], data))
             if len(self.reads) > MOST_READ:
                 self.reads.popitem(last=False)
         return reply
@@ -376,7 +387,7 @@
         for scope in scopes:
             for sidecar in self.by_scope.get(scope, ()):
                 self.pending[sidecar].append((version.index, pushed))
-        self.source.had(version, scopes)
+        self.source.announce(version, scopes)
 
     def changes(self, rate: float, seconds: float) -> None:
         """Poisson arrivals of drawn changes from now on."""
--- a/lupinmill/program/in_force.py
+++ b/lupinmill/program/in_force.py
@@ -13,7 +13,7 @@
 from zlib import crc32
 
 from lupinmill import terms as t
-from lupinmill.config import checks, stable_store, merge
+from lupinmill.config import checks, merge, stable_store
 from lupinmill.config.driver import ConfigWatch
 from lupinmill.config.follower import Follower
 from lupinmill.config.model import SETTINGS, Entries, Version
@@ -63,10 +63,10 @@
         if any(key.kind == SETTINGS for key in entries):
             for key, value in entries.items():
                 if key.kind == SETTINGS and isinstance(value, dict):
-                    checks.check_keys(value)
-            fields = settings.flatten(merge.settings(base.settings, entries))
+                    checks.check_known_keys(value)
+            fields = settings.flatten(merge.merge_settings(base.settings, entries))
             settings.check(fields)
-            checks.check_closely(fields)
+            checks.check_ranges(fields)
             deployment = replace(settings.deployment(fields), seed=base.deployment.seed)
             if not deployment.workloads:
                 raise ValueError("settings.workloads: none would be left")
@@ -77,7 +77,9 @@
                 idle_limit=settings.idle_limit(fields),
                 connect_limit=settings.connect_limit(fields),
             )
-        file = operators_file.with_entries(file, merge.members(entries), merge.zones(entries))
+        file = operators_file.with_entries(
+            file, merge.member_overrides(entries), merge.zones_override(entries)
+        )
         operators_file.fits(file, base.name, found.deployment)
     except (operators_file.BadFile, ValueError, TypeError, OverflowError, ArithmeticError) as error:
         raise Unfit(" ".join(str(error).split())[:LONGEST_LINE]) from error
@@ -103,7 +105,7 @@
     file = told.operators
     assert file is not None and file.config is not None
     zone, region = operators_file.place(file, told.name, told.deployment.zone)
-    return merge.scopes_of(told.name, zone, region, file.config.service)
+    return merge.watched_scopes(told.name, zone, region, file.config.service)
 
 
 def begin(base: Told, log: Log) -> tuple[Told, Offered]:
@@ -116,11 +118,11 @@
         if found is None:
             return base, Offered(Version(), {})
         version, entries = found
-        if entries.pop(ConfigWatch.WATCHED, None) != list(scopes(base)):
+        if entries.pop(ConfigWatch.WATCHED_SCOPES_KEY, None) != list(scopes(base)):
             raise Unfit("kept for other scopes")
         told = combine(base, entries)
         stays(base, told)
-    except (stable_store.BadKeep, Unfit) as error:
+    except (stable_store.StableStoreError, Unfit) as error:
         log("config", text="what was kept is not gone by", error=str(error))
         return base, Offered(Version(), {})
     return told, Offered(version, entries)
@@ -147,7 +149,7 @@
         self.watch = ConfigWatch(
             self.follower, scopes(base), program.store, self.take, log, config.keep or None
         )
-        self.watch.kept_index = kept.version.index
+        self.watch.saved_index = kept.version.index
         self.run = self.watch.run
 
     def judge(self, base: Told, entries: Entries) -> Told:
@@ -164,7 +166,7 @@
             return str(error)
         self.put(new)
         self.now, self.refused = Offered(version, entries), None
-        self.since, self.source = time.time(), self.watch.at
+        self.since, self.source = time.time(), self.watch.relay
         self.log("config", text=f"version {version.index} in force", source=self.source)
         return None
 
@@ -182,7 +184,7 @@
             self.base = base
             self.put(new)
             if self.refused is not None:
-                self.watch.offer_again()
+                self.watch.retry_refused()
             return None
         return why
 
@@ -228,5 +230,5 @@
             "heard": self.follower.version.index,
             "refused": None if refused is None else {"version": refused.version.index, "why": refused.why},
             "relays": list(self.follower.relays),
-            "kept": self.watch.kept_index,
+            "kept": self.watch.saved_index,
         }
--- a/lupinmill/program/sidecar.py
+++ b/lupinmill/program/sidecar.py
@@ -470,7 +470,7 @@
             if self.peers is not None:
                 self.peers.yield_()
             if self.in_force is not None:
-                self.in_force.watch.keeping = False
+                self.in_force.watch.saving_enabled = False
 
         def take_up() -> None:
             take_in.pass_on, listener.passing = None, False
@@ -478,7 +478,7 @@
             if self.peers is not None:
                 self.peers.take_up()
             if self.in_force is not None:
-                self.in_force.watch.keeping = True
+                self.in_force.watch.saving_enabled = True
 
         def adopt(sock: socket.socket) -> None:
             descriptors.elsewhere = max(0, descriptors.elsewhere - 1)
--- a/tests/test_config_core.py
+++ b/tests/test_config_core.py
@@ -16,22 +16,29 @@
 from lupinmill.config import follower as following
 from lupinmill.config import stable_store, wire
 from lupinmill.config.follower import MS, SECOND, Follower
-from lupinmill.config.history import MOST_AHEAD, Behind, History, TooLarge, difference, merged
+from lupinmill.config.history import (
+    MAX_INDEX_LEAD,
+    SourceBehind,
+    History,
+    EntriesTooLarge,
+    difference,
+    apply_changes,
+)
 from lupinmill.config.model import (
-    Answered,
-    Apply,
-    Ask,
+    ReplyReceived,
+    ApplyVersion,
+    SendWatch,
     Entries,
-    Failed,
+    WatchFailed,
     Key,
-    Log,
-    Refused,
+    LogLine,
+    VersionRefused,
     Reply,
     Status,
-    Took,
+    VersionApplied,
     Version,
-    WakeMe,
-    Woke,
+    SetTimer,
+    TimerFired,
 )
 from lupinmill.protocol.http import Answer, Garbled, Malformed, Request
 
@@ -50,7 +57,7 @@
 changes = st.dictionaries(st.sampled_from(KEYS), values, max_size=4)
 few_changes = st.dictionaries(st.sampled_from(KEYS[:3]), st.none() | st.integers(0, 3), min_size=1)
 scopes = st.lists(st.sampled_from(SCOPES), unique=True).map(tuple)
-versions = st.builds(Version, st.integers(0, wire.HIGHEST), st.text("0123456789abcdef", max_size=32))
+versions = st.builds(Version, st.integers(0, wire.MAX_INDEX), st.text("0123456789abcdef", max_size=32))
 
 
 def part(entries: Entries, watched: tuple[str, ...]) -> Entries:
@@ -58,7 +65,7 @@
 
 
 def taken(entries: Entries, reply: Reply) -> Entries:
-    return reply.entries if reply.whole else merged(entries, reply.entries)
+    return reply.entries if reply.is_snapshot else apply_changes(entries, reply.entries)
 
 
 def exactly(entries: Entries) -> bytes:
@@ -76,11 +83,11 @@
     st.integers(0, 8),
     st.sampled_from([100, 700, 100_000]),
 )
-def test_a_snapshot_and_changes_are_the_later_snapshot(pushes, watched, most_changes, most_bytes):
+def test_a_snapshot_and_changes_are_the_later_snapshot(pushes, watched, max_changes, max_bytes):
     """From every version that ever was, for any scopes, however little is kept; also through a relay that was
     told of some versions only. None among the pushes is a restore."""
-    source = History(Version(), {}, most_changes, most_bytes)
-    relay = History(Version(), {}, most_changes, most_bytes)
+    source = History(Version(), {}, max_changes, max_bytes)
+    relay = History(Version(), {}, max_changes, max_bytes)
     states = {source.version: source.entries}
     for number, entries in enumerate(pushes):
         before = source.version
@@ -94,21 +101,21 @@
         if number % 3:
             relay.replace(source.version, source.entries)
         for history in (source, relay):
-            assert len(history.changes) <= most_changes and history.size <= most_bytes
-            assert len(history.numbers) == len(history.marks) == len(history.changes) + 1
-            assert sum(one.size for one in history.changes) == history.size
-            assert len(history.newest) <= len(SCOPES)
+            assert len(history.changes) <= max_changes and history.changes_bytes <= max_bytes
+            assert len(history.change_numbers) == len(history.marks) == len(history.changes) + 1
+            assert sum(one.size for one in history.changes) == history.changes_bytes
+            assert len(history.newest_changes) <= len(SCOPES)
             for since, entries_then in states.items():
                 reply = history.reply(since, watched)
                 got = taken(part(entries_then, watched), reply)
                 assert exactly(got) == exactly(part(states[history.version], watched))
                 assert reply.version == history.version and reply.since == since
-                assert reply.whole == (since.index == 0 or not history.knows(since))
+                assert reply.is_snapshot == (since.index == 0 or not history.knows(since))
                 newer = since != history.version
-                told = newer and (reply.whole or not watched or bool(reply.entries))
-                assert history.news(since, watched) == told
+                told = newer and (reply.is_snapshot or not watched or bool(reply.entries))
+                assert history.has_changes(since, watched) == told
                 if history.knows(since):
-                    assert exactly(history.content(since)) == exactly(entries_then)
+                    assert exactly(history.entries_at(since)) == exactly(entries_then)
     assert source.ahead is None
     assert (relay.ahead is not None) == (relay.version != source.version)
 
@@ -165,14 +172,17 @@
 
 
 def test_no_version_is_published_that_would_not_fit_in_an_answer():
-    history = History(Version(), {}, most_bytes=1000)
-    half = "x" * (wire.LARGEST // 2 - 40 * 1024)
+    history = History(Version(), {}, max_bytes=1000)
+    half = "x" * (wire.MAX_REPLY_BYTES // 2 - 40 * 1024)
     version = history.push({FLEET: half, ONE: half})
-    with pytest.raises(TooLarge):
+    with pytest.raises(EntriesTooLarge):
         history.push({TWO: half})
     assert history.version == version and TWO not in history.entries
-    answer = wire.encode(history.reply(Version(), ()))
-    assert len(answer) <= wire.LARGEST and wire.decode(Answer(200, [], answer)).entries == history.entries
+    answer = wire.encode_reply(history.reply(Version(), ()))
+    assert (
+        len(answer) <= wire.MAX_REPLY_BYTES
+        and wire.decode_reply(Answer(200, [], answer)).entries == history.entries
+    )
     history.push({FLEET: None})
     history.push({TWO: half})  # there is room again
 
@@ -194,10 +204,10 @@
     _, states = sources()
     source = History(*states[1])
     reply = source.reply(states[4][0], ())
-    assert reply.whole and reply.version == states[1][0] and source.ahead == states[4][0]
+    assert reply.is_snapshot and reply.version == states[1][0] and source.ahead == states[4][0]
     source.reply(states[3][0], ())
     assert source.ahead == states[4][0]  # the highest
-    with pytest.raises(Behind, match="version 5 is about, which this source never made .its own: 2."):
+    with pytest.raises(SourceBehind, match="version 5 is about, which this source never made .its own: 2."):
         source.push({FLEET: "new"})
     assert source.version == states[1][0]
     restored = source.restore()
@@ -210,20 +220,20 @@
 def test_a_fork_is_noticed_at_the_same_index_within_what_is_kept_and_at_the_index_of_a_restore():
     for index in (5, 3):
         source, _ = sources()
-        source.heard_of(Version(index, "else"))
+        source.observe_version(Version(index, "else"))
         assert source.ahead == Version(index, "else")
         assert source.restore().index == 6 and source.ahead is None
-        source.heard_of(Version(index, "else"))
+        source.observe_version(Version(index, "else"))
         assert source.ahead is None  # overruled
-        source.heard_of(Version(6, "else"))  # another source restored to the same index
+        source.observe_version(Version(6, "else"))  # another source restored to the same index
         assert source.ahead == Version(6, "else") and source.restore().index == 7
 
 
 def test_what_says_nothing_of_a_fork_is_not_taken_for_one():
-    source = History(Version(), {}, most_changes=2)
+    source = History(Version(), {}, max_changes=2)
     states = [source.push({FLEET: at}) for at in range(5)]
-    for version in (*states, Version(1, "else"), Version(5 + MOST_AHEAD + 1, "liar")):
-        source.heard_of(version)
+    for version in (*states, Version(1, "else"), Version(5 + MAX_INDEX_LEAD + 1, "liar")):
+        source.observe_version(version)
     assert source.ahead is None and source.push({FLEET: "goes on"}).index == 6
 
 
@@ -240,10 +250,10 @@
     source, states = sources()
     version = source.push({TWO: 1})
     since = states[-1][0]
-    assert not source.news(since, ("fleet", "service/one"))
-    assert source.news(since, ("service/two",)) and source.news(since, ())
+    assert not source.has_changes(since, ("fleet", "service/one"))
+    assert source.has_changes(since, ("service/two",)) and source.has_changes(since, ())
     reply = source.reply(since, ("fleet",))
-    assert reply.version == version and not reply.whole and reply.entries == {}
+    assert reply.version == version and not reply.is_snapshot and reply.entries == {}
 
 
 # --- follower ------------------------------------------------------------------------------------
@@ -256,45 +266,45 @@
 class Run:
     """A follower and the clock; what it orders by kinds."""
 
-    def __init__(self, core: Follower) -> None:
-        self.core, self.now = core, 0
-        self.seen: Ask | None = None  # the call that was looked at last
-        self.asks: list[Ask] = []
-        self.applies: list[Apply] = []
+    def __init__(self, follower: Follower) -> None:
+        self.follower, self.now = follower, 0
+        self.seen: SendWatch | None = None  # the call that was looked at last
+        self.asks: list[SendWatch] = []
+        self.applies: list[ApplyVersion] = []
         self.logs: list[str] = []
         self.wake = 0
         self.step()
 
-    def step(self, *notes) -> None:
-        for order in self.core.step(self.now, list(notes)):
-            if isinstance(order, Ask):
-                self.asks.append(order)
-            elif isinstance(order, Apply):
-                self.applies.append(order)
-            elif isinstance(order, Log):
-                self.logs.append(order.text)
+    def step(self, *events) -> None:
+        for command in self.follower.step(self.now, list(events)):
+            if isinstance(command, SendWatch):
+                self.asks.append(command)
+            elif isinstance(command, ApplyVersion):
+                self.applies.append(command)
+            elif isinstance(command, LogLine):
+                self.logs.append(command.text)
             else:
-                assert isinstance(order, WakeMe)
-                self.wake = order.at
+                assert isinstance(command, SetTimer)
+                self.wake = command.at
 
-    def until_asked(self) -> Ask:
+    def until_asked(self) -> SendWatch:
         """The next call; time passes until it goes out."""
         for _ in range(10):
-            if self.core.out is not None and self.core.out is not self.seen:
-                self.seen = self.core.out
+            if self.follower.outstanding is not None and self.follower.outstanding is not self.seen:
+                self.seen = self.follower.outstanding
                 return self.seen
             assert self.wake > self.now
             self.now = max(self.now, self.wake)
-            self.step(Woke())
+            self.step(TimerFired())
         raise AssertionError("no call goes out")
 
     def answer(self, reply: Reply, after: int = MS) -> None:
         self.now += after
-        self.step(Answered(self.asks[-1].at, reply))
+        self.step(ReplyReceived(self.asks[-1].relay, reply))
 
     def took(self) -> None:
         self.now += MS
-        self.step(Took(self.applies[-1].version))
+        self.step(VersionApplied(self.applies[-1].version))
 
 
 def in_step(source: History) -> Run:
@@ -313,18 +323,18 @@
     first = run.until_asked()
     assert first.since == Version() and run.now <= 4 * SECOND
     run.answer(source.reply(first.since, ()))
-    assert run.applies[-1] == Apply(source.version, source.entries)
+    assert run.applies[-1] == ApplyVersion(source.version, source.entries)
     assert len(run.asks) == 1  # until the word comes, so that the call can carry it
     run.took()
     second = run.until_asked()
-    assert second.since == source.version == run.core.status().in_force
-    assert run.now - first.until < 0 and second.at == first.at
+    assert second.since == source.version == run.follower.status().in_force
+    assert run.now - first.deadline < 0 and second.relay == first.relay
     before = source.version
     run.now += SECOND
     source.push({TWO: 1})
     run.answer(source.reply(before, ()))
     run.took()
-    assert run.applies[-1] == Apply(source.version, source.entries)
+    assert run.applies[-1] == ApplyVersion(source.version, source.entries)
     assert run.until_asked().since == source.version and not run.logs
 
 
@@ -334,7 +344,7 @@
     run.answer(source.reply(run.until_asked().since, ()))
     came = run.now
     run.until_asked()
-    assert run.now == came + following.HOLD and run.core.status().in_force == Version()
+    assert run.now == came + following.APPLY_WAIT_US and run.follower.status().in_force == Version()
 
 
 def test_two_changes_in_one_pass_are_one_offer_of_the_newest():
@@ -347,7 +357,7 @@
         run.answer(source.reply(run.asks[-1].since, ()))
     assert [one.version for one in run.applies] == [states[2][0]]
     run.took()
-    assert run.applies[-1] == Apply(source.version, source.entries) and len(run.applies) == 2
+    assert run.applies[-1] == ApplyVersion(source.version, source.entries) and len(run.applies) == 2
 
 
 def test_a_refused_version_stays_refused_until_a_newer_comes_and_goes_up():
@@ -357,10 +367,10 @@
     source.push({ONE: "bad"})
     run.answer(source.reply(old, ()))
     run.now += MS
-    run.step(Refused(source.version, "service/one: bad " + "x" * 300))
-    status = run.core.status()
+    run.step(VersionRefused(source.version, "service/one: bad " + "x" * 300))
+    status = run.follower.status()
     assert status.in_force == old and status.refused == source.version.index
-    assert status.why.startswith("service/one: bad") and len(status.why) == wire.LONGEST_WHY
+    assert status.why.startswith("service/one: bad") and len(status.why) == wire.MAX_REASON_CHARS
     count = len(run.applies)
     for _ in range(3):
         run.until_asked()
@@ -369,10 +379,10 @@
     source.push({ONE: "good"})
     run.until_asked()
     run.answer(source.reply(run.asks[-1].since, ()))
-    run.step(Took(Version(99, "not offered")))
-    assert run.core.status().refused
+    run.step(VersionApplied(Version(99, "not offered")))
+    assert run.follower.status().refused
     run.took()
-    assert run.core.status() == Status("s", source.version) and run.applies[-1].entries == source.entries
+    assert run.follower.status() == Status("s", source.version) and run.applies[-1].entries == source.entries
 
 
 def test_changes_over_a_gap_are_not_applied_and_the_snapshot_is_asked_for_once():
@@ -384,16 +394,16 @@
     source.push({TWO: 2})
     gap = source.reply(between, ())
     run.answer(gap)
-    assert run.core.version == held and "don't lead on from version 5" in run.logs[-1]
-    at = run.asks[-1].at
+    assert run.follower.version == held and "don't lead on from version 5" in run.logs[-1]
+    at = run.asks[-1].relay
     ask = run.until_asked()
-    assert ask.since == Version() and ask.at == at
+    assert ask.since == Version() and ask.relay == at
     run.answer(gap)  # once more: this relay is then no use
-    assert run.core.version == held and "changes where the snapshot was asked for" in run.logs[-1]
+    assert run.follower.version == held and "changes where the snapshot was asked for" in run.logs[-1]
     ask = run.until_asked()
-    assert ask.at != at and ask.since == held
+    assert ask.relay != at and ask.since == held
     run.answer(source.reply(held, ()))
-    assert run.applies[-1] == Apply(source.version, source.entries)
+    assert run.applies[-1] == ApplyVersion(source.version, source.entries)
 
 
 def test_a_gap_is_closed_by_the_snapshot_and_said():
@@ -404,7 +414,7 @@
     source.push({TWO: 2})
     run.answer(source.reply(between, ()))
     run.answer(source.reply(run.until_asked().since, ()))
-    assert run.applies[-1] == Apply(source.version, source.entries)
+    assert run.applies[-1] == ApplyVersion(source.version, source.entries)
     assert "snapshot of version 7 in place of 5" in run.logs[-1]
     run.took()
     assert run.until_asked().since == source.version  # changes again
@@ -414,23 +424,26 @@
 def test_an_older_version_is_not_taken_and_its_relay_is_put_behind(whole):
     source, states = sources()
     run = in_step(source)
-    bad = run.asks[-1].at
+    bad = run.asks[-1].relay
     run.answer(Reply(states[2][0], whole, states[2][1], states[1][0]))
-    assert run.core.version == source.version and "it is at version 3, this one at 5" in run.logs[-1]
+    assert run.follower.version == source.version and "it is at version 3, this one at 5" in run.logs[-1]
     assert len(run.applies) == 1
     run.until_asked()
-    assert run.asks[-1].at != bad and run.core.standings[bad].behind_until > run.now
+    assert run.asks[-1].relay != bad and run.follower.relay_states[bad].behind_until > run.now
 
 
 def test_a_fork_is_not_taken_and_is_said():
     source, _ = sources()
     run = in_step(source)
-    bad = run.asks[-1].at
+    bad = run.asks[-1].relay
     run.answer(Reply(Version(5, "else"), True, {FLEET: "else"}))
-    assert run.core.version == source.version and "its version 5 is another than the one here" in run.logs[-1]
-    assert run.until_asked().at != bad and len(run.applies) == 1
+    assert (
+        run.follower.version == source.version
+        and "its version 5 is another than the one here" in run.logs[-1]
+    )
+    assert run.until_asked().relay != bad and len(run.applies) == 1
     run.answer(Reply(Version(6, "else"), True, {FLEET: "newer"}))  # beyond: that one goes on
-    assert run.applies[-1] == Apply(Version(6, "else"), {FLEET: "newer"})
+    assert run.applies[-1] == ApplyVersion(Version(6, "else"), {FLEET: "newer"})
 
 
 def test_an_hour_cut_off_ends_with_changes_and_the_log_stays_short():
@@ -438,34 +451,39 @@
     run = in_step(source)
     begun = run.now
     while run.now < begun + 3600 * SECOND:
-        if run.core.out is not None and len(run.asks) % 2:
+        if run.follower.outstanding is not None and len(run.asks) % 2:
             run.now += MS
-            run.step(Failed(run.asks[-1].at, "refused"))
+            run.step(WatchFailed(run.asks[-1].relay, "refused"))
         else:
             run.now = run.wake
-            run.step(Woke())
-    assert run.core.status().in_force == source.version and len(run.asks) > 200
+            run.step(TimerFired())
+    assert run.follower.status().in_force == source.version and len(run.asks) > 200
     assert 2 <= len(run.logs) <= 10
     before = source.version
     source.push({TWO: "while away"})
     run.until_asked()
     run.answer(source.reply(before, ()))
-    assert run.applies[-1] == Apply(source.version, source.entries) and "answers, after" in run.logs[-1]
+    assert (
+        run.applies[-1] == ApplyVersion(source.version, source.entries) and "answers, after" in run.logs[-1]
+    )
 
 
 def test_a_silent_relay_is_left_at_its_time():
     source, _ = sources()
     run = in_step(source)
     ask = run.asks[-1]
-    assert 0.8 * 20 * SECOND <= ask.wait <= 20 * SECOND and ask.until == run.now + ask.wait + following.MARGIN
-    run.now = ask.until - 1
-    run.step(Woke())
-    assert run.core.out is not None
+    assert (
+        0.8 * 20 * SECOND <= ask.wait_us <= 20 * SECOND
+        and ask.deadline == run.now + ask.wait_us + following.MIN_MARGIN_US
+    )
+    run.now = ask.deadline - 1
+    run.step(TimerFired())
+    assert run.follower.outstanding is not None
     run.now = run.wake
-    run.step(Woke())
-    assert run.core.out is None and "silent" in run.logs[-1]
-    run.step(Answered(ask.at, source.reply(Version(), ())))  # too late: nobody waits for it
-    assert run.until_asked().at != ask.at and run.now - ask.until <= 4 * SECOND
+    run.step(TimerFired())
+    assert run.follower.outstanding is None and "silent" in run.logs[-1]
+    run.step(ReplyReceived(ask.relay, source.reply(Version(), ())))  # too late: nobody waits for it
+    assert run.until_asked().relay != ask.relay and run.now - ask.deadline <= 4 * SECOND
 
 
 @pytest.mark.parametrize("relays", [("a",), ("a", "b", "c")])
@@ -475,19 +493,21 @@
     source, _ = sources()
     run = Run(made(relays))
     begun = run.now
-    while run.core.version != source.version and run.now < begun + 600 * SECOND:
+    while run.follower.version != source.version and run.now < begun + 600 * SECOND:
         ask = run.until_asked()
-        due = run.now + ask.wait + late
-        if due < ask.until:
+        due = run.now + ask.wait_us + late
+        if due < ask.deadline:
             run.now = due
-            run.step(Answered(ask.at, source.reply(ask.since, ())))
+            run.step(ReplyReceived(ask.relay, source.reply(ask.since, ())))
             continue
-        run.now = ask.until
-        run.step(Woke())
-    assert run.core.version == source.version, (run.now - begun) // SECOND
+        run.now = ask.deadline
+        run.step(TimerFired())
+    assert run.follower.version == source.version, (run.now - begun) // SECOND
     ask = run.until_asked()
-    run.answer(source.reply(run.core.version, ()))
-    assert run.core.standings[ask.at].margin == following.MARGIN  # quick again: a silent one is soon left
+    run.answer(source.reply(run.follower.version, ()))
+    assert (
+        run.follower.relay_states[ask.relay].margin_us == following.MIN_MARGIN_US
+    )  # quick again: a silent one is soon left
 
 
 def test_one_slow_relay_among_quick_ones_widens_no_limit():
@@ -495,12 +515,12 @@
     run = in_step(source)
     for _ in range(6):
         ask = run.until_asked()
-        if ask.at == run.asks[0].at:
-            run.now = ask.until
-            run.step(Woke())
+        if ask.relay == run.asks[0].relay:
+            run.now = ask.deadline
+            run.step(TimerFired())
         else:
-            run.answer(source.reply(ask.since, ()), ask.wait)
-    assert all(one.margin == following.MARGIN for one in run.core.standings.values())
+            run.answer(source.reply(ask.since, ()), ask.wait_us)
+    assert all(one.margin_us == following.MIN_MARGIN_US for one in run.follower.relay_states.values())
 
 
 def test_garbage_doubles_the_time_that_a_relay_is_behind_and_the_only_one_is_still_asked():
@@ -509,14 +529,14 @@
     for _ in range(12):
         run.until_asked()
         run.now += MS
-        run.step(Failed("a", "{", garbled=True))
-        penalties.append(run.core.standings["a"].penalty)
-    assert penalties == [min(following.LONGEST_PENALTY, 2 * SECOND << at) for at in range(12)]
+        run.step(WatchFailed("a", "{", garbled=True))
+        penalties.append(run.follower.relay_states["a"].penalty_us)
+    assert penalties == [min(following.MAX_PENALTY_US, 2 * SECOND << at) for at in range(12)]
     assert run.now <= 12 * 1.26 * SECOND  # asked all the while
     source, _ = sources()
     run.until_asked()
     run.answer(source.reply(Version(), ()))
-    assert run.core.standings["a"].penalty == 0 and run.applies
+    assert run.follower.relay_states["a"].penalty_us == 0 and run.applies
 
 
 def test_a_relay_that_lies_is_asked_seldom_while_another_is_there():
@@ -525,17 +545,17 @@
     run, counts = Run(made(("good", "liar"), spread=SECOND)), Counter()
     while run.now < 600 * SECOND:
         ask = run.until_asked()
-        counts[ask.at] += 1
-        if ask.at == "liar":
-            run.answer(Reply(Version(1 if run.core.version.index else 0, ""), True, {}))
+        counts[ask.relay] += 1
+        if ask.relay == "liar":
+            run.answer(Reply(Version(1 if run.follower.version.index else 0, ""), True, {}))
         elif counts["good"] % 10 == 0:
             run.now += MS
-            run.step(Failed("good", "broke"))
+            run.step(WatchFailed("good", "broke"))
         else:
             run.answer(source.reply(ask.since, ()), 5 * SECOND)
-            if run.core.offered:
+            if run.follower.offered:
                 run.took()
-    assert run.core.in_force == source.version and 0 < counts["liar"] <= 20 < counts["good"]
+    assert run.follower.in_force == source.version and 0 < counts["liar"] <= 20 < counts["good"]
 
 
 def test_what_answers_without_end_is_called_at_a_bounded_pace():
@@ -546,7 +566,7 @@
     while run.now < begun + SECOND and index < 1000:
         index += 1
         run.answer(Reply(Version(index, "m"), True, {}), 0)
-        run.step(Took(Version(index, "m")))
+        run.step(VersionApplied(Version(index, "m")))
         run.until_asked()
     assert 50 <= index <= 101
     begun, count = run.now, 0
@@ -558,29 +578,29 @@
     run.answer(Reply(Version(index, "m"), False, {}, Version(index, "m")), 20 * SECOND)
     came = run.now
     run.until_asked()
-    assert run.now - came == following.NO_NEWS  # it waited: the pause is short again
+    assert run.now - came == following.NO_CHANGES_PAUSE_US  # it waited: the pause is short again
 
 
 def test_other_scopes_are_asked_for_whole_and_taken_at_the_version_held():
     source, _ = sources()
     kept = {FLEET: source.entries[FLEET]}  # of the scopes that were watched before
     run = Run(Follower("s", ("a", "b"), 1, 20 * SECOND, 4 * SECOND, source.version, kept))
-    run.core.refresh()
+    run.follower.refresh()
     ask = run.until_asked()
     assert ask.since == Version()
     run.now += MS
-    run.step(Failed(ask.at, "broke"))
+    run.step(WatchFailed(ask.relay, "broke"))
     assert run.until_asked().since == source.version  # so that a source behind it hears of it
     run.now += MS
-    run.step(Failed(run.asks[-1].at, "broke"))
+    run.step(WatchFailed(run.asks[-1].relay, "broke"))
     ask = run.until_asked()
     assert ask.since == Version()  # until one came
     run.answer(source.reply(ask.since, ()))
-    assert run.applies == [Apply(source.version, source.entries)]
+    assert run.applies == [ApplyVersion(source.version, source.entries)]
     run.took()
-    assert run.core.status() == Status("s", source.version)
+    assert run.follower.status() == Status("s", source.version)
     assert run.until_asked().since == source.version
-    run.core.refresh()  # while a call is out: that one is given up
+    run.follower.refresh()  # while a call is out: that one is given up
     run.now += MS
     run.step()
     assert run.until_asked().since == Version()
@@ -589,42 +609,44 @@
     assert run.until_asked().since == source.version
     before = source.version
     source.push({TWO: 1})
-    run.core.refresh()
+    run.follower.refresh()
     run.now += SECOND
     run.step()
     run.answer(Reply(before, False, {}, before))
-    assert run.core.version == before  # no snapshot came: it is not news that the scopes have nothing
+    assert run.follower.version == before  # no snapshot came: it is not news that the scopes have nothing
     run.answer(source.reply(run.until_asked().since, ()))
-    assert run.applies[-1] == Apply(source.version, source.entries) and len(run.applies) == 2
+    assert run.applies[-1] == ApplyVersion(source.version, source.entries) and len(run.applies) == 2
 
 
 def test_other_relays_are_asked_where_the_one_asked_is_taken_away():
     source, _ = sources()
     run = in_step(source)
     old = run.asks[-1]
-    run.core.change_relays(tuple({"a", "b", "c"} - {old.at}) + ("d",))
+    run.follower.change_relays(tuple({"a", "b", "c"} - {old.relay}) + ("d",))
     run.now += MS
     run.step()
-    run.step(Answered(old.at, Reply(Version(9, "x"), True, {})))  # given up
-    assert run.core.version == source.version
+    run.step(ReplyReceived(old.relay, Reply(Version(9, "x"), True, {})))  # given up
+    assert run.follower.version == source.version
     new = run.until_asked()
-    assert new.at != old.at and new.since == source.version
-    run.core.change_relays((new.at,))
+    assert new.relay != old.relay and new.since == source.version
+    run.follower.change_relays((new.relay,))
     run.step()
-    assert run.core.out is not None and list(run.core.standings) == [new.at]  # it stays out
-    run.core.change_relays(())
-    run.step(Woke())
-    assert run.core.out is None and run.core.step(run.now + SECOND, []) == []
+    assert run.follower.outstanding is not None and list(run.follower.relay_states) == [
+        new.relay
+    ]  # it stays out
+    run.follower.change_relays(())
+    run.step(TimerFired())
+    assert run.follower.outstanding is None and run.follower.step(run.now + SECOND, []) == []
 
 
 def test_a_fleet_begins_spread_and_evenly_over_relays():
     runs = [Run(made(tuple(f"r{at}" for at in range(10)), seed, 10 * SECOND)) for seed in range(4000)]
-    firsts = Counter(run.until_asked().at for run in runs)
+    firsts = Counter(run.until_asked().relay for run in runs)
     assert set(firsts) == {f"r{at}" for at in range(10)} and max(firsts.values()) <= 480
     seconds = Counter(run.now // SECOND for run in runs)
     assert max(seconds.values()) <= 480 and sum(seconds[at] for at in range(10)) >= 3999
     # By relay and second together: what one relay meets.
-    assert max(Counter((run.asks[0].at, run.now // SECOND) for run in runs).values()) <= 80
+    assert max(Counter((run.asks[0].relay, run.now // SECOND) for run in runs).values()) <= 80
 
 
 def test_those_of_a_relay_that_dies_go_evenly_to_the_others_within_its_told_spread():
@@ -638,13 +660,13 @@
         run.took()
         run.until_asked()
         runs.append(run)
-    lost = [run for run in runs if run.asks[-1].at == "r0"]
+    lost = [run for run in runs if run.asks[-1].relay == "r0"]
     moved, seconds = Counter(), Counter()
     for run in lost:
         begun = run.now
-        run.step(Failed("r0", "reset"))
+        run.step(WatchFailed("r0", "reset"))
         run.until_asked()
-        moved[run.asks[-1].at] += 1
+        moved[run.asks[-1].relay] += 1
         seconds[(run.now - begun) // SECOND] += 1
     assert "r0" not in moved and len(moved) == 8 and max(moved.values()) <= 2 * len(lost) / 8
     assert set(seconds) <= set(range(9)) and max(seconds.values()) <= 2 * len(lost) / 8
@@ -663,21 +685,21 @@
         run.took()
         run.until_asked()
         run.now = 10 * SECOND  # all lose theirs at one moment
-        run.step(Failed(run.asks[-1].at, "reset"))
+        run.step(WatchFailed(run.asks[-1].relay, "reset"))
         while run.now < 10 * SECOND + away:
             run.until_asked()
             calls[run.now // SECOND] += 1
             if run.now < 10 * SECOND + away:
                 run.now += MS
-                run.step(Failed(run.asks[-1].at, "refused"))
+                run.step(WatchFailed(run.asks[-1].relay, "refused"))
         returned.append(run.now - 10 * SECOND - away)
     assert max(calls.values()) <= 1.3 * fleet * SECOND / spread
     assert max(returned) <= 1.25 * spread + 2 * MS
 
 
-notes = st.one_of(
+events = st.one_of(
     st.builds(
-        Answered,
+        ReplyReceived,
         st.sampled_from("abz"),
         st.builds(
             Reply,
@@ -688,47 +710,53 @@
             st.integers(0, 600_000),
         ),
     ),
-    st.builds(Failed, st.sampled_from("abz"), st.text(max_size=400), st.booleans()),
-    st.builds(Took, st.builds(Version, st.integers(0, 8), st.sampled_from("xy"))),
-    st.builds(Refused, st.builds(Version, st.integers(0, 8), st.sampled_from("xy")), st.text(max_size=400)),
-    st.just(Woke()),
+    st.builds(WatchFailed, st.sampled_from("abz"), st.text(max_size=400), st.booleans()),
+    st.builds(VersionApplied, st.builds(Version, st.integers(0, 8), st.sampled_from("xy"))),
+    st.builds(
+        VersionRefused, st.builds(Version, st.integers(0, 8), st.sampled_from("xy")), st.text(max_size=400)
+    ),
+    st.just(TimerFired()),
 )
 pauses = st.sampled_from([0, 1, 10 * MS, SECOND, 30 * SECOND])
-moves = st.tuples(pauses, st.lists(notes, max_size=3), st.booleans())
+moves = st.tuples(pauses, st.lists(events, max_size=3), st.booleans())
 
 
 @settings(derandomize=True, deadline=None, max_examples=300)
 @given(st.lists(moves, max_size=40), st.integers(0, 2**63), st.sampled_from([0, MS, 10 * SECOND]))
 def test_any_notes_in_any_order_raise_nothing_and_nothing_falls_back(steps, seed, spread):
-    core = Follower("s", ("a", "b"), seed, 20 * SECOND, spread, Version(), {})
+    follower = Follower("s", ("a", "b"), seed, 20 * SECOND, spread, Version(), {})
     now, held, in_force, offered, out = 0, 0, 0, {}, None
     for after, several, honest in steps:
         now += after
-        if honest and core.offered is not None:
-            several = [*several, Took(core.offered)]
-        orders = core.step(now, several)
-        asks = [one for one in orders if isinstance(one, Ask)]
-        applies = [one for one in orders if isinstance(one, Apply)]
-        assert len(asks) <= 1 and len(applies) <= 1 and len(orders) <= 8 + len(several)
+        if honest and follower.offered is not None:
+            several = [*several, VersionApplied(follower.offered)]
+        commands = follower.step(now, several)
+        asks = [one for one in commands if isinstance(one, SendWatch)]
+        applies = [one for one in commands if isinstance(one, ApplyVersion)]
+        assert len(asks) <= 1 and len(applies) <= 1 and len(commands) <= 8 + len(several)
         if asks:
-            assert asks[0].since in (core.version, Version()) and asks[0].until > now
+            assert asks[0].since in (follower.version, Version()) and asks[0].deadline > now
             out = asks[0]
-        assert core.out is None or core.out is out
+        assert follower.outstanding is None or follower.outstanding is out
         for one in applies:
             assert one.version.index > max(offered, default=0) and None not in one.entries.values()
             offered[one.version.index] = one
-        assert core.version.index >= held and core.status().in_force.index >= in_force
-        assert core.status().in_force.index in (0, *offered)
-        held, in_force = core.version.index, core.status().in_force.index
-        assert len(core.status().why) <= 200 and sorted(core.relays) == ["a", "b"] == sorted(core.standings)
-        assert len(core.said) <= 6 and all(len(one.text) < 400 for one in orders if isinstance(one, Log))
-        wakes = [one.at for one in orders if isinstance(one, WakeMe)]
+        assert follower.version.index >= held and follower.status().in_force.index >= in_force
+        assert follower.status().in_force.index in (0, *offered)
+        held, in_force = follower.version.index, follower.status().in_force.index
+        assert len(follower.status().why) <= 200 and sorted(follower.relays) == ["a", "b"] == sorted(
+            follower.relay_states
+        )
+        assert len(follower.log_throttles) <= 6 and all(
+            len(one.text) < 400 for one in commands if isinstance(one, LogLine)
+        )
+        wakes = [one.at for one in commands if isinstance(one, SetTimer)]
         assert len(wakes) == 1 and wakes[0] > now
 
 
 # --- the watch on the wire -----------------------------------------------------------------------
 
-names = st.text(min_size=1, max_size=16).filter(wire.good_name)
+names = st.text(min_size=1, max_size=16).filter(wire.is_valid_name)
 all_scopes = st.just("fleet") | st.builds("{}/{}".format, st.sampled_from(["zone", "sidecar"]), names)
 
 
@@ -739,15 +767,15 @@
     st.lists(all_scopes, unique=True, max_size=64),
     names,
     versions,
-    st.integers(0, wire.HIGHEST),
+    st.integers(0, wire.MAX_INDEX),
     st.text(max_size=300),
     versions,
 )
 def test_what_a_call_asks_is_what_is_read(since, wait, watched, name, in_force, refused, why, ahead):
     ahead = ahead if ahead.index else Version()
-    request = wire.call(since, wait, tuple(watched), Status(name, in_force, refused, why, ahead))
+    request = wire.encode_watch(since, wait, tuple(watched), Status(name, in_force, refused, why, ahead))
     assert request.target.isascii() and not set(request.target) & set(b" \r\n#")
-    watch = wire.asked(request)
+    watch = wire.decode_watch(request)
     shown = why[:200].encode("utf-8", "replace").decode() if refused else ""
     assert (watch.since, watch.wait_ms, watch.scopes) == (since, wait, tuple(watched))
     assert watch.status == Status(name, in_force, refused, shown, ahead)
@@ -787,7 +815,7 @@
 )
 def test_an_odd_watch_is_told_what_is_wrong(query, says):
     with pytest.raises(Malformed) as raised:
-        wire.asked(Request(b"GET", b"/v1/config?" + query.encode()))
+        wire.decode_watch(Request(b"GET", b"/v1/config?" + query.encode()))
     assert raised.value.status == 400 and says in str(raised.value) and len(str(raised.value)) < 100
 
 
@@ -798,17 +826,17 @@
         (Request(b"GET", b"/v1/config?name=s", [], b"x"), 400),
     ]:
         with pytest.raises(Malformed) as raised:
-            wire.asked(request)
+            wire.decode_watch(request)
         assert raised.value.status == status
-    assert wire.asked(Request(b"GET", b"/v1/config?name=s&wait=99999999")).wait_ms == 60_000
+    assert wire.decode_watch(Request(b"GET", b"/v1/config?name=s&wait=99999999")).wait_ms == 60_000
 
 
 @settings(derandomize=True, deadline=None, max_examples=500)
 @given(st.binary(max_size=200) | st.text("&=%+/?0123abcdefnamescopeindex", max_size=60).map(str.encode))
 def test_any_query_is_read_or_refused(query):
     try:
-        wire.asked(Request(b"GET", b"/v1/config?" + query))
-        wire.asked(Request(b"GET", b"/v1/config?name=s&" + query))
+        wire.decode_watch(Request(b"GET", b"/v1/config?" + query))
+        wire.decode_watch(Request(b"GET", b"/v1/config?name=s&" + query))
     except Malformed as error:
         assert 400 <= error.status < 500
 
@@ -816,9 +844,9 @@
 @examples
 @given(st.builds(Reply, versions, st.booleans(), changes, versions, st.integers(0, 600_000)))
 def test_what_a_reply_says_is_what_is_read(reply):
-    if reply.whole:
+    if reply.is_snapshot:
         reply.entries = {key: value for key, value in reply.entries.items() if value is not None}
-    got = wire.decode(Answer(200, [], wire.encode(reply)))
+    got = wire.decode_reply(Answer(200, [], wire.encode_reply(reply)))
     assert got == reply and exactly(got.entries) == exactly(reply.entries)
 
 
@@ -873,38 +901,38 @@
     ],
 )
 def test_an_odd_answer_is_garbled(change):
-    assert wire.decode(Answer(200, [], orjson.dumps(GOOD))).version == Version(3, "ab")
+    assert wire.decode_reply(Answer(200, [], orjson.dumps(GOOD))).version == Version(3, "ab")
     with pytest.raises(Garbled) as raised:
-        wire.decode(Answer(200, [], orjson.dumps(GOOD | change)))
+        wire.decode_reply(Answer(200, [], orjson.dumps(GOOD | change)))
     assert "\n" not in str(raised.value)
 
 
 def test_other_statuses_sizes_and_depths_are_garbled_and_a_later_release_is_read():
     good = orjson.dumps(GOOD)
     bodies = [b"", b"{", b"[]", b"null", b'"x"', b"[" * 100_000, good[:-1], b"\xff" + good]
-    bodies.append(b" " * wire.LARGEST + good)
+    bodies.append(b" " * wire.MAX_REPLY_BYTES + good)
     for answer in [Answer(503, [], good), Answer(404, [], good), *(Answer(200, [], body) for body in bodies)]:
         with pytest.raises(Garbled):
-            wire.decode(answer)
+            wire.decode_reply(answer)
     entries = [row(value=deep(32)), row(kind="quota"), row(kind="quota/x")]
-    later = wire.decode(Answer(200, [], orjson.dumps(GOOD | {"entries": entries, "new": 1})))
-    assert len(later.entries) == 3 and wire.encode(later)
+    later = wire.decode_reply(Answer(200, [], orjson.dumps(GOOD | {"entries": entries, "new": 1})))
+    assert len(later.entries) == 3 and wire.encode_reply(later)
     with pytest.raises(Garbled, match="no such kind"):  # but this release's source publishes no such thing
-        wire.config_entries({"entries": entries})
+        wire.decode_push({"entries": entries})
 
 
 @settings(derandomize=True, deadline=None, max_examples=500)
 @given(st.binary(max_size=300), st.integers(0, 400), st.integers(0, 255))
 def test_any_bytes_are_read_or_garbled(data, at, byte):
     entries = {ONE: {"a": [1, 2.5]}, TWO: None}
-    good = bytearray(wire.encode(Reply(Version(3, "ab"), False, entries, Version(2, "c"))))
+    good = bytearray(wire.encode_reply(Reply(Version(3, "ab"), False, entries, Version(2, "c"))))
     good[at % len(good)] = byte
     for body in (data, bytes(good)):
         try:
-            reply = wire.decode(Answer(200, [], body))
+            reply = wire.decode_reply(Answer(200, [], body))
         except Garbled:
             continue
-        assert wire.decode(Answer(200, [], wire.encode(reply))) == reply
+        assert wire.decode_reply(Answer(200, [], wire.encode_reply(reply))) == reply
 
 
 @pytest.mark.parametrize(
@@ -920,12 +948,12 @@
 )
 def test_an_odd_push_is_told_what_is_wrong(table, says):
     with pytest.raises(Garbled, match=says):
-        wire.config_entries(table)
+        wire.decode_push(table)
 
 
 def test_a_push_is_read():
     table = {"entries": [row(), row("zone/a", "zones", {}), row("zone/a", "member/m 1", None)]}
-    assert wire.config_entries(table) == {
+    assert wire.decode_push(table) == {
         FLEET: 1,
         Key("zone/a", "zones"): {},
         Key("zone/a", "member/m 1"): None,
@@ -967,7 +995,7 @@
         damaged += [whole[:at] + bytes([whole[at] ^ flip]) + whole[at + 1 :] for flip in (1, 0x80, 0xFF)]
     for data in damaged:
         path.write_bytes(data)
-        with pytest.raises(stable_store.BadKeep) as raised:
+        with pytest.raises(stable_store.StableStoreError) as raised:
             stable_store.load(path)
         assert str(raised.value).startswith(str(path)) and "\n" not in str(raised.value)
         assert path.read_bytes() == data
@@ -976,13 +1004,13 @@
 def test_a_later_format_is_said_and_left_as_it_is(tmp_path):
     path = tmp_path / "config"
     path.write_bytes(b"lmc2 whatever")
-    with pytest.raises(stable_store.BadKeep, match="does not know"):
+    with pytest.raises(stable_store.StableStoreError, match="does not know"):
         stable_store.load(path)
     assert path.read_bytes() == b"lmc2 whatever"
-    path.write_bytes(b"\0" * (stable_store.MOST_BYTES + 1))
-    with pytest.raises(stable_store.BadKeep, match="too large"):
+    path.write_bytes(b"\0" * (stable_store.MAX_FILE_BYTES + 1))
+    with pytest.raises(stable_store.StableStoreError, match="too large"):
         stable_store.load(path)
-    with pytest.raises(stable_store.BadKeep, match="directory"):
+    with pytest.raises(stable_store.StableStoreError, match="directory"):
         stable_store.load(tmp_path)
 
 
@@ -1015,12 +1043,14 @@
 
 
 def test_file_and_directory_are_on_disk_before_it_counts_as_kept(tmp_path, monkeypatch):
-    real, order = os.fsync, []
+    real, calls = os.fsync, []
     rename = os.rename
-    monkeypatch.setattr(os, "fsync", lambda fd: (order.append(stat.S_ISDIR(os.fstat(fd).st_mode)), real(fd)))
-    monkeypatch.setattr(os, "rename", lambda *paths: (order.append("renamed"), rename(*paths)))
+    monkeypatch.setattr(
+        os, "fsync", lambda fd: (calls.append(stat.S_ISDIR(os.fstat(fd).st_mode)), real(fd))
+    )
+    monkeypatch.setattr(os, "rename", lambda *paths: (calls.append("renamed"), rename(*paths)))
     stable_store.save(tmp_path / "config", *KEPT)
-    assert order == [False, "renamed", True]
+    assert calls == [False, "renamed", True]
 
 
 def test_what_a_killed_process_left_half_written_does_not_stand_in_the_way(tmp_path):
@@ -1050,5 +1080,5 @@
         old, new = (
             {key: chance.choice([1, 1.0, True, "x"]) for key in KEYS if chance.random() < 0.6} for _ in "ab"
         )
-        assert exactly(merged(old, difference(old, new))) == exactly(new)
+        assert exactly(apply_changes(old, difference(old, new))) == exactly(new)
         assert difference(new, new) == {}
