--- a/tests/test_config_explorer.py
+++ b/tests/test_config_explorer.py
@@ -7,8 +7,8 @@
 import pytest
 
 from lupinmill.config.follower import Follower
-from lupinmill.config.history import History, merged
-from lupinmill.config.model import Apply, Ask, Entries, Refused, Reply, Version
+from lupinmill.config.history import History, apply_changes
+from lupinmill.config.model import ApplyVersion, SendWatch, Entries, VersionRefused, Reply, Version
 from lupinmill.lab.explore_config import SCRIPT, ConfigWorld, check, walks
 from lupinmill.lab.explorer import Outcome, explore, replay, walk
 
@@ -16,44 +16,44 @@
 class OverGaps(Follower):
     """Applies changes whatever version they lead on from."""
 
-    def answered(self, now: int, ask: Ask, reply: Reply) -> None:
-        if not reply.whole and reply.version.index > self.version.index:
-            self.out = None
-            self.take(now, reply.version, merged(self.entries, reply.entries))
+    def reply_received(self, now: int, ask: SendWatch, reply: Reply) -> None:
+        if not reply.is_snapshot and reply.version.index > self.version.index:
+            self.outstanding = None
+            self.accept(now, reply.version, apply_changes(self.entries, reply.entries))
         else:
-            super().answered(now, ask, reply)
+            super().reply_received(now, ask, reply)
 
 
 class Terse(History):
     """To a version that it does not know it tells the newest change alone, truly saying what it follows."""
 
     def reply(self, since: Version, scopes: tuple[str, ...], spread_ms: int = 0) -> Reply:
-        self.heard_of(since)
-        if since.index and not self.knows(since) and len(self.numbers) > 1:
-            return super().reply(list(self.numbers)[-2], scopes, spread_ms)
+        self.observe_version(since)
+        if since.index and not self.knows(since) and len(self.change_numbers) > 1:
+            return super().reply(list(self.change_numbers)[-2], scopes, spread_ms)
         return super().reply(since, scopes, spread_ms)
 
 
 class TakesOlder(Follower):
     """A snapshot is taken whatever its index."""
 
-    def answered(self, now: int, ask: Ask, reply: Reply) -> None:
-        if reply.whole and reply.version != self.version and reply.version.index:
-            self.out = None
-            self.take(now, reply.version, dict(reply.entries))
+    def reply_received(self, now: int, ask: SendWatch, reply: Reply) -> None:
+        if reply.is_snapshot and reply.version != self.version and reply.version.index:
+            self.outstanding = None
+            self.accept(now, reply.version, dict(reply.entries))
         else:
-            super().answered(now, ask, reply)
+            super().reply_received(now, ask, reply)
 
-    def offer(self, now: int) -> None:
+    def offer_version(self, now: int) -> None:
         if self.offered is None and self.version not in (self.in_force, self.refused_one):
             self.offered, self.offered_at = self.version, now
-            self.orders.append(Apply(self.version, dict(self.entries)))
+            self.commands.append(ApplyVersion(self.version, dict(self.entries)))
 
     refused_one = None
 
-    def refuse(self, now: int, note: Refused) -> None:
-        self.refused_one = note.version
-        super().refuse(now, note)
+    def version_refused(self, now: int, event: VersionRefused) -> None:
+        self.refused_one = event.version
+        super().version_refused(now, event)
 
 
 class Halves(History):
@@ -61,15 +61,15 @@
 
     def replace(self, version: Version, entries: Entries) -> None:
         part = dict(list(entries.items())[: len(entries) // 2])
-        super().replace(version, merged(self.entries, part))
+        super().replace(version, apply_changes(self.entries, part))
 
 
 class LeavesOut(History):
     """Changes since a version lack the one that follows it: a gap at the seam of compaction."""
 
     def reply(self, since: Version, scopes: tuple[str, ...], spread_ms: int = 0) -> Reply:
-        number = self.numbers.get(since, 0)
-        following = [version for version, one in self.numbers.items() if one == number + 1]
+        number = self.change_numbers.get(since, 0)
+        following = [version for version, one in self.change_numbers.items() if one == number + 1]
         if since.index and self.knows(since) and following and self.version.index > since.index + 1:
             reply = super().reply(following[0], scopes, spread_ms)
             reply.since = since
@@ -80,15 +80,15 @@
 class Deaf(History):
     """A source that does not mind versions from beyond its own."""
 
-    def heard_of(self, version: Version) -> None:
+    def observe_version(self, version: Version) -> None:
         pass
 
 
 class TakesRefusals(Follower):
     """A refused version counts as in force."""
 
-    def refuse(self, now: int, note: Refused) -> None:
-        self.took(note.version)
+    def version_refused(self, now: int, event: VersionRefused) -> None:
+        self.version_applied(event.version)
 
 
 def first_found(make, departures: int = 1, seeds: int = 400) -> str:
--- a/tests/test_config_overlay.py
+++ b/tests/test_config_overlay.py
@@ -21,7 +21,7 @@
 
 def test_the_narrower_scope_goes_before_the_wider_and_tables_are_laid_over_key_by_key():
     base = settings()
-    found = merge.settings(
+    found = merge.merge_settings(
         base,
         {
             MINE: {"limits": {"most-launches": 7}},
@@ -38,7 +38,7 @@
 
 def test_workloads_change_row_by_row_by_name_or_whole():
     base = settings()
-    found = merge.settings(
+    found = merge.merge_settings(
         base,
         {
             FLEET: {"workloads": {"view": {"hard-limit-s": 3.0}, "bid": None, "quick": workload()}},
@@ -49,7 +49,7 @@
     assert found["workloads"][0] == base["workloads"][0] | {"hard-limit-s": 3.0}
     assert found["workloads"][2] == {"name": "quick", "value": 2.0} | workload()
     assert found["accounts"] == [{"name": "a", "quota-per-s": 5}]
-    whole = merge.settings(base, {FLEET: {"workloads": [{"name": "only"} | workload()]}})
+    whole = merge.merge_settings(base, {FLEET: {"workloads": [{"name": "only"} | workload()]}})
     assert [row["name"] for row in whole["workloads"]] == ["only"]
     assert base == settings()
 
@@ -67,23 +67,23 @@
 )
 def test_a_value_of_the_wrong_shape_is_named_by_scope_and_key(value, key):
     with pytest.raises(ValueError, match=re.escape(key)):
-        merge.settings(settings(), {FLEET: value})
+        merge.merge_settings(settings(), {FLEET: value})
 
 
 def test_what_is_told_in_pairs_is_not_half_covered():
     flat = protocol_settings.flatten(settings())
     with pytest.raises(ValueError, match="told as a pair"):
-        merge.settings(flat, {FLEET: {"limits": {"most-launches": 2}}})
+        merge.merge_settings(flat, {FLEET: {"limits": {"most-launches": 2}}})
 
 
 def test_scopes_from_the_widest_and_none_for_what_is_not_known():
-    scopes = merge.scopes_of("n1", "z", "r", "portal")
+    scopes = merge.watched_scopes("n1", "z", "r", "portal")
     assert scopes == ("fleet", "region/r", "zone/z", "service/portal", "sidecar/n1")
-    assert merge.scopes_of("n1", "", "", "") == ("fleet", "sidecar/n1")
+    assert merge.watched_scopes("n1", "", "", "") == ("fleet", "sidecar/n1")
 
 
 def test_members_of_the_narrower_scope_go_first_and_may_be_gone():
-    found = merge.members(
+    found = merge.member_overrides(
         {
             Key("fleet", "member/a"): {"address": "10.0.0.1:1"},
             Key("zone/z", "member/a"): {"gone": True},
@@ -126,8 +126,8 @@
         protocol_settings.Settings = usual
     protocol_settings.check(fields)
     read = {key.removesuffix(".count") for key in fields.read if not re.search(r"\.\d+\.", key)}
-    assert read == checks.KEYS
-    for kind, keys in checks.KEYS_OF.items():
+    assert read == checks.KNOWN_KEYS
+    for kind, keys in checks.KNOWN_ROW_KEYS.items():
         assert set().union(*(row.read for row in rows[kind])) == keys
 
 
--- a/tests/test_config_push.py
+++ b/tests/test_config_push.py
@@ -8,7 +8,7 @@
 
 from lupinmill.config import push, relay_file
 from lupinmill.config.model import Key
-from lupinmill.config.push import BadPush
+from lupinmill.config.push import InvalidPush
 from lupinmill.program.operators_file import BadFile
 
 from config_bed import FLEET, of_service
@@ -40,15 +40,15 @@
 def test_a_fault_in_a_relays_file_is_one_line_that_names_the_key(change, text):
     table = {key: value for key, value in {**RELAY, **change}.items() if value is not None}
     with pytest.raises(BadFile) as caught:
-        relay_file.understand(table)
+        relay_file.parse(table)
     assert text in str(caught.value) and "\n" not in str(caught.value)
 
 
 def test_the_example_file_is_a_relays_and_tells_its_spread():
     file = relay_file.read("deploy/relay.toml")
-    assert not file.source and file.spread_ms == 2_000
-    assert relay_file.understand({**RELAY, "sidecars": 401}).spread_ms == 2_005
-    assert any("400 sidecars are expected" in line for line in relay_file.follows(file))
+    assert not file.is_source and file.spread_ms == 2_000
+    assert relay_file.parse({**RELAY, "sidecars": 401}).spread_ms == 2_005
+    assert any("400 sidecars are expected" in line for line in relay_file.describe(file))
 
 
 def test_a_pushed_file_names_its_entries_by_where_they_stand():
@@ -58,7 +58,7 @@
         "zone": {"north": {"zones": None}},
         "remove": [["service/old", "settings"], ["fleet", "member/m 2"]],
     }
-    assert push.entries_of(table) == {
+    assert push.parse_entries(table) == {
         FLEET: {"a": 1},
         Key("fleet", "member/m1"): {"address": "10.0.0.1:1"},
         of_service("tender"): {"b": 2},
@@ -88,8 +88,8 @@
     ],
 )
 def test_a_fault_in_a_pushed_file_names_its_place(table, text):
-    with pytest.raises(BadPush, match=text):
-        push.entries_of(table)
+    with pytest.raises(InvalidPush, match=text):
+        push.parse_entries(table)
 
 
 WORKLOAD = {"name": "view", "contract-time-s": 0.5, "hard-limit-s": 1.0, "repeat": "repeatable"}
@@ -133,7 +133,7 @@
 
 @pytest.mark.parametrize("key, value, text", REFUSED)
 def test_a_push_that_no_sidecar_could_take_is_refused_with_its_key(key, value, text):
-    with pytest.raises(BadPush) as caught:
+    with pytest.raises(InvalidPush) as caught:
         push.check(THERE, {key: value})
     assert text in str(caught.value) and "\n" not in str(caught.value)
 
@@ -142,7 +142,7 @@
     """Each alone is good; the table under another is a fault of both."""
     there = {FLEET: {"workloads": [WORKLOAD]}, of_service("s"): {"workloads": {"view": {"value": 2}}}}
     push.check({}, there)
-    with pytest.raises(BadPush) as caught:
+    with pytest.raises(InvalidPush) as caught:
         push.check(
             there,
             {
@@ -153,7 +153,7 @@
     assert "service/s settings over fleet settings: settings.workloads.0.window-s" in str(caught.value)
     rows = [WORKLOAD | {"name": f"w{at}"} for at in range(256)]
     with pytest.raises(
-        BadPush, match="service/s settings over fleet settings: settings.workloads: 257 are more"
+        InvalidPush, match="service/s settings over fleet settings: settings.workloads: 257 are more"
     ):
         push.check(
             {of_service("s"): {"workloads": {"one": WORKLOAD | {"name": "one"}}}},
@@ -164,7 +164,7 @@
 def test_the_pages_example_passes():
     text = Path("docs/config.md").read_text()
     example = tomllib.loads(re.search(r"```toml\n(.*?)```", text, re.S)[1])
-    entries = push.entries_of(example)
+    entries = push.parse_entries(example)
     assert len(entries) == 3
     push.check({}, entries)
 
--- a/tests/test_config_relay.py
+++ b/tests/test_config_relay.py
@@ -14,13 +14,13 @@
 
 from lupinmill.cli import main
 from lupinmill.cli.config import summed
-from lupinmill.config import stable_store, model, server, wire
+from lupinmill.config import model, server, stable_store, wire
 from lupinmill.config.driver import ConfigWatch
 from lupinmill.config.follower import Follower
 from lupinmill.config.model import Key, Reply, Status, Version
-from lupinmill.config.relay import BadStart, Relay
+from lupinmill.config.relay import StartError, Relay
 from lupinmill.config.relay_file import RelayFile
-from lupinmill.config.watcher_table import Times
+from lupinmill.config.watcher_table import LatencyHistogram
 from lupinmill.protocol.http import Answer, ClientSide, Request
 from lupinmill.transport.ring import Store
 
@@ -43,12 +43,12 @@
     async def operate(self, method: str, path: str, body=None) -> tuple[int, str]:
         data = b"" if body is None else orjson.dumps(body)
         answer = await call(
-            self.relay.calls.address, Request(method.encode(), path.encode(), [(b"Host", b"x")], data)
+            self.relay.admin_server.address, Request(method.encode(), path.encode(), [(b"Host", b"x")], data)
         )
         return answer.status, answer.body.decode().strip()
 
     async def push(self, entries, **more) -> tuple[int, str]:
-        return await self.operate("POST", "/v1/push", {"entries": wire.rows(entries), **more})
+        return await self.operate("POST", "/v1/push", {"entries": wire.encode_rows(entries), **more})
 
     def said(self, event: str) -> list[dict]:
         return [fields for name, fields in self.logs if name == event]
@@ -65,9 +65,13 @@
         finally:
             group.cancel_scope.cancel()
     assert not [one for one in logs if one[0] == "task_failed"], logs
-    for part in (relay.watches, relay.calls):
+    for part in (relay.watch_server, relay.admin_server):
         assert part is None or part.store.leased == 0 and set(part.descriptors.open.values()) == {0}
-    assert not relay.watches.watchers and relay.watches.shelf.leased == 0 and not relay.watches.sending
+    assert (
+        not relay.watch_server.watchers
+        and relay.watch_server.shelf.leased == 0
+        and not relay.watch_server.sending
+    )
 
 
 async def call(address: str, request: Request, stream=None) -> Answer:
@@ -76,7 +80,7 @@
         host, port = address.split(":")
         async with await anyio.connect_tcp(host, int(port)) as stream:
             return await call(address, request, stream)
-    side = ClientSide(wire.LARGEST, wire.LARGEST)
+    side = ClientSide(wire.MAX_REPLY_BYTES, wire.MAX_REPLY_BYTES)
     await stream.send(side.ask(request))
     while (answer := side.next_answer()) is None:
         side.feed(await stream.receive())
@@ -84,7 +88,7 @@
 
 
 def watch(since=NOTHING, wait_ms: int = 20_000, scopes=("fleet",), name: str = "x") -> Request:
-    return wire.call(since, wait_ms, tuple(scopes), Status(name, since))
+    return wire.encode_watch(since, wait_ms, tuple(scopes), Status(name, since))
 
 
 async def until(what) -> None:
@@ -108,7 +112,7 @@
             answers = []
 
             async def wait() -> None:
-                answers.append(wire.decode(await call(run.relay.watches.address, watch(held))))
+                answers.append(wire.decode_reply(await call(run.relay.watch_server.address, watch(held))))
 
             run.group.start_soon(wait)
             await until(lambda: run.relay.fanout.waiting)
@@ -121,13 +125,13 @@
                 {FLEET: {"instances": 2}},
             )
             assert (await run.push({FLEET: {"instances": 2}})) == (status, text)  # changes nothing
-            with pytest.raises(BadStart, match="another process has it"):
+            with pytest.raises(StartError, match="another process has it"):
                 Relay(source_file(tmp_path), print)
             version = run.relay.history.version
         async with running(source_file(tmp_path)) as run:
             assert run.relay.history.version == version
-            reply = wire.decode(await call(run.relay.watches.address, watch()))
-            assert reply.whole and reply.entries == {FLEET: {"instances": 2}}
+            reply = wire.decode_reply(await call(run.relay.watch_server.address, watch()))
+            assert reply.is_snapshot and reply.entries == {FLEET: {"instances": 2}}
 
     on_loopback(check)
 
@@ -157,9 +161,9 @@
                 status, text = await run.operate("POST", "/v1/push", body)
                 assert status == 400 and key in text and "\n" not in text, text
             raw = Request(b"POST", b"/v1/push", [(b"Host", b"x")], b"{")
-            assert (await call(run.relay.calls.address, raw)).status == 400
+            assert (await call(run.relay.admin_server.address, raw)).status == 400
             huge = Request(b"POST", b"/v1/push", [(b"Host", b"x"), (b"Content-Length", b"99999999")])
-            host, port = run.relay.calls.address.split(":")
+            host, port = run.relay.admin_server.address.split(":")
             async with await anyio.connect_tcp(host, int(port)) as stream:
                 await stream.send(b"POST /v1/push HTTP/1.1\r\nHost: x\r\nContent-Length: 99999999\r\n\r\n")
                 assert (await stream.receive()).startswith(b"HTTP/1.1 413 ")
@@ -206,7 +210,7 @@
         async with running(source_file(tmp_path)) as run:
             assert (await run.push({FLEET: {"instances": 1}}))[0] == 200
             ahead = Version(9, "made-later")
-            answer = wire.decode(await call(run.relay.watches.address, watch(ahead, 10)))
+            answer = wire.decode_reply(await call(run.relay.watch_server.address, watch(ahead, 10)))
             assert answer.version.index == 2 and not answer.entries
             status, text = await run.push({FLEET: {"instances": 2}})
             assert status == 409 and "version 9" in text and "lupinmill config restore" in text
@@ -214,8 +218,12 @@
             assert (await run.operate("POST", "/v1/restore"))[0] == 200
             version = run.relay.history.version
             assert version.index == 10 and run.relay.history.entries == {FLEET: {"instances": 1}}
-            answer = wire.decode(await call(run.relay.watches.address, watch(ahead, 10)))
-            assert answer.whole and answer.version == version and answer.entries == {FLEET: {"instances": 1}}
+            answer = wire.decode_reply(await call(run.relay.watch_server.address, watch(ahead, 10)))
+            assert (
+                answer.is_snapshot
+                and answer.version == version
+                and answer.entries == {FLEET: {"instances": 1}}
+            )
             assert (await run.push({FLEET: {"instances": 2}}))[0] == 200
             assert stable_store.load(tmp_path / "keep" / "source")[0].index == 11
 
@@ -230,8 +238,8 @@
             raise OSError(errno.ENOSPC, "No space left on device")
         whole_write(path, data)
 
-    whole_write = stable_store.write
-    monkeypatch.setattr(stable_store, "write", write)
+    whole_write = stable_store.write_synced
+    monkeypatch.setattr(stable_store, "write_synced", write)
 
     async def check():
         async with running(source_file(tmp_path)) as run:
@@ -244,7 +252,7 @@
             assert status == 507 and "No space left" in text
             assert (run.relay.history.version, run.relay.history.entries) == before
             assert stable_store.load(tmp_path / "keep" / "source") == before
-            reply = wire.decode(await call(run.relay.watches.address, watch()))
+            reply = wire.decode_reply(await call(run.relay.watch_server.address, watch()))
             assert (reply.version, reply.entries) == before
             full.clear()
             assert (await run.push({FLEET: {"instances": 3}}))[0] == 200
@@ -269,7 +277,7 @@
         for at in range(len(data)):
             for spoilt in (data[:at], data[:at] + bytes([data[at] ^ 1]) + data[at + 1 :]):
                 path.write_bytes(spoilt)
-                with pytest.raises(BadStart, match="^keep: "):
+                with pytest.raises(StartError, match="^keep: "):
                     Relay(file, print)
         assert path.read_bytes() == spoilt  # left as it is
         path.write_bytes(data)
@@ -282,7 +290,7 @@
 def test_calls_that_can_not_be_read_get_a_clear_answer(tmp_path):
     async def check():
         async with running(source_file(tmp_path)) as run:
-            address = run.relay.watches.address
+            address = run.relay.watch_server.address
             for target, status in (
                 (b"/v1/config", 400),
                 (b"/v1/config?name=x&index=-1", 400),
@@ -310,16 +318,16 @@
     async def check():
         async with running(source_file(tmp_path)) as run:
             assert (await run.push({FLEET: {"instances": 1}}))[0] == 200
-            address = run.relay.watches.address
+            address = run.relay.watch_server.address
             host, port = address.split(":")
             async with await anyio.connect_tcp(host, int(port)) as stream:
-                reply = wire.decode(await call(address, watch(), stream))
-                reply = wire.decode(await call(address, watch(reply.version, 10), stream))
-                assert not reply.entries and not reply.whole
+                reply = wire.decode_reply(await call(address, watch(), stream))
+                reply = wire.decode_reply(await call(address, watch(reply.version, 10), stream))
+                assert not reply.entries and not reply.is_snapshot
                 await stream.send(ClientSide().ask(watch(reply.version)))
                 await until(lambda: run.relay.fanout.waiting)
-            await until(lambda: not run.relay.fanout.waiting and not run.relay.watches.watchers)
-            await until(lambda: set(run.relay.watches.descriptors.open.values()) == {0})
+            await until(lambda: not run.relay.fanout.waiting and not run.relay.watch_server.watchers)
+            await until(lambda: set(run.relay.watch_server.descriptors.open.values()) == {0})
 
     on_loopback(check)
 
@@ -328,12 +336,12 @@
     async def check():
         async with running(source_file(tmp_path, most_watchers=3, sidecars=900, calls_per_s=200)) as run:
             held = run.relay.history.version
-            host, port = run.relay.watches.address.split(":")
+            host, port = run.relay.watch_server.address.split(":")
             streams = [await anyio.connect_tcp(host, int(port)) for _ in range(3)]
             for at, stream in enumerate(streams):
                 await stream.send(ClientSide().ask(watch(held, name=f"x{at}")))
             await until(lambda: len(run.relay.fanout.waiting) == 3)
-            answer = await call(run.relay.watches.address, watch(held))
+            answer = await call(run.relay.watch_server.address, watch(held))
             assert answer.status == 503 and answer.header(b"retry-after") == "5"
             for stream in streams:
                 await stream.aclose()
@@ -342,14 +350,14 @@
 
 
 def test_slow_readers_hold_one_copy_are_cut_off_and_hold_nobody_back(tmp_path, monkeypatch):
-    monkeypatch.setattr(server, "WRITE", 1.0)
+    monkeypatch.setattr(server, "WRITE_TIMEOUT_S", 1.0)
     readers = 8
 
     async def check():
         async with running(source_file(tmp_path, memory_mb=32)) as run:
             entries = {of_service(f"s{at}"): {"kinds": ["y" * 60_000]} for at in range(100)}  # 6 MB
             assert (await run.push(entries))[0] == 200
-            watches = run.relay.watches
+            watches = run.relay.watch_server
             host, port = watches.address.split(":")
             slow = [await anyio.connect_tcp(host, int(port)) for _ in range(readers)]
             for at, stream in enumerate(slow):
@@ -358,7 +366,9 @@
             # One copy for all of them, and a block each.
             assert len(watches.sending) == 1 and watches.shelf.leased < 7 * 2**20
             assert watches.store.leased <= readers + 1
-            reply = wire.decode(await call(watches.address, watch(scopes=("service/s1",), name="quick")))
+            reply = wire.decode_reply(
+                await call(watches.address, watch(scopes=("service/s1",), name="quick"))
+            )
             assert set(reply.entries) == {of_service("s1")}
             await until(lambda: watches.cut_off == readers)
             await until(lambda: not watches.sending and watches.shelf.leased == 0)
@@ -377,7 +387,7 @@
 
     async def check():
         async with running(source_file(tmp_path)) as run:
-            held, watches = run.relay.history.version, run.relay.watches
+            held, watches = run.relay.history.version, run.relay.watch_server
             host, port = watches.address.split(":")
             tracemalloc.start()
             try:
@@ -407,10 +417,10 @@
     async def check():
         async with running(source_file(tmp_path)) as run:
             assert (await run.push({FLEET: {"kinds": ["y" * 50_000]}}))[0] == 200
-            run.relay.watches.shelf.limit = 40_000
-            answer = await call(run.relay.watches.address, watch())
+            run.relay.watch_server.shelf.limit = 40_000
+            answer = await call(run.relay.watch_server.address, watch())
             assert answer.status == 503 and answer.header(b"retry-after") == "2"
-            assert (await call(run.relay.watches.address, watch(scopes=("zone/z",)))).status == 200
+            assert (await call(run.relay.watch_server.address, watch(scopes=("zone/z",)))).status == 200
 
     on_loopback(check)
 
@@ -421,18 +431,18 @@
             held, ends = run.relay.history.version, []
 
             async def wait(name: str) -> None:
-                answer = await call(run.relay.watches.address, watch(held, name=name))
+                answer = await call(run.relay.watch_server.address, watch(held, name=name))
                 assert answer.status == 503
                 ends.append(anyio.current_time())
 
             for at in range(20):
                 run.group.start_soon(wait, f"x{at}")
             await until(lambda: len(run.relay.fanout.waiting) == 20)
-            await run.relay.watches.leave(1.0, random.Random(5))
+            await run.relay.watch_server.drain(1.0, random.Random(5))
             await until(lambda: len(ends) == 20)
             assert len({round(at, 3) for at in ends}) > 10  # not all at one moment
             with pytest.raises(OSError):
-                await anyio.connect_tcp("127.0.0.1", int(run.relay.watches.address.split(":")[1]))
+                await anyio.connect_tcp("127.0.0.1", int(run.relay.watch_server.address.split(":")[1]))
 
     on_loopback(check)
 
@@ -449,29 +459,29 @@
 @pytest.fixture
 def soon(monkeypatch):
     """Relays come again within a tenth of a second; nothing else is quicker."""
-    monkeypatch.setattr("lupinmill.config.relay.SPREAD", 100_000)
+    monkeypatch.setattr("lupinmill.config.relay.UPSTREAM_SPREAD_US", 100_000)
 
 
 def test_a_version_goes_from_the_source_through_two_relays_to_a_watcher(tmp_path, soon):
     async def check():
         async with running(source_file(tmp_path, calls_per_s=4_000)) as source:
-            first = relay_of(tmp_path, source.relay.watches.address, name="first", calls_per_s=4_000)
+            first = relay_of(tmp_path, source.relay.watch_server.address, name="first", calls_per_s=4_000)
             async with running(first) as first:
                 # Else the version that the source began with is one of those that "second" acknowledges.
                 await until(lambda: first.relay.history.version == source.relay.history.version)
-                second = relay_of(tmp_path, first.relay.watches.address, name="second")
+                second = relay_of(tmp_path, first.relay.watch_server.address, name="second")
                 async with running(second) as second:
                     await until(lambda: second.relay.history.version == source.relay.history.version)
                     held = second.relay.history.version
                     stream = await anyio.connect_tcp(*address_of(second))
                     for at in range(5):
                         assert (await source.push({FLEET: {"instances": at + 1}}))[0] == 200
-                        reply = wire.decode(await call("", watch(held), stream))
+                        reply = wire.decode_reply(await call("", watch(held), stream))
                         assert reply.entries == {FLEET: {"instances": at + 1}} and reply.since == held
                         held = reply.version
                     await stream.aclose()
                     assert held == source.relay.history.version
-                    standing = first.relay.fanout.standing
+                    standing = first.relay.fanout.watchers
                     await until(lambda: standing.rows["second"].status.in_force == held)
                     assert standing.relay_times.count == 5
                     rows = orjson.loads((await first.operate("GET", "/v1/status"))[1])["watchers"]
@@ -488,7 +498,7 @@
 
 
 def address_of(run: Run) -> tuple[str, int]:
-    host, port = run.relay.watches.address.split(":")
+    host, port = run.relay.watch_server.address.split(":")
     return host, int(port)
 
 
@@ -496,13 +506,13 @@
     async def check():
         async with running(source_file(tmp_path)) as source:
             assert (await source.push({FLEET: {"instances": 7}}))[0] == 200
-            upstream = source.relay.watches.address
+            upstream = source.relay.watch_server.address
             async with running(relay_of(tmp_path, upstream)) as run:
-                await until(lambda: run.relay.kept.index == 2)
+                await until(lambda: run.relay.store.index == 2)
         async with running(relay_of(tmp_path, upstream)) as run:
             assert run.relay.history.version.index == 2
-            reply = wire.decode(await call(run.relay.watches.address, watch()))
-            assert reply.whole and reply.entries == {FLEET: {"instances": 7}}
+            reply = wire.decode_reply(await call(run.relay.watch_server.address, watch()))
+            assert reply.is_snapshot and reply.entries == {FLEET: {"instances": 7}}
 
     on_loopback(check)
 
@@ -511,9 +521,9 @@
     async def check():
         async with running(source_file(tmp_path)) as source:
             assert (await source.push({FLEET: {"instances": 7}}))[0] == 200
-            upstream = source.relay.watches.address
+            upstream = source.relay.watch_server.address
             async with running(relay_of(tmp_path, upstream)) as run:
-                await until(lambda: run.relay.kept.index == 2)
+                await until(lambda: run.relay.store.index == 2)
             path = tmp_path / "keep" / "relay"
             data = path.read_bytes()
             for spoilt in (b"", data[:4], data[:-1], data[:20] + b"x" + data[21:]):
@@ -521,37 +531,37 @@
                 async with running(relay_of(tmp_path, upstream)) as run:
                     assert len(run.said("keep_damaged")) == 1
                     await until(lambda: run.relay.history.version == source.relay.history.version)
-                    await until(lambda: run.relay.kept.index == 2)
+                    await until(lambda: run.relay.store.index == 2)
                 assert path.read_bytes() == data
 
     on_loopback(check)
 
 
 def test_a_relay_whose_disk_is_full_serves_on_from_memory_and_says_so_once(tmp_path, soon, monkeypatch):
-    full, whole_write = [True], stable_store.write
+    full, whole_write = [True], stable_store.write_synced
 
     def write(path, data) -> None:
         if full and path.name == ".relay.new":
             raise OSError(errno.ENOSPC, "No space left on device")
         whole_write(path, data)
 
-    monkeypatch.setattr(stable_store, "write", write)
-    monkeypatch.setattr("lupinmill.config.relay.KEEP_AGAIN", 0.05)
+    monkeypatch.setattr(stable_store, "write_synced", write)
+    monkeypatch.setattr("lupinmill.config.relay.SAVE_RETRY_S", 0.05)
 
     async def check():
         async with running(source_file(tmp_path)) as source:
-            async with running(relay_of(tmp_path, source.relay.watches.address)) as run:
+            async with running(relay_of(tmp_path, source.relay.watch_server.address)) as run:
                 for at in range(3):
                     assert (await source.push({FLEET: {"instances": at + 1}}))[0] == 200
                     await until(lambda: run.relay.history.version == source.relay.history.version)
-                    reply = wire.decode(await call(run.relay.watches.address, watch()))
+                    reply = wire.decode_reply(await call(run.relay.watch_server.address, watch()))
                     assert reply.entries == {FLEET: {"instances": at + 1}}
-                await until(lambda: run.relay.kept.failing)
+                await until(lambda: run.relay.store.failing)
                 shown = orjson.loads((await run.operate("GET", "/v1/status"))[1])
                 assert shown["keep_failing"] == "No space left on device" and shown["kept"] == 0
                 assert len(run.said("keep_failed")) == 1 and not (tmp_path / "keep" / "relay").exists()
                 full.clear()
-                await until(lambda: run.relay.kept.index == source.relay.history.version.index)
+                await until(lambda: run.relay.store.index == source.relay.history.version.index)
                 assert len(run.said("keep_failed")) == len(run.said("keep_again")) == 1
 
     on_loopback(check)
@@ -571,18 +581,18 @@
                     await relay.run()
 
             source = await start(source_file(tmp_path, calls_per_s=4_000))
-            top = source.relay.watches.address
+            top = source.relay.watch_server.address
             b = await start(relay_of(tmp_path, top, name="b", calls_per_s=4_000))
             dying, scope = await b.group.start(run_dying)
-            upstreams = dying.watches.address, b.relay.watches.address
+            upstreams = dying.watch_server.address, b.relay.watch_server.address
             lows = [await start(relay_of(tmp_path, *upstreams, name=f"low{at}")) for at in range(3)]
             for low in lows:
-                low.relay.watch.follower.relays = list(upstreams)
+                low.relay.upstream_watch.follower.relays = list(upstreams)
             await until(lambda: len(dying.fanout.waiting) == 3)
             scope.cancel()
             assert (await source.push({FLEET: {"instances": 9}}))[0] == 200
             await until(lambda: all(low.relay.history.version.index == 2 for low in lows))
-            assert {low.relay.watch.at for low in lows} == {upstreams[1]}
+            assert {low.relay.upstream_watch.relay for low in lows} == {upstreams[1]}
 
     on_loopback(check)
 
@@ -592,7 +602,7 @@
 
 
 def answer_of(version: Version, entries, whole=True, since=NOTHING, **more) -> bytes:
-    body = wire.encode(Reply(version, whole, entries, since))
+    body = wire.encode_reply(Reply(version, whole, entries, since))
     if more:
         body = orjson.dumps(orjson.loads(body) | more)
     return head(len(body)) + body
@@ -624,8 +634,8 @@
     async def check():
         async with running(source_file(tmp_path, calls_per_s=4_000)) as source:
             assert (await source.push({FLEET: {"instances": 1}}))[0] == 200
-            async with running(relay_of(tmp_path, source.relay.watches.address)) as run:
-                await until(lambda: run.relay.kept.index == 2)
+            async with running(relay_of(tmp_path, source.relay.watch_server.address)) as run:
+                await until(lambda: run.relay.store.index == 2)
             asked, sent = [], []
 
             async def attend(stream) -> None:
@@ -643,14 +653,16 @@
             liar = "127.0.0.1:%d" % listener.extra(anyio.abc.SocketAttribute.local_port)
             async with anyio.create_task_group() as group:
                 group.start_soon(listener.serve, attend)
-                file = relay_of(tmp_path, liar, source.relay.watches.address)
+                file = relay_of(tmp_path, liar, source.relay.watch_server.address)
                 async with running(file) as run:
-                    run.relay.watch.follower.relays = [liar, source.relay.watches.address]
+                    run.relay.upstream_watch.follower.relays = [liar, source.relay.watch_server.address]
                     await until(lambda: asked)
                     assert (await source.push({FLEET: {"instances": 2}}))[0] == 200
                     await until(lambda: run.relay.history.version == source.relay.history.version)
                     assert run.relay.history.entries == {FLEET: {"instances": 2}}
-                    assert sum(sent) <= wire.LARGEST + 2**22, "it was read beyond what an answer may have"
+                    assert (
+                        sum(sent) <= wire.MAX_REPLY_BYTES + 2**22
+                    ), "it was read beyond what an answer may have"
                     text = " ".join(one["text"] for one in run.said("config"))
                     assert liar in text, text
                 group.cancel_scope.cancel()
@@ -695,12 +707,12 @@
                 driver = ConfigWatch(follower, (), Store(), take, lambda *a, **k: None)
                 group.start_soon(driver.run)
                 while cuts:
-                    follower.due = 0  # at once, however often it was cut
-                    follower.standings[dying].behind_until = follower.standings[dying].penalty = 0
-                    driver.tell(model.Woke())
+                    follower.next_call_at = 0  # at once, however often it was cut
+                    follower.relay_states[dying].behind_until = follower.relay_states[dying].penalty_us = 0
+                    driver.notify(model.TimerFired())
                     await anyio.sleep(0.005)
                     assert (follower.version, follower.entries) == first and not seen
-                whole_again = source.relay.watches.address
+                whole_again = source.relay.watch_server.address
                 driver.change_relays((whole_again,))
                 await until(lambda: seen)
                 assert seen == [second] and follower.in_force == second[0]
@@ -747,8 +759,8 @@
 
     async def check():
         async with running(source_file(tmp_path, calls_per_s=4_000)) as source:
-            async with running(relay_of(tmp_path, source.relay.watches.address)) as relay:
-                top, low = source.relay.calls.address, relay.relay.calls.address
+            async with running(relay_of(tmp_path, source.relay.watch_server.address)) as relay:
+                top, low = source.relay.admin_server.address, relay.relay.admin_server.address
                 first = source.relay.history.version
                 await until(lambda: relay.relay.history.version == first)
 
@@ -775,11 +787,11 @@
                 ]
                 held = relay.relay.history.version
                 for name, since in (("good", held), ("late", first)):
-                    await call(relay.relay.watches.address, watch(since, 10, name=name))
+                    await call(relay.relay.watch_server.address, watch(since, 10, name=name))
                 code, text = await config("status", "--at", top, "--at", low)
                 assert code == 1 and text.startswith("version 4: in force at 1 of 2 sidecars\n")
                 assert "\n  late lags: at 1 of 4, heard " in text and "relay relay: version 4, " in text
-                await call(relay.relay.watches.address, watch(held, 10, name="late"))
+                await call(relay.relay.watch_server.address, watch(held, 10, name="late"))
                 code, text = await config("status", "--at", top, "--at", low)
                 assert code == 0 and text.startswith("version 4: in force at 2 of 2 sidecars\n"), text
                 code, text = await config("status", "--at", top, "--at", "127.0.0.1:9")
@@ -795,12 +807,12 @@
         return {"name": name, "index": index, "heard_s": heard, **usual, **more}
 
     def of(name: str, index: int, rows: list[dict], longest: int) -> dict:
-        times = Times()
+        times = LatencyHistogram()
         times.add(longest)
         return {
             "name": name, "role": "relay", "index": index, "ahead": 0, "kept": index, "keep_failing": "",
             "waiting": 0, "cut_off": 0, "turned_away": 0, "in_force": times.show(),
-            "at_relays": Times().show(), "watchers": rows,
+            "at_relays": LatencyHistogram().show(), "watchers": rows,
         }  # fmt: skip
 
     one = of("one", 7, [row("a", 7, 0.1), row("b", 6, 90.0, away=True), row("c", 5, 1, due=7)], 5_000)
--- a/tests/test_config_sidecar.py
+++ b/tests/test_config_sidecar.py
@@ -70,13 +70,13 @@
                         await stream.send(self.fault)
                         await stream.receive()
                         return
-                    watch = wire.asked(request)
+                    watch = wire.decode_watch(request)
                     self.statuses.append(watch.status)
                     with anyio.move_on_after(min(0.3, watch.wait_ms / 1000)):
-                        while not self.history.news(watch.since, watch.scopes):
+                        while not self.history.has_changes(watch.since, watch.scopes):
                             await self.news.wait()
                     reply = self.history.reply(watch.since, watch.scopes, 100)
-                    await stream.send(side.answer(Answer(200, [], wire.encode(reply)), False))
+                    await stream.send(side.answer(Answer(200, [], wire.encode_reply(reply)), False))
                     side.goes_on()
             except (anyio.EndOfStream, anyio.BrokenResourceError, OSError):
                 pass
@@ -277,7 +277,7 @@
 
 def kept_file(tmp_path, entries: Entries = CHANGED, scopes=SCOPES) -> str:
     path = tmp_path / "kept"
-    stable_store.save(path, Version(7, "mark"), entries | {ConfigWatch.WATCHED: scopes})
+    stable_store.save(path, Version(7, "mark"), entries | {ConfigWatch.WATCHED_SCOPES_KEY: scopes})
     return str(path)
 
 
@@ -304,10 +304,10 @@
         net.relay.fault = None
         await net.in_force(CHANGED)
         assert (await net.ask(wanted("s3", "quick"))).status == 200
-        await until(lambda: net.program.in_force.watch.kept_index == 1)
+        await until(lambda: net.program.in_force.watch.saved_index == 1)
         version, entries = stable_store.load(tmp_path / "kept")
         assert version == net.relay.history.version
-        assert entries == CHANGED | {ConfigWatch.WATCHED: SCOPES}
+        assert entries == CHANGED | {ConfigWatch.WATCHED_SCOPES_KEY: SCOPES}
 
     def away(relay):
         relay.fault = b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"
@@ -347,7 +347,7 @@
     for at in cuts:
         if at is not None:
             Path(path).write_bytes(whole[:at])
-            with pytest.raises(stable_store.BadKeep):
+            with pytest.raises(stable_store.StableStoreError):
                 stable_store.load(path)
     network(check, fine, keep=path, before=silent_for_a_while)
 
@@ -367,7 +367,7 @@
             raise OSError(28, "No space left on device")
         save(path, version, entries)
 
-    monkeypatch.setattr(driver.keep, "save", failing)
+    monkeypatch.setattr(driver.stable_store, "save", failing)
 
     async def check(net):
         for at in range(3):
@@ -376,7 +376,7 @@
         lines = [more for event, more in net.logs if event == "config" and "can't be kept" in more["text"]]
         assert len(lines) == 1 and "No space left" in lines[0]["error"]
         full[0] = False
-        await until(lambda: net.program.in_force.watch.kept_index == 3)
+        await until(lambda: net.program.in_force.watch.saved_index == 3)
         assert any("kept again" in fields["text"] for event, fields in net.logs if event == "config")
         assert stable_store.load(tmp_path / "kept")[0].index == 3
 
@@ -429,7 +429,7 @@
                 good.push({FLEET: {"instances": 4}})
                 follower = Follower("n1", (bad.address, good.address), 1, 2_000_000, 100_000, Version(), {})
                 follower.relays = [bad.address, good.address]
-                follower.standings[bad.address].margin = 200_000
+                follower.relay_states[bad.address].margin_us = 200_000
                 store = Store()
                 watch = ConfigWatch(
                     follower,
--- a/tests/test_scale_fanout.py
+++ b/tests/test_scale_fanout.py
@@ -118,7 +118,7 @@
     def sleepy(self, now, note, orders):
         self.cache.clear()
 
-    monkeypatch.setattr(Fanout, "have", sleepy)
+    monkeypatch.setattr(Fanout, "version_available", sleepy)
     made = world()
     day(made)
     assert sorted(made.took)[len(made.took) // 2] > 3 * sorted(good.took)[len(good.took) // 2]
@@ -129,7 +129,7 @@
 
     def short(self, since, scopes, spread_ms=0):
         found = reply(self, since, scopes, spread_ms)
-        if not found.whole and scopes:
+        if not found.is_snapshot and scopes:
             found.entries.pop(
                 next((key for key in found.entries if key.scope.startswith("sidecar/")), None), None
             )
@@ -143,7 +143,7 @@
 
 def test_a_follower_that_takes_nothing_more_lags(monkeypatch):
     made = world()
-    monkeypatch.setattr(Follower, "offer", lambda self, now: None)
+    monkeypatch.setattr(Follower, "offer_version", lambda self, now: None)
     day(made)
     assert made.lagging() > 0
 
