--- a/lupinmill/config/__init__.py
+++ b/lupinmill/config/__init__.py
@@ -1,2 +1,2 @@
-"""Versioned configuration, fanned out by relays and in force without a restart. Off unless the operator's
-file switches it on; nothing here is imported otherwise."""
+"""Versioned configuration, distributed by relays and applied without a restart. Disabled unless the
+operator's file enables it; nothing in this package is imported otherwise."""
--- a/lupinmill/config/checks.py
+++ b/lupinmill/config/checks.py
@@ -1,5 +1,6 @@
-"""Settings that people push are judged more closely than what the platform tells: a key that is misspelt
-would be silently without effect, a number out of its range would be found only by what it does. Pure."""
+"""Strict validation of settings that operators push. It is stricter than for the platform's settings, because
+a misspelt key would silently have no effect and an out-of-range number would only be noticed by its
+consequences. Pure."""
 
 from __future__ import annotations
 
@@ -8,7 +9,7 @@
 
 from lupinmill.protocol.settings import Fields, number_at
 
-# All that `protocol.settings` reads. What the platform's file holds beyond it says nothing to this program.
+# All keys that `protocol.settings` reads. Other keys in the platform's file are ignored by this program.
 KNOWN_KEYS = frozenset(
     (
         "random-seed",
@@ -66,9 +67,9 @@
     ),
     "accounts": frozenset(("name", "quota-per-s")),
 }
-MAX_ROWS = 256  # workloads, or tenants
-MAX_DURATION_S = 86_400.0  # seconds
-# Numbers: the least and the most of each.
+MAX_ROWS = 256  # workloads or tenants
+MAX_DURATION_S = 86_400.0
+# Inclusive ranges of numeric settings.
 RANGES = {
     "instances": (1, 1e6),
     "beyond-share-value": (0, 1e6),
@@ -112,8 +113,8 @@
 
 
 def check_ranges(fields: Fields) -> None:
-    """What people push is judged more closely than what the platform tells: each number and switch, names
-    once each. Raises ValueError, its text the key and what is wrong there."""
+    """Checks numbers against their ranges, booleans for valid values, and names for uniqueness. Raises
+    ValueError that names the key and the error."""
     for key, (minimum, maximum) in RANGES.items():
         check_range(fields, key, minimum, maximum)
     for key in BOOLEAN_KEYS:
@@ -137,7 +138,7 @@
 
 
 def check_known_keys(table: dict[str, Any]) -> None:
-    """Of settings that somebody sets, as `merge.settings` takes them. Raises ValueError."""
+    """Rejects unknown keys in settings as `merge.merge_settings` takes them. Raises ValueError."""
     for key, value in table.items():
         if key in KNOWN_ROW_KEYS:
             rows = value.values() if isinstance(value, dict) else value if isinstance(value, list) else ()
--- a/lupinmill/config/config_handler.py
+++ b/lupinmill/config/config_handler.py
@@ -1,4 +1,4 @@
-"""Operators' calls at a relay or a source: what they ask, carried out, and the answer. Owns nothing."""
+"""Handles operators' requests to a relay or a source. Owns nothing."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from lupinmill.config.source import SaveFailed, Source, IndexMismatch, VersionNotKept
 from lupinmill.protocol.http import Answer, Garbled, Malformed, Request, plain
 
-MAX_PUSH_BYTES = MAX_REPLY_BYTES  # bytes
+MAX_PUSH_BYTES = MAX_REPLY_BYTES
 RESTORE_HINT = (
     "`lupinmill config restore` publishes what is here beyond all versions heard of; if what is here is too "
     "old, push its newer content after that"
@@ -51,7 +51,7 @@
             version = await calls[path](self.source, request, parse_query(query))
         except (InvalidPush, Garbled) as error:
             return plain(400, f"{error}\n")
-        except ValueError as error:  # a value that JSON can't hold, or too much of it
+        except ValueError as error:  # the value is not valid JSON, or the entries are too large
             return plain(400, f"{error}\n")
         except IndexMismatch as error:
             return plain(409, f"{error}\n")
@@ -88,7 +88,7 @@
 
 
 def parse_query(query: bytes) -> dict[str, int]:
-    """Of a call's query: whole numbers by their names."""
+    """Integer query parameters by name."""
     parameters: dict[str, int] = {}
     try:
         pairs = parse_qsl(query.decode("ascii"), True, bool(query), max_num_fields=4)
--- a/lupinmill/config/driver.py
+++ b/lupinmill/config/driver.py
@@ -1,7 +1,9 @@
-"""Drives a `Follower`: one watch on relays or sources over HTTP/1.1, one timer, the file of what is in force.
+"""Drives a `Follower`: one watch on relays or sources over HTTP/1.1, one timer, and the file of the version
+in force.
 
-Owns the connection, of which there is one, and the version that waits for the disk, of which there is one as
-well: the newest wins. It decides nothing; whether a version can be taken says `take`."""
+Owns the single connection and the single version waiting to be saved; a newer version replaces it. It makes
+no decisions; the callback `apply_version` decides whether a version is accepted.
+"""
 
 from __future__ import annotations
 
@@ -38,10 +40,10 @@
 from lupinmill.transport.ring import Store
 
 SECOND = 1_000_000
-SAVE_RETRY_S = 5.0  # seconds before a disk that failed is tried again
+SAVE_RETRY_S = 5.0  # delay before a failed save is retried
 MAX_REASON_CHARS = 200
 
-# None: in force now; else why not, and then what was in force before still is.
+# Returns None if the version is in force now, or else the reason; the previous version then stays in force.
 ApplyCallback = Callable[[Version, Entries], str | None]
 
 
@@ -50,7 +52,7 @@
 
 
 class ConfigWatch:
-    WATCHED_SCOPES_KEY = Key("fleet", "watched")  # in the kept file alone: the scopes whose entries it has
+    WATCHED_SCOPES_KEY = Key("fleet", "watched")  # in the stored file only: the scopes of its entries
 
     def __init__(
         self,
@@ -61,7 +63,7 @@
         log: Logs,
         store_path: str | Path | None = None,
     ) -> None:
-        """`scopes`: those watched; none: all. `keep`: the file for the last version in force."""
+        """`scopes`: the watched scopes; empty for all. `store_path`: the file of the version in force."""
         self.follower, self.scopes, self.store, self.apply_version, self.log = (
             follower,
             scopes,
@@ -71,8 +73,8 @@
         )
         self.store_path = store_path
         self.connection: Connection | None = None
-        self.relay = ""  # the relay that it leads to
-        self.next_call: SendWatch | None = None  # the call that goes out next
+        self.relay = ""  # the relay it is connected to
+        self.next_call: SendWatch | None = None  # the watch to send next
         self.call_requested = anyio.Event()
         self.call_scope: anyio.CancelScope | None = None
         self.timer_at: int | None = None
@@ -82,10 +84,10 @@
         self.unsaved: tuple[Version, Entries] | None = None
         self.save_requested = anyio.Event()
         self.saved_index = 0  # of the version on disk
-        self.saving_enabled = True  # else another process of this sidecar has the file
+        self.saving_enabled = True  # False while another process of this sidecar owns the file
 
     async def run(self) -> None:
-        """Until it is cancelled; after a failure it may be run again, and goes on from what it holds."""
+        """Runs until cancelled. After a failure it may be run again and continues from its state."""
         try:
             async with anyio.create_task_group() as group:
                 group.start_soon(self.run_calls)
@@ -105,7 +107,7 @@
         self.notify(TimerFired())
 
     def retry_refused(self) -> None:
-        """What was refused may fit by now."""
+        """Offers the rejected version again, as it may be valid by now."""
         self.follower.refused, self.follower.why = 0, ""
         self.notify(TimerFired())
 
@@ -114,7 +116,7 @@
             self.connection.close()
             self.connection = None
 
-    # Notes in, orders out.
+    # --- events and commands ---
 
     def notify(self, *events: FollowerEvent) -> None:
         self.inbox += events
@@ -147,7 +149,7 @@
     def apply(self, command: ApplyVersion) -> None:
         try:
             why = self.apply_version(command.version, command.entries)
-        except Exception as error:  # a defect there must not end the watch
+        except Exception as error:  # an exception there must not end the watch
             self.log("task_failed", task="take", **defect(error))
             why = f"a defect: {type(error).__name__}"
         if why is not None:
@@ -164,67 +166,70 @@
             self.timer_changed = anyio.Event()
             wait = None if self.timer_at is None else self.timer_at - now()
             if wait is not None and wait <= 0:
-                await anyio.sleep(0)  # guards the loop against a core that wants to be woken without end
+                await anyio.sleep(0)  # yields, in case the follower keeps requesting an immediate timer
                 self.notify(TimerFired())
                 continue
             with anyio.move_on_after(None if wait is None else wait / SECOND):
                 await self.timer_changed.wait()
 
-    # One call at a time.
+    # --- calls, one at a time ---
 
     async def run_calls(self) -> None:
         while True:
             while self.next_call is None:
                 self.call_requested = anyio.Event()
                 await self.call_requested.wait()
-            ask, self.next_call, event = self.next_call, None, None
+            watch, self.next_call, event = self.next_call, None, None
             with anyio.CancelScope() as self.call_scope:
-                event = await self.send_watch(ask)
+                event = await self.send_watch(watch)
             self.call_scope = None
             if event is None or isinstance(event, WatchFailed):
                 self.disconnect()
             if event is not None and self.next_call is None:
                 self.notify(event)
 
-    async def send_watch(self, ask: SendWatch) -> ReplyReceived | WatchFailed:
+    async def send_watch(self, watch: SendWatch) -> ReplyReceived | WatchFailed:
         try:
-            remaining_s = max(0, ask.deadline - now()) / SECOND
+            remaining_s = max(0, watch.deadline - now()) / SECOND
             with anyio.fail_after(remaining_s):
-                return ReplyReceived(ask.relay, await self.exchange(ask, remaining_s - ask.wait_us / SECOND))
+                return ReplyReceived(
+                    watch.relay, await self.exchange(watch, remaining_s - watch.wait_us / SECOND)
+                )
         except Garbled as error:
-            return WatchFailed(ask.relay, str(error), garbled=True)
+            return WatchFailed(watch.relay, str(error), garbled=True)
         except TimeoutError:
-            return WatchFailed(ask.relay, "silent", silent=True)
+            return WatchFailed(watch.relay, "silent", silent=True)
         except (OSError, Unconnected, NoDescriptor) as error:
-            return WatchFailed(ask.relay, str(error) or type(error).__name__)
+            return WatchFailed(watch.relay, str(error) or type(error).__name__)
         except Exception as error:
             self.log("task_failed", task="config", **defect(error))
-            return WatchFailed(ask.relay, f"a defect: {type(error).__name__}", garbled=True)
+            return WatchFailed(watch.relay, f"a defect: {type(error).__name__}", garbled=True)
 
-    async def exchange(self, ask: SendWatch, margin: float) -> Reply:
-        """`margin`: seconds for the connection to come up, and between two parts of an answer, beyond which
-        TimeoutError is raised; it grows with the follower's own."""
-        if self.connection is None or self.relay != ask.relay or not self.connection.quiet():
+    async def exchange(self, watch: SendWatch, margin: float) -> Reply:
+        """`margin`: seconds allowed for connecting, and between two parts of a reply, before TimeoutError is
+        raised. It grows with the follower's own margin."""
+        if self.connection is None or self.relay != watch.relay or not self.connection.quiet():
             self.disconnect()
             self.connection, self.relay = (
-                await connect(ask.relay, margin, self.store, lambda: None),
-                ask.relay,
+                await connect(watch.relay, margin, self.store, lambda: None),
+                watch.relay,
             )
         side = ClientSide(MAX_REPLY_BYTES, MAX_REPLY_BYTES)
-        request = wire.encode_watch(ask.since, ask.wait_us // 1000, self.scopes, self.follower.status())
+        request = wire.encode_watch(watch.since, watch.wait_us // 1000, self.scopes, self.follower.status())
         await self.connection.send(side.ask(request))
         while (answer := side.next_answer()) is None:
             with anyio.move_on_after(margin if side.begun() else None) as pause:
                 data = await self.connection.receive()
-            if pause.cancelled_caught and not self.connection.has_unread():  # else this loop lagged
-                raise TimeoutError("the answer stopped in the middle")
+            # otherwise the event loop itself was late
+            if pause.cancelled_caught and not self.connection.has_unread():
+                raise TimeoutError("the reply stalled before its end")
             if not pause.cancelled_caught:
                 side.feed(data)
         if not side.reusable():
             self.disconnect()
         return wire.decode_reply(answer)
 
-    # The disk is slow, full or gone: none of that holds up what is in force.
+    # A slow, full or missing disk must not delay the version in force.
 
     async def run_saves(self) -> None:
         failing = False
@@ -235,16 +240,16 @@
             (version, entries), self.unsaved = self.unsaved, None
             assert self.store_path is not None
             try:
-                with anyio.CancelScope(shield=True):  # a thread that writes can't be called off
+                with anyio.CancelScope(shield=True):  # a thread that writes cannot be cancelled
                     await anyio.to_thread.run_sync(stable_store.save, self.store_path, version, entries)
             except OSError as error:
                 if not failing:
                     why = f"{self.store_path}: {error.strerror}"
-                    self.log("config", text="what is in force can't be kept", error=why)
+                    self.log("config", text="cannot save the version in force", error=why)
                 failing, self.unsaved = True, self.unsaved or (version, entries)
                 await anyio.sleep(SAVE_RETRY_S)
                 continue
             self.saved_index = version.index
             if failing:
                 failing = False
-                self.log("config", text="what is in force is kept again")
+                self.log("config", text="saved the version in force after earlier failures")
--- a/lupinmill/config/fanout.py
+++ b/lupinmill/config/fanout.py
@@ -1,10 +1,13 @@
-"""Who waits for which scopes at this relay, who is woken by a version, and what each says is in force. Pure.
+"""The fan-out of a relay: which watches wait for which scopes, which of them a version wakes, and which
+version each watcher has in force. Pure.
 
-`Fanout.step(now, notes) -> orders` stands around a `History`, which its owner changes, and tells by `Had`. A
-reply is encoded once for all that get the same entries: a sidecar's scopes name the sidecar itself and are
-nobody else's, so the key is those of its scopes that have something to say. Every table is bounded.
+`Fanout.step(now, events) -> commands` works on a `History` that its owner changes and announces with
+`VersionAvailable`. A reply is encoded once for all watches that get the same entries. The cache key consists
+only of those watched scopes that have changes, as the scopes of each sidecar include its own, which no other
+shares. Every table is bounded.
 
-Times are whole microseconds."""
+Times are integer microseconds.
+"""
 
 from __future__ import annotations
 
@@ -18,31 +21,32 @@
 from lupinmill.config.model import LogLine, Reply, Status, Version, SetTimer
 from lupinmill.config.watcher_table import ALL_SCOPES, WatcherTable, discard_from
 
-MAX_CACHED_REPLIES = 512  # encoded replies
-CATCH_UP_WAIT_US = 2_000_000  # for which one that is ahead of this relay waits for it to catch up
+MAX_CACHED_REPLIES = 512
+# how long a watch from a version newer than this relay's waits for the relay to catch up
+CATCH_UP_WAIT_US = 2_000_000
 
 
 @dataclass(slots=True)
 class WatchReceived:
-    """A watch has come."""
+    """A watch arrived."""
 
     token: int
     scopes: tuple[str, ...]
     since: Version
-    deadline: int  # when it is answered whatever there is
+    deadline: int  # when it is answered even without changes
     status: Status
 
 
 @dataclass(slots=True)
 class WatchClosed:
-    """The watch's caller has left."""
+    """The client of the watch disconnected."""
 
     token: int
 
 
 @dataclass(slots=True)
 class VersionAvailable:
-    """The history has this version now; `scopes` are those of what changed."""
+    """The history now has this version, which changed entries in `scopes`."""
 
     version: Version
     scopes: frozenset[str]
@@ -64,7 +68,7 @@
 
 @dataclass(slots=True)
 class RejectWatch:
-    """There is no room for this watch."""
+    """The watch is rejected because the relay is at capacity."""
 
     token: int
 
@@ -95,19 +99,18 @@
         self.history, self.encode, self.max_watches, self.spread_ms = history, encode, max_watches, spread_ms
         self.waiting: dict[int, PendingWatch] = {}
         self.by_scope: dict[str, set[int]] = {}  # tokens
-        self.unknown_version: set[int] = set()  # tokens of those who hold a version that is not known here
-        self.deadlines: list[
-            tuple[int, int]
-        ] = []  # heap of ends and tokens; those answered meanwhile stay in it
+        self.unknown_version: set[int] = set()  # tokens of watches from a version unknown here
+        # Heap of (deadline, token); answered watches stay in it until they expire.
+        self.deadlines: list[tuple[int, int]] = []
         self.cache: OrderedDict[CacheKey, bytes] = OrderedDict()
         self.cached_size, self.max_cache_bytes = 0, max_cache_bytes
-        self.encoded = 0  # replies so far, ...
-        self.answered = 0  # ... and watches answered
+        self.encoded = 0  # replies encoded
+        self.answered = 0  # watches answered
         self.turned_away = 0
         self.watchers = WatcherTable(history, 2 * max_watches)
         self.timer_at: int | None = None
 
-    # Notes.
+    # --- events ---
 
     def step(self, now: int, events: Iterable[FanoutEvent]) -> list[FanoutCommand]:
         commands: list[FanoutCommand] = []
@@ -144,12 +147,12 @@
         self.watchers.rows[event.status.name].waiting_token = token
 
     def ahead(self, since: Version) -> bool:
-        """One that this relay could only take back, or that it has nothing for yet."""
+        """Whether `since` is newer than the relay's version, or the relay has no version yet."""
         return since.index > self.history.version.index or not self.history.version.index
 
     def version_available(self, now: int, event: VersionAvailable, commands: list[FanoutCommand]) -> None:
         index = event.version.index
-        self.cache.clear()  # every key names the version before
+        self.cache.clear()  # every key names the previous version
         self.cached_size = 0
         self.watchers.version_available(now, index, event.scopes)
         tokens = set(self.unknown_version)
@@ -185,16 +188,16 @@
             discard_from(self.by_scope, scope, token)
         self.watchers.watch_ended(waiting.name, token)
 
-    # Answers.
+    # --- replies ---
 
     def send_reply(
         self, token: int, scopes: tuple[str, ...], since: Version, commands: list[FanoutCommand]
     ) -> None:
         history, ahead = self.history, self.ahead(since)
         known = since.index > 0 and history.knows(since)
-        told_scopes: tuple[str, ...] | None = None  # those that there is something of; None: all
+        told_scopes: tuple[str, ...] | None = None  # scopes with changes; None: all
         if ahead:
-            told_scopes, known = (), True  # it takes nothing of this, and is told the version alone
+            told_scopes, known = (), True  # the watcher is newer, so it gets the version without entries
             since = history.version
         elif scopes:
             number = history.change_numbers[since] if known else 0
@@ -215,11 +218,11 @@
 
     def build_reply(self, told_scopes: tuple[str, ...] | None, since: Version, known: bool) -> Reply:
         history = self.history
-        if told_scopes == ():  # which a history takes for all
+        if told_scopes == ():  # `History.reply` treats an empty tuple as all scopes
             return Reply(history.version, not known, {}, since if known else Version(), self.spread_ms)
         reply = history.reply(since, told_scopes or (), self.spread_ms)
         if reply.is_snapshot:
-            reply.since = Version()  # the same for all that get it
+            reply.since = Version()  # so that all watches share one encoded reply
         return reply
 
     def cache_reply(self, key: CacheKey, data: bytes) -> None:
@@ -229,7 +232,7 @@
             self.cached_size -= len(self.cache.popitem(last=False)[1])
 
     def show(self, now: int) -> dict[str, Any]:
-        """For operators: what is here, and the standing of all that watch it."""
+        """Status for operators: the current version and the state of every watcher."""
         return {
             "index": self.history.version.index,
             "mark": self.history.version.mark,
--- a/lupinmill/config/follower.py
+++ b/lupinmill/config/follower.py
@@ -1,10 +1,11 @@
-"""One watch on configuration, of a sidecar or a relay: which relay is asked, what is taken, what is offered
-to the process. Pure: `step(now, notes) -> orders`.
+"""State machine of one watch on the configuration, for a sidecar or a relay: which relay to ask, which
+replies to accept, and which versions to hand to the process. Pure: `step(now, events) -> commands`.
 
-What is held only moves forward: by changes that lead on from exactly the version held, or by a snapshot with
-a higher index; whole, or not at all. What the process goes by follows what it took.
+The held version only moves forward: by changes based on exactly that version, or by a snapshot with a higher
+index, and always completely. The version in force follows it.
 
-Owns the newest version heard with its entries, and how each relay has behaved."""
+Owns the newest received version with its entries, and a health record for each relay.
+"""
 
 from __future__ import annotations
 
@@ -31,22 +32,18 @@
 from lupinmill.workings import Chance
 
 MS, SECOND = 1_000, 1_000_000
-MAX_WAIT_US = 60 * SECOND  # what a watch allows
-# Beyond the wait before a relay counts as silent. It doubles where a round of all relays brought no answer:
-# a limit that stays below the time that they take would begin each call anew for ever.
+MAX_WAIT_US = 60 * SECOND  # limit of the watch protocol
+# Time beyond the requested wait before a watch counts as timed out. It doubles when a full round of relays
+# gives no reply: with a limit that stays below their actual latency, every call would be abandoned and
+# restarted forever.
 MIN_MARGIN_US, MAX_MARGIN_US = 2 * SECOND, 60 * SECOND
-LATENESS_FACTOR = 2  # of the last late answer that the margin stays above
-MIN_WAIT_FRACTION = (
-    0.8  # of the wait that a call waits at least: calls that began together shall not end together
-)
-MIN_CALL_INTERVAL_US = (
-    10 * MS
-)  # between two calls at the least: bounds what a relay that always has news can cost
-NO_CHANGES_PAUSE_US, MAX_NO_CHANGES_PAUSE_US = (
-    50 * MS,
-    SECOND,
-)  # before the next call after none; longer where it came early
-APPLY_WAIT_US = SECOND  # so long the next call waits for the word on what is offered, to carry it
+LATENESS_FACTOR = 2  # the margin is kept at this multiple of the last lateness
+# Lower bound of the randomized wait: calls that start together must not end together.
+MIN_WAIT_FRACTION = 0.8
+MIN_CALL_INTERVAL_US = 10 * MS  # limits the load of a relay that always has changes
+# Pause after a reply without changes; it grows while replies come early.
+NO_CHANGES_PAUSE_US, MAX_NO_CHANGES_PAUSE_US = 50 * MS, SECOND
+APPLY_WAIT_US = SECOND  # the next watch waits this long for the outcome of a version, to report it
 MIN_SPREAD_US, MAX_SPREAD_US = 100 * MS, 600 * SECOND
 MIN_PENALTY_US, MAX_PENALTY_US = SECOND, 60 * SECOND
 LOG_INTERVAL_US, MAX_LOG_INTERVAL_US = 30 * SECOND, 3600 * SECOND
@@ -55,18 +52,18 @@
 
 @dataclass(slots=True)
 class RelayState:
-    """How one relay has behaved."""
+    """Health record of one relay."""
 
-    spread_us: int = 0  # told by it; 0: none was
-    margin_us: int = MIN_MARGIN_US  # beyond the wait before it counts as silent
-    penalty_us: int = 0  # the last one; doubles while it goes on
-    behind_until: int = 0  # till then the others are asked before it
+    spread_us: int = 0  # as advertised by the relay; 0: not yet
+    margin_us: int = MIN_MARGIN_US  # time beyond the wait before the watch counts as timed out
+    penalty_us: int = 0  # current back-off, doubled while failures continue
+    behind_until: int = 0  # until then other relays are preferred
 
 
 @dataclass(slots=True)
 class LogThrottle:
     logged_at: int
-    interval: int  # microseconds until the like is said again
+    interval: int  # microseconds until a line of this kind is logged again
 
 
 class Follower:
@@ -80,33 +77,32 @@
         version: Version,
         entries: Entries,
     ) -> None:
-        """`version` and `entries` are in force already. The spread is the fleet's, until relays tell theirs:
-        over so long all of it comes anew."""
+        """`version` and `entries` are already in force. `spread_us` is the period over which the whole fleet
+        reconnects; relays may advertise their own later."""
         self.name, self.wait_us, self.spread_us = name, min(MAX_WAIT_US, wait_us), spread_us
         self.chance = Chance(seed)
-        self.version, self.entries = version, dict(entries)  # the newest heard
+        self.version, self.entries = version, dict(entries)  # the newest received
         self.in_force, self.refused, self.why = version, 0, ""
         self.offered: Version | None = None
         self.offered_at = 0
         self.outstanding: SendWatch | None = None
         self.sent_at = -MIN_CALL_INTERVAL_US
-        self.next_call_at: int | None = None  # when the next call goes out; None: not drawn yet
-        self.needs_snapshot = False  # the next call asks for the snapshot: what came did not lead on
-        self.refresh_pending = (
-            False  # so does each call until one came: the scopes may be others than what is held
-        )
-        self.reapply_pending = False  # what is held has changed within its version, and is offered again
-        self.early_replies = 0  # answers without news in a row, each long before its wait was over
-        self.failures = 0  # calls without a good answer in a row
-        self.relays: list[str] = []  # in this follower's own order, the one that it asks first
+        self.next_call_at: int | None = None  # when the next watch is sent; None: not chosen yet
+        self.needs_snapshot = False  # the next watch requests a snapshot: the last changes had another base
+        # Watches request a snapshot until one arrives: the watched scopes may differ from those held.
+        self.refresh_pending = False
+        self.reapply_pending = False  # the entries changed within the held version and must be applied again
+        self.early_replies = 0  # consecutive replies without changes that came long before the wait was over
+        self.failures = 0  # consecutive watches without a usable reply
+        self.relays: list[str] = []  # in this follower's own order; the first is asked next
         self.relay_states: dict[str, RelayState] = {}
         self.log_throttles: dict[str, LogThrottle] = {}
         self.commands: list[FollowerCommand] = []
         self.change_relays(relays)
 
     def change_relays(self, relays: tuple[str, ...]) -> None:
-        """In force with the next step. A call at one that is gone is given up; the others keep their
-        standing."""
+        """Takes effect with the next step. A watch on a removed relay is abandoned; the remaining relays keep
+        their health records."""
         others = [relay for relay in dict.fromkeys(relays) if relay not in self.relay_states]
         self.relays = [relay for relay in self.relays if relay in relays]
         while others:
@@ -116,8 +112,8 @@
             self.outstanding, self.next_call_at, self.needs_snapshot = None, None, False
 
     def refresh(self) -> None:
-        """The snapshot is asked for, and taken also at the version held. For drivers to call where the scopes
-        have changed, and at a start with kept entries, which may be of other scopes."""
+        """Requests a snapshot and accepts it even at the held version. Drivers call this when the scopes have
+        changed, and at startup with stored entries, which may belong to other scopes."""
         self.refresh_pending = True
         if self.outstanding is not None:
             self.outstanding, self.next_call_at = None, self.sent_at
@@ -165,7 +161,8 @@
             return
         self.choose_relay(now)
         wait_us = int(self.wait_us * (MIN_WAIT_FRACTION + (1 - MIN_WAIT_FRACTION) * self.chance.draw()))
-        # Every other one that fails tells the version held: else nobody hears that a source is behind it.
+        # After a failure, every other watch reports the held version even when a snapshot is wanted:
+        # otherwise a source that is behind would never learn of it.
         refresh = self.refresh_pending and self.failures % 2 == 0
         since = Version() if self.needs_snapshot or refresh else self.version
         self.outstanding = SendWatch(
@@ -174,7 +171,7 @@
         self.sent_at = now
         self.commands.append(self.outstanding)
 
-    # --- what is offered to the process ---
+    # --- versions handed to the process ---
 
     def offer_version(self, now: int) -> None:
         newer = self.version.index > max(self.in_force.index, self.refused)
@@ -190,44 +187,43 @@
     def version_refused(self, now: int, event: VersionRefused) -> None:
         if event.version == self.offered:
             self.offered, self.refused, self.why = None, event.version.index, event.why[:MAX_REASON_CHARS]
-            text = f"version {event.version.index} refused, {self.in_force.index} stays: {self.why}"
+            text = f"version {event.version.index} rejected, {self.in_force.index} stays in force: {self.why}"
             self.log_throttled(now, "refused", text)
 
-    # --- what comes of a call ---
+    # --- replies and failures ---
 
-    def reply_received(self, now: int, ask: SendWatch, reply: Reply) -> None:
+    def reply_received(self, now: int, watch: SendWatch, reply: Reply) -> None:
         self.outstanding = None
-        self.adjust_margin(self.relay_states[ask.relay], now - self.sent_at, ask.wait_us)
-        state = self.relay_states[ask.relay]
+        self.adjust_margin(self.relay_states[watch.relay], now - self.sent_at, watch.wait_us)
+        state = self.relay_states[watch.relay]
         if reply.spread_ms > 0:
             state.spread_us = min(MAX_SPREAD_US, reply.spread_ms * MS)
         held, version = self.version, reply.version
         if version.index == 0:
-            self.reject_reply(now, "it knows of no version yet")
+            self.reject_reply(now, "it has no version yet")
         elif version.index < held.index:
-            self.reject_reply(now, f"it is at version {version.index}, this one at {held.index}")
+            self.reject_reply(now, f"its version {version.index} is older than the held version {held.index}")
         elif version.index == held.index and version != held:
-            self.reject_reply(now, f"its version {version.index} is another than the one here")
+            self.reject_reply(now, f"its version {version.index} differs from the held version {held.index}")
         elif reply.is_snapshot:
-            self.accept_snapshot(now, ask, reply)
+            self.accept_snapshot(now, watch, reply)
         elif reply.since != held:
-            if ask.since.index == 0:
-                self.reject_reply(now, "changes where the snapshot was asked for")
+            if watch.since.index == 0:
+                self.reject_reply(now, "it sent changes although a snapshot was requested")
             else:
-                text = (
-                    f"{ask.relay}: changes that don't lead on from version {held.index}; asks for a snapshot"
-                )
+                text = f"{watch.relay}: changes not based on version {held.index}; requesting a snapshot"
                 self.log_throttled(now, "gap", text)
                 self.needs_snapshot, self.next_call_at = True, now
         elif version == held and reply.entries:
-            self.reject_reply(now, "changes without a new version")
+            self.reject_reply(now, "it sent changes without a new version")
         elif version == held:
-            self.no_changes(now, ask)
+            self.no_changes(now, watch)
         else:
             self.accept(now, version, apply_changes(self.entries, reply.entries))
 
     def adjust_margin(self, state: RelayState, elapsed_us: int, wait_us: int) -> None:
-        """An answer with news, before the wait was over, tells only that it was no later than it took."""
+        """A reply with changes that came before the wait was over only bounds the lateness by the time it
+        took."""
         late = (
             elapsed_us - wait_us
             if elapsed_us >= wait_us
@@ -235,18 +231,18 @@
         )
         state.margin_us = min(MAX_MARGIN_US, max(MIN_MARGIN_US, LATENESS_FACTOR * late))
 
-    def accept_snapshot(self, now: int, ask: SendWatch, reply: Reply) -> None:
+    def accept_snapshot(self, now: int, watch: SendWatch, reply: Reply) -> None:
         if reply.version == self.version:
             if self.refresh_pending and difference(self.entries, reply.entries):
                 self.entries, self.reapply_pending = apply_changes({}, reply.entries), True
             self.refresh_pending = False
-            self.no_changes(now, ask)
+            self.no_changes(now, watch)
             return
         if self.version.index:
             self.log_throttled(
                 now,
                 "snapshot",
-                f"{ask.relay}: snapshot of version {reply.version.index} in place of {self.version.index}",
+                f"{watch.relay}: snapshot of version {reply.version.index} replaces {self.version.index}",
             )
         self.refresh_pending = False
         self.accept(now, reply.version, apply_changes({}, reply.entries))
@@ -256,9 +252,9 @@
         self.mark_healthy(now)
         self.next_call_at, self.early_replies = now, 0
 
-    def no_changes(self, now: int, ask: SendWatch) -> None:
+    def no_changes(self, now: int, watch: SendWatch) -> None:
         self.mark_healthy(now)
-        self.early_replies = self.early_replies + 1 if now - self.sent_at < ask.wait_us // 2 else 0
+        self.early_replies = self.early_replies + 1 if now - self.sent_at < watch.wait_us // 2 else 0
         self.next_call_at = now + min(
             MAX_NO_CHANGES_PAUSE_US, NO_CHANGES_PAUSE_US << min(self.early_replies, 10)
         )
@@ -266,16 +262,17 @@
     def mark_healthy(self, now: int) -> None:
         if self.failures > 1:
             self.log_throttled(
-                now, "again", f"{self.relays[0]} answers, after {self.failures} calls that failed"
+                now, "again", f"{self.relays[0]} answers again after {self.failures} failed calls"
             )
         self.needs_snapshot, self.failures = False, 0
         state = self.relay_states[self.relays[0]]
         state.penalty_us = state.behind_until = 0
 
     def reject_reply(self, now: int, why: str) -> None:
-        """It answered, but nothing that can be taken: for a while the others go before it."""
+        """The relay replied, but with nothing usable: the others are preferred for a while."""
         state = self.relay_states[self.relays[0]]
-        least = max(MIN_PENALTY_US, 2 * (state.spread_us or self.spread_us))  # beyond when the next is asked
+        # longer than the delay before the next watch
+        least = max(MIN_PENALTY_US, 2 * (state.spread_us or self.spread_us))
         state.penalty_us = min(MAX_PENALTY_US, max(least, 2 * state.penalty_us))
         state.behind_until = now + state.penalty_us
         self.fail_over(now, "distrusted", why)
@@ -290,16 +287,17 @@
         if event.silent:
             self.watch_timed_out(now)
             return
-        self.relay_states[event.relay].margin_us = MIN_MARGIN_US  # it is quick to fail
+        # it fails fast, so no longer margin is needed
+        self.relay_states[event.relay].margin_us = MIN_MARGIN_US
         if event.garbled:
-            self.reject_reply(now, f"can't be read: {event.why}")
+            self.reject_reply(now, f"malformed reply: {event.why}")
         else:
             self.fail_over(now, "failed", event.why)
 
     def fail_over(self, now: int, kind: str, why: str) -> None:
-        """On to another relay. All that lost this one come spread over its time; who finds no other goes on
-        coming once in that time at most, so that calls a second stay below fleet over spread also when all
-        relays come back."""
+        """Switches to another relay. The clients of a lost relay reconnect spread over its advertised period.
+        With no relay available, each client retries at most once per period, so that the call rate stays
+        below fleet size / period, also when all relays come back."""
         relay = self.relays.pop(0)
         self.relays.append(relay)
         self.outstanding, self.needs_snapshot, self.early_replies = None, False, 0
@@ -308,12 +306,11 @@
         first = self.failures == 1
         delay = self.chance.upto(spread) if first else spread + self.chance.upto(spread // 4)
         self.next_call_at = now + delay
-        self.log_throttled(
-            now, kind, f"{relay}: {why[:MAX_REASON_CHARS]}; another is asked in {delay // MS} ms"
-        )
+        self.log_throttled(now, kind, f"{relay}: {why[:MAX_REASON_CHARS]}; next call in {delay // MS} ms")
 
     def choose_relay(self, now: int) -> None:
-        """To the front the first that is not put behind, else the one that is so for the shortest time."""
+        """Moves the first relay that is not backed off to the front, or else the one whose back-off ends
+        first."""
         usable = [relay for relay in self.relays if self.relay_states[relay].behind_until <= now]
         first = (
             usable[0] if usable else min(self.relays, key=lambda relay: self.relay_states[relay].behind_until)
@@ -322,7 +319,8 @@
         self.relays.insert(0, first)
 
     def log_throttled(self, now: int, kind: str, text: str) -> None:
-        """Each kind of line at longer and longer intervals while it goes on: an outage is no flood."""
+        """Logs each kind of line at growing intervals while it repeats, so that an outage does not flood the
+        log."""
         throttle = self.log_throttles.get(kind)
         if throttle is not None and now < throttle.logged_at + throttle.interval:
             return
--- a/lupinmill/config/history.py
+++ b/lupinmill/config/history.py
@@ -1,8 +1,9 @@
-"""All entries as of the newest version, and the last changes that led there. Pure; at a source and at relays.
+"""The entries of the newest version and the recent changes that led to it, at a source or a relay. Pure.
 
-A source makes versions (`push`, `restore`); a relay takes them as its follower applied them (`replace`). The
-changes kept are bounded by number and by bytes; who asks from further back, or from a version that was never
-here, is given a snapshot."""
+A source creates versions (`push`, `restore`); a relay stores those that its follower applied (`replace`). The
+retained changes are bounded by count and by bytes. A watch from an older or an unknown version is answered
+with a snapshot.
+"""
 
 from __future__ import annotations
 
@@ -15,18 +16,19 @@
 
 from lupinmill.config.model import MAX_REPLY_BYTES, Entries, Key, Reply, Version
 
-MAX_ENTRIES_BYTES = MAX_REPLY_BYTES - 64 * 1024  # of all entries as rows: the rest is for their frame
+# of all entries as rows; the rest is left for the enclosing message
+MAX_ENTRIES_BYTES = MAX_REPLY_BYTES - 64 * 1024
 MISSING = object()
-MAX_INDEX_LEAD = 2**32  # an index so far beyond the own one is no source's, and not remembered
+MAX_INDEX_LEAD = 2**32  # a claimed index further ahead than this is bogus and ignored
 
 
 class SourceBehind(Exception):
-    """Versions from beyond this source's own are about: it came back from an older backup, or another source
-    published beside it. Nothing is pushed until `restore`."""
+    """Watchers hold versions that this source never published: it was restored from an older backup, or a
+    second source is publishing. Pushes are refused until `restore`."""
 
 
 class EntriesTooLarge(ValueError):
-    """All entries together would not fit in an answer."""
+    """The entries together would not fit in one reply."""
 
 
 def canonical_json(value: Any) -> bytes:
@@ -34,7 +36,7 @@
 
 
 def json_equal(left: Any, right: Any) -> bool:
-    """As JSON: 1, 1.0 and true are three values."""
+    """Compares as JSON, where 1, 1.0 and true are three different values."""
     return left is right or left == right and canonical_json(left) == canonical_json(right)
 
 
@@ -43,18 +45,18 @@
 
 
 def next_mark(mark: str, index: int, changes: Entries) -> str:
-    """Chained: it stands for all changes so far, in their order."""
+    """Chained checksum over all changes so far, in order."""
     rows = sorted([key.scope, key.kind, canonical_json(value).decode()] for key, value in changes.items())
     return xxhash.xxh3_64_hexdigest(orjson.dumps([mark, index, rows]))
 
 
 def difference(old: Entries, new: Entries) -> Entries:
-    """The changes that make `new` of `old`."""
+    """The changes that turn `old` into `new`."""
     changes: Entries = {}
     added = 0
     for key, value in new.items():
         old_value = old.get(key, MISSING)
-        if old_value is value:  # what most are: a relay does this for each version
+        if old_value is value:  # the common case, as a relay diffs every version
             continue
         if old_value is MISSING:
             added += 1
@@ -66,7 +68,7 @@
 
 
 def check_json_value(key: Key, value: Any) -> None:
-    """Guards against what JSON can't hold, such as NaN or a tuple, and would turn into something else."""
+    """Rejects values that JSON cannot represent or would alter, such as NaN or a tuple."""
     try:
         good = orjson.loads(orjson.dumps(value)) == value
     except (TypeError, ValueError, RecursionError):
@@ -77,15 +79,15 @@
 
 @dataclass(slots=True)
 class Change:
-    number: int  # counts those of this history
+    number: int  # sequence number within this history
     version: Version
     entries: Entries
-    previous: Entries  # what stood there; None: nothing
+    previous: Entries  # values before the change; None: no entry
     size: int  # bytes of both
 
 
 class History:
-    """Owns the entries: `entries` is for reading, and is replaced whole with each version."""
+    """Owns the entries. `entries` is read-only for callers and replaced as a whole with each version."""
 
     def __init__(
         self, version: Version, entries: Entries, max_changes: int = 1000, max_bytes: int = 4 * 1024 * 1024
@@ -93,25 +95,24 @@
         self.version, self.entries = version, dict(entries)
         self.max_changes, self.max_bytes = max_changes, max_bytes
         self.changes: deque[Change] = deque()
-        self.changes_bytes = 0  # bytes of the changes kept
-        self.change_count = 0  # changes so far, in this life
-        self.change_numbers: dict[Version, int] = {
-            version: 0
-        }  # of the versions kept: the change that led there
+        self.changes_bytes = 0  # bytes of the retained changes
+        self.change_count = 0  # changes since this process started
+        # By retained version: the number of the change that led to it.
+        self.change_numbers: dict[Version, int] = {version: 0}
         self.marks: dict[int, str] = {version.index: version.mark}
-        self.newest_changes: dict[str, int] = {}  # by scope: number of the newest change kept
+        self.newest_changes: dict[str, int] = {}  # by scope: number of the newest retained change
         self.entries_by_scope: dict[str, Entries] = {}
         for key, value in self.entries.items():
             self.entries_by_scope.setdefault(key.scope, {})[key] = value
         self.entries_bytes = sum(row_size(key, value) for key, value in self.entries.items())
-        self.ahead: Version | None = None  # the highest that was asked from and never was here
-        self.restored_index = 0  # foreign versions below this index were overruled by `restore`
+        self.ahead: Version | None = None  # highest version that a watcher holds and this history never had
+        self.restored_index = 0  # unknown versions below this index were superseded by `restore`
 
     # --- new versions ---
 
     def push(self, entries: Entries) -> Version:
-        """These changes as the next version; the present one where they change nothing. Raises Behind,
-        ValueError, and then all is as before."""
+        """Publishes the changes as the next version and returns it, or the current version if nothing
+        changes. Raises SourceBehind or ValueError, leaving everything unchanged."""
         if self.ahead is not None:
             raise SourceBehind(
                 f"version {self.ahead.index} is about, which this source never made (its own: "
@@ -132,13 +133,15 @@
         return self.advance(Version(index, next_mark(self.version.mark, index, changes)), changes)
 
     def restore(self) -> Version:
-        """The present content as a version beyond all that were heard of, so that everyone takes it."""
+        """Publishes the current content with an index above all versions seen, so that every watcher accepts
+        it."""
         index = max(self.version.index, self.ahead.index if self.ahead else 0) + 1
         self.ahead, self.restored_index = None, index
         return self.advance(Version(index, next_mark(self.version.mark, index, {})), {})
 
     def replace(self, version: Version, entries: Entries) -> None:
-        """All entries as of a version that another made. Raises ValueError for one that is not newer."""
+        """Replaces all entries with those of a version published elsewhere. Raises ValueError if it is not
+        newer."""
         if version == self.version:
             return
         if version.index <= self.version.index:
@@ -178,7 +181,7 @@
             del self.entries_by_scope[key.scope]
 
     def drop_oldest_change(self) -> None:
-        """The oldest change becomes part of what history begins with."""
+        """Folds the oldest change into the base of the history."""
         base = next(iter(self.change_numbers))
         del self.change_numbers[base], self.marks[base.index]
         oldest = self.changes.popleft()
@@ -193,7 +196,8 @@
         return version in self.change_numbers
 
     def entries_at(self, version: Version) -> Entries | None:
-        """All entries as of a version kept, for a rollback: `push(difference(history.entries, content))`."""
+        """All entries of a retained version, for a rollback: `push(difference(history.entries,
+        old_entries))`."""
         number = self.change_numbers.get(version)
         if number is None:
             return None
@@ -205,7 +209,8 @@
         return dict(entries)
 
     def observe_version(self, version: Version) -> None:
-        """Someone has this version. One that never was here is remembered, as `ahead`."""
+        """Notes that a watcher holds this version. One that was never published here is remembered in
+        `ahead`."""
         index = version.index
         if index < self.restored_index or index > self.version.index + MAX_INDEX_LEAD or self.knows(version):
             return
@@ -214,7 +219,7 @@
             self.ahead = version
 
     def has_changes(self, since: Version, scopes: tuple[str, ...]) -> bool:
-        """Is there anything to tell now to a watch from there?"""
+        """Whether a watch from `since` can be answered now."""
         if since == self.version:
             return False
         number = self.change_numbers.get(since)
@@ -223,8 +228,8 @@
         return not scopes or any(self.newest_changes.get(scope, 0) > number for scope in scopes)
 
     def reply(self, since: Version, scopes: tuple[str, ...], spread_ms: int = 0) -> Reply:
-        """The changes since then, of each key the last; a snapshot where they are not known. Without scopes:
-        all."""
+        """The changes since then, with only the last value of each key, or a snapshot if `since` is unknown.
+        Without scopes: all entries."""
         self.observe_version(since)
         number = self.change_numbers.get(since)
         if number is None or since.index == 0:
--- a/lupinmill/config/model.py
+++ b/lupinmill/config/model.py
@@ -1,11 +1,14 @@
-"""What configuration is made of, and the notes and orders between its pure cores and their drivers. Pure.
+"""Data model of the versioned configuration, and the events and commands exchanged between its pure state
+machines and their drivers.
 
-An *entry* is one JSON value under a scope and a kind. A *version* is the state of all entries; it has an
-index, which only grows, and a mark: a checksum chained over all changes so far, which tells two histories
-apart that count alike. A *change* goes from one version to the next, whole or not at all. A *snapshot* is all
-entries of one version. A sidecar watches the scopes that concern it; the others' entries never reach it.
+An *entry* is one JSON value under a scope and a kind. A *version* is the state of all entries. It has an
+index, which only grows, and a mark: a checksum chained over all changes so far, which distinguishes two
+histories that reached the same index. A *change* leads from one version to the next and is applied
+atomically. A *snapshot* is all entries of one version. A sidecar watches only the scopes that apply to it;
+entries of other scopes are never sent to it.
 
-Times are whole microseconds of the caller's clock, as in `lupinmill.terms`."""
+Times are integer microseconds of the caller's clock, as in `lupinmill.terms`.
+"""
 
 from __future__ import annotations
 
@@ -18,60 +21,61 @@
     kind: str  # "settings", "zones", or "member/NAME"
 
 
-Entries = dict[Key, Any]  # JSON values; None, in changes alone: the entry is gone
+Entries = dict[Key, Any]  # JSON values; None, in changes only, removes the entry
 
-# Of scopes that name the same setting the later one goes before the earlier.
+# From widest to narrowest: a narrower scope overrides a wider one.
 SCOPES = ("fleet", "region", "zone", "service", "sidecar")
 SETTINGS, ZONES, MEMBER = "settings", "zones", "member/"
 
-MAX_REPLY_BYTES = 8 * 1024 * 1024  # bytes of an answer to a watch; no source publishes more than fits
+MAX_REPLY_BYTES = 8 * 1024 * 1024  # limit of a watch reply; a source publishes no more than fits
 
 
 @dataclass(frozen=True, slots=True)
 class Version:
-    index: int = 0  # 0: nothing is known
+    index: int = 0  # 0: no version known
     mark: str = ""
 
 
 @dataclass(slots=True)
 class Reply:
-    """What a watch answers: a snapshot, or the changes since the version that it was asked from. Of both, the
-    entries of the scopes asked for alone."""
+    """Reply to a watch: a snapshot, or the changes since the requested version, limited to the watched
+    scopes."""
 
     version: Version
     is_snapshot: bool
     entries: Entries
-    since: Version = field(default_factory=Version)  # that the changes lead on from; of changes alone
-    spread_ms: int = 0  # over so long this relay wants its callers to come again when they all lost it
+    since: Version = field(default_factory=Version)  # base version of the changes; unset in a snapshot
+    spread_ms: int = 0  # clients of this relay reconnect spread over this period when they all lose it
 
 
 @dataclass(slots=True)
 class Status:
-    """What one that watches says of itself with each call, upwards."""
+    """State that a watcher reports upstream with each call."""
 
     name: str
-    in_force: Version  # the one that this process goes by
-    refused: int = 0  # index of the newest version that it would not take; 0: none
-    why: str = ""  # the key, and what is wrong there
-    # Of a relay: the highest version that it was asked from and never had, so that a source which came back
-    # from an older backup hears of it also through relays. The relay's driver fills it from `History.ahead`.
+    in_force: Version  # the version this process runs with
+    refused: int = 0  # index of the newest version that was rejected; 0: none
+    why: str = ""  # the key and the error
+    # Set by relays: the highest version that a watcher asked from and this relay never had. It lets a source
+    # that was restored from an older backup learn of newer versions through relays. The relay's driver copies
+    # it from `History.ahead`.
     ahead: Version = field(default_factory=Version)
 
 
-# --- notes to `Follower`: a watch on relays (or sources), of a sidecar or of a relay -------------
+# --- events for `Follower`: a sidecar's or relay's watch on relays or sources --------------------
 
 
 @dataclass(slots=True)
 class ReplyReceived:
-    """The call that `Ask` ordered was answered."""
+    """The watch sent by `SendWatch` was answered."""
 
-    relay: str  # address of the relay
+    relay: str  # address
     reply: Reply
 
 
 @dataclass(slots=True)
 class WatchFailed:
-    """It was not: refused, broke, came to its time limit (silent), or what came can't be read (garbled)."""
+    """The watch failed: refused, disconnected, timed out (silent), or the reply was malformed (garbled)."""
 
     relay: str
     why: str
@@ -81,17 +85,17 @@
 
 @dataclass(slots=True)
 class VersionApplied:
-    """The version that `Apply` offered is in force."""
+    """The version passed in `ApplyVersion` is in force."""
 
     version: Version
 
 
 @dataclass(slots=True)
 class VersionRefused:
-    """It is not, and the one before stays in force, whole."""
+    """The version passed in `ApplyVersion` was rejected; the previous one stays in force unchanged."""
 
     version: Version
-    why: str  # the key, and what is wrong there
+    why: str  # the key and the error
 
 
 @dataclass(slots=True)
@@ -101,25 +105,26 @@
 
 FollowerEvent = ReplyReceived | WatchFailed | VersionApplied | VersionRefused | TimerFired
 
-# --- orders of `Follower` -----------------------------------------------------------------------
+# --- commands of `Follower` ----------------------------------------------------------------------
 
 
 @dataclass(slots=True)
 class SendWatch:
-    """A watch at this relay from the version held; from index 0 the snapshot, at once. One call is out at a
-    time; another `Ask` gives the one before it up."""
+    """Sends a watch to this relay from the held version; from index 0 the relay replies with a snapshot at
+    once. At most one watch is outstanding; a new `SendWatch` cancels the previous one."""
 
     relay: str
     since: Version
-    wait_us: int  # microseconds that the relay may hold it
-    deadline: int  # when the call counts as silent
+    wait_us: int  # how long the relay may hold the watch
+    deadline: int  # when the watch counts as timed out
 
 
 @dataclass(slots=True)
 class ApplyVersion:
-    """All entries held (of the scopes watched) as of this version, for reading alone; the driver says `Took`
-    or `Refused`. The next call waits for that word, a second at most, so as to carry it. A relay takes each
-    one; what it serves before it has kept it, it may lack after a restart, which harms nobody."""
+    """All held entries of the watched scopes as of this version, read-only. The driver answers with
+    `VersionApplied` or `VersionRefused`; the next watch is delayed for that, by at most one second, so that
+    it can report the outcome. A relay accepts every version and serves it before it is saved. After a restart
+    it may be missing; the relay then fetches it again."""
 
     version: Version
     entries: Entries
--- a/lupinmill/config/push.py
+++ b/lupinmill/config/push.py
@@ -1,8 +1,10 @@
-"""What is pushed to a source, read and checked before it is accepted. Pure.
+"""Parses and validates a push before a source accepts it. Pure.
 
-A file for `lupinmill config push`, TOML or JSON, names entries by where they stand:
-`[service.tender.settings]`, `[fleet.zones]`, `[zone.north.members.front-1]`; what a JSON file sets to null,
-and what `remove` lists as [SCOPE, KIND], is taken away. On the wire it is rows. Every fault names the key."""
+A file for `lupinmill config push`, TOML or JSON, addresses entries by scope and kind:
+`[service.tender.settings]`, `[fleet.zones]`, `[zone.north.members.front-1]`. Null values in a JSON file and
+[SCOPE, KIND] pairs listed under `remove` remove entries. On the wire a push is a list of rows. Every error
+names the key.
+"""
 
 from __future__ import annotations
 
@@ -16,20 +18,20 @@
 from lupinmill.program.operators_file import BadFile, MemberEntry, Zones, known_keys
 from lupinmill.protocol import settings as platform_settings
 
-MAX_ENTRIES = 25_000  # in one push
-MEMBERS_TABLE = "members"  # in a file: the table of the entries of kind `member/NAME`
+MAX_ENTRIES = 25_000  # per push
+MEMBERS_TABLE = "members"  # in a file: the table of entries of kind `member/NAME`
 REMOVE_KEY = "remove"
 
 
 class InvalidPush(ValueError):
-    """The text is one line that names the key."""
+    """The message is one line that names the key."""
 
 
-# --- a file --------------------------------------------------------------------------------------
+# --- files -----------------------------------------------------------------------------------------
 
 
 def parse_entries(table: dict[str, Any]) -> Entries:
-    """Raises BadPush."""
+    """Raises InvalidPush."""
     entries: Entries = {}
     for level, part in table.items():
         if level == REMOVE_KEY:
@@ -84,12 +86,13 @@
     return result
 
 
-# --- checks --------------------------------------------------------------------------------------
+# --- validation ------------------------------------------------------------------------------------
 
 
 def check(entries: Entries, changes: Entries) -> None:
-    """What these changes make of the entries. Raises BadPush. Guards against a version that each sidecar
-    would refuse; what stands only in a sidecar's own file is for the sidecar to say."""
+    """Validates the entries with the changes applied, so that no version is published that every sidecar
+    would reject. Conflicts with a sidecar's own file are left for the sidecar to report. Raises InvalidPush.
+    """
     if not changes:
         raise InvalidPush("entries: none")
     if len(changes) > MAX_ENTRIES:
@@ -117,8 +120,8 @@
 
 
 def overlapping_scopes(after: Entries, touched: set[str]) -> list[tuple[str, ...]]:
-    """Scopes whose settings meet in one sidecar, as far as these alone tell: what is for all, and each
-    service's or sidecar's over it, of those that the changes touch."""
+    """Pairs of scopes whose settings are merged in one sidecar, as far as the entries alone determine it: the
+    fleet with each service or sidecar, limited to pairs that the changes touch."""
     present = [key.scope for key, value in after.items() if key.kind == SETTINGS and value is not None]
     fleet = SCOPES[0]
     if fleet not in present:
@@ -128,8 +131,9 @@
 
 
 def check_settings(place: str, entries: Entries) -> None:
-    """Of the scopes of one sidecar, merged as it merges them, over nothing. As far as keys are present: what
-    is missing here stands in a wider scope or in the sidecar's own file. Raises BadPush."""
+    """Validates the settings of one sidecar's scopes, merged in the same way as there but over an empty base.
+    Only keys that are present are checked; missing ones may come from a wider scope or from the sidecar's own
+    file. Raises InvalidPush."""
     try:
         for value in entries.values():
             checks.check_known_keys(value)
@@ -147,7 +151,7 @@
 
 
 def with_defaults(fields: platform_settings.Fields) -> platform_settings.Fields:
-    """Rows laid over others by their names need not be whole: what must be there and isn't counts as good."""
+    """Rows merged by name may be partial: fills missing required keys with valid values."""
     result = dict(fields)
     for index in range(int(platform_settings.number_at(fields, "workloads.count", "0"))):
         for key, default in (*((key, "1") for key in platform_settings.SPANS), ("repeat", "once")):
@@ -183,7 +187,7 @@
 
 
 def check_addresses(after: Entries) -> None:
-    """Of a member that stands in several scopes the same address may stand there; of two members not."""
+    """One member may have the same address in several scopes; two members may not share one."""
     owners: dict[str, str] = {}
     for key, value in after.items():
         if value is not None and value != merge.REMOVED_MEMBER and key.kind.startswith(MEMBER):
--- a/lupinmill/config/relay.py
+++ b/lupinmill/config/relay.py
@@ -1,8 +1,10 @@
-"""A running relay, or the source: its parts put together, its signals, its end.
+"""A running relay or source: assembly of its parts, signal handling and shutdown.
 
-A relay serves a version as soon as it has it, and keeps it beside that: a full disk must not hold the fleet
-back, and what is lost with the process comes again from upstream. A source keeps a version before it serves
-it, and does not start with a file that can't be read: nothing may fall back. Owns the kept file's lock."""
+A relay serves a version immediately and saves it in the background: a full disk must not hold up the fleet,
+and a version lost with the process is fetched from upstream again. A source saves a version before serving it
+and refuses to start with an unreadable file, so that the fleet never falls back to older content. Owns the
+lock of the stored file.
+"""
 
 from __future__ import annotations
 
@@ -34,26 +36,28 @@
 if TYPE_CHECKING:
     from lupinmill.config.driver import ConfigWatch
 
-# Microseconds. A silent upstream is noticed two seconds after the wait: short, as all below wait with it.
-UPSTREAM_WAIT_US, UPSTREAM_SPREAD_US = 6_000_000, 1_000_000  # of the watch upstream; of relays that come anew
-SAVE_RETRY_S = 5.0  # seconds before a disk that refused is tried again
-DRAIN_S = 3.0  # seconds at most in which watchers are sent away
-LAST_ANSWERS_S = 0.5  # seconds for those to be read
-TASK_RETRY_S = 0.1  # seconds before a task that failed goes on
+# Watch on the upstream. It is short, because a silent upstream is only noticed two seconds after the wait,
+# and everything below is delayed by that.
+UPSTREAM_WAIT_US, UPSTREAM_SPREAD_US = 6_000_000, 1_000_000  # the spread applies when relays reconnect
+SAVE_RETRY_S = 5.0
+DRAIN_S = 3.0  # limit for telling watchers to leave
+LAST_ANSWERS_S = 0.5  # time for the last answers to be read
+TASK_RETRY_S = 0.1  # delay before a failed task is restarted
 OWN_DESCRIPTORS = 64
 
 
 class StartError(Exception):
-    """The text is the one line."""
+    """The message is one line."""
 
 
 class StableStore:
-    """The last version on disk, written by a thread, the newest first; this process alone has the file."""
+    """Saves the last version to disk in a thread; if saves fall behind, only the newest is kept. Holds an
+    exclusive lock on the file."""
 
     def __init__(self, path: str, log: Log) -> None:
-        """Raises BadStart."""
+        """Raises StartError."""
         self.path, self.log = Path(path), log
-        self.index = 0  # of the version on disk
+        self.index = 0  # of the saved version
         self.failing = ""
         self.unsaved: tuple[Version, Entries] | None = None
         self.save_requested = anyio.Event()
@@ -67,7 +71,7 @@
             fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError as error:
             os.close(self.lock)
-            raise StartError(f"keep: {path}: another process has it") from error
+            raise StartError(f"keep: {path}: locked by another process") from error
 
     def schedule_save(self, version: Version, entries: Entries) -> None:
         self.unsaved = version, entries
@@ -98,7 +102,7 @@
 
 
 class UpstreamFollower(Follower):
-    """A relay's own watch: it tells upwards also of versions that its own watchers had and it never did."""
+    """A relay's own watch. It also reports versions that its watchers hold and the relay never had."""
 
     history: History
 
@@ -110,7 +114,7 @@
 
 class Relay:
     def __init__(self, file: RelayFile, log: Log) -> None:
-        """Raises BadStart. Listens already."""
+        """Raises StartError. The listeners are open on return."""
         self.file, self.log, self.clock = file, log, Clock()
         raise_descriptor_limit(file.most_watchers)
         self.store = StableStore(file.keep, log)
@@ -145,15 +149,15 @@
         self.upstream_watch = None if file.is_source else self.open_upstream_watch()
 
     def load_initial(self) -> tuple[Version, Entries]:
-        """What was kept. A source that has nothing begins with a first version, empty."""
+        """Loads the stored version. A source without one starts with an empty first version."""
         try:
             found = stable_store.load(self.file.keep)
         except stable_store.StableStoreError as error:
             if self.file.is_source:
                 raise StartError(
-                    f"keep: {error}; a source begins with what it published last: restore it from a backup"
+                    f"keep: {error}; a source needs its last published version: restore it from a backup"
                 ) from error
-            self.log("keep_damaged", error=str(error), begins="with nothing, and asks upstream")
+            self.log("keep_damaged", error=str(error), begins="empty, fetching from upstream")
             return Version(), {}
         if found is None and self.file.is_source:
             history = History(Version(), {})
@@ -186,16 +190,17 @@
         follower.history = self.history
         return ConfigWatch(follower, (), Store(), self.apply_version, self.log)
 
-    # What is new.
+    # --- new versions ---
 
     def apply_version(self, version: Version, entries: Entries) -> str | None:
-        """From upstream: each one is taken, served at once, kept as soon as the disk has time."""
+        """Accepts a version from upstream: serves it at once and schedules the save."""
         try:
             self.history.replace(version, entries)
         except ValueError as error:
             return str(error)
         changes = self.history.changes
-        too_large = not changes or changes[-1].version != version  # too large a change to be kept as one
+        # the change exceeds the history's limits and was dropped
+        too_large = not changes or changes[-1].version != version
         changed = self.history.entries_by_scope if too_large else {key.scope for key in changes[-1].entries}
         self.announce(version, frozenset(changed))
         self.store.schedule_save(version, self.history.entries)
@@ -225,7 +230,7 @@
             **self.fanout.show(self.clock.now()),
         }
 
-    # The running program.
+    # --- main loop ---
 
     async def run(self, *, task_status: Any = anyio.TASK_STATUS_IGNORED) -> None:
         try:
@@ -250,7 +255,9 @@
                     task_status.started(self.watch_server.address)
                     async for signum in signals:
                         if signum is signal.SIGHUP:
-                            self.log("reload_refused", error="a relay's file wants a new start")
+                            self.log(
+                                "reload_refused", error="a relay's file only takes effect after a restart"
+                            )
                             continue
                         self.log("leaving", signal=signum.name, watchers=len(self.fanout.waiting))
                         break
@@ -264,7 +271,7 @@
         self.log("stopped")
 
     async def run_with_restarts(self, task: Callable[[], Awaitable[None]]) -> None:
-        """One defect in a task that lasts as long as the program must not end the program."""
+        """Restarts a long-running task after an unexpected exception instead of ending the program."""
         while True:
             try:
                 return await task()
@@ -280,12 +287,12 @@
 
 
 def raise_descriptor_limit(watchers: int) -> None:
-    """Raises BadStart: a relay that runs out of them later would turn its fleet away."""
+    """Raises StartError, because running out of descriptors later would reject the relay's watchers."""
     wanted = watchers + OWN_DESCRIPTORS * 3
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft != resource.RLIM_INFINITY and soft < wanted:
         if hard != resource.RLIM_INFINITY and hard < wanted:
             raise StartError(
-                f"most_watchers: {watchers} want {wanted} descriptors, the system lets it have {hard}"
+                f"most_watchers: {watchers} needs {wanted} file descriptors, but the system's limit is {hard}"
             )
         resource.setrlimit(resource.RLIMIT_NOFILE, (wanted, hard))
--- a/lupinmill/config/relay_file.py
+++ b/lupinmill/config/relay_file.py
@@ -1,7 +1,8 @@
-"""The file of one relay, or of the source: TOML, read into a closed type.
+"""The configuration file of a relay or source: TOML, parsed into a closed type.
 
-What has no `upstreams` is the source: it alone takes pushes, and all others follow it. Every fault is one
-line that names the key."""
+A file without `upstreams` is the source: only it accepts pushes, and all relays follow it. Every error is one
+line that names the key.
+"""
 
 from __future__ import annotations
 
@@ -14,22 +15,20 @@
 
 from lupinmill.program.operators_file import LONGEST_NAME, BadFile, known_keys, usable
 
-MAX_FILE_BYTES = 64 * 1024  # bytes of the file
+MAX_FILE_BYTES = 64 * 1024
 MAX_UPSTREAMS = 8
 
 
 class RelayFile(Struct, forbid_unknown_fields=True, frozen=True):
     name: str
-    listen: str  # where sidecars and other relays watch
-    keep: str  # the file of the last state; beside it a new one is written before it takes its place
-    operator: str = ""  # where operators ask and, at the source, push
-    upstreams: list[
-        str
-    ] = []  # sources or relays, another one asked when one is silent; none: this is the source
-    sidecars: int = 400  # that are expected to watch here
-    calls_per_s: float = 200.0  # that it takes after a restart, when all of them come again
-    most_watchers: int = 1_000  # at a time; one more is told to come again
-    memory_mb: float = 64.0  # of answers on their way, all together
+    listen: str  # for watches of sidecars and relays
+    keep: str  # file of the last version; a temporary file beside it replaces it
+    operator: str = ""  # for operators' requests and, at a source, pushes
+    upstreams: list[str] = []  # sources or relays, with failover between them; empty: this is the source
+    sidecars: int = 400  # expected watchers
+    calls_per_s: float = 200.0  # accepted rate when all of them reconnect after a restart
+    most_watchers: int = 1_000  # at a time; more are told to retry later
+    memory_mb: float = 64.0  # for replies being sent
 
     @property
     def is_source(self) -> bool:
@@ -37,7 +36,7 @@
 
     @property
     def spread_ms(self) -> int:
-        """Over so long callers that lost this relay are to come again."""
+        """Period over which clients that lost this relay reconnect."""
         return math.ceil(1000 * self.sidecars / self.calls_per_s)
 
 
@@ -52,7 +51,7 @@
             raise BadFile(f"over {MAX_FILE_BYTES} bytes")
         return parse(tomllib.loads(data.decode()))
     except UnicodeDecodeError as error:
-        raise BadFile(f"{path}: no UTF-8") from error
+        raise BadFile(f"{path}: not UTF-8") from error
     except (tomllib.TOMLDecodeError, BadFile) as error:
         raise BadFile(f"{path}: {error}") from error
 
@@ -70,47 +69,47 @@
 
 def check(file: RelayFile) -> None:
     if not 0 < len(file.name.encode()) <= LONGEST_NAME or not file.name.isprintable():
-        raise BadFile(f"name: wants 1 to {LONGEST_NAME} bytes")
+        raise BadFile(f"name: must be 1 to {LONGEST_NAME} printable bytes")
     usable(file.listen, "listen")
     if file.operator:
         usable(file.operator, "operator")
         if file.operator == file.listen:
-            raise BadFile("operator: is `listen`; operators need an address of their own")
+            raise BadFile("operator: must differ from `listen`; operators need a separate address")
     elif file.is_source:
         raise BadFile("operator: missing; without it nobody can push to a source (a file without upstreams)")
     if not file.keep.startswith("/"):
-        raise BadFile("keep: wants a whole path")
+        raise BadFile("keep: must be an absolute path")
     if len(file.upstreams) > MAX_UPSTREAMS:
-        raise BadFile(f"upstreams: wants {MAX_UPSTREAMS} at most")
-    for at, upstream in enumerate(file.upstreams):
-        usable(upstream, f"upstreams.{at}")
+        raise BadFile(f"upstreams: must be at most {MAX_UPSTREAMS}")
+    for index, upstream in enumerate(file.upstreams):
+        usable(upstream, f"upstreams.{index}")
         if upstream == file.listen:
-            raise BadFile(f"upstreams.{at}: is `listen`, this relay itself")
-        if upstream in file.upstreams[:at]:
-            raise BadFile(f"upstreams.{at}: {upstream} is named twice")
-    for key, value, least, most in (
+            raise BadFile(f"upstreams.{index}: is `listen`, the relay's own address")
+        if upstream in file.upstreams[:index]:
+            raise BadFile(f"upstreams.{index}: {upstream} is listed twice")
+    for key, value, minimum, maximum in (
         ("sidecars", file.sidecars, 1, 100_000),
         ("calls_per_s", file.calls_per_s, 1, 100_000),
         ("most_watchers", file.most_watchers, 1, 20_000),
         ("memory_mb", file.memory_mb, 32, 4_096),
     ):
-        if not least <= value <= most:
-            raise BadFile(f"{key}: wants {least} to {most}")
+        if not minimum <= value <= maximum:
+            raise BadFile(f"{key}: must be {minimum} to {maximum}")
 
 
 def describe(file: RelayFile) -> list[str]:
-    """For a person: what it will do."""
+    """Lines for an operator that say what a relay with this file does."""
     if file.is_source:
-        lines = [f"{file.name} is a source: pushes are taken at {file.operator} and kept in {file.keep}"]
+        lines = [f"{file.name} is a source: accepts pushes at {file.operator}, saves them in {file.keep}"]
     else:
-        lines = [f"{file.name} follows {' or '.join(file.upstreams)} and keeps the last state in {file.keep}"]
+        lines = [f"{file.name} follows {' or '.join(file.upstreams)} and saves versions in {file.keep}"]
         if len(file.upstreams) == 1:
-            lines.append("caution: one upstream; while that is away nothing new comes here")
+            lines.append("caution: one upstream; while it is unavailable no new versions arrive")
     lines.append(
-        f"{file.sidecars} sidecars are expected at {file.listen}, {file.most_watchers} watchers are taken; "
-        f"after a restart they come again over {file.spread_ms / 1000:g} s, {file.calls_per_s:g} a second"
+        f"{file.sidecars} sidecars are expected at {file.listen}, {file.most_watchers} watchers accepted; "
+        f"after a restart they reconnect over {file.spread_ms / 1000:g} s, {file.calls_per_s:g} per second"
     )
     if file.most_watchers < file.sidecars:
-        lines.append("caution: most_watchers is under sidecars: some will be sent away")
-    lines.append("the network must be a trusted one: there are no keys and no sign-in")
+        lines.append("caution: most_watchers is less than sidecars: some will be rejected")
+    lines.append("the network must be trusted: connections are neither encrypted nor authenticated")
     return lines
--- a/lupinmill/config/server.py
+++ b/lupinmill/config/server.py
@@ -1,8 +1,9 @@
-"""Listeners of a relay: bytes to calls, answers back, by the HTTP of all other listeners.
+"""HTTP listeners of a relay, with the same protocol code as all other listeners.
 
-Owns the listening socket, a task a connection, and what is counted of answers on their way. An answer's bytes
-are one object for all that get it; a connection holds that and a block of 16 KiB while it is written, and
-nothing but its socket and its task while it waits. Who does not read an answer within its time is cut off."""
+Owns the listening socket, one task per connection, and the accounting of replies being sent. The bytes of a
+reply are shared by all connections that get it; a connection adds a block of 16 KiB while it writes, and only
+its socket and task while it waits. A client that does not read its reply in time is disconnected.
+"""
 
 from __future__ import annotations
 
@@ -31,21 +32,21 @@
 from lupinmill.transport.listener import Listener
 from lupinmill.transport.ring import Shelf, Store
 
-WRITE_TIMEOUT_S = 10.0  # seconds for an answer to be read
-CALL_TIMEOUT_S = 2.5  # seconds from a call's first byte to its last
-MAX_CALL_BYTES = 64 * 1024  # bytes of a call's body, which a watch has no use for
-SINGLE_WRITE_BYTES = 8 * 1024  # bytes of an answer that go out in one piece with their head
-EXTRA_CONNECTIONS = 64  # connections beyond the watchers, for those that are told to come again
+WRITE_TIMEOUT_S = 10.0  # for the client to read an answer
+CALL_TIMEOUT_S = 2.5  # from a request's first byte to its last
+MAX_CALL_BYTES = 64 * 1024  # of a request body; watches have none
+SINGLE_WRITE_BYTES = 8 * 1024  # answers up to this size are sent together with their head
+EXTRA_CONNECTIONS = 64  # beyond the watchers, to answer those that are rejected
 JSON_HEADERS = [(b"Content-Type", b"application/json")]
 
 
 def descriptors_for(connections: int) -> Descriptors:
-    """So that a quarter left for others and what is `OWN` leaves this many."""
+    """Enough that `connections` remain after the quarter left for others and the `OWN` ones."""
     return Descriptors(math.ceil(connections * 4 / 3) + OWN + 4)
 
 
 class HttpServer:
-    """Connections at one address, call after call. Who inherits says what an answer is."""
+    """Serves keep-alive connections on one address. Subclasses implement `answer`."""
 
     call_timeout_s, max_body_bytes = CALL_TIMEOUT_S, MAX_CALL_BYTES
 
@@ -54,8 +55,8 @@
         self.store, self.descriptors = Store(), descriptors_for(connections)
         self.listener = Listener(address, self.descriptors, self.store)
         self.address = self.listener.address
-        self.draining = False  # each answer ends its connection
-        self.cut_off = 0  # that did not read
+        self.draining = False  # each answer then closes its connection
+        self.cut_off = 0  # connections closed because the client did not read
 
     async def run(self, group: TaskGroup) -> None:
         await self.listener.run(group, self.serve)
@@ -65,7 +66,7 @@
             with client:
                 await self.handle_calls(client, admitted)
         except (OSError, TimeoutError):
-            pass  # the other side broke or is stuck: all it held is given back above
+            pass  # the client disconnected or stalled; everything held was released above
         except Exception as error:
             self.log("task_failed", task="caller", **defect(error))
 
@@ -95,7 +96,7 @@
             side.feed(data)
             request = side.next_request()
         if request is None:
-            with anyio.fail_after(self.call_timeout_s):  # however it trickles
+            with anyio.fail_after(self.call_timeout_s):  # in total, however slowly the bytes arrive
                 while request is None:
                     if go_ahead := side.go_ahead():
                         await client.send(go_ahead)
@@ -106,14 +107,14 @@
         return request
 
     async def answer(self, client: Client, side: ServerSide, request: Request) -> bool:
-        """True when the connection serves another call."""
+        """Returns whether the connection can serve another request."""
         raise NotImplementedError
 
     async def send_unavailable(self, client: Client, side: ServerSide) -> bool:
         return await self.write(client, side, plain(503, "too many connections\n"), True)
 
     async def write(self, client: Client, side: ServerSide, answer: Answer, close: bool = False) -> bool:
-        """Bytes of some size go out as they are, never copied whole."""
+        """Sends large bodies without copying them."""
         close = close or self.draining or client.overrun
         data = side.begin(answer, len(answer.body), close)
         body = side.part(answer.body) if answer.body else b""
@@ -135,7 +136,7 @@
 
 
 class Watcher:
-    """One watch, from its call to its answer."""
+    """One waiting watch."""
 
     def __init__(self) -> None:
         self.outcome: SendReply | RejectWatch | None = None
@@ -143,7 +144,7 @@
 
 
 class WatchServer(HttpServer):
-    """Drives the fan-out: calls to notes, orders to answers, one timer."""
+    """Drives the fan-out: turns requests into events, commands into replies, and runs its timer."""
 
     def __init__(
         self, address: str, fanout: Fanout, max_watches: int, reply_memory: int, clock: Clock, log: Log
@@ -153,15 +154,15 @@
         self.tokens = itertools.count(1)
         self.watchers: dict[int, Watcher] = {}
         self.shelf = Shelf(reply_memory)
-        self.sending: dict[int, int] = {}  # by identity of an answer's bytes: how many connections write it
+        self.sending: dict[int, int] = {}  # by id of a reply's bytes: number of connections sending it
         self.timer_at: int | None = None
         self.timer_changed = anyio.Event()
-        self.refused = 0  # calls that there was no room for
+        self.refused = 0  # requests rejected for lack of capacity
 
-    # The core.
+    # --- fan-out ---
 
     def step(self, *events: FanoutEvent) -> None:
-        """Orders arise and are carried out in one go; none leads to another note at once."""
+        """Executes all commands of a step; none of them causes another event synchronously."""
         for command in self.fanout.step(self.clock.now(), list(events)):
             if isinstance(command, SendReply | RejectWatch):
                 if (watcher := self.watchers.pop(command.token, None)) is not None:
@@ -182,7 +183,7 @@
             self.timer_at = None
             self.step(TimerFired())
 
-    # Calls.
+    # --- requests ---
 
     async def answer(self, client: Client, side: ServerSide, request: Request) -> bool:
         watch = wire.decode_watch(request)
@@ -196,7 +197,7 @@
     async def wait_for_outcome(
         self, client: Client, watch: wire.WatchRequest
     ) -> SendReply | RejectWatch | None:
-        """None where the caller left, and is forgotten."""
+        """None if the client disconnected."""
         token, watcher = next(self.tokens), Watcher()
         self.watchers[token] = watcher
         try:
@@ -211,7 +212,7 @@
         return watcher.outcome
 
     async def send_reply(self, client: Client, side: ServerSide, data: bytes) -> bool:
-        """Bytes of all answers on their way are bounded, however slowly each is read."""
+        """Limits the total bytes of replies being sent, however slowly clients read."""
         key = id(data)
         if key not in self.sending and not self.shelf.lease(len(data)):
             return await self.send_unavailable(client, side)
@@ -228,12 +229,12 @@
         self.refused += 1
         spread = math.ceil(self.fanout.spread_ms / 1000)
         headers = [(b"Retry-After", b"%d" % spread)]
-        answer = plain(503, f"no room here; come again within {spread} s, or ask another relay\n", headers)
+        answer = plain(503, f"at capacity; retry within {spread} s or ask another relay\n", headers)
         return await self.write(client, side, answer, True)
 
     async def drain(self, duration_s: float, chance: random.Random) -> None:
-        """Sends all that wait away, one after the other over `within` seconds: each asks another relay, and
-        these are not to be asked by all at once."""
+        """Rejects all waiting watches one by one over `duration_s` seconds, so that they do not all reach
+        another relay at once."""
         self.draining = True
         self.listener.pause()
         self.listener.close()
@@ -251,7 +252,7 @@
 
 
 class AdminServer(HttpServer):
-    """Operators' calls, few at a time: `carry_out` gives the answer."""
+    """Serves a few operator connections; `handle` answers the requests."""
 
     def __init__(
         self, address: str, handle: Callable[[Request], Awaitable[Answer]], max_body_bytes: int, log: Log
--- a/lupinmill/config/source.py
+++ b/lupinmill/config/source.py
@@ -1,8 +1,9 @@
-"""The source's own part: each new version is on its disk before anyone is told of it.
+"""The source's write path: each new version is on disk before any watcher gets it.
 
-Two histories: `made` has a version as soon as it is pushed, `served`, which watches are answered from, once
-it is kept. A source that lost a version which was in force somewhere would make another of the same index.
-Owns `made`; one push at a time."""
+There are two histories: `working` has a version as soon as it is pushed; `served`, from which watches are
+answered, only once it is saved. A source that lost a version already in force somewhere would reuse its index
+for a different one. Owns `working`; pushes are serialized.
+"""
 
 from __future__ import annotations
 
@@ -19,15 +20,15 @@
 
 
 class IndexMismatch(Exception):
-    """The push was meant for another version than the present one."""
+    """The push expected another current version."""
 
 
 class VersionNotKept(Exception):
-    """The history does not reach back to that version."""
+    """The history no longer retains that version."""
 
 
 class SaveFailed(Exception):
-    """The disk did not take the version: nobody was told of it, and all is as before."""
+    """The version could not be written to disk: it was not published, and nothing has changed."""
 
 
 class Source:
@@ -39,20 +40,20 @@
         self.lock = anyio.Lock()
 
     async def push(self, changes: Entries, if_index: int | None = None) -> Version:
-        """Raises BadPush, Behind, Unlike, NotKept; then nothing has changed."""
+        """Raises InvalidPush, SourceBehind, IndexMismatch or SaveFailed, leaving everything unchanged."""
         async with self.lock:
             self.check_index(if_index)
-            # In a thread: a change for the fleet is checked together with those of all services.
+            # In a thread, as a fleet-wide change is checked against the settings of every service.
             await to_thread.run_sync(push.check, self.working.entries, changes)
             return await self.publish(partial(self.working.push, changes))
 
     async def rollback(self, to: int, if_index: int | None = None) -> Version:
-        """The content of that version as a new one."""
+        """Publishes the content of an earlier version as a new one."""
         async with self.lock:
             self.check_index(if_index)
             changes = difference(
                 self.working.entries, self.entries_at(to)
-            )  # accepted once, so not checked again
+            )  # validated when it was first pushed
             return await self.publish(partial(self.working.push, changes))
 
     async def restore(self) -> Version:
@@ -76,9 +77,9 @@
             )
 
     async def publish(self, make: Callable[[], Version]) -> Version:
-        """Made, kept, told; where the disk refuses, taken back."""
+        """Creates a version, saves it and serves it; undoes it if the save fails."""
         working, served = self.working, self.served
-        working.ahead = served.ahead  # watches come to the other one
+        working.ahead = served.ahead  # watches are answered from `served`, so only it observes versions
         before, entries = working.version, working.entries
         version = make()
         if version == before:
@@ -87,7 +88,7 @@
         try:
             await to_thread.run_sync(stable_store.save, self.path, version, working.entries)
         except OSError as error:
-            self.working = History(served.version, served.entries)  # what rolls back is in `served`
+            self.working = History(served.version, served.entries)  # `served` still has the previous version
             self.working.restored_index = served.restored_index
             raise SaveFailed(f"{self.path}: {error.strerror}; the version was not published") from error
         if working.restored_index > served.restored_index:
--- a/lupinmill/config/stable_store.py
+++ b/lupinmill/config/stable_store.py
@@ -1,8 +1,9 @@
-"""The last version and its entries on disk: one file, replaced whole. Blocks for the disk: not for an event
-loop.
+"""Stores the last version and its entries on disk in one file, which is replaced atomically. The calls block
+on the disk, so they must not run on an event loop.
 
-A file holds the format, an 8-byte xxhash of the rest, then a JSON table. What is cut or damaged is said,
-never half believed."""
+A file holds the format, an 8-byte xxhash of the rest, and a JSON table. A truncated or corrupt file is
+reported and none of it is used.
+"""
 
 from __future__ import annotations
 
@@ -23,11 +24,11 @@
 
 
 class StableStoreError(Exception):
-    """The file can't be used, and is left as it is; the text, one line, says why."""
+    """The file is unusable and was left unchanged; the message is one line with the reason."""
 
 
 def save(path: str | Path, version: Version, entries: Entries) -> None:
-    """Raises OSError, and then the file is as before, and nothing else is left beside it."""
+    """Raises OSError; the previous file is then unchanged and no temporary file is left."""
     path = Path(path)
     body = orjson.dumps({"index": version.index, "mark": version.mark, "entries": encode_rows(entries)})
     temporary = path.with_name(f".{path.name}.new")
@@ -49,7 +50,7 @@
     flags = os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_NOFOLLOW | os.O_CLOEXEC
     descriptor = os.open(path, flags, 0o600)
     try:
-        os.fchmod(descriptor, 0o600)  # a file left by a process that was killed may have had another mode
+        os.fchmod(descriptor, 0o600)  # a file left by a killed process may have another mode
         remaining = memoryview(data)
         while remaining:
             remaining = remaining[os.write(descriptor, remaining) :]
@@ -59,7 +60,7 @@
 
 
 def load(path: str | Path) -> tuple[Version, Entries] | None:
-    """None: there is no file. Raises BadKeep."""
+    """None if there is no file. Raises StableStoreError."""
     try:
         with open(path, "rb") as file:
             data = file.read(MAX_FILE_BYTES + 1)
@@ -70,13 +71,13 @@
     if len(data) > MAX_FILE_BYTES:
         raise StableStoreError(f"{path}: too large")
     if data[:3] == FORMAT_FAMILY and len(data) > 3 and data[3:4] > FORMAT_MAGIC[3:]:
-        raise StableStoreError(f"{path}: of a format that this release does not know")
+        raise StableStoreError(f"{path}: unknown format, written by a later release")
     if (
         len(data) < HEADER_BYTES
         or data[:4] != FORMAT_MAGIC
         or xxhash.xxh64(data[HEADER_BYTES:]).digest() != data[4:HEADER_BYTES]
     ):
-        raise StableStoreError(f"{path}: cut or damaged")
+        raise StableStoreError(f"{path}: truncated or corrupt")
     try:
         table = parse_table(data[HEADER_BYTES:])
         return read_version(table, "index", "mark"), read_rows(table.get("entries"), allow_null=False)
--- a/lupinmill/config/watcher_table.py
+++ b/lupinmill/config/watcher_table.py
@@ -1,5 +1,5 @@
-"""What those who watch say of themselves: which version is in force where, who lags, who refuses and why, and
-how long versions took. Pure; every table is bounded. Times are whole microseconds."""
+"""Table of watchers: which version each has in force, which lag or reject a version and why, and how long
+versions take to come into force. Pure; every table is bounded. Times are integer microseconds."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 from lupinmill.config.history import History
 from lupinmill.config.model import Status
 
-ALL_SCOPES = ""  # in tables by scope: of one that watches all scopes
-MAX_PENDING = 64  # versions whose coming into force is awaited of one watcher
-MAX_VERSIONS = 4_096  # versions whose time here is remembered
-AWAY_AFTER_WAITS = 3  # waits without a word
+ALL_SCOPES = ""  # key in scope tables for watchers of all scopes
+MAX_PENDING = 64  # versions per watcher that are not in force there yet
+MAX_VERSIONS = 4_096  # versions whose arrival time is retained
+AWAY_AFTER_WAITS = 3  # missed waits
 MIN_AWAY_US = 5_000_000
-FORGET_AFTER_US = 3_600_000_000  # after its last word
-MAX_REASON_CHARS = 200  # characters
-# Upper edges of the time in force's classes: a tenth apart, from a millisecond to half an hour.
+FORGET_AFTER_US = 3_600_000_000  # after its last status
+MAX_REASON_CHARS = 200
+# Upper bucket bounds: steps of 10 % from 1 ms to about half an hour.
 BUCKET_EDGES_US = tuple(round(1_000 * 1.1**step) for step in range(152))
 
 
 class LatencyHistogram:
-    """How long versions took to be in force: counts by class, the longest exact. Microseconds."""
+    """Histogram of the time until versions are in force, in microseconds; the maximum is exact."""
 
     def __init__(self) -> None:
         self.counts: dict[int, int] = {}
@@ -42,7 +42,7 @@
         self.longest = max(self.longest, longest)
 
     def quantile(self, share: float) -> int | None:
-        """By which this share of them was in force, a tenth too late at most; None where there are none."""
+        """Upper estimate of the quantile, at most 10 % too high; None if the histogram is empty."""
         remaining = share * self.count
         for bucket in sorted(self.counts):
             remaining -= self.counts[bucket]
@@ -65,15 +65,15 @@
 
 @dataclass(slots=True)
 class WatcherRow:
-    """What one that watches, by its name, has said."""
+    """The last reported state of one watcher, by name."""
 
     scopes: tuple[str, ...]
     status: Status
     last_heard: int
     wait: int
-    due: int  # index of the newest version that concerns it
-    pending: deque[int] = field(default_factory=deque)  # those that concern it and are not in force there
-    waiting_token: int = 0  # the token of its watch, while it waits
+    due: int  # index of the newest version that affects it
+    pending: deque[int] = field(default_factory=deque)  # versions that affect it and are not in force there
+    waiting_token: int = 0  # token of its waiting watch; 0: none
 
 
 def discard_from(table: dict[str, set[Any]], scope: str, item: Any) -> None:
@@ -86,18 +86,16 @@
 class WatcherTable:
     def __init__(self, history: History, max_watchers: int) -> None:
         self.history, self.max_watchers = history, max_watchers
-        self.rows: OrderedDict[str, WatcherRow] = OrderedDict()  # the one heard longest ago first
+        self.rows: OrderedDict[str, WatcherRow] = OrderedDict()  # least recently heard first
         self.by_scope: dict[str, set[str]] = {}  # names
-        self.newest_index = dict.fromkeys(
-            history.entries_by_scope, history.version.index
-        )  # by scope: its newest change
-        # By index: when each version came, and the scopes of what it changed.
+        self.newest_index = dict.fromkeys(history.entries_by_scope, history.version.index)
+        # By index: arrival time and changed scopes of each version.
         self.versions: OrderedDict[int, tuple[int, frozenset[str]]] = OrderedDict()
-        self.sidecar_times = LatencyHistogram()  # until sidecars told that a version is in force, ...
-        self.relay_times = LatencyHistogram()  # ... and until relays told that they have it
+        self.sidecar_times = LatencyHistogram()  # until sidecars report a version in force
+        self.relay_times = LatencyHistogram()  # until relays report having it
 
     def version_available(self, now: int, index: int, scopes: frozenset[str]) -> None:
-        """The history has this version now."""
+        """Records that the history now has this version."""
         self.versions[index] = now, scopes
         if len(self.versions) > MAX_VERSIONS:
             self.versions.popitem(last=False)
@@ -109,7 +107,8 @@
                     if len(row.pending) < MAX_PENDING:
                         row.pending.append(index)
         self.newest_index.update(dict.fromkeys(scopes, index))
-        if len(self.newest_index) > 2 * len(self.history.entries_by_scope) + 1_000:  # of scopes long empty
+        # drops scopes that have been empty for long
+        if len(self.newest_index) > 2 * len(self.history.entries_by_scope) + 1_000:
             self.newest_index = {
                 scope: index
                 for scope, index in self.newest_index.items()
@@ -117,7 +116,7 @@
             }
 
     def record_status(self, now: int, status: Status, scopes: tuple[str, ...], wait: int) -> None:
-        """It may hold the watch for `wait` before it says more."""
+        """`wait` is how long the watcher's call may be held before the next status is due."""
         name = status.name
         row = self.rows.get(name)
         if row is None:
@@ -146,7 +145,7 @@
             row.due = self.history.version.index
         row.pending = deque()
         held = row.status.in_force.index
-        if held:  # it may come from another relay: what it missed on its way counts as well
+        if held:  # it may have moved here from another relay: versions it missed meanwhile count too
             for index, (_, changed) in reversed(self.versions.items()):
                 if index <= held or len(row.pending) >= MAX_PENDING:
                     break
@@ -162,7 +161,7 @@
         return not row.waiting_token and now - row.last_heard > max(MIN_AWAY_US, AWAY_AFTER_WAITS * row.wait)
 
     def watch_ended(self, name: str, token: int) -> None:
-        """That watch waits no more."""
+        """The watch no longer waits."""
         if (row := self.rows.get(name)) is not None and row.waiting_token == token:
             row.waiting_token = 0
 
--- a/lupinmill/config/wire.py
+++ b/lupinmill/config/wire.py
@@ -1,6 +1,6 @@
-"""The watch on configuration on HTTP/1.1, in the published form of discovery's: `index`, `wait`, a snapshot
-or changes. Pure: requests and answers to and from what `model` says. Whatever the bytes, one error a
-direction: `Malformed` for requests, `Garbled` for answers."""
+"""Encodes and decodes the configuration watch over HTTP/1.1, in the published format of discovery's watch:
+`index`, `wait`, and a snapshot or changes. Pure. Decoding raises only `Malformed` for requests and `Garbled`
+for replies, whatever the input."""
 
 from __future__ import annotations
 
@@ -25,12 +25,12 @@
 from lupinmill.protocol.http import Answer, Garbled, Malformed, Request
 
 PATH = b"/v1/config"
-MAX_SCOPES = 64  # in one watch
-MAX_WAIT_MS = 60_000  # milliseconds
-MAX_REASON_CHARS = 200  # characters of a refusal's reason
-MAX_SPREAD_MS = 600_000  # milliseconds
-MAX_DEPTH = 32  # nesting of a value; orjson writes no more than 254
-MAX_INDEX = 2**53 - 1  # index
+MAX_SCOPES = 64  # per watch
+MAX_WAIT_MS = 60_000
+MAX_REASON_CHARS = 200  # of the reason for a rejected version
+MAX_SPREAD_MS = 600_000
+MAX_DEPTH = 32  # nesting of a value; orjson cannot encode more than 254 levels
+MAX_INDEX = 2**53 - 1  # largest integer that every JSON implementation represents exactly
 KIND_WORD = re.compile(r"[a-z][a-z_-]{0,31}")
 MARK = re.compile(r"[A-Za-z0-9._-]{0,32}")
 DIGITS = re.compile(r"[0-9]{1,16}")
@@ -49,7 +49,7 @@
 
 
 def is_valid_name(text: str) -> bool:
-    """1 to 64 bytes that can be shown, as members' names in the operators' file."""
+    """1 to 64 printable bytes, as for member names in the operators' file."""
     return text.isprintable() and 0 < len(text.encode()) <= 64
 
 
@@ -60,21 +60,21 @@
 
 
 def is_valid_kind(text: str) -> bool:
-    """One that a source of this release publishes."""
+    """Kinds that a source of this release publishes."""
     return text in (SETTINGS, ZONES) or text.startswith(MEMBER) and is_valid_name(text[len(MEMBER) :])
 
 
 def is_well_formed_kind(text: str) -> bool:
-    """One that a relay passes on: a later release may have kinds that this one knows nothing of."""
+    """Kinds that a relay forwards: a later release may define kinds unknown to this one."""
     word, slash, name = text.partition("/")
     return KIND_WORD.fullmatch(word) is not None and (not slash or is_valid_name(name))
 
 
-# --- the call ------------------------------------------------------------------------------------
+# --- request -------------------------------------------------------------------------------------
 
 
 def encode_watch(since: Version, wait_ms: int, scopes: tuple[str, ...], status: Status) -> Request:
-    """A watch from this version on; from index 0 the snapshot. Without scopes: all of them."""
+    """A watch from this version; from index 0 it requests a snapshot. Without scopes: all of them."""
     pairs = [("index", str(since.index)), ("mark", since.mark), ("wait", str(wait_ms))]
     pairs += [("scope", scope) for scope in scopes]
     pairs += [
@@ -92,7 +92,7 @@
 
 
 class WatchRequest:
-    """What a call asks for."""
+    """A decoded watch request."""
 
     __slots__ = ("since", "wait_ms", "scopes", "status")
 
@@ -101,7 +101,7 @@
 
 
 def decode_watch(request: Request) -> WatchRequest:
-    """Raises Malformed with what is wrong; nothing else, whatever came."""
+    """Raises Malformed, and nothing else, for any invalid request."""
     if request.method != b"GET":
         raise Malformed(405, "only GET", trusted=True)
     path, _, query = request.target.partition(b"?")
@@ -135,7 +135,7 @@
             errors="strict",
             max_num_fields=MAX_SCOPES + len(SINGLE_KEYS),
         )
-    except ValueError as error:  # also bytes that are no ASCII, escapes that are no UTF-8
+    except ValueError as error:  # also raised for non-ASCII bytes and escapes that are not UTF-8
         raise Malformed(400, "query: can't be read", trusted=True) from error
     single: dict[str, str] = {}
     scopes: dict[str, None] = {}
@@ -168,7 +168,7 @@
     return Version(query_number(single, index, MAX_INDEX), single.get(mark, ""))
 
 
-# --- the answer ----------------------------------------------------------------------------------
+# --- reply ---------------------------------------------------------------------------------------
 
 
 def encode_rows(entries: Entries) -> list[dict[str, Any]]:
@@ -190,11 +190,11 @@
 
 
 def decode_reply(answer: Answer) -> Reply:
-    """Raises Garbled for anything but a good answer; nothing else, whatever came."""
+    """Raises Garbled, and nothing else, for any invalid reply."""
     if answer.status != 200:
-        raise Garbled(f"a watch on configuration was answered {answer.status}")
+        raise Garbled(f"configuration: the relay answered with status {answer.status}")
     if len(answer.body) > MAX_REPLY_BYTES:
-        raise Garbled("configuration: the answer is too large")
+        raise Garbled("configuration: the reply is too large")
     table = parse_table(answer.body)
     is_snapshot = table.get("snapshot")
     if not isinstance(is_snapshot, bool):
@@ -232,12 +232,12 @@
     return Version(whole_number(table, index, MAX_INDEX), value)
 
 
-def read_rows(found: Any, allow_null: bool) -> Entries:
-    """The entries of a list of rows; `gone`: a value may be null, which takes the entry away."""
-    if not isinstance(found, list):
+def read_rows(rows: Any, allow_null: bool) -> Entries:
+    """Entries from a list of rows. With `allow_null` a value may be null, which removes the entry."""
+    if not isinstance(rows, list):
         raise Garbled("configuration: entries are not a list")
     entries: Entries = {}
-    for row in found:
+    for row in rows:
         if not isinstance(row, dict) or "value" not in row:
             raise Garbled("configuration: an entry without a value")
         scope, kind, value = row.get("scope"), row.get("kind"), row["value"]
@@ -271,7 +271,8 @@
 
 
 def decode_push(table: Any) -> Entries:
-    """The rows of a push, `{"entries": [...]}`; null takes an entry away. Raises Garbled, in one line."""
+    """Entries from the body of a push, `{"entries": [...]}`; null removes an entry. Raises Garbled with one
+    line."""
     if not isinstance(table, dict):
         raise Garbled("configuration: not a table")
     if other := sorted(set(table) - {"entries"}, key=str):
--- a/tests/test_config_core.py
+++ b/tests/test_config_core.py
@@ -394,12 +394,12 @@
     source.push({TWO: 2})
     gap = source.reply(between, ())
     run.answer(gap)
-    assert run.follower.version == held and "don't lead on from version 5" in run.logs[-1]
+    assert run.follower.version == held and "changes not based on version 5" in run.logs[-1]
     at = run.asks[-1].relay
     ask = run.until_asked()
     assert ask.since == Version() and ask.relay == at
     run.answer(gap)  # once more: this relay is then no use
-    assert run.follower.version == held and "changes where the snapshot was asked for" in run.logs[-1]
+    assert run.follower.version == held and "changes although a snapshot was requested" in run.logs[-1]
     ask = run.until_asked()
     assert ask.relay != at and ask.since == held
     run.answer(source.reply(held, ()))
@@ -415,7 +415,7 @@
     run.answer(source.reply(between, ()))
     run.answer(source.reply(run.until_asked().since, ()))
     assert run.applies[-1] == ApplyVersion(source.version, source.entries)
-    assert "snapshot of version 7 in place of 5" in run.logs[-1]
+    assert "snapshot of version 7 replaces 5" in run.logs[-1]
     run.took()
     assert run.until_asked().since == source.version  # changes again
 
@@ -426,7 +426,10 @@
     run = in_step(source)
     bad = run.asks[-1].relay
     run.answer(Reply(states[2][0], whole, states[2][1], states[1][0]))
-    assert run.follower.version == source.version and "it is at version 3, this one at 5" in run.logs[-1]
+    assert (
+        run.follower.version == source.version
+        and "its version 3 is older than the held version 5" in run.logs[-1]
+    )
     assert len(run.applies) == 1
     run.until_asked()
     assert run.asks[-1].relay != bad and run.follower.relay_states[bad].behind_until > run.now
@@ -439,7 +442,7 @@
     run.answer(Reply(Version(5, "else"), True, {FLEET: "else"}))
     assert (
         run.follower.version == source.version
-        and "its version 5 is another than the one here" in run.logs[-1]
+        and "its version 5 differs from the held version 5" in run.logs[-1]
     )
     assert run.until_asked().relay != bad and len(run.applies) == 1
     run.answer(Reply(Version(6, "else"), True, {FLEET: "newer"}))  # beyond: that one goes on
@@ -464,7 +467,8 @@
     run.until_asked()
     run.answer(source.reply(before, ()))
     assert (
-        run.applies[-1] == ApplyVersion(source.version, source.entries) and "answers, after" in run.logs[-1]
+        run.applies[-1] == ApplyVersion(source.version, source.entries)
+        and "answers again after" in run.logs[-1]
     )
 
 
@@ -1004,7 +1008,7 @@
 def test_a_later_format_is_said_and_left_as_it_is(tmp_path):
     path = tmp_path / "config"
     path.write_bytes(b"lmc2 whatever")
-    with pytest.raises(stable_store.StableStoreError, match="does not know"):
+    with pytest.raises(stable_store.StableStoreError, match="unknown format"):
         stable_store.load(path)
     assert path.read_bytes() == b"lmc2 whatever"
     path.write_bytes(b"\0" * (stable_store.MAX_FILE_BYTES + 1))
@@ -1045,9 +1049,7 @@
 def test_file_and_directory_are_on_disk_before_it_counts_as_kept(tmp_path, monkeypatch):
     real, calls = os.fsync, []
     rename = os.rename
-    monkeypatch.setattr(
-        os, "fsync", lambda fd: (calls.append(stat.S_ISDIR(os.fstat(fd).st_mode)), real(fd))
-    )
+    monkeypatch.setattr(os, "fsync", lambda fd: (calls.append(stat.S_ISDIR(os.fstat(fd).st_mode)), real(fd)))
     monkeypatch.setattr(os, "rename", lambda *paths: (calls.append("renamed"), rename(*paths)))
     stable_store.save(tmp_path / "config", *KEPT)
     assert calls == [False, "renamed", True]
--- a/tests/test_config_relay.py
+++ b/tests/test_config_relay.py
@@ -125,7 +125,7 @@
                 {FLEET: {"instances": 2}},
             )
             assert (await run.push({FLEET: {"instances": 2}})) == (status, text)  # changes nothing
-            with pytest.raises(StartError, match="another process has it"):
+            with pytest.raises(StartError, match="locked by another process"):
                 Relay(source_file(tmp_path), print)
             version = run.relay.history.version
         async with running(source_file(tmp_path)) as run:
--- a/tests/test_config_sidecar.py
+++ b/tests/test_config_sidecar.py
@@ -332,7 +332,7 @@
         assert (await net.ask(wanted("s2", "view"))).status == 200
         lines = [fields for event, fields in net.logs if event == "config" and "error" in fields]
         said_ = {
-            "cut": "cut or damaged",
+            "cut": "truncated or corrupt",
             "other scopes": "other scopes",
             "unfit": "settings.workloads.3",
             "fixed": "settings.tier: wants a new start",
@@ -359,7 +359,7 @@
 def test_a_disk_that_fails_holds_nothing_up_and_is_said_once(tmp_path, monkeypatch):
     from lupinmill.config import driver
 
-    monkeypatch.setattr(driver, "DISK_AGAIN", 0.01)
+    monkeypatch.setattr(driver, "SAVE_RETRY_S", 0.01)
     full, save = [True], stable_store.save
 
     def failing(path, version, entries):
@@ -373,11 +373,15 @@
         for at in range(3):
             await net.in_force({FLEET: {"instances": at + 2}})
         await anyio.sleep(0.1)
-        lines = [more for event, more in net.logs if event == "config" and "can't be kept" in more["text"]]
+        lines = [more for event, more in net.logs if event == "config" and "cannot save" in more["text"]]
         assert len(lines) == 1 and "No space left" in lines[0]["error"]
         full[0] = False
         await until(lambda: net.program.in_force.watch.saved_index == 3)
-        assert any("kept again" in fields["text"] for event, fields in net.logs if event == "config")
+        assert any(
+            "saved the version in force after" in fields["text"]
+            for event, fields in net.logs
+            if event == "config"
+        )
         assert stable_store.load(tmp_path / "kept")[0].index == 3
 
     network(check, fine, keep=str(tmp_path / "kept"))
