--- a/tests/config_bed.py
+++ b/tests/config_bed.py
@@ -1,11 +1,11 @@
-"""What tests of configuration share: names of entries, and the version of one who has none."""
+"""Shared by the configuration tests: entry keys and the empty version."""
 
 from lupinmill.config.model import Key, Version
 
 SECOND = 1_000_000
 FLEET = Key("fleet", "settings")
-NOTHING = Version()
+NO_VERSION = Version()
 
 
-def of_service(name: str) -> Key:
+def service_settings(name: str) -> Key:
     return Key(f"service/{name}", "settings")
--- a/tests/test_config_core.py
+++ b/tests/test_config_core.py
@@ -1,4 +1,4 @@
-"""The pure cores of `config/`: history, follower, the watch on the wire, the kept file."""
+"""The pure parts of `config/`: history, follower, the watch's wire format, and the stored file."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lupinmill.config import follower as following
+from lupinmill.config import follower as follower_module
 from lupinmill.config import stable_store, wire
 from lupinmill.config.follower import MS, SECOND, Follower
 from lupinmill.config.history import (
@@ -60,16 +60,16 @@
 versions = st.builds(Version, st.integers(0, wire.MAX_INDEX), st.text("0123456789abcdef", max_size=32))
 
 
-def part(entries: Entries, watched: tuple[str, ...]) -> Entries:
+def in_scopes(entries: Entries, watched: tuple[str, ...]) -> Entries:
     return {key: value for key, value in entries.items() if not watched or key.scope in watched}
 
 
-def taken(entries: Entries, reply: Reply) -> Entries:
+def apply_reply(entries: Entries, reply: Reply) -> Entries:
     return reply.entries if reply.is_snapshot else apply_changes(entries, reply.entries)
 
 
-def exactly(entries: Entries) -> bytes:
-    """Apart where Python's equality is not: 1, 1.0 and True."""
+def canonical(entries: Entries) -> bytes:
+    """Distinguishes 1, 1.0 and True, which compare equal in Python."""
     return orjson.dumps(sorted([*key, orjson.dumps(value).decode()] for key, value in entries.items()))
 
 
@@ -84,8 +84,8 @@
     st.sampled_from([100, 700, 100_000]),
 )
 def test_a_snapshot_and_changes_are_the_later_snapshot(pushes, watched, max_changes, max_bytes):
-    """From every version that ever was, for any scopes, however little is kept; also through a relay that was
-    told of some versions only. None among the pushes is a restore."""
+    """From every version that ever existed, for any scopes and however few changes are retained; also through
+    a relay that received only some of the versions. None among the pushes stands for a restore."""
     source = History(Version(), {}, max_changes, max_bytes)
     relay = History(Version(), {}, max_changes, max_bytes)
     states = {source.version: source.entries}
@@ -95,7 +95,7 @@
             source.restore()
         else:
             source.push(entries)
-        unchanged = entries is not None and exactly(states[before]) == exactly(source.entries)
+        unchanged = entries is not None and canonical(states[before]) == canonical(source.entries)
         assert (source.version == before) == unchanged
         states[source.version] = source.entries
         if number % 3:
@@ -107,15 +107,15 @@
             assert len(history.newest_changes) <= len(SCOPES)
             for since, entries_then in states.items():
                 reply = history.reply(since, watched)
-                got = taken(part(entries_then, watched), reply)
-                assert exactly(got) == exactly(part(states[history.version], watched))
+                got = apply_reply(in_scopes(entries_then, watched), reply)
+                assert canonical(got) == canonical(in_scopes(states[history.version], watched))
                 assert reply.version == history.version and reply.since == since
                 assert reply.is_snapshot == (since.index == 0 or not history.knows(since))
                 newer = since != history.version
                 told = newer and (reply.is_snapshot or not watched or bool(reply.entries))
                 assert history.has_changes(since, watched) == told
                 if history.knows(since):
-                    assert exactly(history.entries_at(since)) == exactly(entries_then)
+                    assert canonical(history.entries_at(since)) == canonical(entries_then)
     assert source.ahead is None
     assert (relay.ahead is not None) == (relay.version != source.version)
 
@@ -156,7 +156,7 @@
     assert history.push({FLEET: {"b": 2, "a": 1}, ONE: None}) == first == history.version
     assert history.push({FLEET: {"a": True, "b": 2}}).index == 2
     assert history.push({FLEET: {"a": 1.0, "b": 2}}).index == 3
-    assert history.reply(first, ()).entries == {FLEET: {"a": 1.0, "b": 2}}  # of a key the last
+    assert history.reply(first, ()).entries == {FLEET: {"a": 1.0, "b": 2}}  # only the last value of a key
 
 
 @pytest.mark.parametrize(
@@ -195,36 +195,36 @@
     assert history.version == Version(5, "a") and history.entries == {FLEET: 1}
 
 
-def sources(count: int = 5) -> tuple[History, list[tuple[Version, Entries]]]:
+def source_with_versions(count: int = 5) -> tuple[History, list[tuple[Version, Entries]]]:
     source = History(Version(), {})
     return source, [(source.push({FLEET: at, ONE: at // 2}), source.entries) for at in range(count)]
 
 
 def test_a_source_back_from_an_older_backup_pushes_nothing_until_it_is_restored():
-    _, states = sources()
+    _, states = source_with_versions()
     source = History(*states[1])
     reply = source.reply(states[4][0], ())
     assert reply.is_snapshot and reply.version == states[1][0] and source.ahead == states[4][0]
     source.reply(states[3][0], ())
-    assert source.ahead == states[4][0]  # the highest
+    assert source.ahead == states[4][0]  # the highest is retained
     with pytest.raises(SourceBehind, match="version 5 is about, which this source never made .its own: 2."):
         source.push({FLEET: "new"})
     assert source.version == states[1][0]
     restored = source.restore()
     assert restored.index == 6 and source.entries == states[1][1] and source.ahead is None
-    assert source.reply(states[4][0], ()).entries == states[1][1]  # a snapshot, which they can take
-    assert source.ahead is None  # who comes late with the overruled ones does not stop it anew
+    assert source.reply(states[4][0], ()).entries == states[1][1]  # a snapshot, which newer watchers accept
+    assert source.ahead is None  # a late watcher with a superseded version does not block pushes again
     assert source.push({FLEET: "new"}).index == 7
 
 
 def test_a_fork_is_noticed_at_the_same_index_within_what_is_kept_and_at_the_index_of_a_restore():
     for index in (5, 3):
-        source, _ = sources()
+        source, _ = source_with_versions()
         source.observe_version(Version(index, "else"))
         assert source.ahead == Version(index, "else")
         assert source.restore().index == 6 and source.ahead is None
         source.observe_version(Version(index, "else"))
-        assert source.ahead is None  # overruled
+        assert source.ahead is None  # superseded by the restore
         source.observe_version(Version(6, "else"))  # another source restored to the same index
         assert source.ahead == Version(6, "else") and source.restore().index == 7
 
@@ -238,7 +238,7 @@
 
 
 def test_a_relay_that_catches_up_forgets_what_it_was_behind():
-    _, states = sources()
+    _, states = source_with_versions()
     relay = History(*states[1])
     relay.reply(states[3][0], ())
     assert relay.ahead == states[3][0]
@@ -247,7 +247,7 @@
 
 
 def test_a_change_costs_a_watch_of_other_scopes_nothing():
-    source, states = sources()
+    source, states = source_with_versions()
     version = source.push({TWO: 1})
     since = states[-1][0]
     assert not source.has_changes(since, ("fleet", "service/one"))
@@ -259,17 +259,19 @@
 # --- follower ------------------------------------------------------------------------------------
 
 
-def made(relays: tuple[str, ...] = ("a", "b", "c"), seed: int = 1, spread: int = 4 * SECOND) -> Follower:
+def make_follower(
+    relays: tuple[str, ...] = ("a", "b", "c"), seed: int = 1, spread: int = 4 * SECOND
+) -> Follower:
     return Follower("s", relays, seed, 20 * SECOND, spread, Version(), {})
 
 
-class Run:
-    """A follower and the clock; what it orders by kinds."""
+class FollowerHarness:
+    """Runs a follower in virtual time and records its commands by type."""
 
     def __init__(self, follower: Follower) -> None:
         self.follower, self.now = follower, 0
-        self.seen: SendWatch | None = None  # the call that was looked at last
-        self.asks: list[SendWatch] = []
+        self.last_seen: SendWatch | None = None  # the watch last returned by `next_watch`
+        self.watches: list[SendWatch] = []
         self.applies: list[ApplyVersion] = []
         self.logs: list[str] = []
         self.wake = 0
@@ -278,7 +280,7 @@
     def step(self, *events) -> None:
         for command in self.follower.step(self.now, list(events)):
             if isinstance(command, SendWatch):
-                self.asks.append(command)
+                self.watches.append(command)
             elif isinstance(command, ApplyVersion):
                 self.applies.append(command)
             elif isinstance(command, LogLine):
@@ -287,12 +289,12 @@
                 assert isinstance(command, SetTimer)
                 self.wake = command.at
 
-    def until_asked(self) -> SendWatch:
-        """The next call; time passes until it goes out."""
+    def next_watch(self) -> SendWatch:
+        """Advances the time until the next watch is sent, and returns it."""
         for _ in range(10):
-            if self.follower.outstanding is not None and self.follower.outstanding is not self.seen:
-                self.seen = self.follower.outstanding
-                return self.seen
+            if self.follower.outstanding is not None and self.follower.outstanding is not self.last_seen:
+                self.last_seen = self.follower.outstanding
+                return self.last_seen
             assert self.wake > self.now
             self.now = max(self.now, self.wake)
             self.step(TimerFired())
@@ -300,69 +302,69 @@
 
     def answer(self, reply: Reply, after: int = MS) -> None:
         self.now += after
-        self.step(ReplyReceived(self.asks[-1].relay, reply))
+        self.step(ReplyReceived(self.watches[-1].relay, reply))
 
-    def took(self) -> None:
+    def confirm_applied(self) -> None:
         self.now += MS
         self.step(VersionApplied(self.applies[-1].version))
 
 
-def in_step(source: History) -> Run:
-    """One that holds the source's newest version, with its next call out."""
-    run = Run(made())
-    run.until_asked()
+def up_to_date(source: History) -> FollowerHarness:
+    """A follower that holds the source's newest version and has its next watch outstanding."""
+    run = FollowerHarness(make_follower())
+    run.next_watch()
     run.answer(source.reply(Version(), ()))
-    run.took()
-    run.until_asked()
+    run.confirm_applied()
+    run.next_watch()
     return run
 
 
 def test_the_snapshot_first_then_changes_and_the_next_call_at_once_with_the_new_status():
-    source, _ = sources(1)
-    run = Run(made())
-    first = run.until_asked()
+    source, _ = source_with_versions(1)
+    run = FollowerHarness(make_follower())
+    first = run.next_watch()
     assert first.since == Version() and run.now <= 4 * SECOND
     run.answer(source.reply(first.since, ()))
     assert run.applies[-1] == ApplyVersion(source.version, source.entries)
-    assert len(run.asks) == 1  # until the word comes, so that the call can carry it
-    run.took()
-    second = run.until_asked()
+    assert len(run.watches) == 1  # held back for the outcome, so that the next watch reports it
+    run.confirm_applied()
+    second = run.next_watch()
     assert second.since == source.version == run.follower.status().in_force
     assert run.now - first.deadline < 0 and second.relay == first.relay
     before = source.version
     run.now += SECOND
     source.push({TWO: 1})
     run.answer(source.reply(before, ()))
-    run.took()
+    run.confirm_applied()
     assert run.applies[-1] == ApplyVersion(source.version, source.entries)
-    assert run.until_asked().since == source.version and not run.logs
+    assert run.next_watch().since == source.version and not run.logs
 
 
 def test_a_word_that_does_not_come_does_not_stop_the_watch():
-    source, _ = sources(1)
-    run = Run(made())
-    run.answer(source.reply(run.until_asked().since, ()))
+    source, _ = source_with_versions(1)
+    run = FollowerHarness(make_follower())
+    run.answer(source.reply(run.next_watch().since, ()))
     came = run.now
-    run.until_asked()
-    assert run.now == came + following.APPLY_WAIT_US and run.follower.status().in_force == Version()
+    run.next_watch()
+    assert run.now == came + follower_module.APPLY_WAIT_US and run.follower.status().in_force == Version()
 
 
 def test_two_changes_in_one_pass_are_one_offer_of_the_newest():
-    source, states = sources(3)
-    run = Run(made())
-    run.answer(source.reply(run.until_asked().since, ()))
-    for _ in range(2):  # while the first is offered, two more come
+    source, states = source_with_versions(3)
+    run = FollowerHarness(make_follower())
+    run.answer(source.reply(run.next_watch().since, ()))
+    for _ in range(2):  # two more versions arrive while the first is being applied
         source.push({TWO: source.version.index})
-        run.until_asked()
-        run.answer(source.reply(run.asks[-1].since, ()))
+        run.next_watch()
+        run.answer(source.reply(run.watches[-1].since, ()))
     assert [one.version for one in run.applies] == [states[2][0]]
-    run.took()
+    run.confirm_applied()
     assert run.applies[-1] == ApplyVersion(source.version, source.entries) and len(run.applies) == 2
 
 
 def test_a_refused_version_stays_refused_until_a_newer_comes_and_goes_up():
-    source, _ = sources(2)
-    run = in_step(source)
+    source, _ = source_with_versions(2)
+    run = up_to_date(source)
     old = source.version
     source.push({ONE: "bad"})
     run.answer(source.reply(old, ()))
@@ -373,21 +375,21 @@
     assert status.why.startswith("service/one: bad") and len(status.why) == wire.MAX_REASON_CHARS
     count = len(run.applies)
     for _ in range(3):
-        run.until_asked()
-        run.answer(source.reply(run.asks[-1].since, ()), 15 * SECOND)
-    assert len(run.applies) == count  # nothing new: not offered again
+        run.next_watch()
+        run.answer(source.reply(run.watches[-1].since, ()), 15 * SECOND)
+    assert len(run.applies) == count  # no new version, so it is not offered again
     source.push({ONE: "good"})
-    run.until_asked()
-    run.answer(source.reply(run.asks[-1].since, ()))
+    run.next_watch()
+    run.answer(source.reply(run.watches[-1].since, ()))
     run.step(VersionApplied(Version(99, "not offered")))
     assert run.follower.status().refused
-    run.took()
+    run.confirm_applied()
     assert run.follower.status() == Status("s", source.version) and run.applies[-1].entries == source.entries
 
 
 def test_changes_over_a_gap_are_not_applied_and_the_snapshot_is_asked_for_once():
-    source, states = sources()
-    run = in_step(source)
+    source, states = source_with_versions()
+    run = up_to_date(source)
     held = source.version
     source.push({TWO: 1})
     between = source.version
@@ -395,76 +397,76 @@
     gap = source.reply(between, ())
     run.answer(gap)
     assert run.follower.version == held and "changes not based on version 5" in run.logs[-1]
-    at = run.asks[-1].relay
-    ask = run.until_asked()
-    assert ask.since == Version() and ask.relay == at
-    run.answer(gap)  # once more: this relay is then no use
+    at = run.watches[-1].relay
+    watch = run.next_watch()
+    assert watch.since == Version() and watch.relay == at
+    run.answer(gap)  # a second time: the relay is now skipped
     assert run.follower.version == held and "changes although a snapshot was requested" in run.logs[-1]
-    ask = run.until_asked()
-    assert ask.relay != at and ask.since == held
+    watch = run.next_watch()
+    assert watch.relay != at and watch.since == held
     run.answer(source.reply(held, ()))
     assert run.applies[-1] == ApplyVersion(source.version, source.entries)
 
 
 def test_a_gap_is_closed_by_the_snapshot_and_said():
-    source, _ = sources()
-    run = in_step(source)
+    source, _ = source_with_versions()
+    run = up_to_date(source)
     source.push({TWO: 1})
     between = source.version
     source.push({TWO: 2})
     run.answer(source.reply(between, ()))
-    run.answer(source.reply(run.until_asked().since, ()))
+    run.answer(source.reply(run.next_watch().since, ()))
     assert run.applies[-1] == ApplyVersion(source.version, source.entries)
     assert "snapshot of version 7 replaces 5" in run.logs[-1]
-    run.took()
-    assert run.until_asked().since == source.version  # changes again
+    run.confirm_applied()
+    assert run.next_watch().since == source.version  # back to changes
 
 
 @pytest.mark.parametrize("whole", [True, False])
 def test_an_older_version_is_not_taken_and_its_relay_is_put_behind(whole):
-    source, states = sources()
-    run = in_step(source)
-    bad = run.asks[-1].relay
+    source, states = source_with_versions()
+    run = up_to_date(source)
+    bad = run.watches[-1].relay
     run.answer(Reply(states[2][0], whole, states[2][1], states[1][0]))
     assert (
         run.follower.version == source.version
         and "its version 3 is older than the held version 5" in run.logs[-1]
     )
     assert len(run.applies) == 1
-    run.until_asked()
-    assert run.asks[-1].relay != bad and run.follower.relay_states[bad].behind_until > run.now
+    run.next_watch()
+    assert run.watches[-1].relay != bad and run.follower.relay_states[bad].behind_until > run.now
 
 
 def test_a_fork_is_not_taken_and_is_said():
-    source, _ = sources()
-    run = in_step(source)
-    bad = run.asks[-1].relay
+    source, _ = source_with_versions()
+    run = up_to_date(source)
+    bad = run.watches[-1].relay
     run.answer(Reply(Version(5, "else"), True, {FLEET: "else"}))
     assert (
         run.follower.version == source.version
         and "its version 5 differs from the held version 5" in run.logs[-1]
     )
-    assert run.until_asked().relay != bad and len(run.applies) == 1
-    run.answer(Reply(Version(6, "else"), True, {FLEET: "newer"}))  # beyond: that one goes on
+    assert run.next_watch().relay != bad and len(run.applies) == 1
+    run.answer(Reply(Version(6, "else"), True, {FLEET: "newer"}))  # a higher index is accepted
     assert run.applies[-1] == ApplyVersion(Version(6, "else"), {FLEET: "newer"})
 
 
 def test_an_hour_cut_off_ends_with_changes_and_the_log_stays_short():
-    source, _ = sources()
-    run = in_step(source)
+    source, _ = source_with_versions()
+    run = up_to_date(source)
     begun = run.now
     while run.now < begun + 3600 * SECOND:
-        if run.follower.outstanding is not None and len(run.asks) % 2:
+        if run.follower.outstanding is not None and len(run.watches) % 2:
             run.now += MS
-            run.step(WatchFailed(run.asks[-1].relay, "refused"))
+            run.step(WatchFailed(run.watches[-1].relay, "refused"))
         else:
             run.now = run.wake
             run.step(TimerFired())
-    assert run.follower.status().in_force == source.version and len(run.asks) > 200
+    assert run.follower.status().in_force == source.version and len(run.watches) > 200
     assert 2 <= len(run.logs) <= 10
     before = source.version
     source.push({TWO: "while away"})
-    run.until_asked()
+    run.next_watch()
     run.answer(source.reply(before, ()))
     assert (
         run.applies[-1] == ApplyVersion(source.version, source.entries)
@@ -473,229 +475,235 @@
 
 
 def test_a_silent_relay_is_left_at_its_time():
-    source, _ = sources()
-    run = in_step(source)
-    ask = run.asks[-1]
+    source, _ = source_with_versions()
+    run = up_to_date(source)
+    watch = run.watches[-1]
     assert (
-        0.8 * 20 * SECOND <= ask.wait_us <= 20 * SECOND
-        and ask.deadline == run.now + ask.wait_us + following.MIN_MARGIN_US
+        0.8 * 20 * SECOND <= watch.wait_us <= 20 * SECOND
+        and watch.deadline == run.now + watch.wait_us + follower_module.MIN_MARGIN_US
     )
-    run.now = ask.deadline - 1
+    run.now = watch.deadline - 1
     run.step(TimerFired())
     assert run.follower.outstanding is not None
     run.now = run.wake
     run.step(TimerFired())
     assert run.follower.outstanding is None and "silent" in run.logs[-1]
-    run.step(ReplyReceived(ask.relay, source.reply(Version(), ())))  # too late: nobody waits for it
-    assert run.until_asked().relay != ask.relay and run.now - ask.deadline <= 4 * SECOND
+    run.step(ReplyReceived(watch.relay, source.reply(Version(), ())))  # too late: the watch was abandoned
+    assert run.next_watch().relay != watch.relay and run.now - watch.deadline <= 4 * SECOND
 
 
 @pytest.mark.parametrize("relays", [("a",), ("a", "b", "c")])
 @pytest.mark.parametrize("late", [3 * SECOND, 9 * SECOND, 25 * SECOND])
 def test_relays_that_are_all_slow_are_heard(relays, late):
-    """Seen failing: each call was given up 2 s after its wait and made anew elsewhere, for ever."""
-    source, _ = sources()
-    run = Run(made(relays))
+    """Guards against a livelock: each watch was abandoned 2 s after its wait and restarted at another relay,
+    forever."""
+    source, _ = source_with_versions()
+    run = FollowerHarness(make_follower(relays))
     begun = run.now
     while run.follower.version != source.version and run.now < begun + 600 * SECOND:
-        ask = run.until_asked()
-        due = run.now + ask.wait_us + late
-        if due < ask.deadline:
+        watch = run.next_watch()
+        due = run.now + watch.wait_us + late
+        if due < watch.deadline:
             run.now = due
-            run.step(ReplyReceived(ask.relay, source.reply(ask.since, ())))
+            run.step(ReplyReceived(watch.relay, source.reply(watch.since, ())))
             continue
-        run.now = ask.deadline
+        run.now = watch.deadline
         run.step(TimerFired())
     assert run.follower.version == source.version, (run.now - begun) // SECOND
-    ask = run.until_asked()
+    watch = run.next_watch()
     run.answer(source.reply(run.follower.version, ()))
     assert (
-        run.follower.relay_states[ask.relay].margin_us == following.MIN_MARGIN_US
-    )  # quick again: a silent one is soon left
+        run.follower.relay_states[watch.relay].margin_us == follower_module.MIN_MARGIN_US
+    )  # fast again, so a silent relay is noticed soon
 
 
 def test_one_slow_relay_among_quick_ones_widens_no_limit():
-    source, _ = sources()
-    run = in_step(source)
+    source, _ = source_with_versions()
+    run = up_to_date(source)
     for _ in range(6):
-        ask = run.until_asked()
-        if ask.relay == run.asks[0].relay:
-            run.now = ask.deadline
+        watch = run.next_watch()
+        if watch.relay == run.watches[0].relay:
+            run.now = watch.deadline
             run.step(TimerFired())
         else:
-            run.answer(source.reply(ask.since, ()), ask.wait_us)
-    assert all(one.margin_us == following.MIN_MARGIN_US for one in run.follower.relay_states.values())
+            run.answer(source.reply(watch.since, ()), watch.wait_us)
+    assert all(one.margin_us == follower_module.MIN_MARGIN_US for one in run.follower.relay_states.values())
 
 
 def test_garbage_doubles_the_time_that_a_relay_is_behind_and_the_only_one_is_still_asked():
-    run = Run(made(("a",), spread=SECOND))
+    run = FollowerHarness(make_follower(("a",), spread=SECOND))
     penalties = []
     for _ in range(12):
-        run.until_asked()
+        run.next_watch()
         run.now += MS
         run.step(WatchFailed("a", "{", garbled=True))
         penalties.append(run.follower.relay_states["a"].penalty_us)
-    assert penalties == [min(following.MAX_PENALTY_US, 2 * SECOND << at) for at in range(12)]
-    assert run.now <= 12 * 1.26 * SECOND  # asked all the while
-    source, _ = sources()
-    run.until_asked()
+    assert penalties == [min(follower_module.MAX_PENALTY_US, 2 * SECOND << at) for at in range(12)]
+    assert run.now <= 12 * 1.26 * SECOND  # it is asked throughout
+    source, _ = source_with_versions()
+    run.next_watch()
     run.answer(source.reply(Version(), ()))
     assert run.follower.relay_states["a"].penalty_us == 0 and run.applies
 
 
 def test_a_relay_that_lies_is_asked_seldom_while_another_is_there():
-    """It answers with nothing that can be taken; the other breaks now and then, so that each has turns."""
-    source, _ = sources()
-    run, counts = Run(made(("good", "liar"), spread=SECOND)), Counter()
+    """One relay sends only unusable replies; the other fails now and then, so that both get asked."""
+    source, _ = source_with_versions()
+    run, counts = FollowerHarness(make_follower(("good", "liar"), spread=SECOND)), Counter()
     while run.now < 600 * SECOND:
-        ask = run.until_asked()
-        counts[ask.relay] += 1
-        if ask.relay == "liar":
+        watch = run.next_watch()
+        counts[watch.relay] += 1
+        if watch.relay == "liar":
             run.answer(Reply(Version(1 if run.follower.version.index else 0, ""), True, {}))
         elif counts["good"] % 10 == 0:
             run.now += MS
             run.step(WatchFailed("good", "broke"))
         else:
-            run.answer(source.reply(ask.since, ()), 5 * SECOND)
+            run.answer(source.reply(watch.since, ()), 5 * SECOND)
             if run.follower.offered:
-                run.took()
+                run.confirm_applied()
     assert run.follower.in_force == source.version and 0 < counts["liar"] <= 20 < counts["good"]
 
 
 def test_what_answers_without_end_is_called_at_a_bounded_pace():
-    """News each time (a hundred a second), and never any though the wait is not over (one a second)."""
-    run = Run(made(("a",), spread=0))
-    run.until_asked()
+    """With changes each time (100 per second), and without any before the wait is over (1 per second)."""
+    run = FollowerHarness(make_follower(("a",), spread=0))
+    run.next_watch()
     begun, index = run.now, 0
     while run.now < begun + SECOND and index < 1000:
         index += 1
         run.answer(Reply(Version(index, "m"), True, {}), 0)
         run.step(VersionApplied(Version(index, "m")))
-        run.until_asked()
+        run.next_watch()
     assert 50 <= index <= 101
     begun, count = run.now, 0
     while run.now < begun + 60 * SECOND and count < 1000:
         run.answer(Reply(Version(index, "m"), False, {}, Version(index, "m")), 0)
-        run.until_asked()
+        run.next_watch()
         count += 1
     assert count <= 70
     run.answer(Reply(Version(index, "m"), False, {}, Version(index, "m")), 20 * SECOND)
     came = run.now
-    run.until_asked()
-    assert run.now - came == following.NO_CHANGES_PAUSE_US  # it waited: the pause is short again
+    run.next_watch()
+    assert (
+        run.now - came == follower_module.NO_CHANGES_PAUSE_US
+    )  # it waited in full, so the pause is short again
 
 
 def test_other_scopes_are_asked_for_whole_and_taken_at_the_version_held():
-    source, _ = sources()
-    kept = {FLEET: source.entries[FLEET]}  # of the scopes that were watched before
-    run = Run(Follower("s", ("a", "b"), 1, 20 * SECOND, 4 * SECOND, source.version, kept))
+    source, _ = source_with_versions()
+    kept = {FLEET: source.entries[FLEET]}  # entries of the previously watched scopes
+    run = FollowerHarness(Follower("s", ("a", "b"), 1, 20 * SECOND, 4 * SECOND, source.version, kept))
     run.follower.refresh()
-    ask = run.until_asked()
-    assert ask.since == Version()
+    watch = run.next_watch()
+    assert watch.since == Version()
     run.now += MS
-    run.step(WatchFailed(ask.relay, "broke"))
-    assert run.until_asked().since == source.version  # so that a source behind it hears of it
+    run.step(WatchFailed(watch.relay, "broke"))
+    assert run.next_watch().since == source.version  # so that a source that is behind learns of it
     run.now += MS
-    run.step(WatchFailed(run.asks[-1].relay, "broke"))
-    ask = run.until_asked()
-    assert ask.since == Version()  # until one came
-    run.answer(source.reply(ask.since, ()))
+    run.step(WatchFailed(run.watches[-1].relay, "broke"))
+    watch = run.next_watch()
+    assert watch.since == Version()  # until a snapshot arrives
+    run.answer(source.reply(watch.since, ()))
     assert run.applies == [ApplyVersion(source.version, source.entries)]
-    run.took()
+    run.confirm_applied()
     assert run.follower.status() == Status("s", source.version)
-    assert run.until_asked().since == source.version
-    run.follower.refresh()  # while a call is out: that one is given up
+    assert run.next_watch().since == source.version
+    run.follower.refresh()  # the outstanding watch is abandoned
     run.now += MS
     run.step()
-    assert run.until_asked().since == Version()
+    assert run.next_watch().since == Version()
     run.answer(source.reply(Version(), ()))
-    assert len(run.applies) == 1  # it brought nothing new
-    assert run.until_asked().since == source.version
+    assert len(run.applies) == 1  # nothing new arrived
+    assert run.next_watch().since == source.version
     before = source.version
     source.push({TWO: 1})
     run.follower.refresh()
     run.now += SECOND
     run.step()
     run.answer(Reply(before, False, {}, before))
-    assert run.follower.version == before  # no snapshot came: it is not news that the scopes have nothing
-    run.answer(source.reply(run.until_asked().since, ()))
+    assert run.follower.version == before  # not a snapshot, so it does not mean that the scopes are empty
+    run.answer(source.reply(run.next_watch().since, ()))
     assert run.applies[-1] == ApplyVersion(source.version, source.entries) and len(run.applies) == 2
 
 
 def test_other_relays_are_asked_where_the_one_asked_is_taken_away():
-    source, _ = sources()
-    run = in_step(source)
-    old = run.asks[-1]
+    source, _ = source_with_versions()
+    run = up_to_date(source)
+    old = run.watches[-1]
     run.follower.change_relays(tuple({"a", "b", "c"} - {old.relay}) + ("d",))
     run.now += MS
     run.step()
-    run.step(ReplyReceived(old.relay, Reply(Version(9, "x"), True, {})))  # given up
+    run.step(ReplyReceived(old.relay, Reply(Version(9, "x"), True, {})))  # abandoned
     assert run.follower.version == source.version
-    new = run.until_asked()
+    new = run.next_watch()
     assert new.relay != old.relay and new.since == source.version
     run.follower.change_relays((new.relay,))
     run.step()
     assert run.follower.outstanding is not None and list(run.follower.relay_states) == [
         new.relay
-    ]  # it stays out
+    ]  # the watch stays outstanding
     run.follower.change_relays(())
     run.step(TimerFired())
     assert run.follower.outstanding is None and run.follower.step(run.now + SECOND, []) == []
 
 
 def test_a_fleet_begins_spread_and_evenly_over_relays():
-    runs = [Run(made(tuple(f"r{at}" for at in range(10)), seed, 10 * SECOND)) for seed in range(4000)]
-    firsts = Counter(run.until_asked().relay for run in runs)
+    runs = [
+        FollowerHarness(make_follower(tuple(f"r{at}" for at in range(10)), seed, 10 * SECOND))
+        for seed in range(4000)
+    ]
+    firsts = Counter(run.next_watch().relay for run in runs)
     assert set(firsts) == {f"r{at}" for at in range(10)} and max(firsts.values()) <= 480
     seconds = Counter(run.now // SECOND for run in runs)
     assert max(seconds.values()) <= 480 and sum(seconds[at] for at in range(10)) >= 3999
-    # By relay and second together: what one relay meets.
-    assert max(Counter((run.asks[0].relay, run.now // SECOND) for run in runs).values()) <= 80
+    # By relay and second, which is the load that each relay gets.
+    assert max(Counter((run.watches[0].relay, run.now // SECOND) for run in runs).values()) <= 80
 
 
 def test_those_of_a_relay_that_dies_go_evenly_to_the_others_within_its_told_spread():
-    source, _ = sources()
+    source, _ = source_with_versions()
     names = tuple(f"r{at}" for at in range(9))
     runs = []
     for seed in range(2000):
-        run = Run(made(names, seed, 60 * SECOND))
-        run.until_asked()
+        run = FollowerHarness(make_follower(names, seed, 60 * SECOND))
+        run.next_watch()
         run.answer(source.reply(Version(), (), spread_ms=8_000))
-        run.took()
-        run.until_asked()
+        run.confirm_applied()
+        run.next_watch()
         runs.append(run)
-    lost = [run for run in runs if run.asks[-1].relay == "r0"]
+    lost = [run for run in runs if run.watches[-1].relay == "r0"]
     moved, seconds = Counter(), Counter()
     for run in lost:
         begun = run.now
         run.step(WatchFailed("r0", "reset"))
-        run.until_asked()
-        moved[run.asks[-1].relay] += 1
+        run.next_watch()
+        moved[run.watches[-1].relay] += 1
         seconds[(run.now - begun) // SECOND] += 1
     assert "r0" not in moved and len(moved) == 8 and max(moved.values()) <= 2 * len(lost) / 8
     assert set(seconds) <= set(range(9)) and max(seconds.values()) <= 2 * len(lost) / 8
 
 
 def test_after_all_relays_were_away_the_fleet_comes_back_at_its_spread():
-    """Ten minutes of refused calls, then all relays are there: no second sees more calls than fleet over
-    spread and what chance adds, and within a spread and a quarter each has an answer."""
-    source, _ = sources()
+    """After ten minutes of refused calls all relays return: no second has more calls than fleet size / spread
+    plus random variation, and every follower has a reply within 1.25 spreads."""
+    source, _ = source_with_versions()
     fleet, spread, away = 1000, 5 * SECOND, 600 * SECOND
     calls, returned = Counter(), []
     for seed in range(fleet):
-        run = Run(made(("a", "b", "c"), seed, spread))
-        run.until_asked()
+        run = FollowerHarness(make_follower(("a", "b", "c"), seed, spread))
+        run.next_watch()
         run.answer(source.reply(Version(), ()))
-        run.took()
-        run.until_asked()
-        run.now = 10 * SECOND  # all lose theirs at one moment
-        run.step(WatchFailed(run.asks[-1].relay, "reset"))
+        run.confirm_applied()
+        run.next_watch()
+        run.now = 10 * SECOND  # all lose their relay at once
+        run.step(WatchFailed(run.watches[-1].relay, "reset"))
         while run.now < 10 * SECOND + away:
-            run.until_asked()
+            run.next_watch()
             calls[run.now // SECOND] += 1
             if run.now < 10 * SECOND + away:
                 run.now += MS
-                run.step(WatchFailed(run.asks[-1].relay, "refused"))
+                run.step(WatchFailed(run.watches[-1].relay, "refused"))
         returned.append(run.now - 10 * SECOND - away)
     assert max(calls.values()) <= 1.3 * fleet * SECOND / spread
     assert max(returned) <= 1.25 * spread + 2 * MS
@@ -730,17 +738,17 @@
 def test_any_notes_in_any_order_raise_nothing_and_nothing_falls_back(steps, seed, spread):
     follower = Follower("s", ("a", "b"), seed, 20 * SECOND, spread, Version(), {})
     now, held, in_force, offered, out = 0, 0, 0, {}, None
-    for after, several, honest in steps:
+    for after, events, honest in steps:
         now += after
         if honest and follower.offered is not None:
-            several = [*several, VersionApplied(follower.offered)]
-        commands = follower.step(now, several)
-        asks = [one for one in commands if isinstance(one, SendWatch)]
+            events = [*events, VersionApplied(follower.offered)]
+        commands = follower.step(now, events)
+        watches = [one for one in commands if isinstance(one, SendWatch)]
         applies = [one for one in commands if isinstance(one, ApplyVersion)]
-        assert len(asks) <= 1 and len(applies) <= 1 and len(commands) <= 8 + len(several)
-        if asks:
-            assert asks[0].since in (follower.version, Version()) and asks[0].deadline > now
-            out = asks[0]
+        assert len(watches) <= 1 and len(applies) <= 1 and len(commands) <= 8 + len(events)
+        if watches:
+            assert watches[0].since in (follower.version, Version()) and watches[0].deadline > now
+            out = watches[0]
         assert follower.outstanding is None or follower.outstanding is out
         for one in applies:
             assert one.version.index > max(offered, default=0) and None not in one.entries.values()
@@ -758,7 +766,7 @@
         assert len(wakes) == 1 and wakes[0] > now
 
 
-# --- the watch on the wire -----------------------------------------------------------------------
+# --- wire format of the watch ----------------------------------------------------------------------
 
 names = st.text(min_size=1, max_size=16).filter(wire.is_valid_name)
 all_scopes = st.just("fleet") | st.builds("{}/{}".format, st.sampled_from(["zone", "sidecar"]), names)
@@ -851,7 +859,7 @@
     if reply.is_snapshot:
         reply.entries = {key: value for key, value in reply.entries.items() if value is not None}
     got = wire.decode_reply(Answer(200, [], wire.encode_reply(reply)))
-    assert got == reply and exactly(got.entries) == exactly(reply.entries)
+    assert got == reply and canonical(got.entries) == canonical(reply.entries)
 
 
 GOOD = {
@@ -865,7 +873,7 @@
 }
 
 
-def deep(levels: int):
+def nested(levels: int):
     value = 1
     for _ in range(levels):
         value = [value]
@@ -900,7 +908,7 @@
         {"entries": [row(kind="member/")]},
         {"entries": [row(), row()]},
         {"entries": [{"scope": "fleet"}]},
-        {"entries": [row(value=deep(33))]},
+        {"entries": [row(value=nested(33))]},
         {"snapshot": True, "entries": [row(value=None)]},
     ],
 )
@@ -918,10 +926,11 @@
     for answer in [Answer(503, [], good), Answer(404, [], good), *(Answer(200, [], body) for body in bodies)]:
         with pytest.raises(Garbled):
             wire.decode_reply(answer)
-    entries = [row(value=deep(32)), row(kind="quota"), row(kind="quota/x")]
+    entries = [row(value=nested(32)), row(kind="quota"), row(kind="quota/x")]
     later = wire.decode_reply(Answer(200, [], orjson.dumps(GOOD | {"entries": entries, "new": 1})))
     assert len(later.entries) == 3 and wire.encode_reply(later)
-    with pytest.raises(Garbled, match="no such kind"):  # but this release's source publishes no such thing
+    # a source of this release accepts only kinds that it knows
+    with pytest.raises(Garbled, match="no such kind"):
         wire.decode_push({"entries": entries})
 
 
@@ -964,12 +973,12 @@
     }
 
 
-# --- the kept file -------------------------------------------------------------------------------
+# --- stored file -----------------------------------------------------------------------------------
 
-KEPT = (Version(7, "ab12"), {FLEET: {"limit": [1, 2.5, None, "x"]}, ONE: "y"})
+SAVED = (Version(7, "ab12"), {FLEET: {"limit": [1, 2.5, None, "x"]}, ONE: "y"})
 
 
-def left(folder) -> list[str]:
+def files_in(folder) -> list[str]:
     return sorted(one.name for one in folder.iterdir())
 
 
@@ -978,13 +987,13 @@
     assert stable_store.load(path) is None
     previous = os.umask(0)
     try:
-        stable_store.save(path, *KEPT)
+        stable_store.save(path, *SAVED)
     finally:
         os.umask(previous)
     assert (
-        stable_store.load(path) == KEPT
+        stable_store.load(path) == SAVED
         and path.stat().st_mode & 0o777 == 0o600
-        and left(tmp_path) == ["config"]
+        and files_in(tmp_path) == ["config"]
     )
     stable_store.save(path, Version(8, "cd"), {})
     assert stable_store.load(path) == (Version(8, "cd"), {})
@@ -992,7 +1001,7 @@
 
 def test_a_file_cut_at_any_byte_or_with_any_byte_changed_is_refused(tmp_path):
     path = tmp_path / "config"
-    stable_store.save(path, *KEPT)
+    stable_store.save(path, *SAVED)
     whole = path.read_bytes()
     damaged = [whole[:at] for at in range(len(whole))] + [whole + b"\0", whole * 2]
     for at in range(len(whole)):
@@ -1022,7 +1031,7 @@
 @pytest.mark.parametrize("call", ["write", "fsync", "rename"])
 def test_a_full_disk_leaves_the_old_file_whole_and_nothing_beside_it(tmp_path, monkeypatch, call, room):
     path = tmp_path / "config"
-    stable_store.save(path, *KEPT)
+    stable_store.save(path, *SAVED)
     real, used = os.write, [0]
 
     def full(*_):
@@ -1036,14 +1045,14 @@
 
     monkeypatch.setattr(os, call, some if call == "write" else full)
     if call == "write" and room > 1000:
-        stable_store.save(path, Version(8, "new"), {FLEET: "n" * 500})  # all fits, in parts
+        stable_store.save(path, Version(8, "new"), {FLEET: "n" * 500})  # succeeds with partial writes
         monkeypatch.undo()
         assert stable_store.load(path) == (Version(8, "new"), {FLEET: "n" * 500})
         return
     with pytest.raises(OSError, match="No space"):
         stable_store.save(path, Version(8, "new"), {FLEET: "n" * 500})
     monkeypatch.undo()
-    assert stable_store.load(path) == KEPT and left(tmp_path) == ["config"]
+    assert stable_store.load(path) == SAVED and files_in(tmp_path) == ["config"]
 
 
 def test_file_and_directory_are_on_disk_before_it_counts_as_kept(tmp_path, monkeypatch):
@@ -1051,19 +1060,19 @@
     rename = os.rename
     monkeypatch.setattr(os, "fsync", lambda fd: (calls.append(stat.S_ISDIR(os.fstat(fd).st_mode)), real(fd)))
     monkeypatch.setattr(os, "rename", lambda *paths: (calls.append("renamed"), rename(*paths)))
-    stable_store.save(tmp_path / "config", *KEPT)
+    stable_store.save(tmp_path / "config", *SAVED)
     assert calls == [False, "renamed", True]
 
 
 def test_what_a_killed_process_left_half_written_does_not_stand_in_the_way(tmp_path):
     path, fresh = tmp_path / "config", tmp_path / ".config.new"
-    stable_store.save(path, *KEPT)
+    stable_store.save(path, *SAVED)
     fresh.write_bytes(b"half")
     fresh.chmod(0o644)
-    assert stable_store.load(path) == KEPT
+    assert stable_store.load(path) == SAVED
     stable_store.save(path, Version(8, "cd"), {})
     assert stable_store.load(path) == (Version(8, "cd"), {}) and path.stat().st_mode & 0o777 == 0o600
-    assert left(tmp_path) == ["config"]
+    assert files_in(tmp_path) == ["config"]
 
 
 @settings(derandomize=True, deadline=None, max_examples=60)
@@ -1073,7 +1082,7 @@
     path = tmp_path_factory.mktemp("kept") / "config"
     stable_store.save(path, version, entries)
     got = stable_store.load(path)
-    assert got is not None and got[0] == version and exactly(got[1]) == exactly(entries)
+    assert got is not None and got[0] == version and canonical(got[1]) == canonical(entries)
 
 
 def test_difference_is_what_leads_from_one_to_the_other():
@@ -1082,5 +1091,5 @@
         old, new = (
             {key: chance.choice([1, 1.0, True, "x"]) for key in KEYS if chance.random() < 0.6} for _ in "ab"
         )
-        assert exactly(apply_changes(old, difference(old, new))) == exactly(new)
+        assert canonical(apply_changes(old, difference(old, new))) == canonical(new)
         assert difference(new, new) == {}
--- a/tests/test_config_explorer.py
+++ b/tests/test_config_explorer.py
@@ -1,4 +1,4 @@
-"""The explorer over the cores of `config/`: nothing is found in them, and planted faults are."""
+"""Model checking of the pure parts of `config/`: no violations are found, injected faults are detected."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from lupinmill.lab.explorer import Outcome, explore, replay, walk
 
 
-class OverGaps(Follower):
-    """Applies changes whatever version they lead on from."""
+class AppliesOverGaps(Follower):
+    """Applies changes whatever version they are based on."""
 
     def reply_received(self, now: int, ask: SendWatch, reply: Reply) -> None:
         if not reply.is_snapshot and reply.version.index > self.version.index:
@@ -24,8 +24,8 @@
             super().reply_received(now, ask, reply)
 
 
-class Terse(History):
-    """To a version that it does not know it tells the newest change alone, truly saying what it follows."""
+class IncompleteChanges(History):
+    """Replies to an unknown version with only the newest change, correctly labelled with its base."""
 
     def reply(self, since: Version, scopes: tuple[str, ...], spread_ms: int = 0) -> Reply:
         self.observe_version(since)
@@ -34,8 +34,8 @@
         return super().reply(since, scopes, spread_ms)
 
 
-class TakesOlder(Follower):
-    """A snapshot is taken whatever its index."""
+class AcceptsOlderSnapshot(Follower):
+    """Accepts a snapshot whatever its index."""
 
     def reply_received(self, now: int, ask: SendWatch, reply: Reply) -> None:
         if reply.is_snapshot and reply.version != self.version and reply.version.index:
@@ -56,16 +56,16 @@
         super().version_refused(now, event)
 
 
-class Halves(History):
-    """A relay's history that serves the new version before all of its entries are in it."""
+class ServesHalfVersion(History):
+    """A relay's history that serves a new version with only half of its entries."""
 
     def replace(self, version: Version, entries: Entries) -> None:
         part = dict(list(entries.items())[: len(entries) // 2])
         super().replace(version, apply_changes(self.entries, part))
 
 
-class LeavesOut(History):
-    """Changes since a version lack the one that follows it: a gap at the seam of compaction."""
+class OmitsFirstChange(History):
+    """Changes since a version omit the first one, which leaves a gap."""
 
     def reply(self, since: Version, scopes: tuple[str, ...], spread_ms: int = 0) -> Reply:
         number = self.change_numbers.get(since, 0)
@@ -77,14 +77,14 @@
         return super().reply(since, scopes, spread_ms)
 
 
-class Deaf(History):
-    """A source that does not mind versions from beyond its own."""
+class IgnoresNewerVersions(History):
+    """A source that ignores versions newer than its own."""
 
     def observe_version(self, version: Version) -> None:
         pass
 
 
-class TakesRefusals(Follower):
+class CountsRefusedAsApplied(Follower):
     """A refused version counts as in force."""
 
     def version_refused(self, now: int, event: VersionRefused) -> None:
@@ -94,7 +94,8 @@
 def first_found(make, departures: int = 1, seeds: int = 400) -> str:
     outcome: Outcome = explore(make, departures, 3_000)
     if outcome.found is not None:
-        assert replay(make, outcome.found.text()) == outcome.found.wrong  # its text alone plays it again
+        # the trace alone reproduces the failure
+        assert replay(make, outcome.found.text()) == outcome.found.wrong
         return outcome.found.wrong
     for seed in range(seeds):
         if found := walk(make, seed, 0.1):
@@ -115,7 +116,7 @@
 
 
 def test_the_plain_schedule_says_what_the_world_is_about():
-    """All go by the last version without a departure, and on the way one refused the second."""
+    """Without departures every node ends at the last version, and one refused the second on the way."""
     world, refused = ConfigWorld(), set()
     while world.actions():
         world.apply(world.actions()[0])
@@ -127,13 +128,16 @@
 @pytest.mark.parametrize(
     ("planted", "says"),
     [
-        (partial(ConfigWorld, follower=TakesOlder), "falls back"),
-        (partial(ConfigWorld, history=Halves), "what is in force is not|serves what is not"),
+        (partial(ConfigWorld, follower=AcceptsOlderSnapshot), "falls back"),
+        (partial(ConfigWorld, history=ServesHalfVersion), "what is in force is not|serves what is not"),
         (partial(ConfigWorld, serves_first=True), "came back with"),
-        (partial(ConfigWorld, history=LeavesOut), "what is in force is not"),
-        (partial(ConfigWorld, follower=OverGaps, history=Terse), "what is in force is not"),
-        (partial(ConfigWorld, history=Deaf), "no agreement"),
-        (partial(ConfigWorld, follower=TakesRefusals), "says that 2 is in force, not 1"),
+        (partial(ConfigWorld, history=OmitsFirstChange), "what is in force is not"),
+        (
+            partial(ConfigWorld, follower=AppliesOverGaps, history=IncompleteChanges),
+            "what is in force is not",
+        ),
+        (partial(ConfigWorld, history=IgnoresNewerVersions), "no agreement"),
+        (partial(ConfigWorld, follower=CountsRefusedAsApplied), "says that 2 is in force, not 1"),
     ],
     ids=[
         "older snapshot",
@@ -151,10 +155,11 @@
 
 
 def test_a_relay_that_keeps_late_harms_nobody():
-    """It may come back with an older version than it served: they who are ahead go elsewhere meanwhile."""
+    """It may restart with an older version than it served; newer watchers use another relay meanwhile."""
     assert first_found(partial(ConfigWorld, serves_first=True, may_lack=True), seeds=150) == ""
 
 
 def test_a_terse_relay_harms_nobody():
-    """The other half of the planted gap: what does not lead on is not taken, a snapshot is asked for."""
-    assert first_found(partial(ConfigWorld, history=Terse), seeds=150) == ""
+    """Counterpart of the injected gap: changes with another base are not accepted, and a snapshot is
+    requested."""
+    assert first_found(partial(ConfigWorld, history=IncompleteChanges), seeds=150) == ""
--- a/tests/test_config_overlay.py
+++ b/tests/test_config_overlay.py
@@ -1,4 +1,4 @@
-"""Settings laid over what is told: scopes, workloads row by row, and what does not fit."""
+"""Merging entries into the platform's settings: scopes, workloads row by row, and invalid values."""
 
 import re
 from pathlib import Path
@@ -6,7 +6,7 @@
 import pytest
 from bed import IDEM, KEYED, SECOND, deployment, settings, wanted
 from test_sidecar import until
-from test_config_sidecar import network, fine, workload
+from test_config_sidecar import network, answer_ok, workload
 
 from lupinmill import terms as t
 from lupinmill.config import checks, merge
@@ -94,8 +94,8 @@
     assert found == {"a": None, "b": {"address": "10.0.0.2:1"}}
 
 
-class Read(dict):
-    """Which keys somebody looks at."""
+class RecordingDict(dict):
+    """Records which keys are read."""
 
     def __init__(self, fields) -> None:
         super().__init__(fields)
@@ -108,16 +108,16 @@
 
 def test_the_known_keys_are_just_those_that_are_read():
     table = settings() | {"accounts": [{"name": "a", "quota-per-s": 1}]}
-    fields = Read(protocol_settings.flatten(table))
+    fields = RecordingDict(protocol_settings.flatten(table))
     rows = {}
 
-    class Row(protocol_settings.Settings):
+    class RecordingSettings(protocol_settings.Settings):
         def items(self, key):
-            found = [Row(Read(one.fields)) for one in super().items(key)]
+            found = [RecordingSettings(RecordingDict(one.fields)) for one in super().items(key)]
             rows.setdefault(key, []).extend(one.fields for one in found)
             return found
 
-    usual, protocol_settings.Settings = protocol_settings.Settings, Row
+    usual, protocol_settings.Settings = protocol_settings.Settings, RecordingSettings
     try:
         protocol_settings.deployment(fields)
         protocol_settings.idle_limit(fields)
@@ -178,7 +178,7 @@
         await net.in_force({MINE: None})
         assert (await net.shown())["refused"] is None
 
-    network(check, fine)
+    network(check, answer_ok)
 
 
 def test_every_field_of_a_deployment_either_changes_alive_or_is_fixed():
--- a/tests/test_config_processes.py
+++ b/tests/test_config_processes.py
@@ -1,9 +1,10 @@
-"""Configuration between real processes: a source, three relays and ten sidecars that serve clients meanwhile.
-Relays are killed in the middle, the source is stopped and comes back, a bad version is refused and rolled
+"""Configuration across real processes: a source, three relays and ten sidecars that serve clients throughout.
+Relays are killed mid-run, the source is stopped and restarted, and an invalid version is rejected and rolled
 back.
 
-Judges states that are reached, never how fast. All of it is one run, and each test looks at a part of what it
-found; every process is ended by its rig, whatever happens."""
+The checks are about states that are reached, not about speed. There is one run, and each test checks one part
+of its results; the rig ends every process in any case.
+"""
 
 import asyncio
 import random
@@ -23,30 +24,30 @@
 
 SEED = 4_242
 SIDECARS, RELAYS, CHANGES = 10, 3, 200
-GAP = 0.15  # seconds between two submissions of one client
-FINAL = 15.0  # seconds after which a submission has no answer: its hard limit is a tenth of that
+REQUEST_INTERVAL_S = 0.15  # mean seconds between two requests of one client
+ANSWER_TIMEOUT_S = 15.0  # seconds after which a request counts as lost; ten times its hard limit
 FLEET, SERVICE = Key("fleet", "settings"), Key("service/tender", "settings")
-ENTIRE = 150  # seconds after which the run has failed
+RUN_TIMEOUT_S = 150  # seconds for the whole run
 
 
 @dataclass
-class Found:
-    """What the run came to."""
+class Results:
+    """Results of the run."""
 
-    answers: dict[str, int] = field(default_factory=dict)  # of each submission: the status
+    answers: dict[str, int] = field(default_factory=dict)  # status by request
     lost: list[str] = field(default_factory=list)
-    ran: Counter = field(default_factory=Counter)  # of each submission: how often an endpoint answered it
-    denials: Counter = field(default_factory=Counter)  # status and text of those not handled
-    indexes: list[int] = field(default_factory=list)  # of the pushes, in their order
-    ends: dict[str, int] = field(default_factory=dict)  # of each sidecar: the version in force after all
-    served_away: int = 0  # submissions answered while the source was away
+    ran: Counter = field(default_factory=Counter)  # how often an endpoint answered each request
+    denials: Counter = field(default_factory=Counter)  # status and text of requests that were not handled
+    indexes: list[int] = field(default_factory=list)  # of the pushes, in order
+    ends: dict[str, int] = field(default_factory=dict)  # by sidecar: the version in force at the end
+    served_away: int = 0  # requests answered while the source was down
     refusals: dict[str, str] = field(default_factory=dict)
-    told: str = ""  # by `config status` while a version is refused
-    told_code: int = 0
+    status_text: str = ""  # output of `config status` while a version is rejected
+    status_code: int = 0
     bad: int = 0
     after: dict[str, int] = field(default_factory=dict)  # version in force after the rollback
-    extra: list[str] = field(default_factory=list)  # submissions of a workload that a version brought, ...
-    extra_after: list[str] = field(default_factory=list)  # ... and after one that takes it away
+    extra: list[str] = field(default_factory=list)  # requests of a workload that a version added
+    extra_after: list[str] = field(default_factory=list)  # and after a version that removed it
     content: dict = field(default_factory=dict)
     kept: dict[str, int] = field(default_factory=dict)
     crashes: list[str] = field(default_factory=list)
@@ -64,14 +65,14 @@
     return done.returncode, done.stdout + done.stderr
 
 
-class Play:
-    def __init__(self, rig: ConfigRig, found: Found) -> None:
-        self.rig, self.found = rig, found
+class Scenario:
+    def __init__(self, rig: ConfigRig, results: Results) -> None:
+        self.rig, self.results = rig, results
         self.rng = random.Random(SEED)
         self.going = True
         self.serial = 0
 
-    def submission(self, sidecar: str, workload: str) -> Request:
+    def make_request(self, sidecar: str, workload: str) -> Request:
         self.serial += 1
         name = f"{sidecar}-{workload}-{self.serial}"
         headers = [
@@ -83,29 +84,29 @@
         ]
         return Request(b"POST", f"/{workload}".encode(), headers)
 
-    async def submit(self, sidecar: str, workload: str) -> str:
-        """Its name."""
-        request = self.submission(sidecar, workload)
+    async def send_request(self, sidecar: str, workload: str) -> str:
+        """Returns the request's name."""
+        request = self.make_request(sidecar, workload)
         name = request.header(b"req-id")
         try:
-            answer = await ask(self.rig.listens[sidecar], request, FINAL)
+            answer = await ask(self.rig.listens[sidecar], request, ANSWER_TIMEOUT_S)
         except (OSError, TimeoutError, Garbled) as error:
-            self.found.lost.append(f"{name}: {type(error).__name__} {error}")
+            self.results.lost.append(f"{name}: {type(error).__name__} {error}")
             return name
-        assert name not in self.found.answers
-        self.found.answers[name] = answer.status
+        assert name not in self.results.answers
+        self.results.answers[name] = answer.status
         if answer.status != 200:
-            self.found.denials[answer.status, answer.body[:80].decode("utf-8", "replace")] += 1
+            self.results.denials[answer.status, answer.body[:80].decode("utf-8", "replace")] += 1
         return name
 
     async def client(self, sidecar: str) -> None:
         rng = random.Random(f"{SEED}-{sidecar}")
         while self.going:
-            await self.submit(sidecar, rng.choice(("view", "bid", "issue")))
-            await anyio.sleep(rng.uniform(0.5, 1.5) * GAP)
+            await self.send_request(sidecar, rng.choice(("view", "bid", "issue")))
+            await anyio.sleep(rng.uniform(0.5, 1.5) * REQUEST_INTERVAL_S)
 
     def change(self, at: int) -> dict:
-        """Of one setting or of several at once, for all or for one."""
+        """Changes one or several settings, for all sidecars or for one."""
         rng = self.rng
         kind = at % 5
         if kind == 0:
@@ -123,12 +124,12 @@
         return {Key(f"sidecar/{name}", "settings"): None, Key("service/else", "settings"): {"instances": at}}
 
     async def push(self, changes: dict) -> None:
-        self.found.indexes.append(await self.rig.push(changes))
+        self.results.indexes.append(await self.rig.push(changes))
 
     async def changes(self) -> None:
         rig, rng = self.rig, self.rng
         for at in range(CHANGES):
-            if at in (30, 90):  # in the middle: right behind a push, while it goes out
+            if at in (30, 90):  # right after a push, while it propagates
                 victim = rng.choice(rig.relays)
                 await self.push(self.change(at))
                 await rig.kill(victim)
@@ -152,21 +153,22 @@
             await anyio.sleep(rng.uniform(0.0, 0.06))
 
     async def source_away(self) -> None:
-        """Stopped; sidecars and relays go on, and a relay that starts now serves what it kept."""
+        """With the source stopped, sidecars and relays continue, and a relay that starts serves its stored
+        version."""
         rig = self.rig
-        await self.push({FLEET: {"instances": 9}})  # concerns all, so all are at it
-        await rig.at_version(self.found.indexes[-1])
+        await self.push({FLEET: {"instances": 9}})  # affects all, so all get the version
+        await rig.at_version(self.results.indexes[-1])
         assert await rig.processes["source"].leave(20.0) == 0
-        before = len(self.found.answers)
+        before = len(self.results.answers)
         name = self.rng.choice(rig.relays)
-        await self.kept_at(name, self.found.indexes[-1])
+        await self.kept_at(name, self.results.indexes[-1])
         await rig.kill(name)
         await rig.start(name)
         _, table = await rig.call(name, "GET", "/v1/status")
-        assert table["index"] == self.found.indexes[-1], table
-        while len(self.found.answers) < before + 5 * SIDECARS:
+        assert table["index"] == self.results.indexes[-1], table
+        while len(self.results.answers) < before + 5 * SIDECARS:
             await anyio.sleep(0.05)
-        self.found.served_away = len(self.found.answers) - before
+        self.results.served_away = len(self.results.answers) - before
         await rig.start("source")
 
     async def kept_at(self, name: str, index: int) -> None:
@@ -174,61 +176,68 @@
             await anyio.sleep(0.05)
 
     async def all_at(self, index: int) -> dict[str, int]:
-        """What each sidecar itself says is in force."""
+        """By sidecar: the version that it reports in force itself."""
         await self.rig.at_version(index)
-        found = {}
+        results = {}
         for name in self.rig.sidecars:
             status, table = await self.rig.call(name, "GET", "/admin/config")
             assert status == 200, (status, table)
-            found[name] = table["version"]
-        return found
+            results[name] = table["version"]
+        return results
 
     async def run(self) -> None:
-        rig, found = self.rig, self.found
+        rig, results = self.rig, self.results
         await self.push({SERVICE: {"workloads": {"extra": EXTRA}}})
-        await rig.at_version(found.indexes[-1])
+        await rig.at_version(results.indexes[-1])
         async with anyio.create_task_group() as group:
             for name in rig.sidecars:
                 group.start_soon(self.client, name)
-            while 200 not in map(found.answers.get, found.extra):  # a busy machine may have the first denied
-                found.extra.append(await self.submit(rig.sidecars[0], "extra"))
+            while 200 not in map(
+                results.answers.get, results.extra
+            ):  # on a busy machine the first may be denied
+                results.extra.append(await self.send_request(rig.sidecars[0], "extra"))
             await self.changes()
-            await self.push({SERVICE: {"instances": 3}})  # the workload goes with what brought it
-            found.ends = await self.all_at(found.indexes[-1])
+            await self.push({SERVICE: {"instances": 3}})  # removes the workload with the entry that added it
+            results.ends = await self.all_at(results.indexes[-1])
             for name in rig.sidecars:
-                found.extra_after.append(await self.submit(name, "extra"))
-            _, found.content = await rig.call("source", "GET", "/v1/entries")
+                results.extra_after.append(await self.send_request(name, "extra"))
+            _, results.content = await rig.call("source", "GET", "/v1/entries")
             await self.bad_version()
             self.going = False
         for name in rig.relays:
-            await self.kept_at(name, found.bad + 1)
-            found.kept[name] = (await rig.call(name, "GET", "/v1/status"))[1]["index"]
-        found.crashes = rig.crashes()
+            await self.kept_at(name, results.bad + 1)
+            results.kept[name] = (await rig.call(name, "GET", "/v1/status"))[1]["index"]
+        results.crashes = rig.crashes()
 
     async def bad_version(self) -> None:
-        """One that the source can't judge: what wants a new start, only a running process knows."""
-        rig, found = self.rig, self.found
-        good = found.indexes[-1]
-        found.bad = await rig.push({FLEET: {"tier": 1, "instances": 4}})
+        """A version that the source cannot validate: only a running sidecar knows which settings need a
+        restart."""
+        rig, results = self.rig, self.results
+        good = results.indexes[-1]
+        results.bad = await rig.push({FLEET: {"tier": 1, "instances": 4}})
         rows = await rig.until(
             "all refuse it",
-            lambda rows: all(rows.get(name, {"refused": 0})["refused"] == found.bad for name in rig.sidecars),
+            lambda rows: all(
+                rows.get(name, {"refused": 0})["refused"] == results.bad for name in rig.sidecars
+            ),
         )
-        found.refusals = {name: rows[name]["why"] for name in rig.sidecars}
+        results.refusals = {name: rows[name]["why"] for name in rig.sidecars}
         at = [one for name in ("source", *rig.relays) for one in ("--at", rig.operators[name])]
-        found.told_code, found.told = await anyio.to_thread.run_sync(lambda: command("status", *at))
+        results.status_code, results.status_text = await anyio.to_thread.run_sync(
+            lambda: command("status", *at)
+        )
         code, text = await anyio.to_thread.run_sync(
             lambda: command("rollback", str(good), "--at", rig.operators["source"])
         )
         assert code == 0, text
-        found.after = await self.all_at(int(re.search(r"\d+", text)[0]))
+        results.after = await self.all_at(int(re.search(r"\d+", text)[0]))
 
 
 EXTRA = {"contract-time-s": 0.5, "hard-limit-s": 1.0, "repeat": "repeatable"}
 
 
-async def play(found: Found) -> None:
-    ran = found.ran
+async def run_scenario(results: Results) -> None:
+    ran = results.ran
 
     async def act(request):
         name = request.header(b"req-id")
@@ -238,7 +247,7 @@
         return Answer(200, [], b"done" if name else b"queue=0")
 
     stands, discovery = [Stand(act) for _ in range(3)], DiscoveryStand()
-    with anyio.fail_after(ENTIRE):
+    with anyio.fail_after(RUN_TIMEOUT_S):
         async with anyio.create_task_group() as group:
             for stand in (*stands, discovery):
                 await group.start(stand.run)
@@ -262,63 +271,74 @@
             rig = ConfigRig(told, RELAYS, SIDECARS, {"sidecars": SIDECARS, "calls_per_s": 100.0})
             async with rig:
                 try:
-                    await Play(rig, found).run()
+                    await Scenario(rig, results).run()
                 except BaseException:
-                    found.last = rig.last_lines()
-                    print(f"seed {SEED}\n{found.last}")
+                    results.last = rig.last_lines()
+                    print(f"seed {SEED}\n{results.last}")
                     raise
-                found.last = rig.last_lines()
+                results.last = rig.last_lines()
             group.cancel_scope.cancel()
 
 
 @pytest.fixture(scope="module")
-def found():
-    outcome = Found()
-    anyio.run(play, outcome)
+def results():
+    outcome = Results()
+    anyio.run(run_scenario, outcome)
     return outcome
 
 
-def told_of(found: Found) -> str:
-    return f"seed {SEED}\n{found.last}"
+def failure_context(results: Results) -> str:
+    return f"seed {SEED}\n{results.last}"
 
 
-def test_no_submission_is_lost_over_200_changes(found):
-    assert len(found.indexes) >= CHANGES and found.indexes == sorted(set(found.indexes))
-    assert not found.lost, (found.lost[:5], told_of(found))
-    assert len(found.answers) > 20 * SIDECARS
-    handled = [name for name, status in found.answers.items() if status == 200]
-    assert all(found.ran[name] >= 1 for name in handled)
-    # What must not run twice did not.
-    assert not [name for name in found.answers if found.ran[name] > 1 and "-issue-" in name], told_of(found)
-    # A busy machine may have some denied: they have their one answer, which says that it is a denial.
-    assert {status for status, _ in found.denials} <= {502, 503}, found.denials
+def test_no_submission_is_lost_over_200_changes(results):
+    assert len(results.indexes) >= CHANGES and results.indexes == sorted(set(results.indexes))
+    assert not results.lost, (results.lost[:5], failure_context(results))
+    assert len(results.answers) > 20 * SIDECARS
+    handled = [name for name, status in results.answers.items() if status == 200]
+    assert all(results.ran[name] >= 1 for name in handled)
+    # Requests that must not run twice did not.
+    assert not [
+        name for name in results.answers if results.ran[name] > 1 and "-issue-" in name
+    ], failure_context(results)
+    # On a busy machine some may be denied; each still gets exactly one answer, and that says denied.
+    assert {status for status, _ in results.denials} <= {502, 503}, results.denials
     served = Counter(name.rpartition("-")[0].rpartition("-")[0] for name in handled)
-    assert all(served[f"sidecar-{at}"] >= 10 for at in range(SIDECARS)), (served, found.denials)
+    assert all(served[f"sidecar-{at}"] >= 10 for at in range(SIDECARS)), (served, results.denials)
 
 
-def test_all_end_at_the_newest_version_and_no_process_fell(found):
-    newest = found.indexes[-1]
-    assert set(found.ends.values()) == {newest} and len(found.ends) == SIDECARS, told_of(found)
-    assert not found.crashes, (found.crashes, told_of(found))
-    assert found.content["index"] == newest
-    rows = {(row["scope"], row["kind"]): row["value"] for row in found.content["entries"]}
+def test_all_end_at_the_newest_version_and_no_process_fell(results):
+    newest = results.indexes[-1]
+    assert set(results.ends.values()) == {newest} and len(results.ends) == SIDECARS, failure_context(results)
+    assert not results.crashes, (results.crashes, failure_context(results))
+    assert results.content["index"] == newest
+    rows = {(row["scope"], row["kind"]): row["value"] for row in results.content["entries"]}
     assert rows["service/tender", "settings"] == {"instances": 3}
 
 
-def test_they_serve_on_with_the_source_away(found):
-    assert found.served_away >= 5 * SIDECARS
-
-
-def test_a_workload_that_a_version_brings_is_served_and_denied_once_it_is_taken_away(found):
-    assert found.answers[found.extra[-1]] == 200 and found.ran[found.extra[-1]] >= 1
-    assert [found.answers[name] for name in found.extra_after] == [503] * SIDECARS, told_of(found)
-    assert not any(found.ran[name] for name in found.extra_after)
+def test_they_serve_on_with_the_source_away(results):
+    assert results.served_away >= 5 * SIDECARS
 
 
-def test_a_bad_version_is_refused_by_all_with_its_key_told_and_rolled_back(found):
-    assert set(found.refusals) == {f"sidecar-{at}" for at in range(SIDECARS)}
-    assert all("settings.tier" in why for why in found.refusals.values()), found.refusals
-    assert found.told_code == 1 and f"in force at 0 of {SIDECARS} sidecars" in found.told, found.told
-    assert f"sidecar-0 refuses {found.bad}, stays at " in found.told and "settings.tier" in found.told
-    assert set(found.after.values()) == {found.bad + 1} and len(found.after) == SIDECARS, told_of(found)
-    assert set(found.kept.values()) == {found.bad + 1}
+def test_a_workload_that_a_version_brings_is_served_and_denied_once_it_is_taken_away(results):
+    assert results.answers[results.extra[-1]] == 200 and results.ran[results.extra[-1]] >= 1
+    assert [results.answers[name] for name in results.extra_after] == [503] * SIDECARS, failure_context(
+        results
+    )
+    assert not any(results.ran[name] for name in results.extra_after)
+
+
+def test_a_bad_version_is_refused_by_all_with_its_key_told_and_rolled_back(results):
+    assert set(results.refusals) == {f"sidecar-{at}" for at in range(SIDECARS)}
+    assert all("settings.tier" in why for why in results.refusals.values()), results.refusals
+    assert (
+        results.status_code == 1 and f"in force at 0 of {SIDECARS} sidecars" in results.status_text
+    ), results.status_text
+    assert (
+        f"sidecar-0 refuses {results.bad}, stays at " in results.status_text
+        and "settings.tier" in results.status_text
+    )
+    assert (
+        set(results.after.values()) == {results.bad + 1} and len(results.after) == SIDECARS
+    ), failure_context(results)
+    assert set(results.kept.values()) == {results.bad + 1}
--- a/tests/test_config_push.py
+++ b/tests/test_config_push.py
@@ -1,4 +1,4 @@
-"""A relay's file and pushed files: what is taken, and what is refused with its key."""
+"""A relay's file and pushed files: what is accepted, and what is rejected with its key."""
 
 import re
 import tomllib
@@ -11,7 +11,7 @@
 from lupinmill.config.push import InvalidPush
 from lupinmill.program.operators_file import BadFile
 
-from config_bed import FLEET, of_service
+from config_bed import FLEET, service_settings
 
 
 RELAY = {"name": "r", "listen": "127.0.0.1:7500", "keep": "/k/r", "upstreams": ["127.0.0.1:7501"]}
@@ -61,9 +61,9 @@
     assert push.parse_entries(table) == {
         FLEET: {"a": 1},
         Key("fleet", "member/m1"): {"address": "10.0.0.1:1"},
-        of_service("tender"): {"b": 2},
+        service_settings("tender"): {"b": 2},
         Key("zone/north", "zones"): None,
-        of_service("old"): None,
+        service_settings("old"): None,
         Key("fleet", "member/m 2"): None,
     }
 
@@ -98,11 +98,15 @@
     (FLEET, {"limits": {"most-launches": 0}}, "settings.limits.most-launches: '0' is not within 1 to"),
     (FLEET, {"limits": {"conn-idle-s": "x"}}, "settings.limits.conn-idle-s"),
     (
-        of_service("s"),
+        service_settings("s"),
         {"workloads": [WORKLOAD | {"repeat": "often"}]},
         "service/s settings: settings.workloads.0.repeat",
     ),
-    (of_service("s"), {"workloads": [WORKLOAD | {"hard-limit-s": -1}]}, "settings.workloads.0.hard-limit-s"),
+    (
+        service_settings("s"),
+        {"workloads": [WORKLOAD | {"hard-limit-s": -1}]},
+        "settings.workloads.0.hard-limit-s",
+    ),
     (FLEET, {"prices": {"cross-zone": -1}}, "settings.prices.cross-zone"),
     (FLEET, {"instances": "many"}, "fleet settings: "),
     (FLEET, ["a"], "fleet settings: wants a table"),
@@ -125,8 +129,12 @@
     (FLEET, {"workloads": {"view": {"repeat": "often"}}}, "settings.workloads.0.repeat: 'often'"),
     (FLEET, {"workloads": [{"name": "view"}]}, "settings.workloads.0.repeat: '' is none of"),
     (FLEET, {"workloads": 7}, "settings.workloads: wants a list"),
-    (of_service("s"), {"limits": {"cancel": "perhaps"}}, "settings.limits.cancel: 'perhaps' is neither"),
-    (of_service("s"), {"limits.cancel": True}, "wants a table within a table"),
+    (
+        service_settings("s"),
+        {"limits": {"cancel": "perhaps"}},
+        "settings.limits.cancel: 'perhaps' is neither",
+    ),
+    (service_settings("s"), {"limits.cancel": True}, "wants a table within a table"),
 ]
 THERE = {FLEET: {"tier": 0}, Key("zone/z", "member/there"): {"address": "10.0.0.9:1"}}
 
@@ -139,15 +147,15 @@
 
 
 def test_settings_that_meet_in_one_sidecar_are_checked_together():
-    """Each alone is good; the table under another is a fault of both."""
-    there = {FLEET: {"workloads": [WORKLOAD]}, of_service("s"): {"workloads": {"view": {"value": 2}}}}
+    """Each alone is valid; merged they are not."""
+    there = {FLEET: {"workloads": [WORKLOAD]}, service_settings("s"): {"workloads": {"view": {"value": 2}}}}
     push.check({}, there)
     with pytest.raises(InvalidPush) as caught:
         push.check(
             there,
             {
                 FLEET: {"workloads": [WORKLOAD | {"repeat": "by_key", "window-s": 1}]},
-                of_service("s"): {"workloads": {"view": {"window-s": 0}}},
+                service_settings("s"): {"workloads": {"view": {"window-s": 0}}},
             },
         )
     assert "service/s settings over fleet settings: settings.workloads.0.window-s" in str(caught.value)
@@ -156,7 +164,7 @@
         InvalidPush, match="service/s settings over fleet settings: settings.workloads: 257 are more"
     ):
         push.check(
-            {of_service("s"): {"workloads": {"one": WORKLOAD | {"name": "one"}}}},
+            {service_settings("s"): {"workloads": {"one": WORKLOAD | {"name": "one"}}}},
             {FLEET: {"workloads": rows}},
         )
 
@@ -174,7 +182,7 @@
         THERE,
         {
             FLEET: {"limits": {"most-launches": 3}, "instances": 4},
-            of_service("s"): {"workloads": [WORKLOAD]},
+            service_settings("s"): {"workloads": [WORKLOAD]},
             Key("fleet", "zones"): {"map": {"a": {"region": "r"}, "b": {"costs": {"a": 2.0}}}},
             Key("fleet", "member/m"): {"address": "10.0.0.2:1", "zone": "a"},
             Key("zone/z", "member/there"): None,
--- a/tests/test_config_relay.py
+++ b/tests/test_config_relay.py
@@ -1,4 +1,4 @@
-"""Relays and sources of configuration on loopback: what they serve, keep and refuse, and who is cut off."""
+"""Relays and sources on loopback: what they serve, save and reject, and which clients are disconnected."""
 
 import errno
 import gc
@@ -24,19 +24,19 @@
 from lupinmill.protocol.http import Answer, ClientSide, Request
 from lupinmill.transport.ring import Store
 
-from config_bed import FLEET, NOTHING, SECOND, of_service
+from config_bed import FLEET, NO_VERSION, SECOND, service_settings
 
 
 # --- whole relays and sources on loopback --------------------------------------------------------
 
-LIMIT = 60  # seconds after which a test has failed
+LIMIT = 60  # seconds per test
 
 
 def source_file(folder, **more) -> RelayFile:
     return RelayFile("source", "127.0.0.1:0", str(folder / "keep" / "source"), "127.0.0.1:0", **more)
 
 
-class Run:
+class RunningRelay:
     def __init__(self, group, relay: Relay, logs) -> None:
         self.group, self.relay, self.logs = group, relay, logs
 
@@ -50,7 +50,7 @@
     async def push(self, entries, **more) -> tuple[int, str]:
         return await self.operate("POST", "/v1/push", {"entries": wire.encode_rows(entries), **more})
 
-    def said(self, event: str) -> list[dict]:
+    def logged(self, event: str) -> list[dict]:
         return [fields for name, fields in self.logs if name == event]
 
 
@@ -61,7 +61,7 @@
         relay = Relay(file, lambda event, **fields: logs.append((event, fields)))
         try:
             await group.start(relay.run)
-            yield Run(group, relay, logs)
+            yield RunningRelay(group, relay, logs)
         finally:
             group.cancel_scope.cancel()
     assert not [one for one in logs if one[0] == "task_failed"], logs
@@ -75,7 +75,7 @@
 
 
 async def call(address: str, request: Request, stream=None) -> Answer:
-    """One call; with a stream of its own, or on one that is kept."""
+    """One request, on a new connection or on the given one."""
     if stream is None:
         host, port = address.split(":")
         async with await anyio.connect_tcp(host, int(port)) as stream:
@@ -87,11 +87,11 @@
     return answer
 
 
-def watch(since=NOTHING, wait_ms: int = 20_000, scopes=("fleet",), name: str = "x") -> Request:
+def watch(since=NO_VERSION, wait_ms: int = 20_000, scopes=("fleet",), name: str = "x") -> Request:
     return wire.encode_watch(since, wait_ms, tuple(scopes), Status(name, since))
 
 
-async def until(what) -> None:
+async def wait_until(what) -> None:
     while not what():
         await anyio.sleep(0.01)
 
@@ -115,10 +115,10 @@
                 answers.append(wire.decode_reply(await call(run.relay.watch_server.address, watch(held))))
 
             run.group.start_soon(wait)
-            await until(lambda: run.relay.fanout.waiting)
+            await wait_until(lambda: run.relay.fanout.waiting)
             status, text = await run.push({FLEET: {"instances": 2}})
             assert status == 200 and orjson.loads(text)["index"] == 2
-            await until(lambda: answers)
+            await wait_until(lambda: answers)
             assert answers[0].entries == {FLEET: {"instances": 2}} and answers[0].spread_ms == 2_000
             assert stable_store.load(tmp_path / "keep" / "source") == (
                 run.relay.history.version,
@@ -139,7 +139,7 @@
 def test_a_push_is_refused_whole_with_its_key_or_where_another_came_between(tmp_path):
     async def check():
         async with running(source_file(tmp_path)) as run:
-            bad = {of_service("a"): {"instances": 1}, of_service("b"): {"family": "meshed"}}
+            bad = {service_settings("a"): {"instances": 1}, service_settings("b"): {"family": "meshed"}}
             status, text = await run.push(bad)
             assert status == 400 and text.startswith("service/b settings: settings.family: ")
             assert run.relay.history.version.index == 1 and not run.relay.history.entries
@@ -189,8 +189,8 @@
             contents = {1: {}}
             for changes in (
                 {FLEET: {"instances": 1}},
-                {of_service("s"): {"instances": 1}},
-                {FLEET: None, of_service("s"): {"instances": 2}},
+                {service_settings("s"): {"instances": 1}},
+                {FLEET: None, service_settings("s"): {"instances": 2}},
             ):
                 assert (await run.push(changes))[0] == 200
                 contents[run.relay.history.version.index] = dict(run.relay.history.entries)
@@ -279,7 +279,7 @@
                 path.write_bytes(spoilt)
                 with pytest.raises(StartError, match="^keep: "):
                     Relay(file, print)
-        assert path.read_bytes() == spoilt  # left as it is
+        assert path.read_bytes() == spoilt  # left unchanged
         path.write_bytes(data)
         async with running(file) as run:
             assert run.relay.history.version.index == 2
@@ -325,9 +325,9 @@
                 reply = wire.decode_reply(await call(address, watch(reply.version, 10), stream))
                 assert not reply.entries and not reply.is_snapshot
                 await stream.send(ClientSide().ask(watch(reply.version)))
-                await until(lambda: run.relay.fanout.waiting)
-            await until(lambda: not run.relay.fanout.waiting and not run.relay.watch_server.watchers)
-            await until(lambda: set(run.relay.watch_server.descriptors.open.values()) == {0})
+                await wait_until(lambda: run.relay.fanout.waiting)
+            await wait_until(lambda: not run.relay.fanout.waiting and not run.relay.watch_server.watchers)
+            await wait_until(lambda: set(run.relay.watch_server.descriptors.open.values()) == {0})
 
     on_loopback(check)
 
@@ -340,7 +340,7 @@
             streams = [await anyio.connect_tcp(host, int(port)) for _ in range(3)]
             for at, stream in enumerate(streams):
                 await stream.send(ClientSide().ask(watch(held, name=f"x{at}")))
-            await until(lambda: len(run.relay.fanout.waiting) == 3)
+            await wait_until(lambda: len(run.relay.fanout.waiting) == 3)
             answer = await call(run.relay.watch_server.address, watch(held))
             assert answer.status == 503 and answer.header(b"retry-after") == "5"
             for stream in streams:
@@ -355,23 +355,23 @@
 
     async def check():
         async with running(source_file(tmp_path, memory_mb=32)) as run:
-            entries = {of_service(f"s{at}"): {"kinds": ["y" * 60_000]} for at in range(100)}  # 6 MB
+            entries = {service_settings(f"s{at}"): {"kinds": ["y" * 60_000]} for at in range(100)}  # 6 MB
             assert (await run.push(entries))[0] == 200
             watches = run.relay.watch_server
             host, port = watches.address.split(":")
             slow = [await anyio.connect_tcp(host, int(port)) for _ in range(readers)]
             for at, stream in enumerate(slow):
                 await stream.send(ClientSide().ask(watch(scopes=(), name=f"slow{at}")))
-            await until(lambda: sum(watches.sending.values()) == readers)
-            # One copy for all of them, and a block each.
+            await wait_until(lambda: sum(watches.sending.values()) == readers)
+            # One shared copy, and one block per connection.
             assert len(watches.sending) == 1 and watches.shelf.leased < 7 * 2**20
             assert watches.store.leased <= readers + 1
             reply = wire.decode_reply(
                 await call(watches.address, watch(scopes=("service/s1",), name="quick"))
             )
-            assert set(reply.entries) == {of_service("s1")}
-            await until(lambda: watches.cut_off == readers)
-            await until(lambda: not watches.sending and watches.shelf.leased == 0)
+            assert set(reply.entries) == {service_settings("s1")}
+            await wait_until(lambda: watches.cut_off == readers)
+            await wait_until(lambda: not watches.sending and watches.shelf.leased == 0)
             with pytest.raises((anyio.BrokenResourceError, anyio.EndOfStream)):
                 while True:
                     await slow[0].receive(2**20)
@@ -382,7 +382,7 @@
 
 
 def test_a_watcher_that_waits_holds_little_memory_and_leaves_none_behind(tmp_path):
-    """Python's own allocations: a task, a socket, a parser; no buffers."""
+    """Python allocations only: a task, a socket and a parser, but no buffers."""
     count = 200
 
     async def check():
@@ -397,15 +397,17 @@
                     sock = socket.create_connection((host, int(port)))
                     socks.append(sock)
                     sock.sendall(ClientSide().ask(watch(held, 60_000, name=f"x{at}")))
-                    await until(lambda: len(run.relay.fanout.waiting) == len(socks))
+                    await wait_until(lambda: len(run.relay.fanout.waiting) == len(socks))
                 gc.collect()
                 each = (tracemalloc.get_traced_memory()[0] - before) / count
                 assert watches.store.leased == 0 and each < 16_000, each
                 for sock in socks:
                     sock.close()
-                await until(lambda: not watches.watchers and set(watches.descriptors.open.values()) == {0})
+                await wait_until(
+                    lambda: not watches.watchers and set(watches.descriptors.open.values()) == {0}
+                )
                 gc.collect()
-                # What each said of itself stays, for a while.
+                # The last status of each watcher is retained for a while.
                 assert (tracemalloc.get_traced_memory()[0] - before) / count < 4_000
             finally:
                 tracemalloc.stop()
@@ -437,41 +439,41 @@
 
             for at in range(20):
                 run.group.start_soon(wait, f"x{at}")
-            await until(lambda: len(run.relay.fanout.waiting) == 20)
+            await wait_until(lambda: len(run.relay.fanout.waiting) == 20)
             await run.relay.watch_server.drain(1.0, random.Random(5))
-            await until(lambda: len(ends) == 20)
-            assert len({round(at, 3) for at in ends}) > 10  # not all at one moment
+            await wait_until(lambda: len(ends) == 20)
+            assert len({round(at, 3) for at in ends}) > 10  # spread out over time
             with pytest.raises(OSError):
                 await anyio.connect_tcp("127.0.0.1", int(run.relay.watch_server.address.split(":")[1]))
 
     on_loopback(check)
 
 
-# --- relays behind a source, and behind liars ----------------------------------------------------
+# --- relays behind a source and behind faulty relays ----------------------------------------------
 
 
-def relay_of(folder, *upstreams: str, name: str = "relay", **more) -> RelayFile:
+def relay_config(folder, *upstreams: str, name: str = "relay", **more) -> RelayFile:
     return RelayFile(
         name, "127.0.0.1:0", str(folder / "keep" / name), "127.0.0.1:0", upstreams=list(upstreams), **more
     )
 
 
 @pytest.fixture
-def soon(monkeypatch):
-    """Relays come again within a tenth of a second; nothing else is quicker."""
+def fast_reconnect(monkeypatch):
+    """Relays reconnect within 100 ms; nothing else is faster."""
     monkeypatch.setattr("lupinmill.config.relay.UPSTREAM_SPREAD_US", 100_000)
 
 
-def test_a_version_goes_from_the_source_through_two_relays_to_a_watcher(tmp_path, soon):
+def test_a_version_goes_from_the_source_through_two_relays_to_a_watcher(tmp_path, fast_reconnect):
     async def check():
         async with running(source_file(tmp_path, calls_per_s=4_000)) as source:
-            first = relay_of(tmp_path, source.relay.watch_server.address, name="first", calls_per_s=4_000)
+            first = relay_config(tmp_path, source.relay.watch_server.address, name="first", calls_per_s=4_000)
             async with running(first) as first:
-                # Else the version that the source began with is one of those that "second" acknowledges.
-                await until(lambda: first.relay.history.version == source.relay.history.version)
-                second = relay_of(tmp_path, first.relay.watch_server.address, name="second")
+                # Otherwise the first version of the source may be among those that "second" acknowledges.
+                await wait_until(lambda: first.relay.history.version == source.relay.history.version)
+                second = relay_config(tmp_path, first.relay.watch_server.address, name="second")
                 async with running(second) as second:
-                    await until(lambda: second.relay.history.version == source.relay.history.version)
+                    await wait_until(lambda: second.relay.history.version == source.relay.history.version)
                     held = second.relay.history.version
                     stream = await anyio.connect_tcp(*address_of(second))
                     for at in range(5):
@@ -482,34 +484,34 @@
                     await stream.aclose()
                     assert held == source.relay.history.version
                     standing = first.relay.fanout.watchers
-                    await until(lambda: standing.rows["second"].status.in_force == held)
+                    await wait_until(lambda: standing.rows["second"].status.in_force == held)
                     assert standing.relay_times.count == 5
                     rows = orjson.loads((await first.operate("GET", "/v1/status"))[1])["watchers"]
                     assert [(row["name"], row["relay"], row["index"]) for row in rows] == [
                         ("second", True, held.index)
                     ]
                     assert (await second.push({FLEET: {"instances": 1}}))[0] == 404
-                    # Also the relays have kept it.
+                    # The relays have saved it too.
                     path = tmp_path / "keep" / "second"
-                    await until(lambda: (stable_store.load(path) or (None,))[0] == held)
+                    await wait_until(lambda: (stable_store.load(path) or (None,))[0] == held)
                     assert stable_store.load(path)[1] == {FLEET: {"instances": 5}}
 
     on_loopback(check)
 
 
-def address_of(run: Run) -> tuple[str, int]:
+def address_of(run: RunningRelay) -> tuple[str, int]:
     host, port = run.relay.watch_server.address.split(":")
     return host, int(port)
 
 
-def test_a_relay_starts_and_serves_from_what_it_kept_with_its_source_away(tmp_path, soon):
+def test_a_relay_starts_and_serves_from_what_it_kept_with_its_source_away(tmp_path, fast_reconnect):
     async def check():
         async with running(source_file(tmp_path)) as source:
             assert (await source.push({FLEET: {"instances": 7}}))[0] == 200
             upstream = source.relay.watch_server.address
-            async with running(relay_of(tmp_path, upstream)) as run:
-                await until(lambda: run.relay.store.index == 2)
-        async with running(relay_of(tmp_path, upstream)) as run:
+            async with running(relay_config(tmp_path, upstream)) as run:
+                await wait_until(lambda: run.relay.store.index == 2)
+        async with running(relay_config(tmp_path, upstream)) as run:
             assert run.relay.history.version.index == 2
             reply = wire.decode_reply(await call(run.relay.watch_server.address, watch()))
             assert reply.is_snapshot and reply.entries == {FLEET: {"instances": 7}}
@@ -517,27 +519,29 @@
     on_loopback(check)
 
 
-def test_a_relay_with_a_damaged_file_says_so_once_and_begins_with_nothing(tmp_path, soon):
+def test_a_relay_with_a_damaged_file_says_so_once_and_begins_with_nothing(tmp_path, fast_reconnect):
     async def check():
         async with running(source_file(tmp_path)) as source:
             assert (await source.push({FLEET: {"instances": 7}}))[0] == 200
             upstream = source.relay.watch_server.address
-            async with running(relay_of(tmp_path, upstream)) as run:
-                await until(lambda: run.relay.store.index == 2)
+            async with running(relay_config(tmp_path, upstream)) as run:
+                await wait_until(lambda: run.relay.store.index == 2)
             path = tmp_path / "keep" / "relay"
             data = path.read_bytes()
             for spoilt in (b"", data[:4], data[:-1], data[:20] + b"x" + data[21:]):
                 path.write_bytes(spoilt)
-                async with running(relay_of(tmp_path, upstream)) as run:
-                    assert len(run.said("keep_damaged")) == 1
-                    await until(lambda: run.relay.history.version == source.relay.history.version)
-                    await until(lambda: run.relay.store.index == 2)
+                async with running(relay_config(tmp_path, upstream)) as run:
+                    assert len(run.logged("keep_damaged")) == 1
+                    await wait_until(lambda: run.relay.history.version == source.relay.history.version)
+                    await wait_until(lambda: run.relay.store.index == 2)
                 assert path.read_bytes() == data
 
     on_loopback(check)
 
 
-def test_a_relay_whose_disk_is_full_serves_on_from_memory_and_says_so_once(tmp_path, soon, monkeypatch):
+def test_a_relay_whose_disk_is_full_serves_on_from_memory_and_says_so_once(
+    tmp_path, fast_reconnect, monkeypatch
+):
     full, whole_write = [True], stable_store.write_synced
 
     def write(path, data) -> None:
@@ -550,95 +554,105 @@
 
     async def check():
         async with running(source_file(tmp_path)) as source:
-            async with running(relay_of(tmp_path, source.relay.watch_server.address)) as run:
+            async with running(relay_config(tmp_path, source.relay.watch_server.address)) as run:
                 for at in range(3):
                     assert (await source.push({FLEET: {"instances": at + 1}}))[0] == 200
-                    await until(lambda: run.relay.history.version == source.relay.history.version)
+                    await wait_until(lambda: run.relay.history.version == source.relay.history.version)
                     reply = wire.decode_reply(await call(run.relay.watch_server.address, watch()))
                     assert reply.entries == {FLEET: {"instances": at + 1}}
-                await until(lambda: run.relay.store.failing)
+                await wait_until(lambda: run.relay.store.failing)
                 shown = orjson.loads((await run.operate("GET", "/v1/status"))[1])
                 assert shown["keep_failing"] == "No space left on device" and shown["kept"] == 0
-                assert len(run.said("keep_failed")) == 1 and not (tmp_path / "keep" / "relay").exists()
+                assert len(run.logged("keep_failed")) == 1 and not (tmp_path / "keep" / "relay").exists()
                 full.clear()
-                await until(lambda: run.relay.store.index == source.relay.history.version.index)
-                assert len(run.said("keep_failed")) == len(run.said("keep_again")) == 1
+                await wait_until(lambda: run.relay.store.index == source.relay.history.version.index)
+                assert len(run.logged("keep_failed")) == len(run.logged("keep_again")) == 1
 
     on_loopback(check)
 
 
-def test_a_relay_moves_on_from_an_upstream_that_dies_and_hears_of_what_came_meanwhile(tmp_path, soon):
+def test_a_relay_moves_on_from_an_upstream_that_dies_and_hears_of_what_came_meanwhile(
+    tmp_path, fast_reconnect
+):
     async def check():
         async with AsyncExitStack() as stack:
 
-            async def start(file) -> Run:
+            async def start(file) -> RunningRelay:
                 return await stack.enter_async_context(running(file))
 
             async def run_dying(*, task_status) -> None:
-                relay = Relay(relay_of(tmp_path, top, name="a", calls_per_s=4_000), lambda *a, **k: None)
+                relay = Relay(relay_config(tmp_path, top, name="a", calls_per_s=4_000), lambda *a, **k: None)
                 with anyio.CancelScope() as scope:
                     task_status.started((relay, scope))
                     await relay.run()
 
             source = await start(source_file(tmp_path, calls_per_s=4_000))
             top = source.relay.watch_server.address
-            b = await start(relay_of(tmp_path, top, name="b", calls_per_s=4_000))
+            b = await start(relay_config(tmp_path, top, name="b", calls_per_s=4_000))
             dying, scope = await b.group.start(run_dying)
             upstreams = dying.watch_server.address, b.relay.watch_server.address
-            lows = [await start(relay_of(tmp_path, *upstreams, name=f"low{at}")) for at in range(3)]
-            for low in lows:
-                low.relay.upstream_watch.follower.relays = list(upstreams)
-            await until(lambda: len(dying.fanout.waiting) == 3)
+            downstream_relays = [
+                await start(relay_config(tmp_path, *upstreams, name=f"low{at}")) for at in range(3)
+            ]
+            for downstream in downstream_relays:
+                downstream.relay.upstream_watch.follower.relays = list(upstreams)
+            await wait_until(lambda: len(dying.fanout.waiting) == 3)
             scope.cancel()
             assert (await source.push({FLEET: {"instances": 9}}))[0] == 200
-            await until(lambda: all(low.relay.history.version.index == 2 for low in lows))
-            assert {low.relay.upstream_watch.relay for low in lows} == {upstreams[1]}
+            await wait_until(
+                lambda: all(downstream.relay.history.version.index == 2 for downstream in downstream_relays)
+            )
+            assert {downstream.relay.upstream_watch.relay for downstream in downstream_relays} == {
+                upstreams[1]
+            }
 
     on_loopback(check)
 
 
-def head(length: int) -> bytes:
+def response_head(length: int) -> bytes:
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % length
 
 
-def answer_of(version: Version, entries, whole=True, since=NOTHING, **more) -> bytes:
+def encoded_response(version: Version, entries, whole=True, since=NO_VERSION, **more) -> bytes:
     body = wire.encode_reply(Reply(version, whole, entries, since))
     if more:
         body = orjson.dumps(orjson.loads(body) | more)
-    return head(len(body)) + body
+    return response_head(len(body)) + body
 
 
 LIES = {
     "garbage": [b"\x16\x03\x01 what is this\r\n\r\n"],
-    "no json": [head(9) + b'{"index":'],
-    "no table": [head(2) + b"[]"],
-    "a wrong type": [answer_of(Version(50, "l"), {FLEET: {"lie": 1}}, index="50")],
-    "a scope that is none": [answer_of(Version(50, "l"), {Key("moon", "settings"): {"lie": 1}})],
-    "changes from nowhere": [answer_of(Version(50, "l"), {FLEET: {"lie": 1}}, False, Version(49, "q"))],
-    "cut in the middle": [answer_of(Version(50, "l"), {FLEET: {"lie": 1}})[:-9]],
-    "too long by its length": [head(10**10)],
+    "no json": [response_head(9) + b'{"index":'],
+    "no table": [response_head(2) + b"[]"],
+    "a wrong type": [encoded_response(Version(50, "l"), {FLEET: {"lie": 1}}, index="50")],
+    "a scope that is none": [encoded_response(Version(50, "l"), {Key("moon", "settings"): {"lie": 1}})],
+    "changes from nowhere": [
+        encoded_response(Version(50, "l"), {FLEET: {"lie": 1}}, False, Version(49, "q"))
+    ],
+    "cut in the middle": [encoded_response(Version(50, "l"), {FLEET: {"lie": 1}})[:-9]],
+    "too long by its length": [response_head(10**10)],
     "endless": [b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"]
     + [b"10000\r\n" + b"x" * 65_536 + b"\r\n"] * 400,
-    "an old version": [answer_of(Version(1, "l"), {FLEET: {"lie": 1}})],
-    "another of the same index": [answer_of(Version(2, "l"), {FLEET: {"lie": 1}})],
-    "none at all": [answer_of(NOTHING, {})],
+    "an old version": [encoded_response(Version(1, "l"), {FLEET: {"lie": 1}})],
+    "another of the same index": [encoded_response(Version(2, "l"), {FLEET: {"lie": 1}})],
+    "none at all": [encoded_response(NO_VERSION, {})],
     "an error": [b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"],
     "a closed door": [],
 }
 
 
 @pytest.mark.parametrize("lie", LIES)
-def test_a_lying_relay_is_dropped_bounded_and_another_asked(tmp_path, soon, lie):
-    """The relay below has the version already, and comes to the liar first."""
+def test_a_lying_relay_is_dropped_bounded_and_another_asked(tmp_path, fast_reconnect, lie):
+    """The relay under test already has the version and asks the faulty upstream first."""
 
     async def check():
         async with running(source_file(tmp_path, calls_per_s=4_000)) as source:
             assert (await source.push({FLEET: {"instances": 1}}))[0] == 200
-            async with running(relay_of(tmp_path, source.relay.watch_server.address)) as run:
-                await until(lambda: run.relay.store.index == 2)
+            async with running(relay_config(tmp_path, source.relay.watch_server.address)) as run:
+                await wait_until(lambda: run.relay.store.index == 2)
             asked, sent = [], []
 
-            async def attend(stream) -> None:
+            async def serve(stream) -> None:
                 async with stream:
                     asked.append(await stream.receive())
                     try:
@@ -652,18 +666,18 @@
             listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
             liar = "127.0.0.1:%d" % listener.extra(anyio.abc.SocketAttribute.local_port)
             async with anyio.create_task_group() as group:
-                group.start_soon(listener.serve, attend)
-                file = relay_of(tmp_path, liar, source.relay.watch_server.address)
+                group.start_soon(listener.serve, serve)
+                file = relay_config(tmp_path, liar, source.relay.watch_server.address)
                 async with running(file) as run:
                     run.relay.upstream_watch.follower.relays = [liar, source.relay.watch_server.address]
-                    await until(lambda: asked)
+                    await wait_until(lambda: asked)
                     assert (await source.push({FLEET: {"instances": 2}}))[0] == 200
-                    await until(lambda: run.relay.history.version == source.relay.history.version)
+                    await wait_until(lambda: run.relay.history.version == source.relay.history.version)
                     assert run.relay.history.entries == {FLEET: {"instances": 2}}
                     assert (
                         sum(sent) <= wire.MAX_REPLY_BYTES + 2**22
                     ), "it was read beyond what an answer may have"
-                    text = " ".join(one["text"] for one in run.said("config"))
+                    text = " ".join(one["text"] for one in run.logged("config"))
                     assert liar in text, text
                 group.cancel_scope.cancel()
             await listener.aclose()
@@ -671,22 +685,23 @@
     on_loopback(check)
 
 
-def test_a_relay_killed_in_the_middle_of_its_answer_leaves_nothing_half_in_force(tmp_path, soon):
-    """Every cut of a real answer: what is below holds the old version or the new one, whole."""
+def test_a_relay_killed_in_the_middle_of_its_answer_leaves_nothing_half_in_force(tmp_path, fast_reconnect):
+    """A real reply, truncated at many offsets: the client holds either the old version or the new one,
+    completely."""
 
     async def check():
         async with running(source_file(tmp_path, calls_per_s=4_000)) as source:
             assert (await source.push({FLEET: {"instances": 1}}))[0] == 200
             first = source.relay.history.version, dict(source.relay.history.entries)
-            changes = {FLEET: {"instances": 2}, of_service("s"): {"instances": 3}}
+            changes = {FLEET: {"instances": 2}, service_settings("s"): {"instances": 3}}
             assert (await source.push(changes))[0] == 200
             second = source.relay.history.version, changes
-            whole = answer_of(second[0], changes, False, first[0])
+            whole = encoded_response(second[0], changes, False, first[0])
             rng, cuts = random.Random(41), []
             cuts = sorted(rng.sample(range(1, len(whole)), 25))
             served = []
 
-            async def attend(stream) -> None:
+            async def serve(stream) -> None:
                 async with stream:
                     await stream.receive()
                     if cuts:
@@ -697,7 +712,7 @@
             listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
             dying = "127.0.0.1:%d" % listener.extra(anyio.abc.SocketAttribute.local_port)
             async with anyio.create_task_group() as group:
-                group.start_soon(listener.serve, attend)
+                group.start_soon(listener.serve, serve)
                 seen = []
 
                 def take(version, entries):
@@ -707,14 +722,14 @@
                 driver = ConfigWatch(follower, (), Store(), take, lambda *a, **k: None)
                 group.start_soon(driver.run)
                 while cuts:
-                    follower.next_call_at = 0  # at once, however often it was cut
+                    follower.next_call_at = 0  # retries immediately
                     follower.relay_states[dying].behind_until = follower.relay_states[dying].penalty_us = 0
                     driver.notify(model.TimerFired())
                     await anyio.sleep(0.005)
                     assert (follower.version, follower.entries) == first and not seen
                 whole_again = source.relay.watch_server.address
                 driver.change_relays((whole_again,))
-                await until(lambda: seen)
+                await wait_until(lambda: seen)
                 assert seen == [second] and follower.in_force == second[0]
                 group.cancel_scope.cancel()
             await listener.aclose()
@@ -727,7 +742,7 @@
 
 
 def command(*arguments: str) -> tuple[int, str]:
-    """Exit code and all that was printed."""
+    """The exit code and the printed text."""
     result = CliRunner().invoke(main.root, arguments)
     assert result.exception is None or isinstance(result.exception, SystemExit), result.exception
     return result.exit_code, result.output
@@ -752,17 +767,17 @@
     assert command("relay", "--check", "deploy/relay.toml")[0] == 0
 
 
-def test_commands_push_show_roll_back_and_sum_up(tmp_path, soon):
+def test_commands_push_show_roll_back_and_sum_up(tmp_path, fast_reconnect):
     toml, table = tmp_path / "a.toml", tmp_path / "b.json"
     toml.write_text("[fleet.settings]\ninstances = 3\n[service.tender.settings.limits]\nmost-launches = 2\n")
     table.write_text('{"service": {"tender": {"settings": null}}}')
 
     async def check():
         async with running(source_file(tmp_path, calls_per_s=4_000)) as source:
-            async with running(relay_of(tmp_path, source.relay.watch_server.address)) as relay:
-                top, low = source.relay.admin_server.address, relay.relay.admin_server.address
+            async with running(relay_config(tmp_path, source.relay.watch_server.address)) as relay:
+                top, downstream = source.relay.admin_server.address, relay.relay.admin_server.address
                 first = source.relay.history.version
-                await until(lambda: relay.relay.history.version == first)
+                await wait_until(lambda: relay.relay.history.version == first)
 
                 async def config(*arguments: str) -> tuple[int, str]:
                     return await anyio.to_thread.run_sync(lambda: command("config", *arguments))
@@ -772,27 +787,27 @@
                     1, "lupinmill: the version is 2, not 1; look at what came between, then push again\n",
                 )  # fmt: skip
                 assert await config("push", str(table), "--at", top, "--if-index", "2") == (0, "version 3\n")
-                assert await config("push", str(table), "--at", low) == (
+                assert await config("push", str(table), "--at", downstream) == (
                     1, "lupinmill: this is a relay; a source takes that\n",
                 )  # fmt: skip
-                await until(lambda: relay.relay.history.version.index == 3)
-                assert (await config("show", "--at", low))[1] == (
+                await wait_until(lambda: relay.relay.history.version.index == 3)
+                assert (await config("show", "--at", downstream))[1] == (
                     'version 3, 1 entries\nfleet settings {"instances":3}\n'
                 )
                 assert await config("rollback", "2", "--at", top) == (0, "version 4\n")
-                await until(lambda: relay.relay.history.version.index == 4)
-                code, text = await config("show", "--at", low, "--scope", "service/tender", "--json")
+                await wait_until(lambda: relay.relay.history.version.index == 4)
+                code, text = await config("show", "--at", downstream, "--scope", "service/tender", "--json")
                 assert code == 0 and orjson.loads(text)["entries"] == [
                     {"scope": "service/tender", "kind": "settings", "value": {"limits": {"most-launches": 2}}}
                 ]
                 held = relay.relay.history.version
                 for name, since in (("good", held), ("late", first)):
                     await call(relay.relay.watch_server.address, watch(since, 10, name=name))
-                code, text = await config("status", "--at", top, "--at", low)
+                code, text = await config("status", "--at", top, "--at", downstream)
                 assert code == 1 and text.startswith("version 4: in force at 1 of 2 sidecars\n")
                 assert "\n  late lags: at 1 of 4, heard " in text and "relay relay: version 4, " in text
                 await call(relay.relay.watch_server.address, watch(held, 10, name="late"))
-                code, text = await config("status", "--at", top, "--at", low)
+                code, text = await config("status", "--at", top, "--at", downstream)
                 assert code == 0 and text.startswith("version 4: in force at 2 of 2 sidecars\n"), text
                 code, text = await config("status", "--at", top, "--at", "127.0.0.1:9")
                 assert code == 2 and "\nno answer: 127.0.0.1:9" in text
--- a/tests/test_config_sidecar.py
+++ b/tests/test_config_sidecar.py
@@ -1,4 +1,5 @@
-"""Configuration in force in a running sidecar: whole or not at all, and work in hand keeps its terms."""
+"""Configuration in a running sidecar: versions apply completely or not at all, and requests in progress keep
+the settings they started with."""
 
 import os
 import signal
@@ -32,18 +33,18 @@
 # --- stand-ins -----------------------------------------------------------------------------------
 
 
-class Relay:
-    """Serves a `History` as the wire says. `fault`: raw bytes instead of an answer, or "silent"."""
+class StandInRelay:
+    """Serves a `History` over the wire format. `fault`: raw bytes to send instead of a reply, or "silent"."""
 
     def __init__(self) -> None:
         self.history = History(Version(), {})
-        self.news, self.fault, self.calls, self.statuses = anyio.Event(), None, 0, []
+        self.changed, self.fault, self.calls, self.statuses = anyio.Event(), None, 0, []
         self.address, self.scope = "", None
 
     def push(self, entries: Entries) -> Version:
         version = self.history.push(entries)
-        self.news.set()
-        self.news = anyio.Event()
+        self.changed.set()
+        self.changed = anyio.Event()
         return version
 
     async def run(self, port: int = 0, *, task_status=anyio.TASK_STATUS_IGNORED) -> None:
@@ -51,9 +52,9 @@
             async with await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=port) as listener:
                 self.address = "127.0.0.1:%d" % listener.extra(anyio.abc.SocketAttribute.local_port)
                 task_status.started()
-                await listener.serve(self.attend)
+                await listener.serve(self.serve)
 
-    async def attend(self, stream) -> None:
+    async def serve(self, stream) -> None:
         from lupinmill.protocol.http import ServerSide
 
         async with stream:
@@ -74,7 +75,7 @@
                     self.statuses.append(watch.status)
                     with anyio.move_on_after(min(0.3, watch.wait_ms / 1000)):
                         while not self.history.has_changes(watch.since, watch.scopes):
-                            await self.news.wait()
+                            await self.changed.wait()
                     reply = self.history.reply(watch.since, watch.scopes, 100)
                     await stream.send(side.answer(Answer(200, [], wire.encode_reply(reply)), False))
                     side.goes_on()
@@ -83,11 +84,11 @@
 
 
 class ConfigNet(Net):
-    """A whole program that watches a stand-in relay."""
+    """A whole sidecar program that watches a stand-in relay."""
 
     def __init__(self, acts, keep: str = "", before=lambda relay: None, file: str = "", **more) -> None:
         super().__init__(acts, operator=True, **more)
-        self.relay, self.keep, self.before, self.file = Relay(), keep, before, file
+        self.relay, self.keep, self.before, self.file = StandInRelay(), keep, before, file
 
     def told(self):
         relays = f'["{self.relay.address}"]'
@@ -128,7 +129,7 @@
     return on_network(check, *acts, net_of=ConfigNet, **more)
 
 
-async def fine(_):
+async def answer_ok(_):
     return Answer(200, [], b"ok")
 
 
@@ -169,11 +170,11 @@
         await net.in_force({FLEET: {"instances": 400}})
         assert program.discovery.wait == 2.0 and program.engine.sidecar.desk.cap == cap / 400
 
-    network(check, fine)
+    network(check, answer_ok)
 
 
 def test_a_shorter_contract_denies_the_next_and_work_in_hand_ends_by_its_own():
-    """Endpoints hold everything: under the old terms 1.0 s, under the new 0.2 s."""
+    """The endpoints never answer: the old hard limit is 1.0 s, the new one 0.2 s."""
 
     async def check(net):
         times = {}
@@ -205,13 +206,13 @@
         deployed = [note.deployment for note in net.notes if isinstance(note, t.Deployed)]
         assert {(d.instances, d.most_launches) for d in deployed} <= {(3, 4), (4, 2)}
 
-    network(check, fine)
+    network(check, answer_ok)
 
 
 @pytest.mark.parametrize("first", ["file", "version"])
 def test_a_sighup_and_a_version_that_cross_leave_the_newest_of_both(first):
     async def check(net):
-        # It fits with the newer file alone: of "extra" the version tells no more than a value.
+        # Valid only with the newer file: for "extra" the version has nothing but a value.
         change = {FLEET: {"workloads": {"extra": {"value": 5.0}}, "instances": 7}}
         more = settings()["workloads"] + [{"name": "extra"} | workload()]
         if first == "version":
@@ -226,7 +227,7 @@
         assert deployment_.instances == 7 and deployment_.workloads[-1].value == 5.0
         assert (await net.ask(wanted("s1", "extra"))).status == 200
         await until(lambda: net.relay.statuses[-1].in_force.index == 1 and not net.relay.statuses[-1].refused)
-        # A file that does not fit is refused with its key; what was in force stays.
+        # A file that conflicts is refused with its key, and the settings in force stay.
         net.table["settings"] = settings(workloads=more, tier=1)
         net.program.reload()
         assert ("reload_refused", {"error": "settings.tier: wants a new start"}) in net.logs
@@ -235,7 +236,7 @@
         assert "settings.workloads.3" in net.logs[-1][1]["error"]
         assert net.program.told.deployment is deployment_ and net.program.in_force.base.settings != settings()
 
-    network(check, fine)
+    network(check, answer_ok)
 
 
 def test_without_the_table_a_sighup_refuses_other_settings_as_ever():
@@ -247,12 +248,12 @@
         assert net.logs[-1] == ("reload_refused", {"error": "these want a new start", "fields": ["settings"]})
         assert net.program.in_force is None
 
-    on_network(check, fine)
+    on_network(check, answer_ok)
 
 
 def test_relays_of_the_file_change_with_a_sighup():
     async def check(net):
-        other = Relay()
+        other = StandInRelay()
         async with anyio.create_task_group() as group:
             await group.start(other.run)
             first, net.relay = net.relay, other
@@ -266,22 +267,22 @@
             net.relay = first
             group.cancel_scope.cancel()
 
-    network(check, fine)
+    network(check, answer_ok)
 
 
 # --- start, end, upgrade -------------------------------------------------------------------------
 
-CHANGED = {FLEET: {"workloads": {"quick": workload()}, "limits": {"most-launches": 3}}}
+CHANGES = {FLEET: {"workloads": {"quick": workload()}, "limits": {"most-launches": 3}}}
 SCOPES = ["fleet", "service/portal", "sidecar/n1"]
 
 
-def kept_file(tmp_path, entries: Entries = CHANGED, scopes=SCOPES) -> str:
+def kept_file(tmp_path, entries: Entries = CHANGES, scopes=SCOPES) -> str:
     path = tmp_path / "kept"
     stable_store.save(path, Version(7, "mark"), entries | {ConfigWatch.WATCHED_SCOPES_KEY: scopes})
     return str(path)
 
 
-def silent(relay: Relay) -> None:
+def make_silent(relay: StandInRelay) -> None:
     relay.fault = "silent"
 
 
@@ -293,7 +294,7 @@
         assert (shown["version"], shown["source"], shown["scopes"]) == (7, "kept file", SCOPES)
         assert (shown["mark"], shown["kept"], shown["heard"]) == ("mark", 7, 7)
 
-    network(check, fine, keep=kept_file(tmp_path), before=silent)
+    network(check, answer_ok, keep=kept_file(tmp_path), before=make_silent)
 
 
 def test_a_start_without_a_kept_version_goes_by_what_is_told_and_takes_the_first_answer(tmp_path):
@@ -302,17 +303,17 @@
         assert (await net.ask(wanted("s2", "view"))).status == 200
         assert (await net.shown())["source"] == "as told"
         net.relay.fault = None
-        await net.in_force(CHANGED)
+        await net.in_force(CHANGES)
         assert (await net.ask(wanted("s3", "quick"))).status == 200
         await until(lambda: net.program.in_force.watch.saved_index == 1)
         version, entries = stable_store.load(tmp_path / "kept")
         assert version == net.relay.history.version
-        assert entries == CHANGED | {ConfigWatch.WATCHED_SCOPES_KEY: SCOPES}
+        assert entries == CHANGES | {ConfigWatch.WATCHED_SCOPES_KEY: SCOPES}
 
     def away(relay):
         relay.fault = b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"
 
-    network(check, fine, keep=str(tmp_path / "kept"), before=away)
+    network(check, answer_ok, keep=str(tmp_path / "kept"), before=away)
 
 
 @pytest.mark.parametrize("spoil", ["cut", "other scopes", "unfit", "fixed"])
@@ -323,7 +324,7 @@
         if spoil == "unfit"
         else {FLEET: {"tier": 1}}
         if spoil == "fixed"
-        else CHANGED,
+        else CHANGES,
         ["fleet"] if spoil == "other scopes" else SCOPES,
     )
 
@@ -340,7 +341,7 @@
         assert len(lines) == 1 and said_[spoil] in lines[0]["error"]
         assert net.version() == 0 and net.program.in_force.follower.version.index == 0
         net.relay.fault = None
-        await net.in_force(CHANGED)
+        await net.in_force(CHANGES)
 
     whole = Path(path).read_bytes()
     cuts = range(0, len(whole), 29) if spoil == "cut" else [None]
@@ -349,10 +350,10 @@
             Path(path).write_bytes(whole[:at])
             with pytest.raises(stable_store.StableStoreError):
                 stable_store.load(path)
-    network(check, fine, keep=path, before=silent_for_a_while)
+    network(check, answer_ok, keep=path, before=silent_for_a_while)
 
 
-def silent_for_a_while(relay: Relay) -> None:
+def silent_for_a_while(relay: StandInRelay) -> None:
     relay.fault = b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"
 
 
@@ -384,14 +385,14 @@
         )
         assert stable_store.load(tmp_path / "kept")[0].index == 3
 
-    network(check, fine, keep=str(tmp_path / "kept"))
+    network(check, answer_ok, keep=str(tmp_path / "kept"))
 
 
 def test_cut_off_it_goes_on_with_what_it_has_and_catches_up(tmp_path):
-    """Relay away with its address; then back at it with a history that went on without this sidecar."""
+    """The relay goes down and returns at the same address, with a history that advanced meanwhile."""
 
     async def check(net):
-        await net.in_force(CHANGED)
+        await net.in_force(CHANGES)
         port = int(net.relay.address.split(":")[1])
         net.relay.scope.cancel()
         for at in range(5):
@@ -405,7 +406,7 @@
             assert net.program.told.deployment.most_launches == 3
             group.cancel_scope.cancel()
 
-    network(check, fine)
+    network(check, answer_ok)
 
 
 LIES = {
@@ -425,7 +426,7 @@
 def test_a_relay_that_lies_is_dropped_and_another_is_asked(lie):
     async def main():
         with anyio.fail_after(15):
-            good, bad, taken, lines = Relay(), Relay(), [], []
+            good, bad, taken, lines = StandInRelay(), StandInRelay(), [], []
             bad.fault = LIES[lie]
             async with anyio.create_task_group() as group:
                 await group.start(good.run)
@@ -456,7 +457,7 @@
 def test_one_that_dribbles_is_cut_at_the_end_of_the_call_and_a_new_ask_gives_the_old_one_up():
     async def main():
         with anyio.fail_after(15):
-            relay, lines = Relay(), []
+            relay, lines = StandInRelay(), []
 
             async def dribble(stream):
                 async with stream:
@@ -470,7 +471,7 @@
                     except (OSError, anyio.BrokenResourceError, anyio.EndOfStream):
                         pass
 
-            relay.attend = dribble
+            relay.serve = dribble
             async with anyio.create_task_group() as group:
                 await group.start(relay.run)
                 follower = Follower("n1", (relay.address,), 1, 0, 100_000, Version(), {})
@@ -490,7 +491,7 @@
 def test_a_defect_in_taking_is_a_refusal_and_the_watch_goes_on():
     async def main():
         with anyio.fail_after(15):
-            relay, lines, calls = Relay(), [], []
+            relay, lines, calls = StandInRelay(), [], []
 
             def take(version, entries):
                 calls.append(version.index)
@@ -517,7 +518,7 @@
 
 
 class Process:
-    """One process of a sidecar with the operators' file; its log lines as they come."""
+    """A sidecar process with an operators' file, and its log lines."""
 
     def __init__(self, tmp_path, table: dict, relay: str, number: int = 1) -> None:
         (tmp_path / "told.json").write_bytes(orjson.dumps(table))
@@ -547,11 +548,11 @@
 
 
 def processes(tmp_path, check, *acts) -> None:
-    """`check(net, relay, begin)`; whatever was begun is ended with the test."""
+    """Runs `check(net, relay, begin)` and ends every process that it started."""
     net, begun = Net(list(acts)), []
 
     async def main() -> None:
-        relay = Relay()
+        relay = StandInRelay()
         with anyio.fail_after(25):
             async with anyio.create_task_group() as group:
                 await net.start(group)
@@ -579,7 +580,7 @@
 
 
 def test_a_version_that_crosses_the_drain_loses_nothing(tmp_path):
-    """SIGTERM while one is out; then a version with other terms and without its workload."""
+    """SIGTERM with one request in progress; then a version with other settings and without its workload."""
 
     async def check(net, relay, begin):
         process, answers = await begin(), {}
@@ -616,7 +617,7 @@
         assert (await net.ask(wanted("s2", "quick"))).status == 200
         assert (await net.ask(wanted("s3", "view"))).status == 200
 
-    processes(tmp_path, check, fine)
+    processes(tmp_path, check, answer_ok)
 
 
 def test_the_next_process_of_an_upgrade_goes_by_the_kept_version_with_the_relay_silent(tmp_path):
@@ -625,7 +626,7 @@
             sock.bind(("127.0.0.1", 0))
             net.table["listen"] = "127.0.0.1:%d" % sock.getsockname()[1]
         old = await begin()
-        relay.push(CHANGED)
+        relay.push(CHANGES)
         await until(lambda: old.in_force(1) and (tmp_path / "kept").exists())
         relay.fault = "silent"
         new = await begin()
@@ -635,7 +636,7 @@
         assert await anyio.to_thread.run_sync(old.popen.wait) == 0
         assert (await net.ask(wanted("s2", "quick"))).status == 200
 
-    processes(tmp_path, check, fine)
+    processes(tmp_path, check, answer_ok)
 
 
 # --- the roster ----------------------------------------------------------------------------------
@@ -693,7 +694,7 @@
         await net.in_force({Key("fleet", "zones"): None, Key("fleet", "member/n4"): None})
         assert names() == {"n1", "n2", "n3"}
 
-    network(check, fine, file=PEERS.format(ports=ports))
+    network(check, answer_ok, file=PEERS.format(ports=ports))
 
 
 def test_a_roster_changed_in_the_file_and_by_entries_is_that_of_both():
@@ -707,7 +708,7 @@
         net.file += f'[peers.members.n4]\naddress = "127.0.0.1:{ports[3]}"\n'
         net.program.reload()
         assert net.logs[-1][0] == "reloaded" and names() == {"n1", "n2", "n3", "n4", "n5"}
-        net.file = net.file.replace(str(ports[3]), str(ports[4]))  # the entry has that address
+        net.file = net.file.replace(str(ports[3]), str(ports[4]))  # an entry uses that address
         net.program.reload()
         assert net.logs[-1][0] == "reload_refused" and "n4 has it already" in net.logs[-1][1]["error"]
         assert net.program.peers.addresses["n4"] == ("127.0.0.1", ports[3])
@@ -718,4 +719,4 @@
             {"error": "these want a new start", "fields": ["peers.lease_s"]},
         )
 
-    network(check, fine, file=PEERS.format(ports=ports))
+    network(check, answer_ok, file=PEERS.format(ports=ports))
--- a/tests/test_config_terms.py
+++ b/tests/test_config_terms.py
@@ -1,4 +1,4 @@
-"""The module under changes of its settings: work in hand keeps the terms under which it was taken."""
+"""The decision module under settings changes: requests in progress keep the settings they started with."""
 
 import pickle
 import random
@@ -19,8 +19,8 @@
 FLEET, MINE = Key("fleet", "settings"), Key("sidecar/n1", "settings")
 
 
-class Live(Bed):
-    """Judges each submission by the deployment under which it came."""
+class SettingsBed(Bed):
+    """Checks each request against the deployment in force when it arrived."""
 
     def __init__(self, d: t.Deployment, endpoints: int = 4) -> None:
         self.newest, self.terms = d, {}
@@ -43,7 +43,7 @@
         super().check(order)
 
     def end(self, name: str, launch: int, how: t.How, load=None, after: int = 0) -> list[t.Order]:
-        self.now += after  # it took so long
+        self.now += after  # how long it took
         return super().end(name, launch, how, load)
 
     def deploy(self, **changes) -> t.Deployment:
@@ -52,18 +52,18 @@
         return d
 
 
-def as_(workload: t.Workload, **changes) -> t.Workload:
+def changed(workload: t.Workload, **changes) -> t.Workload:
     return in_force.replace(workload, **changes)
 
 
-def busy(bed: Bed, count: int = 30) -> None:
-    """Handled ones, so that retries have a budget."""
+def earn_retry_budget(bed: Bed, count: int = 30) -> None:
+    """Handles requests to earn a retry budget."""
     for _ in range(count):
         name = bed.arrive(IDEM)
         bed.end(name, 0, t.How.HANDLED, after=20_000)
 
 
-def waits_for_a_retry(bed: Bed, workload: t.Workload, how: t.How) -> str:
+def start_waiting_retry(bed: Bed, workload: t.Workload, how: t.How) -> str:
     name = bed.arrive(workload)
     bed.end(name, 0, how, after=10_000)
     assert bed.sidecar.desk.open[name].retrying and not bed.out(name)
@@ -71,10 +71,10 @@
 
 
 def test_what_waits_for_a_retry_while_its_workload_becomes_unrepeatable_is_launched_by_its_own_terms():
-    bed = Live(deployment())
-    busy(bed)
-    name = waits_for_a_retry(bed, IDEM, t.How.ERROR)
-    bed.deploy(workloads=[as_(IDEM, repeat=t.Repeat.UNREPEATABLE), KEYED, ONCE])
+    bed = SettingsBed(deployment())
+    earn_retry_budget(bed)
+    name = start_waiting_retry(bed, IDEM, t.How.ERROR)
+    bed.deploy(workloads=[changed(IDEM, repeat=t.Repeat.UNREPEATABLE), KEYED, ONCE])
     bed.run(SECOND)
     assert len(bed.flights[name]) >= 2
     new = bed.arrive(IDEM)
@@ -83,52 +83,52 @@
 
 
 def test_what_waits_for_a_retry_while_its_workload_becomes_repeatable_never_runs_twice():
-    bed = Live(deployment())
-    busy(bed)
-    name = waits_for_a_retry(bed, ONCE, t.How.REFUSED)  # it never ran: it may be launched again
-    bed.deploy(workloads=[IDEM, KEYED, as_(ONCE, repeat=t.Repeat.IDEMPOTENT)])
+    bed = SettingsBed(deployment())
+    earn_retry_budget(bed)
+    name = start_waiting_retry(bed, ONCE, t.How.REFUSED)  # it never ran, so it may be sent again
+    bed.deploy(workloads=[IDEM, KEYED, changed(ONCE, repeat=t.Repeat.IDEMPOTENT)])
     bed.run(SECOND)
     assert len(bed.flights[name]) == 2
-    bed.end(name, 1, t.How.ERROR, after=10_000)  # now it may have run, and by its own terms that is all
+    bed.end(name, 1, t.How.ERROR, after=10_000)  # it may have run, so its own settings forbid another attempt
     assert bed.closed[name] == "broken off"
     bed.run(2 * SECOND)
     assert len(bed.flights[name]) == 2
-    new = bed.arrive(as_(ONCE, repeat=t.Repeat.IDEMPOTENT))
+    new = bed.arrive(changed(ONCE, repeat=t.Repeat.IDEMPOTENT))
     bed.end(new, 0, t.How.ERROR, after=10_000)
     bed.run(SECOND)
     assert len(bed.flights[new]) >= 2
 
 
 def test_a_window_and_a_group_stay_those_under_which_a_keyed_one_was_taken():
-    bed = Live(deployment())
-    busy(bed)
-    name = waits_for_a_retry(bed, KEYED, t.How.RESET)
-    bed.deploy(workloads=[IDEM, as_(KEYED, window=1, group=t.Group.ALL), ONCE])
+    bed = SettingsBed(deployment())
+    earn_retry_budget(bed)
+    name = start_waiting_retry(bed, KEYED, t.How.RESET)
+    bed.deploy(workloads=[IDEM, changed(KEYED, window=1, group=t.Group.ALL), ONCE])
     bed.run(SECOND)
     assert len(bed.flights[name]) >= 2, "its own window was open"
-    wide = as_(KEYED, window=60 * SECOND, group=t.Group.ALL)
+    wide = changed(KEYED, window=60 * SECOND, group=t.Group.ALL)
     bed.deploy(workloads=[IDEM, wide, ONCE])
     bed.run(3 * SECOND)
     assert name in bed.closed
 
 
 def test_most_launches_and_copies_stay_those_under_which_it_was_taken():
-    bed = Live(deployment(most_launches=2))
-    busy(bed)
-    name = waits_for_a_retry(bed, IDEM, t.How.ERROR)
+    bed = SettingsBed(deployment(most_launches=2))
+    earn_retry_budget(bed)
+    name = start_waiting_retry(bed, IDEM, t.How.ERROR)
     bed.deploy(most_launches=9, cancel_allowed=False)
     bed.run(SECOND)
     bed.end(name, 1, t.How.ERROR, after=10_000)
     bed.run(SECOND)
     assert len(bed.flights[name]) == 2 and bed.closed[name] == "denied"
-    late = bed.arrive(IDEM)  # called off at its end by the terms in force before, not by these
+    late = bed.arrive(IDEM)  # cancelled at its end under its own settings, not the new ones
     bed.run(3 * SECOND)
     assert bed.closed[late] == "denied"
 
 
 def test_a_workload_taken_away_ends_its_last_ones_by_their_own_terms():
-    bed = Live(deployment())
-    busy(bed)
+    bed = SettingsBed(deployment())
+    earn_retry_budget(bed)
     held = [bed.arrive(IDEM) for _ in range(40)]
     bed.deploy(workloads=[ONCE])
     assert set(bed.sidecar.desk.allow.workloads) == {"issue"}
@@ -143,14 +143,14 @@
 
 
 def test_worths_follow_and_what_was_learned_stays():
-    bed = Live(deployment(workloads=[IDEM, KEYED]), endpoints=1)
-    busy(bed)
+    bed = SettingsBed(deployment(workloads=[IDEM, KEYED]), endpoints=1)
+    earn_retry_budget(bed)
     desk = bed.sidecar.desk
     held = [bed.arrive(one) for one in (IDEM, KEYED) for _ in range(6)]
     cap, gauge, lanes = desk.cap, desk.gauges["view"], dict(desk.lanes)
     usual = (gauge.usual, gauge.uncrowded)
     assert {key[0] for key, lane in lanes.items() if lane.line} == {"view", "bid"}
-    bed.deploy(workloads=[as_(IDEM, value=9.0), KEYED])
+    bed.deploy(workloads=[changed(IDEM, value=9.0), KEYED])
     assert desk.cap == cap and desk.gauges["view"] is gauge and (gauge.usual, gauge.uncrowded) == usual
     assert {key: lane.worth for key, lane in desk.lanes.items()} == {
         key: 9.0 if key[0] == "view" else KEYED.value for key in desk.lanes
@@ -166,22 +166,22 @@
 
 
 def test_instances_share_out_the_learned_cap():
-    bed = Live(deployment(instances=2))
-    busy(bed)
+    bed = SettingsBed(deployment(instances=2))
+    earn_retry_budget(bed)
     desk = bed.sidecar.desk
     cap = desk.cap
     bed.deploy(instances=8)
     assert desk.cap == cap / 4 and desk.allow.sharers == 8 and desk.allow.told == 8
     bed.step(t.Common(sidecars=4, until=bed.now + SECOND), after=1)
     assert desk.cap == cap / 2
-    bed.deploy(instances=16)  # the live count goes before it while it counts
+    bed.deploy(instances=16)  # the live count takes precedence while it is valid
     assert desk.cap == cap / 2 and desk.allow.sharers == 4 and desk.allow.told == 16
     bed.run(2 * SECOND)
     assert desk.cap == pytest.approx(cap / 8) and desk.allow.sharers == 16
 
 
 def test_the_same_deployment_again_changes_no_decision():
-    """Two sidecars fed alike, one of which is told its own deployment again and again."""
+    """Two sidecars with the same input, one of which is sent its unchanged deployment repeatedly."""
 
     def play(again: bool) -> list:
         sidecar, rng, now, orders = Sidecar(deployment()), random.Random(5), 100 * SECOND, []
@@ -269,9 +269,9 @@
 @hypothesis_settings(derandomize=True, deadline=None, max_examples=150)
 @given(DEPLOYMENTS, STEPS)
 def test_no_drawn_sequence_of_changes_breaks_a_rule(first, steps):
-    bed = Live(first)
+    bed = SettingsBed(first)
     busy_ = [w for w in first.workloads][0]
-    for _ in range(15):  # a budget for retries
+    for _ in range(15):  # earns a retry budget
         name = bed.arrive(busy_)
         if bed.out(name):
             bed.end(name, 0, t.How.HANDLED, after=2_000)
@@ -301,8 +301,8 @@
 
 
 def test_two_thousand_changes_leave_memory_and_tables_bounded():
-    """Names come and go, and none comes back: a day's changes of a service that names its releases."""
-    bed, rng, names = Live(deployment(workloads=[IDEM])), random.Random(11), iter(range(10**6))
+    """Names appear and never return, as for a day's changes of a service that names its releases."""
+    bed, rng, names = SettingsBed(deployment(workloads=[IDEM])), random.Random(11), iter(range(10**6))
     gate, desk = Gate(deployment(workloads=[IDEM])), bed.sidecar.desk
     gate.active, gate.window, gate.carries = True, 0.0, 1_000.0
     admit = Admit(None, None, {"view"}, None)
