--- a/lupinmill/cli/relay.py
+++ b/lupinmill/cli/relay.py
@@ -25,7 +25,7 @@
     if checks:
         click.echo("\n".join(relay_file.describe(file)))
         return
-    from lupinmill.config.relay import StartError, Relay
+    from lupinmill.config.relay import Relay, StartError
     from lupinmill.program.logs import Logs
 
     logs = Logs(file.name)
--- a/lupinmill/config/config_handler.py
+++ b/lupinmill/config/config_handler.py
@@ -13,7 +13,7 @@
 from lupinmill.config.model import MAX_REPLY_BYTES, Version
 from lupinmill.config.push import InvalidPush
 from lupinmill.config.server import JSON_HEADERS
-from lupinmill.config.source import SaveFailed, Source, IndexMismatch, VersionNotKept
+from lupinmill.config.source import IndexMismatch, SaveFailed, Source, VersionNotRetained
 from lupinmill.protocol.http import Answer, Garbled, Malformed, Request, plain
 
 MAX_PUSH_BYTES = MAX_REPLY_BYTES
@@ -57,7 +57,7 @@
             return plain(409, f"{error}\n")
         except SourceBehind as error:
             return plain(409, f"{error}; {RESTORE_HINT}\n")
-        except VersionNotKept as error:
+        except VersionNotRetained as error:
             return plain(404, f"{error}\n")
         except SaveFailed as error:
             return plain(507, f"{error}\n")
--- a/lupinmill/config/driver.py
+++ b/lupinmill/config/driver.py
@@ -17,21 +17,21 @@
 from lupinmill.config.follower import Follower
 from lupinmill.config.model import (
     MAX_REPLY_BYTES,
-    ReplyReceived,
     ApplyVersion,
-    SendWatch,
     Entries,
-    WatchFailed,
-    FollowerEvent,
     FollowerCommand,
+    FollowerEvent,
     Key,
     LogLine,
-    VersionRefused,
     Reply,
-    VersionApplied,
-    Version,
+    ReplyReceived,
+    SendWatch,
     SetTimer,
     TimerFired,
+    Version,
+    VersionApplied,
+    VersionRefused,
+    WatchFailed,
 )
 from lupinmill.protocol.http import ClientSide, Garbled
 from lupinmill.routing.engine import Log as Logs
--- a/lupinmill/config/fanout.py
+++ b/lupinmill/config/fanout.py
@@ -18,7 +18,7 @@
 from typing import Any
 
 from lupinmill.config.history import History
-from lupinmill.config.model import LogLine, Reply, Status, Version, SetTimer
+from lupinmill.config.model import LogLine, Reply, SetTimer, Status, Version
 from lupinmill.config.watcher_table import ALL_SCOPES, WatcherTable, discard_from
 
 MAX_CACHED_REPLIES = 512
--- a/lupinmill/config/follower.py
+++ b/lupinmill/config/follower.py
@@ -12,22 +12,22 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from lupinmill.config.history import difference, apply_changes
+from lupinmill.config.history import apply_changes, difference
 from lupinmill.config.model import (
-    ReplyReceived,
     ApplyVersion,
-    SendWatch,
     Entries,
-    WatchFailed,
-    FollowerEvent,
     FollowerCommand,
+    FollowerEvent,
     LogLine,
-    VersionRefused,
     Reply,
+    ReplyReceived,
+    SendWatch,
+    SetTimer,
     Status,
-    VersionApplied,
     Version,
-    SetTimer,
+    VersionApplied,
+    VersionRefused,
+    WatchFailed,
 )
 from lupinmill.workings import Chance
 
--- a/lupinmill/config/push.py
+++ b/lupinmill/config/push.py
@@ -37,7 +37,7 @@
         if level == REMOVE_KEY:
             continue
         if level not in SCOPES:
-            raise InvalidPush(f"{level}: is none of {', '.join((*SCOPES, REMOVE_KEY))}")
+            raise InvalidPush(f"{level}: must be one of {', '.join((*SCOPES, REMOVE_KEY))}")
         for scope, kinds in {level: part}.items() if level == SCOPES[0] else named_scopes(level, part):
             if not wire.is_valid_scope(scope):
                 raise InvalidPush(f"{scope!r}: not a scope with a name")
@@ -45,33 +45,33 @@
                 entries[Key(scope, kind)] = value
     removed = table.get(REMOVE_KEY, [])
     if not isinstance(removed, list):
-        raise InvalidPush(f"{REMOVE_KEY}: wants a list of [SCOPE, KIND]")
+        raise InvalidPush(f"{REMOVE_KEY}: must be a list of [SCOPE, KIND]")
     for pair in removed:
         match pair:
             case [str(scope), str(kind)] if wire.is_valid_scope(scope) and wire.is_valid_kind(kind):
                 key = Key(scope, kind)
             case _:
                 raise InvalidPush(
-                    f'{REMOVE_KEY}: {pair!r:.80} is no [SCOPE, KIND], as ["service/tender", "settings"]'
+                    f'{REMOVE_KEY}: {pair!r:.80} is no [SCOPE, KIND] such as ["service/tender", "settings"]'
                 )
         if key in entries:
-            raise InvalidPush(f"{REMOVE_KEY}: {key.scope} {key.kind} stands in this file too")
+            raise InvalidPush(f"{REMOVE_KEY}: {key.scope} {key.kind} is also set in this file")
         entries[key] = None
     if not entries:
-        raise InvalidPush("the file: changes nothing")
+        raise InvalidPush("the file: contains no changes")
     return entries
 
 
 def named_scopes(level: str, part: Any) -> list[tuple[str, Any]]:
     if not isinstance(part, dict):
-        raise InvalidPush(f"{level}: wants a table by name")
+        raise InvalidPush(f"{level}: must be a table by name")
     return [(f"{level}/{name}", kinds) for name, kinds in part.items()]
 
 
 def scope_kinds(scope: str, kinds: Any) -> list[tuple[str, Any]]:
     place = scope.replace("/", ".", 1)
     if not isinstance(kinds, dict):
-        raise InvalidPush(f"{place}: wants tables {SETTINGS}, {ZONES} or {MEMBERS_TABLE}")
+        raise InvalidPush(f"{place}: must have tables {SETTINGS}, {ZONES} or {MEMBERS_TABLE}")
     result: list[tuple[str, Any]] = []
     for kind, value in kinds.items():
         if kind in (SETTINGS, ZONES):
@@ -82,7 +82,9 @@
                     raise InvalidPush(f"{place}.{MEMBERS_TABLE}.{name!r}: not a name")
                 result.append((MEMBER + name, member))
         else:
-            raise InvalidPush(f"{place}.{kind}: is none of the tables {SETTINGS}, {ZONES}, {MEMBERS_TABLE}")
+            raise InvalidPush(
+                f"{place}.{kind}: must be one of the tables {SETTINGS}, {ZONES}, {MEMBERS_TABLE}"
+            )
     return result
 
 
--- a/lupinmill/config/relay.py
+++ b/lupinmill/config/relay.py
@@ -22,11 +22,11 @@
 from anyio import to_thread
 
 from lupinmill.config import stable_store, wire
+from lupinmill.config.config_handler import MAX_PUSH_BYTES, ConfigHandler
 from lupinmill.config.fanout import Fanout, VersionAvailable
 from lupinmill.config.follower import Follower
 from lupinmill.config.history import History
 from lupinmill.config.model import Entries, Reply, Status, Version
-from lupinmill.config.config_handler import MAX_PUSH_BYTES, ConfigHandler
 from lupinmill.config.relay_file import RelayFile
 from lupinmill.config.server import AdminServer, WatchServer
 from lupinmill.config.source import Source
--- a/lupinmill/config/server.py
+++ b/lupinmill/config/server.py
@@ -17,13 +17,13 @@
 
 from lupinmill.config import wire
 from lupinmill.config.fanout import (
-    WatchReceived,
-    RejectWatch,
     Fanout,
-    WatchClosed,
     FanoutEvent,
+    RejectWatch,
     SendReply,
     TimerFired,
+    WatchClosed,
+    WatchReceived,
 )
 from lupinmill.protocol.http import Answer, Malformed, Request, ServerSide, plain
 from lupinmill.routing.engine import Clock, Log, defect
--- a/lupinmill/config/source.py
+++ b/lupinmill/config/source.py
@@ -23,7 +23,7 @@
     """The push expected another current version."""
 
 
-class VersionNotKept(Exception):
+class VersionNotRetained(Exception):
     """The history no longer retains that version."""
 
 
@@ -51,9 +51,8 @@
         """Publishes the content of an earlier version as a new one."""
         async with self.lock:
             self.check_index(if_index)
-            changes = difference(
-                self.working.entries, self.entries_at(to)
-            )  # validated when it was first pushed
+            # Not validated again: it was when first pushed.
+            changes = difference(self.working.entries, self.entries_at(to))
             return await self.publish(partial(self.working.push, changes))
 
     async def restore(self) -> Version:
@@ -64,7 +63,7 @@
         marks = self.served.marks
         entries = self.served.entries_at(Version(index, marks[index])) if index in marks else None
         if entries is None:
-            raise VersionNotKept(
+            raise VersionNotRetained(
                 f"version {index} is not kept here; the oldest is {min(marks)}: push its file instead"
             )
         return entries
--- a/lupinmill/config/stable_store.py
+++ b/lupinmill/config/stable_store.py
@@ -15,7 +15,7 @@
 import xxhash
 
 from lupinmill.config.model import Entries, Version
-from lupinmill.config.wire import MAX_REPLY_BYTES, parse_table, read_rows, read_version, encode_rows
+from lupinmill.config.wire import MAX_REPLY_BYTES, encode_rows, parse_table, read_rows, read_version
 from lupinmill.protocol.http import Garbled
 
 FORMAT_MAGIC, FORMAT_FAMILY = b"lmc1", b"lmc"
--- a/lupinmill/lab/explore_config.py
+++ b/lupinmill/lab/explore_config.py
@@ -18,22 +18,22 @@
 from dataclasses import dataclass, field
 
 from lupinmill.config.follower import MS, SECOND, Follower
-from lupinmill.config.history import SourceBehind, History
+from lupinmill.config.history import History, SourceBehind
 from lupinmill.config.model import (
-    ReplyReceived,
     ApplyVersion,
-    SendWatch,
     Entries,
-    WatchFailed,
-    FollowerEvent,
     FollowerCommand,
+    FollowerEvent,
     Key,
-    VersionRefused,
     Reply,
-    VersionApplied,
-    Version,
+    ReplyReceived,
+    SendWatch,
     SetTimer,
     TimerFired,
+    Version,
+    VersionApplied,
+    VersionRefused,
+    WatchFailed,
 )
 from lupinmill.lab.explorer import Action, Outcome, explore, walk
 
--- a/lupinmill/lab/scale/fanout.py
+++ b/lupinmill/lab/scale/fanout.py
@@ -18,7 +18,7 @@
 from pathlib import Path
 
 from lupinmill.config import stable_store, wire
-from lupinmill.config.fanout import WatchReceived, Fanout
+from lupinmill.config.fanout import Fanout, WatchReceived
 from lupinmill.config.follower import Follower
 from lupinmill.config.history import History, apply_changes
 from lupinmill.config.model import Entries, Key, Reply, Status, Version
--- a/lupinmill/lab/scale/fanout_world.py
+++ b/lupinmill/lab/scale/fanout_world.py
@@ -18,28 +18,28 @@
 
 from lupinmill.config import fanout, wire
 from lupinmill.config.fanout import (
-    WatchReceived,
-    RejectWatch,
     Fanout,
-    WatchClosed,
-    VersionAvailable,
+    RejectWatch,
     SendReply,
+    VersionAvailable,
+    WatchClosed,
+    WatchReceived,
 )
 from lupinmill.config.follower import Follower
 from lupinmill.config.history import History
 from lupinmill.config.model import (
-    ReplyReceived,
     ApplyVersion,
-    SendWatch,
     Entries,
-    WatchFailed,
     FollowerEvent,
     Reply,
-    Status,
-    VersionApplied,
-    Version,
+    ReplyReceived,
+    SendWatch,
     SetTimer,
+    Status,
     TimerFired,
+    Version,
+    VersionApplied,
+    WatchFailed,
 )
 from lupinmill.config.relay import UPSTREAM_SPREAD_US, UPSTREAM_WAIT_US, Relay, UpstreamFollower
 from lupinmill.lab.scale.fanout_shape import SECOND, Costs, Shape, change, scopes_of, state
--- a/tests/test_config_core.py
+++ b/tests/test_config_core.py
@@ -18,27 +18,27 @@
 from lupinmill.config.follower import MS, SECOND, Follower
 from lupinmill.config.history import (
     MAX_INDEX_LEAD,
-    SourceBehind,
-    History,
     EntriesTooLarge,
-    difference,
+    History,
+    SourceBehind,
     apply_changes,
+    difference,
 )
 from lupinmill.config.model import (
-    ReplyReceived,
     ApplyVersion,
-    SendWatch,
     Entries,
-    WatchFailed,
     Key,
     LogLine,
-    VersionRefused,
     Reply,
-    Status,
-    VersionApplied,
-    Version,
+    ReplyReceived,
+    SendWatch,
     SetTimer,
+    Status,
     TimerFired,
+    Version,
+    VersionApplied,
+    VersionRefused,
+    WatchFailed,
 )
 from lupinmill.protocol.http import Answer, Garbled, Malformed, Request
 
@@ -512,9 +512,8 @@
     assert run.follower.version == source.version, (run.now - begun) // SECOND
     watch = run.next_watch()
     run.answer(source.reply(run.follower.version, ()))
-    assert (
-        run.follower.relay_states[watch.relay].margin_us == follower_module.MIN_MARGIN_US
-    )  # fast again, so a silent relay is noticed soon
+    # Fast again, so a silent relay is noticed soon.
+    assert run.follower.relay_states[watch.relay].margin_us == follower_module.MIN_MARGIN_US
 
 
 def test_one_slow_relay_among_quick_ones_widens_no_limit():
@@ -585,9 +584,8 @@
     run.answer(Reply(Version(index, "m"), False, {}, Version(index, "m")), 20 * SECOND)
     came = run.now
     run.next_watch()
-    assert (
-        run.now - came == follower_module.NO_CHANGES_PAUSE_US
-    )  # it waited in full, so the pause is short again
+    # It waited in full, so the pause is short again.
+    assert run.now - came == follower_module.NO_CHANGES_PAUSE_US
 
 
 def test_other_scopes_are_asked_for_whole_and_taken_at_the_version_held():
@@ -640,9 +638,8 @@
     assert new.relay != old.relay and new.since == source.version
     run.follower.change_relays((new.relay,))
     run.step()
-    assert run.follower.outstanding is not None and list(run.follower.relay_states) == [
-        new.relay
-    ]  # the watch stays outstanding
+    # The watch stays outstanding.
+    assert run.follower.outstanding is not None and list(run.follower.relay_states) == [new.relay]
     run.follower.change_relays(())
     run.step(TimerFired())
     assert run.follower.outstanding is None and run.follower.step(run.now + SECOND, []) == []
--- a/tests/test_config_explorer.py
+++ b/tests/test_config_explorer.py
@@ -8,7 +8,7 @@
 
 from lupinmill.config.follower import Follower
 from lupinmill.config.history import History, apply_changes
-from lupinmill.config.model import ApplyVersion, SendWatch, Entries, VersionRefused, Reply, Version
+from lupinmill.config.model import ApplyVersion, Entries, Reply, SendWatch, Version, VersionRefused
 from lupinmill.lab.explore_config import SCRIPT, ConfigWorld, check, walks
 from lupinmill.lab.explorer import Outcome, explore, replay, walk
 
--- a/tests/test_config_fanout.py
+++ b/tests/test_config_fanout.py
@@ -3,29 +3,28 @@
 
 from collections import Counter
 
+from config_bed import FLEET, NO_VERSION, SECOND, service_settings
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
 from lupinmill.config import wire
 from lupinmill.config.fanout import (
     CATCH_UP_WAIT_US,
-    WatchReceived,
-    RejectWatch,
     Fanout,
-    WatchClosed,
-    VersionAvailable,
+    RejectWatch,
     SendReply,
     TimerFired,
+    VersionAvailable,
+    WatchClosed,
+    WatchReceived,
 )
 from lupinmill.config.follower import Follower
 from lupinmill.config.history import History
-from lupinmill.config.model import ReplyReceived, SendWatch, WatchFailed, Key, Reply, Status, Version
+from lupinmill.config.model import Key, Reply, ReplyReceived, SendWatch, Status, Version, WatchFailed
 from lupinmill.config.relay_file import RelayFile
 from lupinmill.config.watcher_table import MAX_PENDING, LatencyHistogram
 from lupinmill.protocol.http import Answer
 
-from config_bed import FLEET, NO_VERSION, SECOND, service_settings
-
 
 class FanoutHarness:
     """A fan-out in virtual time that records the reply for each token."""
--- a/tests/test_config_overlay.py
+++ b/tests/test_config_overlay.py
@@ -5,8 +5,8 @@
 
 import pytest
 from bed import IDEM, KEYED, SECOND, deployment, settings, wanted
+from test_config_sidecar import answer_ok, network, workload
 from test_sidecar import until
-from test_config_sidecar import network, answer_ok, workload
 
 from lupinmill import terms as t
 from lupinmill.config import checks, merge
--- a/tests/test_config_processes.py
+++ b/tests/test_config_processes.py
@@ -192,9 +192,8 @@
         async with anyio.create_task_group() as group:
             for name in rig.sidecars:
                 group.start_soon(self.client, name)
-            while 200 not in map(
-                results.answers.get, results.extra
-            ):  # on a busy machine the first may be denied
+            # On a busy machine the first may be denied.
+            while 200 not in map(results.answers.get, results.extra):
                 results.extra.append(await self.send_request(rig.sidecars[0], "extra"))
             await self.changes()
             await self.push({SERVICE: {"instances": 3}})  # removes the workload with the entry that added it
--- a/tests/test_config_push.py
+++ b/tests/test_config_push.py
@@ -5,15 +5,13 @@
 from pathlib import Path
 
 import pytest
+from config_bed import FLEET, service_settings
 
 from lupinmill.config import push, relay_file
 from lupinmill.config.model import Key
 from lupinmill.config.push import InvalidPush
 from lupinmill.program.operators_file import BadFile
 
-from config_bed import FLEET, service_settings
-
-
 RELAY = {"name": "r", "listen": "127.0.0.1:7500", "keep": "/k/r", "upstreams": ["127.0.0.1:7501"]}
 
 
@@ -71,19 +69,19 @@
 @pytest.mark.parametrize(
     "table, text",
     [
-        ({}, "the file: changes nothing"),
-        ({"flet": {}}, "flet: is none of fleet, region"),
+        ({}, "the file: contains no changes"),
+        ({"flet": {}}, "flet: must be one of fleet, region"),
         ({"service": {"a\n": {"settings": {}}}}, "not a scope with a name"),
-        ({"service": {"a": {"setings": {}}}}, "service.a.setings: is none of the tables"),
-        ({"service": {"a": 1}}, "service.a: wants tables"),
-        ({"service": 1}, "service: wants a table by name"),
+        ({"service": {"a": {"setings": {}}}}, "service.a.setings: must be one of the tables"),
+        ({"service": {"a": 1}}, "service.a: must have tables"),
+        ({"service": 1}, "service: must be a table by name"),
         ({"fleet": {"members": {"a" * 65: {}}}}, "fleet.members.*: not a name"),
-        ({"remove": "x"}, "remove: wants a list"),
+        ({"remove": "x"}, "remove: must be a list"),
         ({"remove": ["service/x"]}, "remove: 'service/x' is no"),
         ({"remove": [["service/x", "moon"]]}, "remove: .'service/x', 'moon'. is no"),
         (
             {"fleet": {"settings": {}}, "remove": [["fleet", "settings"]]},
-            "remove: fleet settings stands in this file",
+            "remove: fleet settings is also set in this file",
         ),
     ],
 )
--- a/tests/test_config_relay.py
+++ b/tests/test_config_relay.py
@@ -11,6 +11,7 @@
 import orjson
 import pytest
 from click.testing import CliRunner
+from config_bed import FLEET, NO_VERSION, SECOND, service_settings
 
 from lupinmill.cli import main
 from lupinmill.cli.config import summed
@@ -18,15 +19,12 @@
 from lupinmill.config.driver import ConfigWatch
 from lupinmill.config.follower import Follower
 from lupinmill.config.model import Key, Reply, Status, Version
-from lupinmill.config.relay import StartError, Relay
+from lupinmill.config.relay import Relay, StartError
 from lupinmill.config.relay_file import RelayFile
 from lupinmill.config.watcher_table import LatencyHistogram
 from lupinmill.protocol.http import Answer, ClientSide, Request
 from lupinmill.transport.ring import Store
 
-from config_bed import FLEET, NO_VERSION, SECOND, service_settings
-
-
 # --- whole relays and sources on loopback --------------------------------------------------------
 
 LIMIT = 60  # seconds per test
@@ -620,7 +618,7 @@
     return response_head(len(body)) + body
 
 
-LIES = {
+FAULTY_REPLIES = {
     "garbage": [b"\x16\x03\x01 what is this\r\n\r\n"],
     "no json": [response_head(9) + b'{"index":'],
     "no table": [response_head(2) + b"[]"],
@@ -641,8 +639,8 @@
 }
 
 
-@pytest.mark.parametrize("lie", LIES)
-def test_a_lying_relay_is_dropped_bounded_and_another_asked(tmp_path, fast_reconnect, lie):
+@pytest.mark.parametrize("fault", FAULTY_REPLIES)
+def test_a_lying_relay_is_dropped_bounded_and_another_asked(tmp_path, fast_reconnect, fault):
     """The relay under test already has the version and asks the faulty upstream first."""
 
     async def check():
@@ -656,7 +654,7 @@
                 async with stream:
                     asked.append(await stream.receive())
                     try:
-                        for piece in LIES[lie]:
+                        for piece in FAULTY_REPLIES[fault]:
                             await stream.send(piece)
                             sent.append(len(piece))
                         await anyio.sleep(0.05)
@@ -664,12 +662,12 @@
                         pass
 
             listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
-            liar = "127.0.0.1:%d" % listener.extra(anyio.abc.SocketAttribute.local_port)
+            faulty = "127.0.0.1:%d" % listener.extra(anyio.abc.SocketAttribute.local_port)
             async with anyio.create_task_group() as group:
                 group.start_soon(listener.serve, serve)
-                file = relay_config(tmp_path, liar, source.relay.watch_server.address)
+                file = relay_config(tmp_path, faulty, source.relay.watch_server.address)
                 async with running(file) as run:
-                    run.relay.upstream_watch.follower.relays = [liar, source.relay.watch_server.address]
+                    run.relay.upstream_watch.follower.relays = [faulty, source.relay.watch_server.address]
                     await wait_until(lambda: asked)
                     assert (await source.push({FLEET: {"instances": 2}}))[0] == 200
                     await wait_until(lambda: run.relay.history.version == source.relay.history.version)
@@ -678,7 +676,7 @@
                         sum(sent) <= wire.MAX_REPLY_BYTES + 2**22
                     ), "it was read beyond what an answer may have"
                     text = " ".join(one["text"] for one in run.logged("config"))
-                    assert liar in text, text
+                    assert faulty in text, text
                 group.cancel_scope.cancel()
             await listener.aclose()
 
@@ -757,7 +755,7 @@
     assert command("relay", str(tmp_path / "none.toml"))[0] == 2
     bad.write_text("[servise.tender.settings]\n")
     code, text = command("config", "push", str(bad), "--at", "127.0.0.1:9")
-    assert code == 2 and text.count("\n") == 1 and "servise: is none of fleet, region, zone" in text
+    assert code == 2 and text.count("\n") == 1 and "servise: must be one of fleet, region, zone" in text
     bad.write_text("[fleet.settings]\ninstances = 1\n")
     for arguments in (
         ("push", str(bad)), ("status",), ("show",), ("rollback", "3"), ("restore",),
--- a/tests/test_config_sidecar.py
+++ b/tests/test_config_sidecar.py
@@ -409,7 +409,7 @@
     network(check, answer_ok)
 
 
-LIES = {
+FAULTY_REPLIES = {
     "garbage": b"what is this\r\n\r\n",
     "no JSON": b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{[)",
     "an older version": b'HTTP/1.1 200 OK\r\nContent-Length: 113\r\n\r\n{"index":0,"mark":"","snapshot":true,'
@@ -422,12 +422,12 @@
 }
 
 
-@pytest.mark.parametrize("lie", LIES)
-def test_a_relay_that_lies_is_dropped_and_another_is_asked(lie):
+@pytest.mark.parametrize("fault", FAULTY_REPLIES)
+def test_a_relay_that_lies_is_dropped_and_another_is_asked(fault):
     async def main():
         with anyio.fail_after(15):
             good, bad, taken, lines = StandInRelay(), StandInRelay(), [], []
-            bad.fault = LIES[lie]
+            bad.fault = FAULTY_REPLIES[fault]
             async with anyio.create_task_group() as group:
                 await group.start(good.run)
                 await group.start(bad.run)
