--- a/lupinmill/cli/check.py
+++ b/lupinmill/cli/check.py
@@ -89,7 +89,8 @@
         f"config: settings and the roster also come from {len(config.relays)} relays "
         f"({', '.join(config.relays)}), in force without a restart; reconnects are spread over "
         f"{config.spread_s:g} s, until relays send their own value",
-        "this sidecar watches " + ", ".join(merge.scopes_of(name or "NAME", zone, region, config.service)),
+        "this sidecar watches "
+        + ", ".join(merge.watched_scopes(name or "NAME", zone, region, config.service)),
         f"the last version in force is kept in {config.keep}, which a start uses until a relay answers"
         if config.keep
         else "no version is kept: until a relay answers, a start uses the platform's file",
--- a/lupinmill/cli/config.py
+++ b/lupinmill/cli/config.py
@@ -17,13 +17,13 @@
 from lupinmill.cli import admin_client
 from lupinmill.cli.admin_client import AdminCallFailed, exit_with_error
 from lupinmill.config import push as push_files
-from lupinmill.config.model import LARGEST
-from lupinmill.config.push import BadPush
-from lupinmill.config.standing import Times
+from lupinmill.config.model import MAX_REPLY_BYTES
+from lupinmill.config.push import InvalidPush
+from lupinmill.config.watcher_table import LatencyHistogram
 
 BASE_PATH = "/v1/"
 PUBLISH_TIMEOUT_S = 20.0  # for the source to check and store a version
-MAX_ANSWER_BYTES = 4 * LARGEST
+MAX_ANSWER_BYTES = 4 * MAX_REPLY_BYTES
 MAX_LISTED = 12  # sidecars named per state
 ADDRESS_OPTION = click.option(
     "--at",
@@ -96,7 +96,7 @@
 
 def merge_times(shown: list[dict[str, Any]]) -> dict[str, Any]:
     """Merges the time histograms of several relays."""
-    times = Times()
+    times = LatencyHistogram()
     for one in shown:
         classes = {int(at): count for at, count in one["classes"].items()}
         times.merge(classes, round((one["last_ms"] or 0) * 1000))
@@ -216,9 +216,9 @@
 def push(path: str, address: str, if_index: int | None) -> None:
     """Publish the entries of FILE (TOML or JSON) as the next version, after the source has checked them."""
     try:
-        entries = push_files.entries_of(read_entries_file(path))
-    except BadPush as error:
-        exit_with_error(BadPush(f"{path}: {error}"))
+        entries = push_files.parse_entries(read_entries_file(path))
+    except InvalidPush as error:
+        exit_with_error(InvalidPush(f"{path}: {error}"))
     rows = [{"scope": key.scope, "kind": key.kind, "value": value} for key, value in entries.items()]
     body: dict[str, Any] = {"entries": rows}
     if if_index is not None:
@@ -243,20 +243,20 @@
 
 
 def read_entries_file(path: str) -> dict[str, Any]:
-    """Raises BadPush."""
+    """Raises InvalidPush."""
     try:
         data = Path(path).read_bytes()
-        if len(data) > LARGEST:
-            raise BadPush(f"larger than {LARGEST} bytes")
+        if len(data) > MAX_REPLY_BYTES:
+            raise InvalidPush(f"larger than {MAX_REPLY_BYTES} bytes")
         if path.endswith(".json"):
             found = msgspec.json.decode(data)
             if not isinstance(found, dict):
-                raise BadPush("must be a table")
+                raise InvalidPush("must be a table")
             return found
         return tomllib.loads(data.decode())
     except OSError as error:
-        raise BadPush(str(error.strerror)) from error
+        raise InvalidPush(str(error.strerror)) from error
     except UnicodeDecodeError as error:
-        raise BadPush("not valid UTF-8") from error
+        raise InvalidPush("not valid UTF-8") from error
     except (tomllib.TOMLDecodeError, msgspec.DecodeError) as error:
-        raise BadPush(str(error)) from error
+        raise InvalidPush(str(error)) from error
--- a/lupinmill/config/follower.py
+++ b/lupinmill/config/follower.py
@@ -1,65 +1,69 @@
-"""One watch on configuration, of a sidecar or a relay: which relay is asked, what is taken, what is offered
-to the process. Pure: `step(now, notes) -> orders`.
+"""State machine of one watch on the configuration, for a sidecar or a relay: which relay to ask, which
+replies to accept, and which versions to hand to the process. Pure: `step(now, events) -> commands`.
 
-What is held only moves forward: by changes that lead on from exactly the version held, or by a snapshot with
-a higher index; whole, or not at all. What the process goes by follows what it took.
+The held version only moves forward: by changes based on exactly that version, or by a snapshot with a higher
+index, and always completely. The version in force follows it.
 
-Owns the newest version heard with its entries, and how each relay has behaved."""
+Owns the newest received version with its entries, and a health record for each relay.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from lupinmill.config.history import difference, merged
+from lupinmill.config.history import apply_changes, difference
 from lupinmill.config.model import (
-    Answered,
-    Apply,
-    Ask,
+    ApplyVersion,
     Entries,
-    Failed,
-    FollowerNote,
-    FollowerOrder,
-    Log,
-    Refused,
+    FollowerCommand,
+    FollowerEvent,
+    LogLine,
     Reply,
+    ReplyReceived,
+    SendWatch,
+    SetTimer,
     Status,
-    Took,
     Version,
-    WakeMe,
+    VersionApplied,
+    VersionRefused,
+    WatchFailed,
 )
 from lupinmill.workings import RandomSource
 
 MS, SECOND = 1_000, 1_000_000
-LONGEST_WAIT = 60 * SECOND  # what a watch allows
-# Beyond the wait before a relay counts as silent. It doubles where a round of all relays brought no answer:
-# a limit that stays below the time that they take would begin each call anew for ever.
-MARGIN, LONGEST_MARGIN = 2 * SECOND, 60 * SECOND
-LATENESSES = 2  # of the last late answer that the margin stays above
-PART = 0.8  # of the wait that a call waits at least: calls that began together shall not end together
-PACE = 10 * MS  # between two calls at the least: bounds what a relay that always has news can cost
-NO_NEWS, LONGEST_NO_NEWS = 50 * MS, SECOND  # before the next call after none; longer where it came early
-HOLD = SECOND  # so long the next call waits for the word on what is offered, to carry it
-LEAST_SPREAD, LONGEST_SPREAD = 100 * MS, 600 * SECOND
-LEAST_PENALTY, LONGEST_PENALTY = SECOND, 60 * SECOND
-LOG_AGAIN, LONGEST_LOG_AGAIN = 30 * SECOND, 3600 * SECOND
-LONGEST_WHY = 200
+MAX_WAIT_US = 60 * SECOND  # limit of the watch protocol
+# Time beyond the requested wait before a watch counts as timed out. It doubles when a full round of relays
+# gives no reply: with a limit that stays below their actual latency, every call would be abandoned and
+# restarted forever.
+MIN_MARGIN_US, MAX_MARGIN_US = 2 * SECOND, 60 * SECOND
+LATENESS_FACTOR = 2  # the margin is kept at this multiple of the last lateness
+# Lower bound of the randomized wait: calls that start together must not end together.
+MIN_WAIT_FRACTION = 0.8
+MIN_CALL_INTERVAL_US = 10 * MS  # limits the load of a relay that always has changes
+# Pause after a reply without changes; it grows while replies come early.
+NO_CHANGES_PAUSE_US, MAX_NO_CHANGES_PAUSE_US = 50 * MS, SECOND
+APPLY_WAIT_US = SECOND  # the next watch waits this long for the outcome of a version, to report it
+MIN_SPREAD_US, MAX_SPREAD_US = 100 * MS, 600 * SECOND
+MIN_PENALTY_US, MAX_PENALTY_US = SECOND, 60 * SECOND
+LOG_INTERVAL_US, MAX_LOG_INTERVAL_US = 30 * SECOND, 3600 * SECOND
+MAX_REASON_CHARS = 200
 
 
 @dataclass(slots=True)
-class Standing:
-    """How one relay has behaved."""
+class RelayState:
+    """Health record of one relay."""
 
-    spread: int = 0  # told by it; 0: none was
-    margin: int = MARGIN  # beyond the wait before it counts as silent
-    penalty: int = 0  # the last one; doubles while it goes on
-    behind_until: int = 0  # till then the others are asked before it
+    spread_us: int = 0  # as advertised by the relay; 0: not yet
+    margin_us: int = MIN_MARGIN_US  # time beyond the wait before the watch counts as timed out
+    penalty_us: int = 0  # current back-off, doubled while failures continue
+    behind_until: int = 0  # until then other relays are preferred
 
 
 @dataclass(slots=True)
-class Said:
-    at: int
-    again: int  # microseconds until the like is said again
+class LogThrottle:
+    logged_at: int
+    interval: int  # microseconds until a line of this kind is logged again
 
 
 class Follower:
@@ -73,229 +77,258 @@
         version: Version,
         entries: Entries,
     ) -> None:
-        """`version` and `entries` are in force already. The spread is the fleet's, until relays tell theirs:
-        over so long all of it comes anew."""
-        self.name, self.wait, self.spread = name, min(LONGEST_WAIT, wait_us), spread_us
+        """`version` and `entries` are already in force. `spread_us` is the period over which the whole fleet
+        reconnects; relays may advertise their own later."""
+        self.name, self.wait_us, self.spread_us = name, min(MAX_WAIT_US, wait_us), spread_us
         self.random_source = RandomSource(seed)
-        self.version, self.entries = version, dict(entries)  # the newest heard
+        self.version, self.entries = version, dict(entries)  # the newest received
         self.in_force, self.refused, self.why = version, 0, ""
         self.offered: Version | None = None
         self.offered_at = 0
-        self.out: Ask | None = None
-        self.asked_at = -PACE
-        self.due: int | None = None  # when the next call goes out; None: not drawn yet
-        self.whole = False  # the next call asks for the snapshot: what came did not lead on
-        self.renew = False  # so does each call until one came: the scopes may be others than what is held
-        self.again = False  # what is held has changed within its version, and is offered again
-        self.early = 0  # answers without news in a row, each long before its wait was over
-        self.failures = 0  # calls without a good answer in a row
-        self.relays: list[str] = []  # in this follower's own order, the one that it asks first
-        self.standings: dict[str, Standing] = {}
-        self.said: dict[str, Said] = {}
-        self.orders: list[FollowerOrder] = []
+        self.outstanding: SendWatch | None = None
+        self.sent_at = -MIN_CALL_INTERVAL_US
+        self.next_call_at: int | None = None  # when the next watch is sent; None: not chosen yet
+        self.needs_snapshot = False  # the next watch requests a snapshot: the last changes had another base
+        # Watches request a snapshot until one arrives: the watched scopes may differ from those held.
+        self.refresh_pending = False
+        self.reapply_pending = False  # the entries changed within the held version and must be applied again
+        self.early_replies = 0  # consecutive replies without changes that came long before the wait was over
+        self.failures = 0  # consecutive watches without a usable reply
+        self.relays: list[str] = []  # in this follower's own order; the first is asked next
+        self.relay_states: dict[str, RelayState] = {}
+        self.log_throttles: dict[str, LogThrottle] = {}
+        self.commands: list[FollowerCommand] = []
         self.change_relays(relays)
 
     def change_relays(self, relays: tuple[str, ...]) -> None:
-        """In force with the next step. A call at one that is gone is given up; the others keep their
-        standing."""
-        others = [at for at in dict.fromkeys(relays) if at not in self.standings]
-        self.relays = [at for at in self.relays if at in relays]
+        """Takes effect with the next step. A watch on a removed relay is abandoned; the remaining relays keep
+        their health records."""
+        others = [relay for relay in dict.fromkeys(relays) if relay not in self.relay_states]
+        self.relays = [relay for relay in self.relays if relay in relays]
         while others:
             self.relays.append(others.pop(self.random_source.upto(len(others) - 1)))
-        self.standings = {at: self.standings.get(at, Standing()) for at in self.relays}
-        if self.out is not None and self.out.at not in self.standings:
-            self.out, self.due, self.whole = None, None, False
+        self.relay_states = {relay: self.relay_states.get(relay, RelayState()) for relay in self.relays}
+        if self.outstanding is not None and self.outstanding.relay not in self.relay_states:
+            self.outstanding, self.next_call_at, self.needs_snapshot = None, None, False
 
     def refresh(self) -> None:
-        """The snapshot is asked for, and taken also at the version held. For drivers to call where the scopes
-        have changed, and at a start with kept entries, which may be of other scopes."""
-        self.renew = True
-        if self.out is not None:
-            self.out, self.due = None, self.asked_at
+        """Requests a snapshot and accepts it even at the held version. Drivers call this when the scopes have
+        changed, and at startup with stored entries, which may belong to other scopes."""
+        self.refresh_pending = True
+        if self.outstanding is not None:
+            self.outstanding, self.next_call_at = None, self.sent_at
 
     def status(self) -> Status:
         return Status(self.name, self.in_force, self.refused, self.why)
 
     # --- one step ---
 
-    def step(self, now: int, notes: Iterable[FollowerNote]) -> list[FollowerOrder]:
-        self.orders = []
-        for note in notes:
-            if isinstance(note, Answered):
-                if self.out is not None and self.out.at == note.at:
-                    self.answered(now, self.out, note.reply)
-            elif isinstance(note, Failed):
-                if self.out is not None and self.out.at == note.at:
-                    self.failed(now, note)
-            elif isinstance(note, Took):
-                self.took(note.version)
-            elif isinstance(note, Refused):
-                self.refuse(now, note)
-        if self.out is not None and now >= self.out.until:
-            self.silent(now)
-        self.offer(now)
-        self.ask(now)
-        times = [self.out.until] if self.out is not None else [self.next_call()] if self.relays else []
-        self.orders += [WakeMe(at) for at in times]
-        return self.orders
-
-    def next_call(self) -> int:
-        due = max(self.due or 0, self.asked_at + PACE)
-        return max(due, self.offered_at + HOLD) if self.offered is not None else due
-
-    def ask(self, now: int) -> None:
-        if self.due is None:
-            self.due = now + self.random_source.upto(self.spread)
-        if self.out is not None or not self.relays or now < self.next_call():
+    def step(self, now: int, events: Iterable[FollowerEvent]) -> list[FollowerCommand]:
+        self.commands = []
+        for event in events:
+            if isinstance(event, ReplyReceived):
+                if self.outstanding is not None and self.outstanding.relay == event.relay:
+                    self.reply_received(now, self.outstanding, event.reply)
+            elif isinstance(event, WatchFailed):
+                if self.outstanding is not None and self.outstanding.relay == event.relay:
+                    self.watch_failed(now, event)
+            elif isinstance(event, VersionApplied):
+                self.version_applied(event.version)
+            elif isinstance(event, VersionRefused):
+                self.version_refused(now, event)
+        if self.outstanding is not None and now >= self.outstanding.deadline:
+            self.watch_timed_out(now)
+        self.offer_version(now)
+        self.send_watch(now)
+        times = (
+            [self.outstanding.deadline]
+            if self.outstanding is not None
+            else [self.next_call_time()]
+            if self.relays
+            else []
+        )
+        self.commands += [SetTimer(time) for time in times]
+        return self.commands
+
+    def next_call_time(self) -> int:
+        due = max(self.next_call_at or 0, self.sent_at + MIN_CALL_INTERVAL_US)
+        return max(due, self.offered_at + APPLY_WAIT_US) if self.offered is not None else due
+
+    def send_watch(self, now: int) -> None:
+        if self.next_call_at is None:
+            self.next_call_at = now + self.random_source.upto(self.spread_us)
+        if self.outstanding is not None or not self.relays or now < self.next_call_time():
             return
-        self.choose(now)
-        wait = int(self.wait * (PART + (1 - PART) * self.random_source.draw()))
-        # Every other one that fails tells the version held: else nobody hears that a source is behind it.
-        renew = self.renew and self.failures % 2 == 0
-        since = Version() if self.whole or renew else self.version
-        self.out = Ask(self.relays[0], since, wait, now + wait + self.standings[self.relays[0]].margin)
-        self.asked_at = now
-        self.orders.append(self.out)
-
-    # --- what is offered to the process ---
-
-    def offer(self, now: int) -> None:
+        self.choose_relay(now)
+        wait_us = int(self.wait_us * (MIN_WAIT_FRACTION + (1 - MIN_WAIT_FRACTION) * self.random_source.draw()))
+        # After a failure, every other watch reports the held version even when a snapshot is wanted:
+        # otherwise a source that is behind would never learn of it.
+        refresh = self.refresh_pending and self.failures % 2 == 0
+        since = Version() if self.needs_snapshot or refresh else self.version
+        self.outstanding = SendWatch(
+            self.relays[0], since, wait_us, now + wait_us + self.relay_states[self.relays[0]].margin_us
+        )
+        self.sent_at = now
+        self.commands.append(self.outstanding)
+
+    # --- versions handed to the process ---
+
+    def offer_version(self, now: int) -> None:
         newer = self.version.index > max(self.in_force.index, self.refused)
-        if self.offered is None and (newer or self.again):
-            self.again = False
+        if self.offered is None and (newer or self.reapply_pending):
+            self.reapply_pending = False
             self.offered, self.offered_at = self.version, now
-            self.orders.append(Apply(self.version, dict(self.entries)))
+            self.commands.append(ApplyVersion(self.version, dict(self.entries)))
 
-    def took(self, version: Version) -> None:
+    def version_applied(self, version: Version) -> None:
         if version == self.offered:
             self.in_force, self.offered, self.refused, self.why = version, None, 0, ""
 
-    def refuse(self, now: int, note: Refused) -> None:
-        if note.version == self.offered:
-            self.offered, self.refused, self.why = None, note.version.index, note.why[:LONGEST_WHY]
-            text = f"version {note.version.index} refused, {self.in_force.index} stays: {self.why}"
-            self.say(now, "refused", text)
+    def version_refused(self, now: int, event: VersionRefused) -> None:
+        if event.version == self.offered:
+            self.offered, self.refused, self.why = None, event.version.index, event.why[:MAX_REASON_CHARS]
+            text = f"version {event.version.index} rejected, {self.in_force.index} stays in force: {self.why}"
+            self.log_throttled(now, "refused", text)
 
-    # --- what comes of a call ---
+    # --- replies and failures ---
 
-    def answered(self, now: int, ask: Ask, reply: Reply) -> None:
-        self.out = None
-        self.learn_lateness(self.standings[ask.at], now - self.asked_at, ask.wait)
-        standing = self.standings[ask.at]
+    def reply_received(self, now: int, watch: SendWatch, reply: Reply) -> None:
+        self.outstanding = None
+        self.adjust_margin(self.relay_states[watch.relay], now - self.sent_at, watch.wait_us)
+        state = self.relay_states[watch.relay]
         if reply.spread_ms > 0:
-            standing.spread = min(LONGEST_SPREAD, reply.spread_ms * MS)
+            state.spread_us = min(MAX_SPREAD_US, reply.spread_ms * MS)
         held, version = self.version, reply.version
         if version.index == 0:
-            self.distrust(now, "it knows of no version yet")
+            self.reject_reply(now, "it has no version yet")
         elif version.index < held.index:
-            self.distrust(now, f"it is at version {version.index}, this one at {held.index}")
+            self.reject_reply(now, f"its version {version.index} is older than the held version {held.index}")
         elif version.index == held.index and version != held:
-            self.distrust(now, f"its version {version.index} is another than the one here")
-        elif reply.whole:
-            self.take_snapshot(now, ask, reply)
+            self.reject_reply(now, f"its version {version.index} differs from the held version {held.index}")
+        elif reply.is_snapshot:
+            self.accept_snapshot(now, watch, reply)
         elif reply.since != held:
-            if ask.since.index == 0:
-                self.distrust(now, "changes where the snapshot was asked for")
+            if watch.since.index == 0:
+                self.reject_reply(now, "it sent changes although a snapshot was requested")
             else:
-                text = f"{ask.at}: changes that don't lead on from version {held.index}; asks for a snapshot"
-                self.say(now, "gap", text)
-                self.whole, self.due = True, now
+                text = f"{watch.relay}: changes not based on version {held.index}; requesting a snapshot"
+                self.log_throttled(now, "gap", text)
+                self.needs_snapshot, self.next_call_at = True, now
         elif version == held and reply.entries:
-            self.distrust(now, "changes without a new version")
+            self.reject_reply(now, "it sent changes without a new version")
         elif version == held:
-            self.no_news(now, ask)
+            self.no_changes(now, watch)
         else:
-            self.take(now, version, merged(self.entries, reply.entries))
-
-    def learn_lateness(self, standing: Standing, took: int, wait: int) -> None:
-        """An answer with news, before the wait was over, tells only that it was no later than it took."""
-        late = took - wait if took >= wait else min(took, standing.margin // LATENESSES)
-        standing.margin = min(LONGEST_MARGIN, max(MARGIN, LATENESSES * late))
-
-    def take_snapshot(self, now: int, ask: Ask, reply: Reply) -> None:
+            self.accept(now, version, apply_changes(self.entries, reply.entries))
+
+    def adjust_margin(self, state: RelayState, elapsed_us: int, wait_us: int) -> None:
+        """A reply with changes that came before the wait was over only bounds the lateness by the time it
+        took."""
+        late = (
+            elapsed_us - wait_us
+            if elapsed_us >= wait_us
+            else min(elapsed_us, state.margin_us // LATENESS_FACTOR)
+        )
+        state.margin_us = min(MAX_MARGIN_US, max(MIN_MARGIN_US, LATENESS_FACTOR * late))
+
+    def accept_snapshot(self, now: int, watch: SendWatch, reply: Reply) -> None:
         if reply.version == self.version:
-            if self.renew and difference(self.entries, reply.entries):
-                self.entries, self.again = merged({}, reply.entries), True
-            self.renew = False
-            self.no_news(now, ask)
+            if self.refresh_pending and difference(self.entries, reply.entries):
+                self.entries, self.reapply_pending = apply_changes({}, reply.entries), True
+            self.refresh_pending = False
+            self.no_changes(now, watch)
             return
         if self.version.index:
-            self.say(
+            self.log_throttled(
                 now,
                 "snapshot",
-                f"{ask.at}: snapshot of version {reply.version.index} in place of {self.version.index}",
+                f"{watch.relay}: snapshot of version {reply.version.index} replaces {self.version.index}",
             )
-        self.renew = False
-        self.take(now, reply.version, merged({}, reply.entries))
+        self.refresh_pending = False
+        self.accept(now, reply.version, apply_changes({}, reply.entries))
 
-    def take(self, now: int, version: Version, entries: Entries) -> None:
+    def accept(self, now: int, version: Version, entries: Entries) -> None:
         self.version, self.entries = version, entries
-        self.good(now)
-        self.due, self.early = now, 0
+        self.mark_healthy(now)
+        self.next_call_at, self.early_replies = now, 0
 
-    def no_news(self, now: int, ask: Ask) -> None:
-        self.good(now)
-        self.early = self.early + 1 if now - self.asked_at < ask.wait // 2 else 0
-        self.due = now + min(LONGEST_NO_NEWS, NO_NEWS << min(self.early, 10))
+    def no_changes(self, now: int, watch: SendWatch) -> None:
+        self.mark_healthy(now)
+        self.early_replies = self.early_replies + 1 if now - self.sent_at < watch.wait_us // 2 else 0
+        self.next_call_at = now + min(
+            MAX_NO_CHANGES_PAUSE_US, NO_CHANGES_PAUSE_US << min(self.early_replies, 10)
+        )
 
-    def good(self, now: int) -> None:
+    def mark_healthy(self, now: int) -> None:
         if self.failures > 1:
-            self.say(now, "again", f"{self.relays[0]} answers, after {self.failures} calls that failed")
-        self.whole, self.failures = False, 0
-        standing = self.standings[self.relays[0]]
-        standing.penalty = standing.behind_until = 0
-
-    def distrust(self, now: int, why: str) -> None:
-        """It answered, but nothing that can be taken: for a while the others go before it."""
-        standing = self.standings[self.relays[0]]
-        least = max(LEAST_PENALTY, 2 * (standing.spread or self.spread))  # beyond when the next is asked
-        standing.penalty = min(LONGEST_PENALTY, max(least, 2 * standing.penalty))
-        standing.behind_until = now + standing.penalty
-        self.lost(now, "distrusted", why)
-
-    def silent(self, now: int) -> None:
-        standing = self.standings[self.relays[0]]
+            self.log_throttled(
+                now, "again", f"{self.relays[0]} answers again after {self.failures} failed calls"
+            )
+        self.needs_snapshot, self.failures = False, 0
+        state = self.relay_states[self.relays[0]]
+        state.penalty_us = state.behind_until = 0
+
+    def reject_reply(self, now: int, why: str) -> None:
+        """The relay replied, but with nothing usable: the others are preferred for a while."""
+        state = self.relay_states[self.relays[0]]
+        # longer than the delay before the next watch
+        least = max(MIN_PENALTY_US, 2 * (state.spread_us or self.spread_us))
+        state.penalty_us = min(MAX_PENALTY_US, max(least, 2 * state.penalty_us))
+        state.behind_until = now + state.penalty_us
+        self.fail_over(now, "distrusted", why)
+
+    def watch_timed_out(self, now: int) -> None:
+        state = self.relay_states[self.relays[0]]
         if self.failures + 1 >= len(self.relays):
-            standing.margin = min(LONGEST_MARGIN, 2 * standing.margin)
-        self.lost(now, "failed", "silent")
+            state.margin_us = min(MAX_MARGIN_US, 2 * state.margin_us)
+        self.fail_over(now, "failed", "silent")
 
-    def failed(self, now: int, note: Failed) -> None:
-        if note.silent:
-            self.silent(now)
+    def watch_failed(self, now: int, event: WatchFailed) -> None:
+        if event.silent:
+            self.watch_timed_out(now)
             return
-        self.standings[note.at].margin = MARGIN  # it is quick to fail
-        if note.garbled:
-            self.distrust(now, f"can't be read: {note.why}")
+        # it fails fast, so no longer margin is needed
+        self.relay_states[event.relay].margin_us = MIN_MARGIN_US
+        if event.garbled:
+            self.reject_reply(now, f"malformed reply: {event.why}")
         else:
-            self.lost(now, "failed", note.why)
-
-    def lost(self, now: int, kind: str, why: str) -> None:
-        """On to another relay. All that lost this one come spread over its time; who finds no other goes on
-        coming once in that time at most, so that calls a second stay below fleet over spread also when all
-        relays come back."""
-        at = self.relays.pop(0)
-        self.relays.append(at)
-        self.out, self.whole, self.early = None, False, 0
+            self.fail_over(now, "failed", event.why)
+
+    def fail_over(self, now: int, kind: str, why: str) -> None:
+        """Switches to another relay. The clients of a lost relay reconnect spread over its advertised period.
+        With no relay available, each client retries at most once per period, so that the call rate stays
+        below fleet size / period, also when all relays come back."""
+        relay = self.relays.pop(0)
+        self.relays.append(relay)
+        self.outstanding, self.needs_snapshot, self.early_replies = None, False, 0
         self.failures += 1
-        spread = max(LEAST_SPREAD, self.standings[at].spread or self.spread)
+        spread = max(MIN_SPREAD_US, self.relay_states[relay].spread_us or self.spread_us)
         first = self.failures == 1
         delay = self.random_source.upto(spread) if first else spread + self.random_source.upto(spread // 4)
-        self.due = now + delay
-        self.say(now, kind, f"{at}: {why[:LONGEST_WHY]}; another is asked in {delay // MS} ms")
-
-    def choose(self, now: int) -> None:
-        """To the front the first that is not put behind, else the one that is so for the shortest time."""
-        usable = [at for at in self.relays if self.standings[at].behind_until <= now]
-        first = usable[0] if usable else min(self.relays, key=lambda at: self.standings[at].behind_until)
+        self.next_call_at = now + delay
+        self.log_throttled(now, kind, f"{relay}: {why[:MAX_REASON_CHARS]}; next call in {delay // MS} ms")
+
+    def choose_relay(self, now: int) -> None:
+        """Moves the first relay that is not backed off to the front, or else the one whose back-off ends
+        first."""
+        usable = [relay for relay in self.relays if self.relay_states[relay].behind_until <= now]
+        first = (
+            usable[0] if usable else min(self.relays, key=lambda relay: self.relay_states[relay].behind_until)
+        )
         self.relays.remove(first)
         self.relays.insert(0, first)
 
-    def say(self, now: int, kind: str, text: str) -> None:
-        """Each kind of line at longer and longer intervals while it goes on: an outage is no flood."""
-        said = self.said.get(kind)
-        if said is not None and now < said.at + said.again:
+    def log_throttled(self, now: int, kind: str, text: str) -> None:
+        """Logs each kind of line at growing intervals while it repeats, so that an outage does not flood the
+        log."""
+        throttle = self.log_throttles.get(kind)
+        if throttle is not None and now < throttle.logged_at + throttle.interval:
             return
-        doubled = said is not None and now < said.at + 4 * said.again
-        again = min(LONGEST_LOG_AGAIN, 2 * said.again) if said is not None and doubled else LOG_AGAIN
-        self.said[kind] = Said(now, again)
-        self.orders.append(Log(text))
+        doubled = throttle is not None and now < throttle.logged_at + 4 * throttle.interval
+        interval = (
+            min(MAX_LOG_INTERVAL_US, 2 * throttle.interval)
+            if throttle is not None and doubled
+            else LOG_INTERVAL_US
+        )
+        self.log_throttles[kind] = LogThrottle(now, interval)
+        self.commands.append(LogLine(text))
--- a/lupinmill/config/source.py
+++ b/lupinmill/config/source.py
@@ -1,8 +1,9 @@
-"""The source's own part: each new version is on its disk before anyone is told of it.
+"""The source's write path: each new version is on disk before any watcher gets it.
 
-Two histories: `made` has a version as soon as it is pushed, `served`, which watches are answered from, once
-it is kept. A source that lost a version which was in force somewhere would make another of the same index.
-Owns `made`; one push at a time."""
+There are two histories: `working` has a version as soon as it is pushed; `served`, from which watches are
+answered, only once it is saved. A source that lost a version already in force somewhere would reuse its index
+for a different one. Owns `working`; pushes are serialized.
+"""
 
 from __future__ import annotations
 
@@ -13,81 +14,84 @@
 import anyio
 from anyio import to_thread
 
-from lupinmill.config import keep, push
+from lupinmill.config import push, stable_store
 from lupinmill.config.history import History, difference
 from lupinmill.config.model import Entries, Version
 
 
-class Unlike(Exception):
-    """The push was meant for another version than the present one."""
+class IndexMismatch(Exception):
+    """The push expected another current version."""
 
 
-class Unreached(Exception):
-    """The history does not reach back to that version."""
+class VersionNotRetained(Exception):
+    """The history no longer retains that version."""
 
 
-class NotKept(Exception):
-    """The disk did not take the version: nobody was told of it, and all is as before."""
+class SaveFailed(Exception):
+    """The version could not be written to disk: it was not published, and nothing has changed."""
 
 
 class Source:
-    def __init__(self, path: str, served: History, had: Callable[[Version, frozenset[str]], None]) -> None:
-        self.path, self.served, self.had = Path(path), served, had
-        self.made = History(served.version, served.entries)
+    def __init__(
+        self, path: str, served: History, on_published: Callable[[Version, frozenset[str]], None]
+    ) -> None:
+        self.path, self.served, self.on_published = Path(path), served, on_published
+        self.working = History(served.version, served.entries)
         self.lock = anyio.Lock()
 
     async def push(self, changes: Entries, if_index: int | None = None) -> Version:
-        """Raises BadPush, Behind, Unlike, NotKept; then nothing has changed."""
+        """Raises InvalidPush, SourceBehind, IndexMismatch or SaveFailed, leaving everything unchanged."""
         async with self.lock:
-            self.expect(if_index)
-            # In a thread: a change for the fleet is checked together with those of all services.
-            await to_thread.run_sync(push.check, self.made.entries, changes)
-            return await self.publish(partial(self.made.push, changes))
+            self.check_index(if_index)
+            # In a thread, as a fleet-wide change is checked against the settings of every service.
+            await to_thread.run_sync(push.check, self.working.entries, changes)
+            return await self.publish(partial(self.working.push, changes))
 
     async def rollback(self, to: int, if_index: int | None = None) -> Version:
-        """The content of that version as a new one."""
+        """Publishes the content of an earlier version as a new one."""
         async with self.lock:
-            self.expect(if_index)
-            changes = difference(self.made.entries, self.content(to))  # accepted once, so not checked again
-            return await self.publish(partial(self.made.push, changes))
+            self.check_index(if_index)
+            # Not validated again: it was when first pushed.
+            changes = difference(self.working.entries, self.entries_at(to))
+            return await self.publish(partial(self.working.push, changes))
 
     async def restore(self) -> Version:
         async with self.lock:
-            return await self.publish(self.made.restore)
+            return await self.publish(self.working.restore)
 
-    def content(self, index: int) -> Entries:
+    def entries_at(self, index: int) -> Entries:
         marks = self.served.marks
-        entries = self.served.content(Version(index, marks[index])) if index in marks else None
+        entries = self.served.entries_at(Version(index, marks[index])) if index in marks else None
         if entries is None:
-            raise Unreached(
+            raise VersionNotRetained(
                 f"version {index} is not kept here; the oldest is {min(marks)}: push its file instead"
             )
         return entries
 
-    def expect(self, if_index: int | None) -> None:
-        present = self.made.version.index
+    def check_index(self, if_index: int | None) -> None:
+        present = self.working.version.index
         if if_index is not None and if_index != present:
-            raise Unlike(
+            raise IndexMismatch(
                 f"the version is {present}, not {if_index}; look at what came between, then push again"
             )
 
     async def publish(self, make: Callable[[], Version]) -> Version:
-        """Made, kept, told; where the disk refuses, taken back."""
-        made, served = self.made, self.served
-        made.ahead = served.ahead  # watches come to the other one
-        before, entries = made.version, made.entries
+        """Creates a version, saves it and serves it; undoes it if the save fails."""
+        working, served = self.working, self.served
+        working.ahead = served.ahead  # watches are answered from `served`, so only it observes versions
+        before, entries = working.version, working.entries
         version = make()
         if version == before:
             return version
-        changes = difference(entries, made.entries)
+        changes = difference(entries, working.entries)
         try:
-            await to_thread.run_sync(keep.save, self.path, version, made.entries)
+            await to_thread.run_sync(stable_store.save, self.path, version, working.entries)
         except OSError as error:
-            self.made = History(served.version, served.entries)  # what rolls back is in `served`
-            self.made.settled = served.settled
-            raise NotKept(f"{self.path}: {error.strerror}; the version was not published") from error
-        if made.settled > served.settled:
-            served.ahead, served.settled = None, made.settled
+            self.working = History(served.version, served.entries)  # `served` still has the previous version
+            self.working.restored_index = served.restored_index
+            raise SaveFailed(f"{self.path}: {error.strerror}; the version was not published") from error
+        if working.restored_index > served.restored_index:
+            served.ahead, served.restored_index = None, working.restored_index
         served.advance(version, changes)
-        self.had(version, frozenset(key.scope for key in changes))
+        self.on_published(version, frozenset(key.scope for key in changes))
         return version
--- a/tests/test_config_overlay.py
+++ b/tests/test_config_overlay.py
@@ -1,12 +1,12 @@
-"""Settings laid over what is told: scopes, workloads row by row, and what does not fit."""
+"""Merging entries into the platform's settings: scopes, workloads row by row, and invalid values."""
 
 import re
 from pathlib import Path
 
 import pytest
 from bed import IDEM, KEYED, SECOND, deployment, settings, wanted
+from test_config_sidecar import answer_ok, network, workload
 from test_sidecar import until
-from test_config_sidecar import network, fine, workload
 
 from lupinmill import terms as t
 from lupinmill.config import checks, merge
@@ -21,7 +21,7 @@
 
 def test_the_narrower_scope_goes_before_the_wider_and_tables_are_laid_over_key_by_key():
     base = settings()
-    found = merge.settings(
+    found = merge.merge_settings(
         base,
         {
             MINE: {"limits": {"most-launches": 7}},
@@ -38,7 +38,7 @@
 
 def test_workloads_change_row_by_row_by_name_or_whole():
     base = settings()
-    found = merge.settings(
+    found = merge.merge_settings(
         base,
         {
             FLEET: {"workloads": {"view": {"hard-limit-s": 3.0}, "bid": None, "quick": workload()}},
@@ -49,7 +49,7 @@
     assert found["workloads"][0] == base["workloads"][0] | {"hard-limit-s": 3.0}
     assert found["workloads"][2] == {"name": "quick", "value": 2.0} | workload()
     assert found["accounts"] == [{"name": "a", "quota-per-s": 5}]
-    whole = merge.settings(base, {FLEET: {"workloads": [{"name": "only"} | workload()]}})
+    whole = merge.merge_settings(base, {FLEET: {"workloads": [{"name": "only"} | workload()]}})
     assert [row["name"] for row in whole["workloads"]] == ["only"]
     assert base == settings()
 
@@ -67,23 +67,23 @@
 )
 def test_a_value_of_the_wrong_shape_is_named_by_scope_and_key(value, key):
     with pytest.raises(ValueError, match=re.escape(key)):
-        merge.settings(settings(), {FLEET: value})
+        merge.merge_settings(settings(), {FLEET: value})
 
 
 def test_what_is_told_in_pairs_is_not_half_covered():
     flat = protocol_settings.flatten(settings())
     with pytest.raises(ValueError, match="told as a pair"):
-        merge.settings(flat, {FLEET: {"limits": {"most-launches": 2}}})
+        merge.merge_settings(flat, {FLEET: {"limits": {"most-launches": 2}}})
 
 
 def test_scopes_from_the_widest_and_none_for_what_is_not_known():
-    scopes = merge.scopes_of("n1", "z", "r", "portal")
+    scopes = merge.watched_scopes("n1", "z", "r", "portal")
     assert scopes == ("fleet", "region/r", "zone/z", "service/portal", "sidecar/n1")
-    assert merge.scopes_of("n1", "", "", "") == ("fleet", "sidecar/n1")
+    assert merge.watched_scopes("n1", "", "", "") == ("fleet", "sidecar/n1")
 
 
 def test_members_of_the_narrower_scope_go_first_and_may_be_gone():
-    found = merge.members(
+    found = merge.member_overrides(
         {
             Key("fleet", "member/a"): {"address": "10.0.0.1:1"},
             Key("zone/z", "member/a"): {"gone": True},
@@ -94,8 +94,8 @@
     assert found == {"a": None, "b": {"address": "10.0.0.2:1"}}
 
 
-class Read(dict):
-    """Which keys somebody looks at."""
+class RecordingDict(dict):
+    """Records which keys are read."""
 
     def __init__(self, fields) -> None:
         super().__init__(fields)
@@ -108,16 +108,16 @@
 
 def test_the_known_keys_are_just_those_that_are_read():
     table = settings() | {"accounts": [{"name": "a", "quota-per-s": 1}]}
-    fields = Read(protocol_settings.flatten(table))
+    fields = RecordingDict(protocol_settings.flatten(table))
     rows = {}
 
-    class Row(protocol_settings.Settings):
+    class RecordingSettings(protocol_settings.Settings):
         def items(self, key):
-            found = [Row(Read(one.fields)) for one in super().items(key)]
+            found = [RecordingSettings(RecordingDict(one.fields)) for one in super().items(key)]
             rows.setdefault(key, []).extend(one.fields for one in found)
             return found
 
-    usual, protocol_settings.Settings = protocol_settings.Settings, Row
+    usual, protocol_settings.Settings = protocol_settings.Settings, RecordingSettings
     try:
         protocol_settings.deployment(fields)
         protocol_settings.idle_limit(fields)
@@ -126,8 +126,8 @@
         protocol_settings.Settings = usual
     protocol_settings.check(fields)
     read = {key.removesuffix(".count") for key in fields.read if not re.search(r"\.\d+\.", key)}
-    assert read == checks.KEYS
-    for kind, keys in checks.KEYS_OF.items():
+    assert read == checks.KNOWN_KEYS
+    for kind, keys in checks.KNOWN_ROW_KEYS.items():
         assert set().union(*(row.read for row in rows[kind])) == keys
 
 
@@ -178,7 +178,7 @@
         await net.in_force({MINE: None})
         assert (await net.shown())["refused"] is None
 
-    network(check, fine)
+    network(check, answer_ok)
 
 
 def test_every_field_of_a_deployment_either_changes_alive_or_is_fixed():
--- a/tests/test_config_relay.py
+++ b/tests/test_config_relay.py
@@ -1,4 +1,4 @@
-"""Relays and sources of configuration on loopback: what they serve, keep and refuse, and who is cut off."""
+"""Relays and sources on loopback: what they serve, save and reject, and which clients are disconnected."""
 
 import errno
 import gc
@@ -11,46 +11,44 @@
 import orjson
 import pytest
 from click.testing import CliRunner
+from config_bed import FLEET, NO_VERSION, SECOND, service_settings
 
 from lupinmill.cli import main
 from lupinmill.cli.config import summarize
-from lupinmill.config import keep, model, server, wire
+from lupinmill.config import model, server, stable_store, wire
 from lupinmill.config.driver import ConfigWatch
 from lupinmill.config.follower import Follower
 from lupinmill.config.model import Key, Reply, Status, Version
-from lupinmill.config.relay import BadStart, Relay
+from lupinmill.config.relay import Relay, StartError
 from lupinmill.config.relay_file import RelayFile
-from lupinmill.config.standing import Times
+from lupinmill.config.watcher_table import LatencyHistogram
 from lupinmill.protocol.http import Answer, ClientSide, Request
 from lupinmill.transport.ring import Store
 
-from config_bed import FLEET, NOTHING, SECOND, of_service
-
-
 # --- whole relays and sources on loopback --------------------------------------------------------
 
-LIMIT = 60  # seconds after which a test has failed
+LIMIT = 60  # seconds per test
 
 
 def source_file(folder, **more) -> RelayFile:
     return RelayFile("source", "127.0.0.1:0", str(folder / "keep" / "source"), "127.0.0.1:0", **more)
 
 
-class Run:
+class RunningRelay:
     def __init__(self, group, relay: Relay, logs) -> None:
         self.group, self.relay, self.logs = group, relay, logs
 
     async def operate(self, method: str, path: str, body=None) -> tuple[int, str]:
         data = b"" if body is None else orjson.dumps(body)
         answer = await call(
-            self.relay.calls.address, Request(method.encode(), path.encode(), [(b"Host", b"x")], data)
+            self.relay.admin_server.address, Request(method.encode(), path.encode(), [(b"Host", b"x")], data)
         )
         return answer.status, answer.body.decode().strip()
 
     async def push(self, entries, **more) -> tuple[int, str]:
-        return await self.operate("POST", "/v1/push", {"entries": wire.rows(entries), **more})
+        return await self.operate("POST", "/v1/push", {"entries": wire.encode_rows(entries), **more})
 
-    def said(self, event: str) -> list[dict]:
+    def logged(self, event: str) -> list[dict]:
         return [fields for name, fields in self.logs if name == event]
 
 
@@ -61,33 +59,37 @@
         relay = Relay(file, lambda event, **fields: logs.append((event, fields)))
         try:
             await group.start(relay.run)
-            yield Run(group, relay, logs)
+            yield RunningRelay(group, relay, logs)
         finally:
             group.cancel_scope.cancel()
     assert not [one for one in logs if one[0] == "task_failed"], logs
-    for part in (relay.watches, relay.calls):
+    for part in (relay.watch_server, relay.admin_server):
         assert part is None or part.store.leased == 0 and set(part.descriptors.open.values()) == {0}
-    assert not relay.watches.watchers and relay.watches.shelf.leased == 0 and not relay.watches.sending
+    assert (
+        not relay.watch_server.watchers
+        and relay.watch_server.shelf.leased == 0
+        and not relay.watch_server.sending
+    )
 
 
 async def call(address: str, request: Request, stream=None) -> Answer:
-    """One call; with a stream of its own, or on one that is kept."""
+    """One request, on a new connection or on the given one."""
     if stream is None:
         host, port = address.split(":")
         async with await anyio.connect_tcp(host, int(port)) as stream:
             return await call(address, request, stream)
-    side = ClientSide(wire.LARGEST, wire.LARGEST)
+    side = ClientSide(wire.MAX_REPLY_BYTES, wire.MAX_REPLY_BYTES)
     await stream.send(side.ask(request))
     while (answer := side.next_answer()) is None:
         side.feed(await stream.receive())
     return answer
 
 
-def watch(since=NOTHING, wait_ms: int = 20_000, scopes=("fleet",), name: str = "x") -> Request:
-    return wire.call(since, wait_ms, tuple(scopes), Status(name, since))
+def watch(since=NO_VERSION, wait_ms: int = 20_000, scopes=("fleet",), name: str = "x") -> Request:
+    return wire.encode_watch(since, wait_ms, tuple(scopes), Status(name, since))
 
 
-async def until(what) -> None:
+async def wait_until(what) -> None:
     while not what():
         await anyio.sleep(0.01)
 
@@ -108,26 +110,26 @@
             answers = []
 
             async def wait() -> None:
-                answers.append(wire.decode(await call(run.relay.watches.address, watch(held))))
+                answers.append(wire.decode_reply(await call(run.relay.watch_server.address, watch(held))))
 
             run.group.start_soon(wait)
-            await until(lambda: run.relay.fanout.waiting)
+            await wait_until(lambda: run.relay.fanout.waiting)
             status, text = await run.push({FLEET: {"instances": 2}})
             assert status == 200 and orjson.loads(text)["index"] == 2
-            await until(lambda: answers)
+            await wait_until(lambda: answers)
             assert answers[0].entries == {FLEET: {"instances": 2}} and answers[0].spread_ms == 2_000
-            assert keep.load(tmp_path / "keep" / "source") == (
+            assert stable_store.load(tmp_path / "keep" / "source") == (
                 run.relay.history.version,
                 {FLEET: {"instances": 2}},
             )
             assert (await run.push({FLEET: {"instances": 2}})) == (status, text)  # changes nothing
-            with pytest.raises(BadStart, match="another process has it"):
+            with pytest.raises(StartError, match="locked by another process"):
                 Relay(source_file(tmp_path), print)
             version = run.relay.history.version
         async with running(source_file(tmp_path)) as run:
             assert run.relay.history.version == version
-            reply = wire.decode(await call(run.relay.watches.address, watch()))
-            assert reply.whole and reply.entries == {FLEET: {"instances": 2}}
+            reply = wire.decode_reply(await call(run.relay.watch_server.address, watch()))
+            assert reply.is_snapshot and reply.entries == {FLEET: {"instances": 2}}
 
     on_loopback(check)
 
@@ -135,7 +137,7 @@
 def test_a_push_is_refused_whole_with_its_key_or_where_another_came_between(tmp_path):
     async def check():
         async with running(source_file(tmp_path)) as run:
-            bad = {of_service("a"): {"instances": 1}, of_service("b"): {"family": "meshed"}}
+            bad = {service_settings("a"): {"instances": 1}, service_settings("b"): {"family": "meshed"}}
             status, text = await run.push(bad)
             assert status == 400 and text.startswith("service/b settings: settings.family: ")
             assert run.relay.history.version.index == 1 and not run.relay.history.entries
@@ -157,9 +159,9 @@
                 status, text = await run.operate("POST", "/v1/push", body)
                 assert status == 400 and key in text and "\n" not in text, text
             raw = Request(b"POST", b"/v1/push", [(b"Host", b"x")], b"{")
-            assert (await call(run.relay.calls.address, raw)).status == 400
+            assert (await call(run.relay.admin_server.address, raw)).status == 400
             huge = Request(b"POST", b"/v1/push", [(b"Host", b"x"), (b"Content-Length", b"99999999")])
-            host, port = run.relay.calls.address.split(":")
+            host, port = run.relay.admin_server.address.split(":")
             async with await anyio.connect_tcp(host, int(port)) as stream:
                 await stream.send(b"POST /v1/push HTTP/1.1\r\nHost: x\r\nContent-Length: 99999999\r\n\r\n")
                 assert (await stream.receive()).startswith(b"HTTP/1.1 413 ")
@@ -185,8 +187,8 @@
             contents = {1: {}}
             for changes in (
                 {FLEET: {"instances": 1}},
-                {of_service("s"): {"instances": 1}},
-                {FLEET: None, of_service("s"): {"instances": 2}},
+                {service_settings("s"): {"instances": 1}},
+                {FLEET: None, service_settings("s"): {"instances": 2}},
             ):
                 assert (await run.push(changes))[0] == 200
                 contents[run.relay.history.version.index] = dict(run.relay.history.entries)
@@ -196,7 +198,7 @@
                 assert run.relay.history.version.index == before + 1
                 assert run.relay.history.entries == contents[to]
             assert (await run.operate("POST", "/v1/rollback?to=1&if_index=3"))[0] == 409
-            assert keep.load(tmp_path / "keep" / "source") == (run.relay.history.version, {})
+            assert stable_store.load(tmp_path / "keep" / "source") == (run.relay.history.version, {})
 
     on_loopback(check)
 
@@ -206,7 +208,7 @@
         async with running(source_file(tmp_path)) as run:
             assert (await run.push({FLEET: {"instances": 1}}))[0] == 200
             ahead = Version(9, "made-later")
-            answer = wire.decode(await call(run.relay.watches.address, watch(ahead, 10)))
+            answer = wire.decode_reply(await call(run.relay.watch_server.address, watch(ahead, 10)))
             assert answer.version.index == 2 and not answer.entries
             status, text = await run.push({FLEET: {"instances": 2}})
             assert status == 409 and "version 9" in text and "lupinmill config restore" in text
@@ -214,10 +216,14 @@
             assert (await run.operate("POST", "/v1/restore"))[0] == 200
             version = run.relay.history.version
             assert version.index == 10 and run.relay.history.entries == {FLEET: {"instances": 1}}
-            answer = wire.decode(await call(run.relay.watches.address, watch(ahead, 10)))
-            assert answer.whole and answer.version == version and answer.entries == {FLEET: {"instances": 1}}
+            answer = wire.decode_reply(await call(run.relay.watch_server.address, watch(ahead, 10)))
+            assert (
+                answer.is_snapshot
+                and answer.version == version
+                and answer.entries == {FLEET: {"instances": 1}}
+            )
             assert (await run.push({FLEET: {"instances": 2}}))[0] == 200
-            assert keep.load(tmp_path / "keep" / "source")[0].index == 11
+            assert stable_store.load(tmp_path / "keep" / "source")[0].index == 11
 
     on_loopback(check)
 
@@ -230,8 +236,8 @@
             raise OSError(errno.ENOSPC, "No space left on device")
         whole_write(path, data)
 
-    whole_write = keep.write
-    monkeypatch.setattr(keep, "write", write)
+    whole_write = stable_store.write_synced
+    monkeypatch.setattr(stable_store, "write_synced", write)
 
     async def check():
         async with running(source_file(tmp_path)) as run:
@@ -243,8 +249,8 @@
             status, text = await run.push({FLEET: {"instances": 2}})
             assert status == 507 and "No space left" in text
             assert (run.relay.history.version, run.relay.history.entries) == before
-            assert keep.load(tmp_path / "keep" / "source") == before
-            reply = wire.decode(await call(run.relay.watches.address, watch()))
+            assert stable_store.load(tmp_path / "keep" / "source") == before
+            reply = wire.decode_reply(await call(run.relay.watch_server.address, watch()))
             assert (reply.version, reply.entries) == before
             full.clear()
             assert (await run.push({FLEET: {"instances": 3}}))[0] == 200
@@ -269,9 +275,9 @@
         for at in range(len(data)):
             for spoilt in (data[:at], data[:at] + bytes([data[at] ^ 1]) + data[at + 1 :]):
                 path.write_bytes(spoilt)
-                with pytest.raises(BadStart, match="^keep: "):
+                with pytest.raises(StartError, match="^keep: "):
                     Relay(file, print)
-        assert path.read_bytes() == spoilt  # left as it is
+        assert path.read_bytes() == spoilt  # left unchanged
         path.write_bytes(data)
         async with running(file) as run:
             assert run.relay.history.version.index == 2
@@ -282,7 +288,7 @@
 def test_calls_that_can_not_be_read_get_a_clear_answer(tmp_path):
     async def check():
         async with running(source_file(tmp_path)) as run:
-            address = run.relay.watches.address
+            address = run.relay.watch_server.address
             for target, status in (
                 (b"/v1/config", 400),
                 (b"/v1/config?name=x&index=-1", 400),
@@ -310,16 +316,16 @@
     async def check():
         async with running(source_file(tmp_path)) as run:
             assert (await run.push({FLEET: {"instances": 1}}))[0] == 200
-            address = run.relay.watches.address
+            address = run.relay.watch_server.address
             host, port = address.split(":")
             async with await anyio.connect_tcp(host, int(port)) as stream:
-                reply = wire.decode(await call(address, watch(), stream))
-                reply = wire.decode(await call(address, watch(reply.version, 10), stream))
-                assert not reply.entries and not reply.whole
+                reply = wire.decode_reply(await call(address, watch(), stream))
+                reply = wire.decode_reply(await call(address, watch(reply.version, 10), stream))
+                assert not reply.entries and not reply.is_snapshot
                 await stream.send(ClientSide().ask(watch(reply.version)))
-                await until(lambda: run.relay.fanout.waiting)
-            await until(lambda: not run.relay.fanout.waiting and not run.relay.watches.watchers)
-            await until(lambda: set(run.relay.watches.descriptors.open.values()) == {0})
+                await wait_until(lambda: run.relay.fanout.waiting)
+            await wait_until(lambda: not run.relay.fanout.waiting and not run.relay.watch_server.watchers)
+            await wait_until(lambda: set(run.relay.watch_server.descriptors.open.values()) == {0})
 
     on_loopback(check)
 
@@ -328,12 +334,12 @@
     async def check():
         async with running(source_file(tmp_path, most_watchers=3, sidecars=900, calls_per_s=200)) as run:
             held = run.relay.history.version
-            host, port = run.relay.watches.address.split(":")
+            host, port = run.relay.watch_server.address.split(":")
             streams = [await anyio.connect_tcp(host, int(port)) for _ in range(3)]
             for at, stream in enumerate(streams):
                 await stream.send(ClientSide().ask(watch(held, name=f"x{at}")))
-            await until(lambda: len(run.relay.fanout.waiting) == 3)
-            answer = await call(run.relay.watches.address, watch(held))
+            await wait_until(lambda: len(run.relay.fanout.waiting) == 3)
+            answer = await call(run.relay.watch_server.address, watch(held))
             assert answer.status == 503 and answer.header(b"retry-after") == "5"
             for stream in streams:
                 await stream.aclose()
@@ -342,26 +348,28 @@
 
 
 def test_slow_readers_hold_one_copy_are_cut_off_and_hold_nobody_back(tmp_path, monkeypatch):
-    monkeypatch.setattr(server, "WRITE", 1.0)
+    monkeypatch.setattr(server, "WRITE_TIMEOUT_S", 1.0)
     readers = 8
 
     async def check():
         async with running(source_file(tmp_path, memory_mb=32)) as run:
-            entries = {of_service(f"s{at}"): {"kinds": ["y" * 60_000]} for at in range(100)}  # 6 MB
+            entries = {service_settings(f"s{at}"): {"kinds": ["y" * 60_000]} for at in range(100)}  # 6 MB
             assert (await run.push(entries))[0] == 200
-            watches = run.relay.watches
+            watches = run.relay.watch_server
             host, port = watches.address.split(":")
             slow = [await anyio.connect_tcp(host, int(port)) for _ in range(readers)]
             for at, stream in enumerate(slow):
                 await stream.send(ClientSide().ask(watch(scopes=(), name=f"slow{at}")))
-            await until(lambda: sum(watches.sending.values()) == readers)
-            # One copy for all of them, and a block each.
+            await wait_until(lambda: sum(watches.sending.values()) == readers)
+            # One shared copy, and one block per connection.
             assert len(watches.sending) == 1 and watches.shelf.leased < 7 * 2**20
             assert watches.store.leased <= readers + 1
-            reply = wire.decode(await call(watches.address, watch(scopes=("service/s1",), name="quick")))
-            assert set(reply.entries) == {of_service("s1")}
-            await until(lambda: watches.cut_off == readers)
-            await until(lambda: not watches.sending and watches.shelf.leased == 0)
+            reply = wire.decode_reply(
+                await call(watches.address, watch(scopes=("service/s1",), name="quick"))
+            )
+            assert set(reply.entries) == {service_settings("s1")}
+            await wait_until(lambda: watches.cut_off == readers)
+            await wait_until(lambda: not watches.sending and watches.shelf.leased == 0)
             with pytest.raises((anyio.BrokenResourceError, anyio.EndOfStream)):
                 while True:
                     await slow[0].receive(2**20)
@@ -372,12 +380,12 @@
 
 
 def test_a_watcher_that_waits_holds_little_memory_and_leaves_none_behind(tmp_path):
-    """Python's own allocations: a task, a socket, a parser; no buffers."""
+    """Python allocations only: a task, a socket and a parser, but no buffers."""
     count = 200
 
     async def check():
         async with running(source_file(tmp_path)) as run:
-            held, watches = run.relay.history.version, run.relay.watches
+            held, watches = run.relay.history.version, run.relay.watch_server
             host, port = watches.address.split(":")
             tracemalloc.start()
             try:
@@ -387,15 +395,17 @@
                     sock = socket.create_connection((host, int(port)))
                     socks.append(sock)
                     sock.sendall(ClientSide().ask(watch(held, 60_000, name=f"x{at}")))
-                    await until(lambda: len(run.relay.fanout.waiting) == len(socks))
+                    await wait_until(lambda: len(run.relay.fanout.waiting) == len(socks))
                 gc.collect()
                 each = (tracemalloc.get_traced_memory()[0] - before) / count
                 assert watches.store.leased == 0 and each < 16_000, each
                 for sock in socks:
                     sock.close()
-                await until(lambda: not watches.watchers and set(watches.descriptors.open.values()) == {0})
+                await wait_until(
+                    lambda: not watches.watchers and set(watches.descriptors.open.values()) == {0}
+                )
                 gc.collect()
-                # What each said of itself stays, for a while.
+                # The last status of each watcher is retained for a while.
                 assert (tracemalloc.get_traced_memory()[0] - before) / count < 4_000
             finally:
                 tracemalloc.stop()
@@ -407,10 +417,10 @@
     async def check():
         async with running(source_file(tmp_path)) as run:
             assert (await run.push({FLEET: {"kinds": ["y" * 50_000]}}))[0] == 200
-            run.relay.watches.shelf.limit = 40_000
-            answer = await call(run.relay.watches.address, watch())
+            run.relay.watch_server.shelf.limit = 40_000
+            answer = await call(run.relay.watch_server.address, watch())
             assert answer.status == 503 and answer.header(b"retry-after") == "2"
-            assert (await call(run.relay.watches.address, watch(scopes=("zone/z",)))).status == 200
+            assert (await call(run.relay.watch_server.address, watch(scopes=("zone/z",)))).status == 200
 
     on_loopback(check)
 
@@ -421,218 +431,230 @@
             held, ends = run.relay.history.version, []
 
             async def wait(name: str) -> None:
-                answer = await call(run.relay.watches.address, watch(held, name=name))
+                answer = await call(run.relay.watch_server.address, watch(held, name=name))
                 assert answer.status == 503
                 ends.append(anyio.current_time())
 
             for at in range(20):
                 run.group.start_soon(wait, f"x{at}")
-            await until(lambda: len(run.relay.fanout.waiting) == 20)
-            await run.relay.watches.leave(1.0, random.Random(5))
-            await until(lambda: len(ends) == 20)
-            assert len({round(at, 3) for at in ends}) > 10  # not all at one moment
+            await wait_until(lambda: len(run.relay.fanout.waiting) == 20)
+            await run.relay.watch_server.drain(1.0, random.Random(5))
+            await wait_until(lambda: len(ends) == 20)
+            assert len({round(at, 3) for at in ends}) > 10  # spread out over time
             with pytest.raises(OSError):
-                await anyio.connect_tcp("127.0.0.1", int(run.relay.watches.address.split(":")[1]))
+                await anyio.connect_tcp("127.0.0.1", int(run.relay.watch_server.address.split(":")[1]))
 
     on_loopback(check)
 
 
-# --- relays behind a source, and behind liars ----------------------------------------------------
+# --- relays behind a source and behind faulty relays ----------------------------------------------
 
 
-def relay_of(folder, *upstreams: str, name: str = "relay", **more) -> RelayFile:
+def relay_config(folder, *upstreams: str, name: str = "relay", **more) -> RelayFile:
     return RelayFile(
         name, "127.0.0.1:0", str(folder / "keep" / name), "127.0.0.1:0", upstreams=list(upstreams), **more
     )
 
 
 @pytest.fixture
-def soon(monkeypatch):
-    """Relays come again within a tenth of a second; nothing else is quicker."""
-    monkeypatch.setattr("lupinmill.config.relay.SPREAD", 100_000)
+def fast_reconnect(monkeypatch):
+    """Relays reconnect within 100 ms; nothing else is faster."""
+    monkeypatch.setattr("lupinmill.config.relay.UPSTREAM_SPREAD_US", 100_000)
 
 
-def test_a_version_goes_from_the_source_through_two_relays_to_a_watcher(tmp_path, soon):
+def test_a_version_goes_from_the_source_through_two_relays_to_a_watcher(tmp_path, fast_reconnect):
     async def check():
         async with running(source_file(tmp_path, calls_per_s=4_000)) as source:
-            first = relay_of(tmp_path, source.relay.watches.address, name="first", calls_per_s=4_000)
+            first = relay_config(tmp_path, source.relay.watch_server.address, name="first", calls_per_s=4_000)
             async with running(first) as first:
-                # Else the version that the source began with is one of those that "second" acknowledges.
-                await until(lambda: first.relay.history.version == source.relay.history.version)
-                second = relay_of(tmp_path, first.relay.watches.address, name="second")
+                # Otherwise the first version of the source may be among those that "second" acknowledges.
+                await wait_until(lambda: first.relay.history.version == source.relay.history.version)
+                second = relay_config(tmp_path, first.relay.watch_server.address, name="second")
                 async with running(second) as second:
-                    await until(lambda: second.relay.history.version == source.relay.history.version)
+                    await wait_until(lambda: second.relay.history.version == source.relay.history.version)
                     held = second.relay.history.version
                     stream = await anyio.connect_tcp(*address_of(second))
                     for at in range(5):
                         assert (await source.push({FLEET: {"instances": at + 1}}))[0] == 200
-                        reply = wire.decode(await call("", watch(held), stream))
+                        reply = wire.decode_reply(await call("", watch(held), stream))
                         assert reply.entries == {FLEET: {"instances": at + 1}} and reply.since == held
                         held = reply.version
                     await stream.aclose()
                     assert held == source.relay.history.version
-                    standing = first.relay.fanout.standing
-                    await until(lambda: standing.rows["second"].status.in_force == held)
+                    standing = first.relay.fanout.watchers
+                    await wait_until(lambda: standing.rows["second"].status.in_force == held)
                     assert standing.relay_times.count == 5
                     rows = orjson.loads((await first.operate("GET", "/v1/status"))[1])["watchers"]
                     assert [(row["name"], row["relay"], row["index"]) for row in rows] == [
                         ("second", True, held.index)
                     ]
                     assert (await second.push({FLEET: {"instances": 1}}))[0] == 404
-                    # Also the relays have kept it.
+                    # The relays have saved it too.
                     path = tmp_path / "keep" / "second"
-                    await until(lambda: (keep.load(path) or (None,))[0] == held)
-                    assert keep.load(path)[1] == {FLEET: {"instances": 5}}
+                    await wait_until(lambda: (stable_store.load(path) or (None,))[0] == held)
+                    assert stable_store.load(path)[1] == {FLEET: {"instances": 5}}
 
     on_loopback(check)
 
 
-def address_of(run: Run) -> tuple[str, int]:
-    host, port = run.relay.watches.address.split(":")
+def address_of(run: RunningRelay) -> tuple[str, int]:
+    host, port = run.relay.watch_server.address.split(":")
     return host, int(port)
 
 
-def test_a_relay_starts_and_serves_from_what_it_kept_with_its_source_away(tmp_path, soon):
+def test_a_relay_starts_and_serves_from_what_it_kept_with_its_source_away(tmp_path, fast_reconnect):
     async def check():
         async with running(source_file(tmp_path)) as source:
             assert (await source.push({FLEET: {"instances": 7}}))[0] == 200
-            upstream = source.relay.watches.address
-            async with running(relay_of(tmp_path, upstream)) as run:
-                await until(lambda: run.relay.kept.index == 2)
-        async with running(relay_of(tmp_path, upstream)) as run:
+            upstream = source.relay.watch_server.address
+            async with running(relay_config(tmp_path, upstream)) as run:
+                await wait_until(lambda: run.relay.store.index == 2)
+        async with running(relay_config(tmp_path, upstream)) as run:
             assert run.relay.history.version.index == 2
-            reply = wire.decode(await call(run.relay.watches.address, watch()))
-            assert reply.whole and reply.entries == {FLEET: {"instances": 7}}
+            reply = wire.decode_reply(await call(run.relay.watch_server.address, watch()))
+            assert reply.is_snapshot and reply.entries == {FLEET: {"instances": 7}}
 
     on_loopback(check)
 
 
-def test_a_relay_with_a_damaged_file_says_so_once_and_begins_with_nothing(tmp_path, soon):
+def test_a_relay_with_a_damaged_file_says_so_once_and_begins_with_nothing(tmp_path, fast_reconnect):
     async def check():
         async with running(source_file(tmp_path)) as source:
             assert (await source.push({FLEET: {"instances": 7}}))[0] == 200
-            upstream = source.relay.watches.address
-            async with running(relay_of(tmp_path, upstream)) as run:
-                await until(lambda: run.relay.kept.index == 2)
+            upstream = source.relay.watch_server.address
+            async with running(relay_config(tmp_path, upstream)) as run:
+                await wait_until(lambda: run.relay.store.index == 2)
             path = tmp_path / "keep" / "relay"
             data = path.read_bytes()
             for spoilt in (b"", data[:4], data[:-1], data[:20] + b"x" + data[21:]):
                 path.write_bytes(spoilt)
-                async with running(relay_of(tmp_path, upstream)) as run:
-                    assert len(run.said("keep_damaged")) == 1
-                    await until(lambda: run.relay.history.version == source.relay.history.version)
-                    await until(lambda: run.relay.kept.index == 2)
+                async with running(relay_config(tmp_path, upstream)) as run:
+                    assert len(run.logged("keep_damaged")) == 1
+                    await wait_until(lambda: run.relay.history.version == source.relay.history.version)
+                    await wait_until(lambda: run.relay.store.index == 2)
                 assert path.read_bytes() == data
 
     on_loopback(check)
 
 
-def test_a_relay_whose_disk_is_full_serves_on_from_memory_and_says_so_once(tmp_path, soon, monkeypatch):
-    full, whole_write = [True], keep.write
+def test_a_relay_whose_disk_is_full_serves_on_from_memory_and_says_so_once(
+    tmp_path, fast_reconnect, monkeypatch
+):
+    full, whole_write = [True], stable_store.write_synced
 
     def write(path, data) -> None:
         if full and path.name == ".relay.new":
             raise OSError(errno.ENOSPC, "No space left on device")
         whole_write(path, data)
 
-    monkeypatch.setattr(keep, "write", write)
-    monkeypatch.setattr("lupinmill.config.relay.KEEP_AGAIN", 0.05)
+    monkeypatch.setattr(stable_store, "write_synced", write)
+    monkeypatch.setattr("lupinmill.config.relay.SAVE_RETRY_S", 0.05)
 
     async def check():
         async with running(source_file(tmp_path)) as source:
-            async with running(relay_of(tmp_path, source.relay.watches.address)) as run:
+            async with running(relay_config(tmp_path, source.relay.watch_server.address)) as run:
                 for at in range(3):
                     assert (await source.push({FLEET: {"instances": at + 1}}))[0] == 200
-                    await until(lambda: run.relay.history.version == source.relay.history.version)
-                    reply = wire.decode(await call(run.relay.watches.address, watch()))
+                    await wait_until(lambda: run.relay.history.version == source.relay.history.version)
+                    reply = wire.decode_reply(await call(run.relay.watch_server.address, watch()))
                     assert reply.entries == {FLEET: {"instances": at + 1}}
-                await until(lambda: run.relay.kept.failing)
+                await wait_until(lambda: run.relay.store.failing)
                 shown = orjson.loads((await run.operate("GET", "/v1/status"))[1])
                 assert shown["keep_failing"] == "No space left on device" and shown["kept"] == 0
-                assert len(run.said("keep_failed")) == 1 and not (tmp_path / "keep" / "relay").exists()
+                assert len(run.logged("keep_failed")) == 1 and not (tmp_path / "keep" / "relay").exists()
                 full.clear()
-                await until(lambda: run.relay.kept.index == source.relay.history.version.index)
-                assert len(run.said("keep_failed")) == len(run.said("keep_again")) == 1
+                await wait_until(lambda: run.relay.store.index == source.relay.history.version.index)
+                assert len(run.logged("keep_failed")) == len(run.logged("keep_again")) == 1
 
     on_loopback(check)
 
 
-def test_a_relay_moves_on_from_an_upstream_that_dies_and_hears_of_what_came_meanwhile(tmp_path, soon):
+def test_a_relay_moves_on_from_an_upstream_that_dies_and_hears_of_what_came_meanwhile(
+    tmp_path, fast_reconnect
+):
     async def check():
         async with AsyncExitStack() as stack:
 
-            async def start(file) -> Run:
+            async def start(file) -> RunningRelay:
                 return await stack.enter_async_context(running(file))
 
             async def run_dying(*, task_status) -> None:
-                relay = Relay(relay_of(tmp_path, top, name="a", calls_per_s=4_000), lambda *a, **k: None)
+                relay = Relay(relay_config(tmp_path, top, name="a", calls_per_s=4_000), lambda *a, **k: None)
                 with anyio.CancelScope() as scope:
                     task_status.started((relay, scope))
                     await relay.run()
 
             source = await start(source_file(tmp_path, calls_per_s=4_000))
-            top = source.relay.watches.address
-            b = await start(relay_of(tmp_path, top, name="b", calls_per_s=4_000))
+            top = source.relay.watch_server.address
+            b = await start(relay_config(tmp_path, top, name="b", calls_per_s=4_000))
             dying, scope = await b.group.start(run_dying)
-            upstreams = dying.watches.address, b.relay.watches.address
-            lows = [await start(relay_of(tmp_path, *upstreams, name=f"low{at}")) for at in range(3)]
-            for low in lows:
-                low.relay.watch.follower.relays = list(upstreams)
-            await until(lambda: len(dying.fanout.waiting) == 3)
+            upstreams = dying.watch_server.address, b.relay.watch_server.address
+            downstream_relays = [
+                await start(relay_config(tmp_path, *upstreams, name=f"low{at}")) for at in range(3)
+            ]
+            for downstream in downstream_relays:
+                downstream.relay.upstream_watch.follower.relays = list(upstreams)
+            await wait_until(lambda: len(dying.fanout.waiting) == 3)
             scope.cancel()
             assert (await source.push({FLEET: {"instances": 9}}))[0] == 200
-            await until(lambda: all(low.relay.history.version.index == 2 for low in lows))
-            assert {low.relay.watch.at for low in lows} == {upstreams[1]}
+            await wait_until(
+                lambda: all(downstream.relay.history.version.index == 2 for downstream in downstream_relays)
+            )
+            assert {downstream.relay.upstream_watch.relay for downstream in downstream_relays} == {
+                upstreams[1]
+            }
 
     on_loopback(check)
 
 
-def head(length: int) -> bytes:
+def response_head(length: int) -> bytes:
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % length
 
 
-def answer_of(version: Version, entries, whole=True, since=NOTHING, **more) -> bytes:
-    body = wire.encode(Reply(version, whole, entries, since))
+def encoded_response(version: Version, entries, whole=True, since=NO_VERSION, **more) -> bytes:
+    body = wire.encode_reply(Reply(version, whole, entries, since))
     if more:
         body = orjson.dumps(orjson.loads(body) | more)
-    return head(len(body)) + body
+    return response_head(len(body)) + body
 
 
-LIES = {
+FAULTY_REPLIES = {
     "garbage": [b"\x16\x03\x01 what is this\r\n\r\n"],
-    "no json": [head(9) + b'{"index":'],
-    "no table": [head(2) + b"[]"],
-    "a wrong type": [answer_of(Version(50, "l"), {FLEET: {"lie": 1}}, index="50")],
-    "a scope that is none": [answer_of(Version(50, "l"), {Key("moon", "settings"): {"lie": 1}})],
-    "changes from nowhere": [answer_of(Version(50, "l"), {FLEET: {"lie": 1}}, False, Version(49, "q"))],
-    "cut in the middle": [answer_of(Version(50, "l"), {FLEET: {"lie": 1}})[:-9]],
-    "too long by its length": [head(10**10)],
+    "no json": [response_head(9) + b'{"index":'],
+    "no table": [response_head(2) + b"[]"],
+    "a wrong type": [encoded_response(Version(50, "l"), {FLEET: {"lie": 1}}, index="50")],
+    "a scope that is none": [encoded_response(Version(50, "l"), {Key("moon", "settings"): {"lie": 1}})],
+    "changes from nowhere": [
+        encoded_response(Version(50, "l"), {FLEET: {"lie": 1}}, False, Version(49, "q"))
+    ],
+    "cut in the middle": [encoded_response(Version(50, "l"), {FLEET: {"lie": 1}})[:-9]],
+    "too long by its length": [response_head(10**10)],
     "endless": [b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"]
     + [b"10000\r\n" + b"x" * 65_536 + b"\r\n"] * 400,
-    "an old version": [answer_of(Version(1, "l"), {FLEET: {"lie": 1}})],
-    "another of the same index": [answer_of(Version(2, "l"), {FLEET: {"lie": 1}})],
-    "none at all": [answer_of(NOTHING, {})],
+    "an old version": [encoded_response(Version(1, "l"), {FLEET: {"lie": 1}})],
+    "another of the same index": [encoded_response(Version(2, "l"), {FLEET: {"lie": 1}})],
+    "none at all": [encoded_response(NO_VERSION, {})],
     "an error": [b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"],
     "a closed door": [],
 }
 
 
-@pytest.mark.parametrize("lie", LIES)
-def test_a_lying_relay_is_dropped_bounded_and_another_asked(tmp_path, soon, lie):
-    """The relay below has the version already, and comes to the liar first."""
+@pytest.mark.parametrize("fault", FAULTY_REPLIES)
+def test_a_lying_relay_is_dropped_bounded_and_another_asked(tmp_path, fast_reconnect, fault):
+    """The relay under test already has the version and asks the faulty upstream first."""
 
     async def check():
         async with running(source_file(tmp_path, calls_per_s=4_000)) as source:
             assert (await source.push({FLEET: {"instances": 1}}))[0] == 200
-            async with running(relay_of(tmp_path, source.relay.watches.address)) as run:
-                await until(lambda: run.relay.kept.index == 2)
+            async with running(relay_config(tmp_path, source.relay.watch_server.address)) as run:
+                await wait_until(lambda: run.relay.store.index == 2)
             asked, sent = [], []
 
-            async def attend(stream) -> None:
+            async def serve(stream) -> None:
                 async with stream:
                     asked.append(await stream.receive())
                     try:
-                        for piece in LIES[lie]:
+                        for piece in FAULTY_REPLIES[fault]:
                             await stream.send(piece)
                             sent.append(len(piece))
                         await anyio.sleep(0.05)
@@ -640,41 +662,44 @@
                         pass
 
             listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
-            liar = "127.0.0.1:%d" % listener.extra(anyio.abc.SocketAttribute.local_port)
+            faulty = "127.0.0.1:%d" % listener.extra(anyio.abc.SocketAttribute.local_port)
             async with anyio.create_task_group() as group:
-                group.start_soon(listener.serve, attend)
-                file = relay_of(tmp_path, liar, source.relay.watches.address)
+                group.start_soon(listener.serve, serve)
+                file = relay_config(tmp_path, faulty, source.relay.watch_server.address)
                 async with running(file) as run:
-                    run.relay.watch.follower.relays = [liar, source.relay.watches.address]
-                    await until(lambda: asked)
+                    run.relay.upstream_watch.follower.relays = [faulty, source.relay.watch_server.address]
+                    await wait_until(lambda: asked)
                     assert (await source.push({FLEET: {"instances": 2}}))[0] == 200
-                    await until(lambda: run.relay.history.version == source.relay.history.version)
+                    await wait_until(lambda: run.relay.history.version == source.relay.history.version)
                     assert run.relay.history.entries == {FLEET: {"instances": 2}}
-                    assert sum(sent) <= wire.LARGEST + 2**22, "it was read beyond what an answer may have"
-                    text = " ".join(one["text"] for one in run.said("config"))
-                    assert liar in text, text
+                    assert (
+                        sum(sent) <= wire.MAX_REPLY_BYTES + 2**22
+                    ), "it was read beyond what an answer may have"
+                    text = " ".join(one["text"] for one in run.logged("config"))
+                    assert faulty in text, text
                 group.cancel_scope.cancel()
             await listener.aclose()
 
     on_loopback(check)
 
 
-def test_a_relay_killed_in_the_middle_of_its_answer_leaves_nothing_half_in_force(tmp_path, soon):
-    """Every cut of a real answer: what is below holds the old version or the new one, whole."""
+def test_a_relay_killed_in_the_middle_of_its_answer_leaves_nothing_half_in_force(tmp_path, fast_reconnect):
+    """A real reply, truncated at many offsets: the client holds either the old version or the new one,
+    completely."""
 
     async def check():
         async with running(source_file(tmp_path, calls_per_s=4_000)) as source:
             assert (await source.push({FLEET: {"instances": 1}}))[0] == 200
             first = source.relay.history.version, dict(source.relay.history.entries)
-            changes = {FLEET: {"instances": 2}, of_service("s"): {"instances": 3}}
+            changes = {FLEET: {"instances": 2}, service_settings("s"): {"instances": 3}}
             assert (await source.push(changes))[0] == 200
             second = source.relay.history.version, changes
-            whole = answer_of(second[0], changes, False, first[0])
+            whole = encoded_response(second[0], changes, False, first[0])
             rng, cuts = random.Random(41), []
             cuts = sorted(rng.sample(range(1, len(whole)), 25))
             served = []
 
-            async def attend(stream) -> None:
+            async def serve(stream) -> None:
                 async with stream:
                     await stream.receive()
                     if cuts:
@@ -685,7 +710,7 @@
             listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
             dying = "127.0.0.1:%d" % listener.extra(anyio.abc.SocketAttribute.local_port)
             async with anyio.create_task_group() as group:
-                group.start_soon(listener.serve, attend)
+                group.start_soon(listener.serve, serve)
                 seen = []
 
                 def take(version, entries):
@@ -695,14 +720,14 @@
                 driver = ConfigWatch(follower, (), Store(), take, lambda *a, **k: None)
                 group.start_soon(driver.run)
                 while cuts:
-                    follower.due = 0  # at once, however often it was cut
-                    follower.standings[dying].behind_until = follower.standings[dying].penalty = 0
-                    driver.tell(model.Woke())
+                    follower.next_call_at = 0  # retries immediately
+                    follower.relay_states[dying].behind_until = follower.relay_states[dying].penalty_us = 0
+                    driver.notify(model.TimerFired())
                     await anyio.sleep(0.005)
                     assert (follower.version, follower.entries) == first and not seen
-                whole_again = source.relay.watches.address
+                whole_again = source.relay.watch_server.address
                 driver.change_relays((whole_again,))
-                await until(lambda: seen)
+                await wait_until(lambda: seen)
                 assert seen == [second] and follower.in_force == second[0]
                 group.cancel_scope.cancel()
             await listener.aclose()
@@ -715,7 +740,7 @@
 
 
 def command(*arguments: str) -> tuple[int, str]:
-    """Exit code and all that was printed."""
+    """The exit code and the printed text."""
     result = CliRunner().invoke(main.root, arguments)
     assert result.exception is None or isinstance(result.exception, SystemExit), result.exception
     return result.exit_code, result.output
@@ -730,7 +755,7 @@
     assert command("relay", str(tmp_path / "none.toml"))[0] == 2
     bad.write_text("[servise.tender.settings]\n")
     code, text = command("config", "push", str(bad), "--at", "127.0.0.1:9")
-    assert code == 2 and text.count("\n") == 1 and "servise: is none of fleet, region, zone" in text
+    assert code == 2 and text.count("\n") == 1 and "servise: must be one of fleet, region, zone" in text
     bad.write_text("[fleet.settings]\ninstances = 1\n")
     for arguments in (
         ("push", str(bad)), ("status",), ("show",), ("rollback", "3"), ("restore",),
@@ -740,17 +765,17 @@
     assert command("relay", "--check", "deploy/relay.toml")[0] == 0
 
 
-def test_commands_push_show_roll_back_and_sum_up(tmp_path, soon):
+def test_commands_push_show_roll_back_and_sum_up(tmp_path, fast_reconnect):
     toml, table = tmp_path / "a.toml", tmp_path / "b.json"
     toml.write_text("[fleet.settings]\ninstances = 3\n[service.tender.settings.limits]\nmost-launches = 2\n")
     table.write_text('{"service": {"tender": {"settings": null}}}')
 
     async def check():
         async with running(source_file(tmp_path, calls_per_s=4_000)) as source:
-            async with running(relay_of(tmp_path, source.relay.watches.address)) as relay:
-                top, low = source.relay.calls.address, relay.relay.calls.address
+            async with running(relay_config(tmp_path, source.relay.watch_server.address)) as relay:
+                top, downstream = source.relay.admin_server.address, relay.relay.admin_server.address
                 first = source.relay.history.version
-                await until(lambda: relay.relay.history.version == first)
+                await wait_until(lambda: relay.relay.history.version == first)
 
                 async def config(*arguments: str) -> tuple[int, str]:
                     return await anyio.to_thread.run_sync(lambda: command("config", *arguments))
@@ -760,27 +785,27 @@
                     1, "lupinmill: the version is 2, not 1; look at what came between, then push again\n",
                 )  # fmt: skip
                 assert await config("push", str(table), "--at", top, "--if-index", "2") == (0, "version 3\n")
-                assert await config("push", str(table), "--at", low) == (
+                assert await config("push", str(table), "--at", downstream) == (
                     1, "lupinmill: this is a relay; a source takes that\n",
                 )  # fmt: skip
-                await until(lambda: relay.relay.history.version.index == 3)
-                assert (await config("show", "--at", low))[1] == (
+                await wait_until(lambda: relay.relay.history.version.index == 3)
+                assert (await config("show", "--at", downstream))[1] == (
                     'version 3, 1 entries\nfleet settings {"instances":3}\n'
                 )
                 assert await config("rollback", "2", "--at", top) == (0, "version 4\n")
-                await until(lambda: relay.relay.history.version.index == 4)
-                code, text = await config("show", "--at", low, "--scope", "service/tender", "--json")
+                await wait_until(lambda: relay.relay.history.version.index == 4)
+                code, text = await config("show", "--at", downstream, "--scope", "service/tender", "--json")
                 assert code == 0 and orjson.loads(text)["entries"] == [
                     {"scope": "service/tender", "kind": "settings", "value": {"limits": {"most-launches": 2}}}
                 ]
                 held = relay.relay.history.version
                 for name, since in (("good", held), ("late", first)):
-                    await call(relay.relay.watches.address, watch(since, 10, name=name))
-                code, text = await config("status", "--at", top, "--at", low)
+                    await call(relay.relay.watch_server.address, watch(since, 10, name=name))
+                code, text = await config("status", "--at", top, "--at", downstream)
                 assert code == 1 and text.startswith("version 4: in force at 1 of 2 sidecars\n")
                 assert "\n  late lags: at 1 of 4, heard " in text and "relay relay: version 4, " in text
-                await call(relay.relay.watches.address, watch(held, 10, name="late"))
-                code, text = await config("status", "--at", top, "--at", low)
+                await call(relay.relay.watch_server.address, watch(held, 10, name="late"))
+                code, text = await config("status", "--at", top, "--at", downstream)
                 assert code == 0 and text.startswith("version 4: in force at 2 of 2 sidecars\n"), text
                 code, text = await config("status", "--at", top, "--at", "127.0.0.1:9")
                 assert code == 2 and "\nno answer: 127.0.0.1:9" in text
@@ -795,12 +820,12 @@
         return {"name": name, "index": index, "heard_s": heard, **usual, **more}
 
     def of(name: str, index: int, rows: list[dict], longest: int) -> dict:
-        times = Times()
+        times = LatencyHistogram()
         times.add(longest)
         return {
             "name": name, "role": "relay", "index": index, "ahead": 0, "kept": index, "keep_failing": "",
             "waiting": 0, "cut_off": 0, "turned_away": 0, "in_force": times.show(),
-            "at_relays": Times().show(), "watchers": rows,
+            "at_relays": LatencyHistogram().show(), "watchers": rows,
         }  # fmt: skip
 
     one = of("one", 7, [row("a", 7, 0.1), row("b", 6, 90.0, away=True), row("c", 5, 1, due=7)], 5_000)
--- a/tests/test_config_sidecar.py
+++ b/tests/test_config_sidecar.py
@@ -1,4 +1,5 @@
-"""Configuration in force in a running sidecar: whole or not at all, and work in hand keeps its terms."""
+"""Configuration in a running sidecar: versions apply completely or not at all, and requests in progress keep
+the settings they started with."""
 
 import os
 import signal
@@ -15,7 +16,7 @@
 from test_sidecar import always, until
 
 from lupinmill import terms as t
-from lupinmill.config import keep, wire
+from lupinmill.config import stable_store, wire
 from lupinmill.config.driver import ConfigWatch
 from lupinmill.config.follower import Follower
 from lupinmill.config.history import History
@@ -32,18 +33,18 @@
 # --- stand-ins -----------------------------------------------------------------------------------
 
 
-class Relay:
-    """Serves a `History` as the wire says. `fault`: raw bytes instead of an answer, or "silent"."""
+class StandInRelay:
+    """Serves a `History` over the wire format. `fault`: raw bytes to send instead of a reply, or "silent"."""
 
     def __init__(self) -> None:
         self.history = History(Version(), {})
-        self.news, self.fault, self.calls, self.statuses = anyio.Event(), None, 0, []
+        self.changed, self.fault, self.calls, self.statuses = anyio.Event(), None, 0, []
         self.address, self.scope = "", None
 
     def push(self, entries: Entries) -> Version:
         version = self.history.push(entries)
-        self.news.set()
-        self.news = anyio.Event()
+        self.changed.set()
+        self.changed = anyio.Event()
         return version
 
     async def run(self, port: int = 0, *, task_status=anyio.TASK_STATUS_IGNORED) -> None:
@@ -51,9 +52,9 @@
             async with await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=port) as listener:
                 self.address = "127.0.0.1:%d" % listener.extra(anyio.abc.SocketAttribute.local_port)
                 task_status.started()
-                await listener.serve(self.attend)
+                await listener.serve(self.serve)
 
-    async def attend(self, stream) -> None:
+    async def serve(self, stream) -> None:
         from lupinmill.protocol.http import ServerSide
 
         async with stream:
@@ -70,24 +71,24 @@
                         await stream.send(self.fault)
                         await stream.receive()
                         return
-                    watch = wire.asked(request)
+                    watch = wire.decode_watch(request)
                     self.statuses.append(watch.status)
                     with anyio.move_on_after(min(0.3, watch.wait_ms / 1000)):
-                        while not self.history.news(watch.since, watch.scopes):
-                            await self.news.wait()
+                        while not self.history.has_changes(watch.since, watch.scopes):
+                            await self.changed.wait()
                     reply = self.history.reply(watch.since, watch.scopes, 100)
-                    await stream.send(side.answer(Answer(200, [], wire.encode(reply)), False))
+                    await stream.send(side.answer(Answer(200, [], wire.encode_reply(reply)), False))
                     side.goes_on()
             except (anyio.EndOfStream, anyio.BrokenResourceError, OSError):
                 pass
 
 
 class ConfigNet(Net):
-    """A whole program that watches a stand-in relay."""
+    """A whole sidecar program that watches a stand-in relay."""
 
     def __init__(self, acts, keep: str = "", before=lambda relay: None, file: str = "", **more) -> None:
         super().__init__(acts, operator=True, **more)
-        self.relay, self.keep, self.before, self.file = Relay(), keep, before, file
+        self.relay, self.keep, self.before, self.file = StandInRelay(), keep, before, file
 
     def told(self):
         relays = f'["{self.relay.address}"]'
@@ -128,7 +129,7 @@
     return on_network(check, *acts, net_of=ConfigNet, **more)
 
 
-async def fine(_):
+async def answer_ok(_):
     return Answer(200, [], b"ok")
 
 
@@ -171,11 +172,11 @@
         await net.in_force({FLEET: {"instances": 400}})
         assert program.discovery.wait == 2.0 and program.engine.sidecar.dispatcher.cap == cap / 400
 
-    network(check, fine)
+    network(check, answer_ok)
 
 
 def test_a_shorter_contract_denies_the_next_and_work_in_hand_ends_by_its_own():
-    """Endpoints hold everything: under the old terms 1.0 s, under the new 0.2 s."""
+    """The endpoints never answer: the old hard limit is 1.0 s, the new one 0.2 s."""
 
     async def check(net):
         times = {}
@@ -207,13 +208,13 @@
         deployed = [event.deployment for event in net.events if isinstance(event, t.DeploymentChanged)]
         assert {(d.instances, d.max_attempts) for d in deployed} <= {(3, 4), (4, 2)}
 
-    network(check, fine)
+    network(check, answer_ok)
 
 
 @pytest.mark.parametrize("first", ["file", "version"])
 def test_a_sighup_and_a_version_that_cross_leave_the_newest_of_both(first):
     async def check(net):
-        # It fits with the newer file alone: of "extra" the version tells no more than a value.
+        # Valid only with the newer file: for "extra" the version has nothing but a value.
         change = {FLEET: {"workloads": {"extra": {"value": 5.0}}, "instances": 7}}
         more = settings()["workloads"] + [{"name": "extra"} | workload()]
         if first == "version":
@@ -228,7 +229,7 @@
         assert deployment_.instances == 7 and deployment_.workloads[-1].value == 5.0
         assert (await net.ask(wanted("s1", "extra"))).status == 200
         await until(lambda: net.relay.statuses[-1].in_force.index == 1 and not net.relay.statuses[-1].refused)
-        # A file that does not fit is refused with its key; what was in force stays.
+        # A file that conflicts is refused with its key, and the settings in force stay.
         net.table["settings"] = settings(workloads=more, tier=1)
         net.program.reload()
         assert ("reload_refused", {"error": "settings.tier: wants a new start"}) in net.logs
@@ -237,7 +238,7 @@
         assert "settings.workloads.3" in net.logs[-1][1]["error"]
         assert net.program.told.deployment is deployment_ and net.program.in_force.base.settings != settings()
 
-    network(check, fine)
+    network(check, answer_ok)
 
 
 def test_without_the_table_a_sighup_refuses_other_settings_as_ever():
@@ -249,12 +250,12 @@
         assert net.logs[-1] == ("reload_refused", {"error": "these want a new start", "fields": ["settings"]})
         assert net.program.in_force is None
 
-    on_network(check, fine)
+    on_network(check, answer_ok)
 
 
 def test_relays_of_the_file_change_with_a_sighup():
     async def check(net):
-        other = Relay()
+        other = StandInRelay()
         async with anyio.create_task_group() as group:
             await group.start(other.run)
             first, net.relay = net.relay, other
@@ -268,22 +269,22 @@
             net.relay = first
             group.cancel_scope.cancel()
 
-    network(check, fine)
+    network(check, answer_ok)
 
 
 # --- start, end, upgrade -------------------------------------------------------------------------
 
-CHANGED = {FLEET: {"workloads": {"quick": workload()}, "limits": {"most-launches": 3}}}
+CHANGES = {FLEET: {"workloads": {"quick": workload()}, "limits": {"most-launches": 3}}}
 SCOPES = ["fleet", "service/portal", "sidecar/n1"]
 
 
-def kept_file(tmp_path, entries: Entries = CHANGED, scopes=SCOPES) -> str:
+def kept_file(tmp_path, entries: Entries = CHANGES, scopes=SCOPES) -> str:
     path = tmp_path / "kept"
-    keep.save(path, Version(7, "mark"), entries | {ConfigWatch.WATCHED: scopes})
+    stable_store.save(path, Version(7, "mark"), entries | {ConfigWatch.WATCHED_SCOPES_KEY: scopes})
     return str(path)
 
 
-def silent(relay: Relay) -> None:
+def make_silent(relay: StandInRelay) -> None:
     relay.fault = "silent"
 
 
@@ -295,7 +296,7 @@
         assert (shown["version"], shown["source"], shown["scopes"]) == (7, "kept file", SCOPES)
         assert (shown["mark"], shown["kept"], shown["heard"]) == ("mark", 7, 7)
 
-    network(check, fine, keep=kept_file(tmp_path), before=silent)
+    network(check, answer_ok, keep=kept_file(tmp_path), before=make_silent)
 
 
 def test_a_start_without_a_kept_version_goes_by_what_is_told_and_takes_the_first_answer(tmp_path):
@@ -304,17 +305,17 @@
         assert (await net.ask(wanted("s2", "view"))).status == 200
         assert (await net.shown())["source"] == "as told"
         net.relay.fault = None
-        await net.in_force(CHANGED)
+        await net.in_force(CHANGES)
         assert (await net.ask(wanted("s3", "quick"))).status == 200
-        await until(lambda: net.program.in_force.watch.kept_index == 1)
-        version, entries = keep.load(tmp_path / "kept")
+        await until(lambda: net.program.in_force.watch.saved_index == 1)
+        version, entries = stable_store.load(tmp_path / "kept")
         assert version == net.relay.history.version
-        assert entries == CHANGED | {ConfigWatch.WATCHED: SCOPES}
+        assert entries == CHANGES | {ConfigWatch.WATCHED_SCOPES_KEY: SCOPES}
 
     def away(relay):
         relay.fault = b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"
 
-    network(check, fine, keep=str(tmp_path / "kept"), before=away)
+    network(check, answer_ok, keep=str(tmp_path / "kept"), before=away)
 
 
 @pytest.mark.parametrize("spoil", ["cut", "other scopes", "unfit", "fixed"])
@@ -325,7 +326,7 @@
         if spoil == "unfit"
         else {FLEET: {"tier": 1}}
         if spoil == "fixed"
-        else CHANGED,
+        else CHANGES,
         ["fleet"] if spoil == "other scopes" else SCOPES,
     )
 
@@ -334,7 +335,7 @@
         assert (await net.ask(wanted("s2", "view"))).status == 200
         lines = [fields for event, fields in net.logs if event == "config" and "error" in fields]
         said_ = {
-            "cut": "cut or damaged",
+            "cut": "truncated or corrupt",
             "other scopes": "other scopes",
             "unfit": "settings.workloads.3",
             "fixed": "settings.tier: wants a new start",
@@ -342,54 +343,58 @@
         assert len(lines) == 1 and said_[spoil] in lines[0]["error"]
         assert net.version() == 0 and net.program.in_force.follower.version.index == 0
         net.relay.fault = None
-        await net.in_force(CHANGED)
+        await net.in_force(CHANGES)
 
     whole = Path(path).read_bytes()
     cuts = range(0, len(whole), 29) if spoil == "cut" else [None]
     for at in cuts:
         if at is not None:
             Path(path).write_bytes(whole[:at])
-            with pytest.raises(keep.BadKeep):
-                keep.load(path)
-    network(check, fine, keep=path, before=silent_for_a_while)
+            with pytest.raises(stable_store.StableStoreError):
+                stable_store.load(path)
+    network(check, answer_ok, keep=path, before=silent_for_a_while)
 
 
-def silent_for_a_while(relay: Relay) -> None:
+def silent_for_a_while(relay: StandInRelay) -> None:
     relay.fault = b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"
 
 
 def test_a_disk_that_fails_holds_nothing_up_and_is_said_once(tmp_path, monkeypatch):
     from lupinmill.config import driver
 
-    monkeypatch.setattr(driver, "DISK_AGAIN", 0.01)
-    full, save = [True], keep.save
+    monkeypatch.setattr(driver, "SAVE_RETRY_S", 0.01)
+    full, save = [True], stable_store.save
 
     def failing(path, version, entries):
         if full[0]:
             raise OSError(28, "No space left on device")
         save(path, version, entries)
 
-    monkeypatch.setattr(driver.keep, "save", failing)
+    monkeypatch.setattr(driver.stable_store, "save", failing)
 
     async def check(net):
         for at in range(3):
             await net.in_force({FLEET: {"instances": at + 2}})
         await anyio.sleep(0.1)
-        lines = [more for event, more in net.logs if event == "config" and "can't be kept" in more["text"]]
+        lines = [more for event, more in net.logs if event == "config" and "cannot save" in more["text"]]
         assert len(lines) == 1 and "No space left" in lines[0]["error"]
         full[0] = False
-        await until(lambda: net.program.in_force.watch.kept_index == 3)
-        assert any("kept again" in fields["text"] for event, fields in net.logs if event == "config")
-        assert keep.load(tmp_path / "kept")[0].index == 3
+        await until(lambda: net.program.in_force.watch.saved_index == 3)
+        assert any(
+            "saved the version in force after" in fields["text"]
+            for event, fields in net.logs
+            if event == "config"
+        )
+        assert stable_store.load(tmp_path / "kept")[0].index == 3
 
-    network(check, fine, keep=str(tmp_path / "kept"))
+    network(check, answer_ok, keep=str(tmp_path / "kept"))
 
 
 def test_cut_off_it_goes_on_with_what_it_has_and_catches_up(tmp_path):
-    """Relay away with its address; then back at it with a history that went on without this sidecar."""
+    """The relay goes down and returns at the same address, with a history that advanced meanwhile."""
 
     async def check(net):
-        await net.in_force(CHANGED)
+        await net.in_force(CHANGES)
         port = int(net.relay.address.split(":")[1])
         net.relay.scope.cancel()
         for at in range(5):
@@ -403,10 +408,10 @@
             assert net.program.told.deployment.max_attempts == 3
             group.cancel_scope.cancel()
 
-    network(check, fine)
+    network(check, answer_ok)
 
 
-LIES = {
+FAULTY_REPLIES = {
     "garbage": b"what is this\r\n\r\n",
     "no JSON": b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{[)",
     "an older version": b'HTTP/1.1 200 OK\r\nContent-Length: 113\r\n\r\n{"index":0,"mark":"","snapshot":true,'
@@ -419,19 +424,19 @@
 }
 
 
-@pytest.mark.parametrize("lie", LIES)
-def test_a_relay_that_lies_is_dropped_and_another_is_asked(lie):
+@pytest.mark.parametrize("fault", FAULTY_REPLIES)
+def test_a_relay_that_lies_is_dropped_and_another_is_asked(fault):
     async def main():
         with anyio.fail_after(15):
-            good, bad, taken, lines = Relay(), Relay(), [], []
-            bad.fault = LIES[lie]
+            good, bad, taken, lines = StandInRelay(), StandInRelay(), [], []
+            bad.fault = FAULTY_REPLIES[fault]
             async with anyio.create_task_group() as group:
                 await group.start(good.run)
                 await group.start(bad.run)
                 good.push({FLEET: {"instances": 4}})
                 follower = Follower("n1", (bad.address, good.address), 1, 2_000_000, 100_000, Version(), {})
                 follower.relays = [bad.address, good.address]
-                follower.standings[bad.address].margin = 200_000
+                follower.relay_states[bad.address].margin_us = 200_000
                 store = Store()
                 watch = ConfigWatch(
                     follower,
@@ -454,7 +459,7 @@
 def test_one_that_dribbles_is_cut_at_the_end_of_the_call_and_a_new_ask_gives_the_old_one_up():
     async def main():
         with anyio.fail_after(15):
-            relay, lines = Relay(), []
+            relay, lines = StandInRelay(), []
 
             async def dribble(stream):
                 async with stream:
@@ -468,7 +473,7 @@
                     except (OSError, anyio.BrokenResourceError, anyio.EndOfStream):
                         pass
 
-            relay.attend = dribble
+            relay.serve = dribble
             async with anyio.create_task_group() as group:
                 await group.start(relay.run)
                 follower = Follower("n1", (relay.address,), 1, 0, 100_000, Version(), {})
@@ -488,7 +493,7 @@
 def test_a_defect_in_taking_is_a_refusal_and_the_watch_goes_on():
     async def main():
         with anyio.fail_after(15):
-            relay, lines, calls = Relay(), [], []
+            relay, lines, calls = StandInRelay(), [], []
 
             def take(version, entries):
                 calls.append(version.index)
@@ -515,7 +520,7 @@
 
 
 class Process:
-    """One process of a sidecar with the operators' file; its log lines as they come."""
+    """A sidecar process with an operators' file, and its log lines."""
 
     def __init__(self, tmp_path, table: dict, relay: str, number: int = 1) -> None:
         (tmp_path / "told.json").write_bytes(orjson.dumps(table))
@@ -545,11 +550,11 @@
 
 
 def processes(tmp_path, check, *acts) -> None:
-    """`check(net, relay, begin)`; whatever was begun is ended with the test."""
+    """Runs `check(net, relay, begin)` and ends every process that it started."""
     net, begun = Net(list(acts)), []
 
     async def main() -> None:
-        relay = Relay()
+        relay = StandInRelay()
         with anyio.fail_after(25):
             async with anyio.create_task_group() as group:
                 await net.start(group)
@@ -577,7 +582,7 @@
 
 
 def test_a_version_that_crosses_the_drain_loses_nothing(tmp_path):
-    """SIGTERM while one is out; then a version with other terms and without its workload."""
+    """SIGTERM with one request in progress; then a version with other settings and without its workload."""
 
     async def check(net, relay, begin):
         process, answers = await begin(), {}
@@ -614,7 +619,7 @@
         assert (await net.ask(wanted("s2", "quick"))).status == 200
         assert (await net.ask(wanted("s3", "view"))).status == 200
 
-    processes(tmp_path, check, fine)
+    processes(tmp_path, check, answer_ok)
 
 
 def test_the_next_process_of_an_upgrade_goes_by_the_kept_version_with_the_relay_silent(tmp_path):
@@ -623,7 +628,7 @@
             sock.bind(("127.0.0.1", 0))
             net.table["listen"] = "127.0.0.1:%d" % sock.getsockname()[1]
         old = await begin()
-        relay.push(CHANGED)
+        relay.push(CHANGES)
         await until(lambda: old.in_force(1) and (tmp_path / "kept").exists())
         relay.fault = "silent"
         new = await begin()
@@ -633,7 +638,7 @@
         assert await anyio.to_thread.run_sync(old.popen.wait) == 0
         assert (await net.ask(wanted("s2", "quick"))).status == 200
 
-    processes(tmp_path, check, fine)
+    processes(tmp_path, check, answer_ok)
 
 
 # --- the roster ----------------------------------------------------------------------------------
@@ -691,7 +696,7 @@
         await net.in_force({Key("fleet", "zones"): None, Key("fleet", "member/n4"): None})
         assert names() == {"n1", "n2", "n3"}
 
-    network(check, fine, file=PEERS.format(ports=ports))
+    network(check, answer_ok, file=PEERS.format(ports=ports))
 
 
 def test_a_roster_changed_in_the_file_and_by_entries_is_that_of_both():
@@ -705,7 +710,7 @@
         net.file += f'[peers.members.n4]\naddress = "127.0.0.1:{ports[3]}"\n'
         net.program.reload()
         assert net.logs[-1][0] == "reloaded" and names() == {"n1", "n2", "n3", "n4", "n5"}
-        net.file = net.file.replace(str(ports[3]), str(ports[4]))  # the entry has that address
+        net.file = net.file.replace(str(ports[3]), str(ports[4]))  # an entry uses that address
         net.program.reload()
         assert net.logs[-1][0] == "reload_refused" and "n4 has it already" in net.logs[-1][1]["error"]
         assert net.program.peers.addresses["n4"] == ("127.0.0.1", ports[3])
@@ -716,4 +721,4 @@
             {"error": "these want a new start", "fields": ["peers.lease_s"]},
         )
 
-    network(check, fine, file=PEERS.format(ports=ports))
+    network(check, answer_ok, file=PEERS.format(ports=ports))
