--- a/lupinmill/config/follower.py
+++ b/lupinmill/config/follower.py
@@ -160,7 +160,9 @@
         if self.outstanding is not None or not self.relays or now < self.next_call_time():
             return
         self.choose_relay(now)
-        wait_us = int(self.wait_us * (MIN_WAIT_FRACTION + (1 - MIN_WAIT_FRACTION) * self.random_source.draw()))
+        wait_us = int(
+            self.wait_us * (MIN_WAIT_FRACTION + (1 - MIN_WAIT_FRACTION) * self.random_source.draw())
+        )
         # After a failure, every other watch reports the held version even when a snapshot is wanted:
         # otherwise a source that is behind would never learn of it.
         refresh = self.refresh_pending and self.failures % 2 == 0
--- a/tests/test_config_terms.py
+++ b/tests/test_config_terms.py
@@ -89,7 +89,9 @@
     bed.deploy(workloads=[IDEM, KEYED, changed(ONCE, repeat=t.RepeatPolicy.IDEMPOTENT)])
     bed.run(SECOND)
     assert len(bed.flights[name]) == 2
-    bed.end(name, 1, t.Outcome.ERROR, after=10_000)  # it may have run, so its own settings forbid another attempt
+    bed.end(
+        name, 1, t.Outcome.ERROR, after=10_000
+    )  # it may have run, so its own settings forbid another attempt
     assert bed.closed[name] == "broken off"
     bed.run(2 * SECOND)
     assert len(bed.flights[name]) == 2
