--- a/lupinmill/zones/driver.py
+++ b/lupinmill/zones/driver.py
@@ -27,15 +27,17 @@
 
 
 class ZoneDriver:
-    def __init__(self, map_: ZoneMap, told: peer.Told, peers: Driver, engine: Engine, log: Log) -> None:
+    def __init__(self, map_: ZoneMap, settings: peer.Told, peers: Driver, engine: Engine, log: Log) -> None:
         self.map, self.peers, self.engine, self.log = map_, peers, engine, log
         now = engine.clock.now()
-        seats = {seat.name: seat for seat in told.seats}
-        home = seats[told.name].zone
-        member_zones = tuple(zone.name for zone in map_.zones if any(s.zone == zone.name for s in told.seats))
-        self.core = Member(map_, told.name, home, told.electors, member_zones, now)
+        seats = {seat.name: seat for seat in settings.seats}
+        home = seats[settings.name].zone
+        member_zones = tuple(
+            zone.name for zone in map_.zones if any(s.zone == zone.name for s in settings.seats)
+        )
+        self.core = Member(map_, settings.name, home, settings.electors, member_zones, now)
         self.monitor = TrafficMonitor(map_, home, now)
-        self.period = REPORT_PERIOD_S * max(1.0, len(told.seats) / MAX_MEMBERS_AT_FULL_RATE)
+        self.period = REPORT_PERIOD_S * max(1.0, len(settings.seats) / MAX_MEMBERS_AT_FULL_RATE)
         self.applied: member.ApplyPlan | None = None  # the last one, for the decision module
         self.waiting: dict[int, Callable[[bool, str], None]] = {}
         self.serial = now
@@ -44,9 +46,9 @@
         peers.features[TOPIC] = self.on_peer_event
         attach_monitor(engine.sidecar, self.monitor)
 
-    def update_members(self, told: peer.Told) -> None:
+    def update_members(self, settings: peer.Told) -> None:
         """Another member list applies from now on."""
-        zones = {seat.zone for seat in told.seats}
+        zones = {seat.zone for seat in settings.seats}
         self.core.aggregator.member_zones = tuple(zone.name for zone in self.map.zones if zone.name in zones)
 
     # From the peers.
--- a/lupinmill/zones/member.py
+++ b/lupinmill/zones/member.py
@@ -185,7 +185,7 @@
         it considers present."""
         self.now = now
         if self.holder_state is not None and self.holder_state.epoch != epoch:
-            self.holder_state = None  # the clock of the lease decides, whether or not an event has told
+            self.holder_state = None  # the clock of the lease decides, whether or not an event has come
         for event in events:
             if isinstance(event, OwnReport):
                 self.on_own_report(event, present)
--- a/tests/test_common.py
+++ b/tests/test_common.py
@@ -41,8 +41,8 @@
     for _ in range(count):
         names.append(bed.arrive(workload))
         bed.now += 10 * MS
-        for launch in bed.out(names[-1]):
-            bed.end(names[-1], launch, t.How.HANDLED)
+        for attempt in bed.out(names[-1]):
+            bed.end(names[-1], attempt, t.How.HANDLED)
     return names
 
 
