--- a/lupinmill/zones/driver.py
+++ b/lupinmill/zones/driver.py
@@ -28,18 +28,18 @@
 
 class ZoneDriver:
     def __init__(
-        self, map_: ZoneMap, told: peer.PeerSettings, peers: Driver, engine: Engine, log: Log
+        self, map_: ZoneMap, settings: peer.PeerSettings, peers: Driver, engine: Engine, log: Log
     ) -> None:
         self.map, self.peers, self.engine, self.log = map_, peers, engine, log
         now = engine.clock.now()
-        seats = {seat.name: seat for seat in told.roster}
-        home = seats[told.name].zone
+        seats = {seat.name: seat for seat in settings.roster}
+        home = seats[settings.name].zone
         member_zones = tuple(
-            zone.name for zone in map_.zones if any(s.zone == zone.name for s in told.roster)
+            zone.name for zone in map_.zones if any(s.zone == zone.name for s in settings.roster)
         )
-        self.core = Member(map_, told.name, home, told.electors, member_zones, now)
+        self.core = Member(map_, settings.name, home, settings.electors, member_zones, now)
         self.monitor = TrafficMonitor(map_, home, now)
-        self.period = REPORT_PERIOD_S * max(1.0, len(told.roster) / MAX_MEMBERS_AT_FULL_RATE)
+        self.period = REPORT_PERIOD_S * max(1.0, len(settings.roster) / MAX_MEMBERS_AT_FULL_RATE)
         self.applied: member.ApplyPlan | None = None  # the last one, for the decision module
         self.waiting: dict[int, Callable[[bool, str], None]] = {}
         self.serial = now
@@ -48,9 +48,9 @@
         peers.features[TOPIC] = self.on_peer_event
         attach_monitor(engine.sidecar, self.monitor)
 
-    def update_members(self, told: peer.PeerSettings) -> None:
+    def update_members(self, settings: peer.PeerSettings) -> None:
         """Another member list applies from now on."""
-        zones = {seat.zone for seat in told.roster}
+        zones = {seat.zone for seat in settings.roster}
         self.core.aggregator.member_zones = tuple(zone.name for zone in self.map.zones if zone.name in zones)
 
     # From the peers.
