--- a/lupinmill/admin/admin_handler.py
+++ b/lupinmill/admin/admin_handler.py
@@ -89,6 +89,7 @@
         return 200, self.overrides.mode.value
 
     async def sweep(self) -> None:
+        """Expires the cordons of endpoints that no list has named for long."""
         while True:
             await anyio.sleep(EXPIRY_CHECK_INTERVAL_S)
             for name in self.overrides.expire_cordons(self.engine.clock.now(), self.directory.states):
--- a/lupinmill/cli/config.py
+++ b/lupinmill/cli/config.py
@@ -74,7 +74,7 @@
             known = rows.get(row["name"])
             if known is None or (row["away"], row["heard_s"]) < (known["away"], known["heard_s"]):
                 rows[row["name"]] = row | {"at": one["name"], "relay_index": one["index"]}
-    found: dict[str, Any] = {"index": newest, "in_force": [], "lags": [], "refuses": [], "away": []}
+    report: dict[str, Any] = {"index": newest, "in_force": [], "lags": [], "refuses": [], "away": []}
     relays = {one["name"] for one in tables}
     for row in rows.values():
         if row["relay"] or row["name"] in relays:
@@ -85,50 +85,50 @@
             state = "refuses"
         else:
             state = "in_force" if row["index"] >= row["due"] and row["relay_index"] == newest else "lags"
-        found[state].append(row)
-    found["of"] = sum(len(found[state]) for state in ("in_force", "lags", "refuses", "away"))
-    found["time_in_force"] = merge_times([one["in_force"] for one in tables])
-    found["time_at_relays"] = merge_times([one["at_relays"] for one in tables])
+        report[state].append(row)
+    report["of"] = sum(len(report[state]) for state in ("in_force", "lags", "refuses", "away"))
+    report["time_in_force"] = merge_times([one["in_force"] for one in tables])
+    report["time_at_relays"] = merge_times([one["at_relays"] for one in tables])
     apart = ("watchers", "in_force", "at_relays")
-    found["relays"] = [{key: one[key] for key in one if key not in apart} for one in tables]
-    return found
+    report["relays"] = [{key: one[key] for key in one if key not in apart} for one in tables]
+    return report
 
 
-def merge_times(shown: list[dict[str, Any]]) -> dict[str, Any]:
+def merge_times(histograms: list[dict[str, Any]]) -> dict[str, Any]:
     """Merges the time histograms of several relays."""
     times = Times()
-    for one in shown:
+    for one in histograms:
         classes = {int(at): count for at, count in one["classes"].items()}
         times.merge(classes, round((one["last_ms"] or 0) * 1000))
     return times.show()
 
 
-def in_force_everywhere(found: dict[str, Any]) -> bool:
-    behind = any(one["index"] < found["index"] or one["ahead"] for one in found["relays"])
-    return not (found["lags"] or found["refuses"] or found["away"] or behind)
+def in_force_everywhere(report: dict[str, Any]) -> bool:
+    behind = any(one["index"] < report["index"] or one["ahead"] for one in report["relays"])
+    return not (report["lags"] or report["refuses"] or report["away"] or behind)
 
 
-def describe(found: dict[str, Any]) -> list[str]:
-    lines = [f"version {found['index']}: in force at {len(found['in_force'])} of {found['of']} sidecars"]
+def describe(report: dict[str, Any]) -> list[str]:
+    lines = [f"version {report['index']}: in force at {len(report['in_force'])} of {report['of']} sidecars"]
     for what, key in (("time in force", "time_in_force"), ("time to the relays", "time_at_relays")):
-        if (times := found[key])["count"]:
+        if (times := report[key])["count"]:
             lines.append(
                 f"{what}: p50 {times['p50_ms']:g} ms, p99 {times['p99_ms']:g} ms, "
                 f"last {times['last_ms']:g} ms, of {times['count']}"
             )
-    for row in found["refuses"][:MAX_LISTED]:
+    for row in report["refuses"][:MAX_LISTED]:
         lines.append(f"  {row['name']} refuses {row['refused']}, stays at {row['index']}: {row['why']}")
     for state, words in (("lags", "lags"), ("away", "is away")):
-        for row in found[state][:MAX_LISTED]:
+        for row in report[state][:MAX_LISTED]:
             due = max(row["due"], row["relay_index"])
             lines.append(
                 f"  {row['name']} {words}: at {row['index']} of {due}, "
                 f"heard {row['heard_s']} s ago by {row['at']}"
             )
     for state in ("refuses", "lags", "away"):
-        if len(found[state]) > MAX_LISTED:
-            lines.append(f"  and {len(found[state]) - MAX_LISTED} more: {state}")
-    for one in found["relays"]:
+        if len(report[state]) > MAX_LISTED:
+            lines.append(f"  and {len(report[state]) - MAX_LISTED} more: {state}")
+    for one in report["relays"]:
         lines.append(
             f"{one['role']} {one['name']}: version {one['index']}, {one['kept']} on disk"
             + (f" (the disk refuses: {one['keep_failing']})" if one["keep_failing"] else "")
@@ -136,8 +136,9 @@
         )
         if one["ahead"]:
             lines.append(
-                f"caution: {one['name']} has heard of version {one['ahead']}, which it never had: a source "
-                "came back from an older backup, or there are two; `lupinmill config restore` at the source"
+                f"caution: {one['name']} has seen references to version {one['ahead']}, which it never had: "
+                "a source came back from an older backup, or there are two; run "
+                "`lupinmill config restore` at the source"
             )
     return lines
 
@@ -163,12 +164,12 @@
             unreachable.append(str(error))
     if not tables:
         exit_with_error(AdminCallFailed("; ".join(unreachable)))
-    found = summarize(tables) | {"no_answer": unreachable}
+    report = summarize(tables) | {"no_answer": unreachable}
     if as_json:
-        click.echo(msgspec.json.format(msgspec.json.encode(found)).decode())
+        click.echo(msgspec.json.format(msgspec.json.encode(report)).decode())
     else:
-        click.echo("\n".join([*describe(found), *(f"no answer: {one}" for one in unreachable)]))
-    sys.exit(2 if unreachable else 0 if in_force_everywhere(found) else 1)
+        click.echo("\n".join([*describe(report), *(f"no answer: {one}" for one in unreachable)]))
+    sys.exit(2 if unreachable else 0 if in_force_everywhere(report) else 1)
 
 
 @config.command()
@@ -180,15 +181,15 @@
 def show(address: str, scopes: tuple[str, ...], as_json: bool) -> None:
     """Show all entries of the version at an address."""
     try:
-        found = fetch_table(address, "entries")
+        table = fetch_table(address, "entries")
     except AdminCallFailed as error:
         exit_with_error(error)
-    rows = [row for row in found["entries"] if not scopes or row["scope"] in scopes]
+    rows = [row for row in table["entries"] if not scopes or row["scope"] in scopes]
     if as_json:
-        text = {"index": found["index"], "mark": found["mark"], "entries": rows}
+        text = {"index": table["index"], "mark": table["mark"], "entries": rows}
         click.echo(msgspec.json.format(msgspec.json.encode(text)).decode())
         return
-    click.echo(f"version {found['index']}, {len(rows)} entries")
+    click.echo(f"version {table['index']}, {len(rows)} entries")
     for row in sorted(rows, key=lambda row: (row["scope"], row["kind"])):
         click.echo(f"{row['scope']} {row['kind']} {msgspec.json.encode(row['value']).decode()}")
 
@@ -249,10 +250,10 @@
         if len(data) > LARGEST:
             raise BadPush(f"larger than {LARGEST} bytes")
         if path.endswith(".json"):
-            found = msgspec.json.decode(data)
-            if not isinstance(found, dict):
+            content = msgspec.json.decode(data)
+            if not isinstance(content, dict):
                 raise BadPush("must be a table")
-            return found
+            return content
         return tomllib.loads(data.decode())
     except OSError as error:
         raise BadPush(str(error.strerror)) from error
