--- a/lupinmill/lab/scale/returns.py
+++ b/lupinmill/lab/scale/returns.py
@@ -1,5 +1,5 @@
 """What discovery is asked by all sidecars together, in virtual time: on a quiet day, and when it comes back
-after it was away. `discovery.driver.Discovery` runs as it serves, one a sidecar, on a loop whose clock
+after it was away. `discovery.driver.DiscoveryClient` runs as it serves, one a sidecar, on a loop whose clock
 jumps from one event to the next; `rules.Sidecar` decides when a list is asked for again. Only the
 connection, the chance and discovery itself are stand-ins: discovery works through so many calls a second
 in turn, also those whose callers have hung up, and holds a watch without news until its wait ends."""
--- a/lupinmill/lab/scale/returns_stand.py
+++ b/lupinmill/lab/scale/returns_stand.py
@@ -1,6 +1,6 @@
 """Stand-ins around the watch on lists, for thousands of sidecars on one loop whose clock jumps: discovery,
-the connection to it, and the rest of a sidecar. `discovery.driver.Discovery` and `rules.Sidecar` are the
-very ones."""
+the connection to it, and the rest of a sidecar. `discovery.driver.DiscoveryClient` and `rules.Sidecar` are
+the very ones."""
 
 from __future__ import annotations
 
@@ -153,8 +153,8 @@
 
 
 class Seat:
-    """What `Discovery` knows of the rest of a sidecar: where lists go, and the module that asks for them. The
-    module hears of each list without its rows, which have no part in when it asks."""
+    """What `DiscoveryClient` knows of the rest of a sidecar: where lists go, and the module that asks for
+    them. The module hears of each list without its rows, which have no part in when it asks."""
 
     def __init__(
         self, loop: VirtualLoop, deployment: t.Deployment, heard: Callable[[Seat, int], None]
