--- a/lupinmill/rules.py
+++ b/lupinmill/rules.py
@@ -1,8 +1,10 @@
-"""All decisions of one sidecar: `Sidecar(deployment)` once, then `step(now, events)` a batch gives commands.
-Pure: no I/O, no clock, no state outside the instance. Types are in `terms.py`, reasons in `docs/design.md`.
-Actors, in the order a request meets them: `Dispatcher` (takes, holds, picks, retries, answers),
-`EndpointActor` (one each), `EndpointRegistry` (the list). They talk by messages, which one loop delivers
-(`MessageQueue.run`)."""
+"""All decisions of one sidecar: create one `Sidecar(deployment)`, then call `step(now, events)` for each
+batch of events; it returns commands.
+
+Pure: no I/O, no clock, no state outside the instance. The types are in `terms.py`, the design rationale in
+`docs/design.md`. The actors, in the order in which a request meets them: `Dispatcher` (accepts, holds,
+routes, retries and rejects requests), `EndpointActor` (one per endpoint) and `EndpointRegistry` (the
+endpoint list). They exchange messages, which a single loop delivers (`MessageQueue.run`)."""
 
 from __future__ import annotations
 
@@ -39,64 +41,85 @@
 )
 
 MS, SECOND = 1_000, 1_000_000
-SWEEP = 100 * MS  # what is out is looked over this often
+# Between two checks of the attempts in flight.
+SWEEP = 100 * MS
 RETRY_BASE, RETRY_MAX = 20 * MS, 1 * SECOND
-RETRY_SHARE, RETRY_BUCKETS = 0.1, 20  # retries under a tenth of ten seconds' submissions, in 0.5 s buckets
+# Retries stay below a tenth of the requests of the last ten seconds, counted in buckets of 0.5 s.
+RETRY_SHARE, RETRY_BUCKETS = 0.1, 20
 CAP_START, MAX_CAP = 4, 32
-# Of all sidecars together: the most an endpoint's caps start with, add a sweep while some wait, and leave.
+# Of an endpoint's caps at all sidecars together: sum at the start, growth per check while requests wait, and
+# floor.
 FLEET_START, FLEET_GROWTH, FLEET_FLOOR = 8.0, 0.1, 4.0
-THIN_GROWTH = 0.2  # of itself a sweep, of a cap that leaves a sidecar less than one launch
-BESIDE_CAPS = 3.0, 0.02, 0.5  # start, growth and floor as multiples of what own traffic keeps in flight
-ABROAD, ABROAD_LEAST = 1.5, 0.03  # pace in the own zone from which others pull more; what they always pull
-BESIDE_MARKS = 2.2, 1.75  # as CROWDED and ROOMY: a thin stream of answers strays further
-UNEVEN = 0.7  # of that at the start where caps are fractions: the fullest of uneven ones jams first
-CROWDED, ROOMY = 1.9, 1.5  # answer times, as multiples of uncrowded ones, at which caps fall and may rise
-UNTRIED, UNPROVED, MORE, PROOF_AFTER, MANY = 0.14, 0.05, 2.0, 1_250 * MS, 1_000  # see `unknown_each`
-LEAST_PACE = 0.001  # of a kind of endpoint: others are divided by it
-BUSY = 0.8  # cores less busy than this by reports are not crowded, whatever few answers say
+# Relative growth per check of a cap that leaves a sidecar less than one attempt in flight.
+THIN_GROWTH = 0.2
+# With a sidecar per client: start, growth and floor, as multiples of what its own traffic keeps in flight.
+BESIDE_CAPS = 3.0, 0.02, 0.5
+# Pace in the own zone above which other zones gain preference; the preference that they always keep.
+ABROAD, ABROAD_LEAST = 1.5, 0.03
+# As CROWDED and ROOMY; wider, since the mean of few answers varies more.
+BESIDE_MARKS = 2.2, 1.75
+# Factor on the starting cap where caps are fractions: with uneven load the fullest endpoint jams first.
+UNEVEN = 0.7
+# Latencies, as multiples of the uncrowded latency, above which caps fall and below which they may rise.
+CROWDED, ROOMY = 1.9, 1.5
+# See `Dispatcher.assumed_warm_rate`.
+UNTRIED, UNPROVED, MORE, PROOF_AFTER, MANY = 0.14, 0.05, 2.0, 1_250 * MS, 1_000
+LEAST_PACE = 0.001  # of a kind of endpoint: it is a divisor
+# Below this CPU utilization in load reports endpoints are not crowded, whatever a few answers suggest.
+BUSY = 0.8
 REST, REST_MAX = 3 * SECOND, 12 * SECOND
-SHARE_BACK = 0.05  # of the common cap, won back with each answer
-EVIDENCE = 10  # answers behind a mean; THIN where they are few: their least mean is too low
-BEHIND = 1.5  # multiple of the middle pace beyond which one is picked after the others
-TOLD_AGE, TOLD_KEPT = 2_500 * MS, 8  # a load report counts so long; so many of the last ones decide ties
-# Usual answer times without an answer: it is silent; more, shared by the launches there, as one may be long.
+SHARE_BACK = 0.05  # of the common cap, regained with each answer
+# Answers behind a mean latency. Where caps are fractions answers are few, and the least of small means is too
+# low: there it is THIN.
+EVIDENCE = 10
+BEHIND = 1.5  # multiple of the median pace above which an endpoint is picked last
+# Time for which a load report counts; number of recent reporters that decide ties.
+TOLD_AGE, TOLD_KEPT = 2_500 * MS, 8
+# An endpoint without an answer for so many usual latencies is silent. The second figure is divided by the
+# attempts in flight there and added, as a single request may take long.
 SILENCE, LONELY = 4.0, 6.0
-SLOW = 2.7  # multiple of the middle endpoint's pace beyond which one is judged slow
-DRAGS = 3.5  # multiple of the least pace of a workload beyond which one is slow by itself
-ASK_APART, ASK_AGAIN = 30 * MS, 1_600 * MS  # between sidecars that all lost the list; before one asks anew
-ASIDE_SHARE = 0.34  # on soft evidence no more than this share of the endpoints is set aside
+SLOW = 2.7  # multiple of the median endpoint's pace above which an endpoint is slow
+DRAGS = 3.5  # multiple of the lowest workload's pace above which a workload is slow by itself
+# Spacing between sidecars that all lost the endpoint list; the longest delay before one polls again.
+ASK_APART, ASK_AGAIN = 30 * MS, 1_600 * MS
+ASIDE_SHARE = 0.34  # on soft evidence at most this share of the endpoints is ejected
 
 
 @dataclass(slots=True)
 class RequestState:
+    """An accepted request, until the outcome of its last attempt has arrived."""
+
     name: str
     workload: t.Workload
     due: int
     contract_end: int
     arrived: int
     queue: RequestQueue
-    settings: DispatchSettings  # under which it was taken
+    settings: DispatchSettings  # in force when it was accepted
     attempts: list[Attempt] = field(default_factory=list)
     held: bool = False
     retrying: bool = False
     streaming: bool = False
     done: bool = False
     refusals: int = 0
-    spoilt: bool = False  # the last answer was
-    whole: bool = True  # its last byte has come
+    spoilt: bool = False  # the last answer was unreadable
+    whole: bool = True  # its last byte has arrived
     repeated: bool = False
-    spent: bool = False  # it can't be sent once more
-    mark: int = 0  # of its key
-    zone: str = ""  # where the common plan sends its first launch; none: anywhere
+    spent: bool = False  # its body is no longer available for another attempt
+    mark: int = 0  # 0: no key
+    zone: str = ""  # where the shared plan sends its first attempt; empty: anywhere
 
     def out(self) -> int:
         return sum(attempt.out for attempt in self.attempts)
 
-    def first_run(self) -> Attempt | None:  # the earliest launch that is out or may have run
+    def first_run(self) -> Attempt | None:
+        """The earliest attempt that is pending or may have run."""
         return next((attempt for attempt in self.attempts if not attempt.never_ran), None)
 
 
-class DispatchSettings:  # the derived figures that the desk decides by
+class DispatchSettings:
+    """Figures derived from the deployment, by which the dispatcher decides."""
+
     def __init__(self, d: t.Deployment) -> None:
         self.front, self.margin, self.warm_keys = d.tier == 0, 2 * d.round, d.warm_keys
         self.workloads, self.max_attempts = {w.name: w for w in d.workloads}, d.max_attempts
@@ -109,7 +132,7 @@
         self.told = self.sharers = max(1, d.instances)
         self.ask_span = max(SECOND, min(d.poll_interval, 10 * SECOND)) * 2 // 5 if d.poll_discovery else 0
         self.share_out(self.told)
-        # The more the goal pools all workloads, the more value counts against evenness.
+        # The more the goal pools all workloads, the more value weighs against evenness.
         weight = d.pooled_weight + d.evenness_weight
         self.greed = d.pooled_weight / weight if weight else 1.0
         whole = sum(q.quota_per_s for q in d.tenants) or 1.0
@@ -118,8 +141,9 @@
         self.crossing, self.told_speed, self.zone = d.crossing_price, d.weights_tell_speed, d.zone
 
     def share_out(self, sidecars: int) -> float:
-        """Gives what a learned cap is to be multiplied by. Of many even one launch from each would jam the
-        endpoints: caps may be fractions. Beside each client they are multiples of what it keeps in flight."""
+        """Returns the factor for a learned cap. With many sidecars even one attempt from each would overload
+        the endpoints, so caps may be fractions. With a sidecar per client they are multiples of what its own
+        traffic keeps in flight."""
         before, self.sharers = self.sharers, sidecars if sidecars > 0 else self.told
         even, self.evidence = (1.0, EVIDENCE) if self.sharers <= FLEET_START else (UNEVEN, THIN)
         caps = [one / self.sharers for one in (even * FLEET_START, even * even * FLEET_GROWTH, FLEET_FLOOR)]
@@ -129,45 +153,47 @@
 
 
 class Dispatcher(Actor):
+    """Accepts, holds, routes, retries and rejects requests."""
+
     def __init__(
         self, message_queue: MessageQueue, settings: DispatchSettings, random_source: RandomSource
     ) -> None:
         super().__init__()
         self.message_queue, self.settings, self.random_source = message_queue, settings, random_source
         self.endpoints: dict[str, EndpointActor] = {}
-        self.open: dict[str, RequestState] = {}  # until the last outcome has come
+        self.open: dict[str, RequestState] = {}  # until the last outcome has arrived
         self.endpoint_states: dict[str, EndpointState] = {}
-        self.load_buckets: list[list[EndpointState]] = [[] for _ in range(2 * MAX_CAP)]  # the ready ones
-        self.ready, self.in_flight, self.shares, self.weight = 0, 0, 0.0, 0.0  # sums over the ready ones
-        self.busy: dict[str, EndpointState] = {}  # with launches in flight
-        self.cap = settings.cap_start  # common to all; each endpoint takes its share of it
-        self.told: deque[EndpointState] = deque(maxlen=TOLD_KEPT)  # the last that reported their load
+        self.load_buckets: list[list[EndpointState]] = [[] for _ in range(2 * MAX_CAP)]  # of available ones
+        # Sums over the available endpoints.
+        self.ready, self.in_flight, self.shares, self.weight = 0, 0, 0.0, 0.0
+        self.busy: dict[str, EndpointState] = {}  # with attempts in flight
+        self.cap = settings.cap_start  # common to all endpoints, of which each takes its share
+        self.told: deque[EndpointState] = deque(maxlen=TOLD_KEPT)
         self.usual, self.sweeping, self.swept, self.luck, self.redraw = FleetAverages(), False, 0, 0.0, 0
         self.queues: dict[tuple[str, bool, bool, str], RequestQueue] = {}
-        self.common, self.open_in = (
-            t.FleetState(),
-            {},
-        )  # held in common with other sidecars; ready ones by zone
-        self.bound: list[RequestState] = []  # held, but some group of endpoints alone will do
+        self.common, self.open_in = t.FleetState(), {}
+        self.bound: list[RequestState] = []  # held for some of the endpoints only
         self.waiting, self.shedding, self.crowding = 0, False, 1.0
-        self.turned_back, self.answers = False, 0  # since the last look
+        self.turned_back, self.answers = False, 0
         self.gauges: dict[str, LatencyEstimate] = {}
         self.taken, self.retried = (
             BucketedSum(RETRY_BUCKETS, SECOND // 2),
             BucketedSum(RETRY_BUCKETS, SECOND // 2),
         )
         self.launched, self.came, self.began = BucketedSum(10, SECOND // 10), BucketedSum(10, SECOND // 2), -1
-        # Uncrowded answer time over all; what a cap is a multiple of.
+        # Uncrowded latency over all workloads; the factor on the common cap.
         self.unhurried, self.scale = 0.0, 1.0
-        # What a warm endpoint of size 1 handles a second; the size of all listed as ready, set aside or not.
+        # Requests per second that a warm endpoint of size 1 handles; total size listed as ready, ejected or
+        # not.
         self.each, self.size = 0.0, 0.0
-        # Handled by cold ones, and how many warm ones those make; when the first request came.
+        # Requests handled by cold endpoints, and how many warm ones those amount to.
         self.proved, self.able, self.first = BucketedSum(4, SECOND // 2), 0.0, -1
-        # Time without traffic, for which no credit is due: all sidecars would spend at once what they saved.
+        # Time without traffic earns no credit: all sidecars would spend their savings at once.
         self.idle, self.came_at = 0, -1
-        self.handled, self.looked = 0, 0  # by warm endpoints since the last look at all, and when that was
-        self.kinds: dict[str, float] = {}  # usual pace of each kind of endpoint
-        self.zones, self.abroad = [1.0, 1.0], 0.2  # pace in the own zone and in others; what others pull
+        self.handled, self.looked = 0, 0
+        self.kinds: dict[str, float] = {}  # of endpoint
+        # Pace in the own zone and in all others; preference for endpoints in other zones.
+        self.zones, self.abroad = [1.0, 1.0], 0.2
         self.sent_by = {name: BucketedSum(10, SECOND // 2) for name in settings.quotas}
         self.failed, self.answered = BucketedSum(6, SECOND // 2), BucketedSum(6, SECOND // 2)
 
@@ -176,12 +202,12 @@
         if self.waiting:
             self.dispatch()
 
-    # A submission arrives.
+    # A request arrives.
 
     def arrive(self, event: t.RequestArrived) -> None:
         now, settings = self.message_queue.now, self.settings
         if event.request in self.open:
-            return  # told twice
+            return  # a duplicate event
         w = settings.workloads.get(event.workload) or t.Workload(
             event.workload, event.due - now, event.due - now
         )
@@ -189,7 +215,8 @@
         self.idle += max(0, now - self.came_at - settings.overload_time) if self.came_at >= 0 else 0
         self.came_at, self.first = now, now if self.came_at < 0 else self.first
         if not event.keyed and w.repeat is t.RepeatPolicy.DEDUPLICATED:
-            w = replace(w, repeat=t.RepeatPolicy.UNREPEATABLE)  # no endpoint would drop its repeats
+            # Without a key no endpoint would drop its repeats.
+            w = replace(w, repeat=t.RepeatPolicy.UNREPEATABLE)
         self.taken.add(now, not event.repeated)
         end = min(event.due, now + self.contract(w, event.due, event.repeated))
         zone = self.sent_to(w)
@@ -208,13 +235,15 @@
             self.admit(s)
 
     def contract(self, w: t.Workload, due: int, repeated: bool) -> int:
-        own = w.contract // 2 if repeated else w.contract  # that client has been waiting for a while already
+        # The client of a repeat has been waiting for a while already.
+        own = w.contract // 2 if repeated else w.contract
         return own if self.settings.front else due - self.message_queue.now
 
     def complete(self, event: t.RequestBodyReceived) -> None:
         s, now = self.open.get(event.request), self.message_queue.now
-        if s is None or s.whole:  # endpoints begin with the last byte: until then it kept none busy
+        if s is None or s.whole:
             return
+        # Endpoints begin to work with the last byte: until then the request kept none busy.
         s.whole, s.due, s.arrived = True, event.due, now
         s.contract_end = min(s.due, now + self.contract(s.workload, s.due, s.repeated))
         self.message_queue.set_timer(self.end_of(s), self, RequestTimeout(s, True))
@@ -223,7 +252,7 @@
             self.count_in(attempt)
 
     def end_of(self, s: RequestState) -> int:
-        """Guards against alarms that outlast by minutes what came sooner than it was guessed."""
+        """Bounds the timer where the deadline is a guess: the request may be complete minutes before it."""
         end = s.due - s.settings.margin
         return end if s.whole else min(end, self.message_queue.now + 10 * SECOND)
 
@@ -243,18 +272,19 @@
             self.busy.pop(seat.name, None)
         self.shelve(seat)
 
-    def elsewhere(
-        self, event: t.PredecessorLoad
-    ) -> None:  # or both processes of an upgrade would fill every cap
+    def elsewhere(self, event: t.PredecessorLoad) -> None:
+        """Counts the older process's attempts, or both processes of an upgrade would fill every cap."""
         self.retried.add(self.message_queue.now, event.retried)
         for seat in list(self.endpoint_states.values()):
             if more := event.in_flight.get(seat.name, 0) - seat.elsewhere:
                 seat.elsewhere += more
                 self.fly(seat, more)
             if more and not seat.in_flight:
-                self.endpoints[seat.name].tell()  # it may have gone meanwhile
+                self.endpoints[seat.name].tell()  # it may be gone by now
 
-    def beyond_share(self, tenant: str) -> bool:  # what exceeds its part of own traffic: the mix is alike
+    def beyond_share(self, tenant: str) -> bool:
+        """Whether this request exceeds its tenant's share of this sidecar's traffic. The quotas are of all
+        sidecars together; their traffic is assumed to have the same mix of tenants."""
         if (ring := self.sent_by.get(tenant)) is None:
             return False
         ring.add(self.message_queue.now)
@@ -265,7 +295,8 @@
         return part < sent and self.random_source.draw() > part / sent
 
     def agree(self, event: t.FleetState) -> None:
-        """What sidecars hold in common, until the next word or its end: then all is as told at the start."""
+        """Applies the shared state until the next one or its expiry, after which the deployment's values
+        hold."""
         if event.until or self.message_queue.now >= self.common.until:
             self.cap = min(float(MAX_CAP), self.cap * self.settings.share_out(event.sidecars))
             self.common = event
@@ -273,7 +304,8 @@
             self.message_queue.set_timer(event.until, self, t.FleetState())
 
     def sent_to(self, w: t.Workload) -> str:
-        """By the plan; where nothing is open there, by its way out. Placement goes before."""
+        """The zone by the shared plan, or its fallback where that zone is lost. Placement rules take
+        precedence."""
         zone, plans = "", () if w.zones or w.kinds else self.common.plan.get(w.name, ())
         for shares in plans:
             if not zone or self.lost(zone):
@@ -281,7 +313,8 @@
                 zone = next((name for name, share in shares.items() if (at := at - share) < 0), zone)
         return zone
 
-    def lost(self, zone: str) -> bool:  # as far as this sidecar finds: most there are set aside
+    def lost(self, zone: str) -> bool:
+        """Whether this sidecar finds most endpoints of the zone unavailable."""
         return self.open_in.get(zone, 0) * 2 < self.common.listed.get(zone, 1)
 
     def lane_of(self, w: t.Workload, beyond: bool, repeated: bool, zone: str) -> RequestQueue:
@@ -292,18 +325,19 @@
     def worth(self, w: t.Workload, beyond: bool, repeated: bool) -> float:
         worth = max(0.0, w.value) ** self.settings.greed * (self.settings.beyond if beyond else 1.0)
         if self.settings.sidecar_per_client:
-            worth *= SECOND / max(1, w.contract)  # what takes longer costs more of the endpoints' time
+            worth *= SECOND / max(1, w.contract)  # long requests cost more of the endpoints' time
         return worth * (0.7 if repeated else 1.0)
 
     def deploy(self, event: t.DeploymentChanged) -> None:
-        """For what comes from now on; work in hand keeps its terms, what was learned stays."""
+        """Applies to requests from now on: open ones keep their settings, and learned figures stay."""
         before, self.settings, in_hand = self.settings, DispatchSettings(event.deployment), self.open.values()
         self.settings.sharers, known = before.sharers, self.settings.workloads
         self.cap = min(float(MAX_CAP), self.cap * self.settings.share_out(self.common.sidecars))
         self.sent_by = {
             name: self.sent_by.get(name) or BucketedSum(10, SECOND // 2) for name in self.settings.quotas
         }
-        # Guards memory against names that come and go: what no work in hand uses is made anew when wanted.
+        # Bounds memory where workload names come and go: what no open request uses is created again on
+        # demand.
         names, queues = {s.workload.name for s in in_hand} | known.keys(), {id(s.queue) for s in in_hand}
         self.gauges = {name: gauge for name, gauge in self.gauges.items() if name in names}
         self.queues = {key: queue for key, queue in self.queues.items() if id(queue) in queues}
@@ -317,7 +351,8 @@
             )
         return self.gauges[w.name]
 
-    def patience(self, s: RequestState) -> int:  # until when holding it can still lead to an answer
+    def patience(self, s: RequestState) -> int:
+        """Until when holding the request can still lead to an answer in contract time."""
         span = s.contract_end - s.arrived
         return s.contract_end - int(min(self.gauge(s.workload).usual * 1.3, span * 0.6))
 
@@ -331,13 +366,14 @@
             s.queue.waiting.append(s)
 
     def admit(self, s: RequestState) -> None:
-        """Denies at once what would wait in vain. Where caps are fractions what the room allows counts."""
+        """Rejects at once what would wait in vain. Where caps are fractions the rate follows from the
+        capacity."""
         queue, queues = s.queue, self.queues.values()
         ahead = sum(len(other.waiting) for other in queues if other.worth > queue.worth) + len(queue.waiting)
         room, limit, least = self.part(), self.patience(s), float(self.settings.sidecar_per_client)
         allowed = max(least, room) * SECOND / self.gauge(s.workload).usual if least or self.cap < 1 else 0.0
         rate = max(1.0, self.launched.total(self.message_queue.now), allowed)
-        open_ = not s.zone or self.open_in.get(s.zone)  # else there is nothing to wait for
+        open_ = not s.zone or self.open_in.get(s.zone)  # else no endpoint to wait for
         if open_ and self.message_queue.now + int(ahead / rate * SECOND) <= limit:
             self.message_queue.set_timer(limit, self, RequestTimeout(s, False))
             return
@@ -347,7 +383,7 @@
             self.message_queue.log(f"shedding: {self.waiting} held, {rate:.0f} launches/s, room {room:.1f}")
         self.finish(s)
 
-    # Held submissions are launched.
+    # Attempts are started for held requests.
 
     def dispatch(self) -> None:
         self.bound = [s for s in self.bound if s.held and not self.try_launch(s)]
@@ -372,11 +408,12 @@
             else:
                 full.append(best.zone)
 
-    def may_launch(self, s: RequestState) -> bool:  # (again): rule 2, and what the deployment allows
+    def may_launch(self, s: RequestState) -> bool:
+        """Whether a first or another attempt is allowed: by rule 2 and by the deployment."""
         if s.done or s.streaming or s.spent or len(s.attempts) >= s.settings.max_attempts:
             return False
         if s.whole and self.message_queue.now >= s.due - s.settings.margin:
-            return False  # it is answered now
+            return False  # it is about to be answered
         first = s.first_run()
         if first is None or s.out() and not s.settings.copies:
             return first is None
@@ -397,7 +434,8 @@
         return bool(new) and new == old
 
     def room(self) -> int:
-        """Launches in flight at all ready endpoints together. Fractions are rounded by chance."""
+        """Limit on the attempts in flight at all available endpoints together; fractions are rounded at
+        random."""
         room = self.part()
         if self.settings.sidecar_per_client:
             return int(max(1.0, room + (0 if self.pace_over(self.settings.roomy) else sqrt(room))) + 0.5)
@@ -410,16 +448,19 @@
             self.luck, self.redraw = self.random_source.draw(), self.message_queue.now + self.usual.took
         return int(room + self.luck)
 
-    def part(self) -> float:  # this sidecar's, of what all ready endpoints take
+    def part(self) -> float:
+        """This sidecar's part of what all available endpoints can have in flight."""
         return self.cap * self.scale * self.shares
 
     def pace_over(self, mark: float) -> bool:
-        """Where caps are fractions few answers make a light day look crowded: reports must bear it out."""
+        """Where caps are fractions, a few answers make light load look crowded: load reports must confirm
+        it."""
         idle = self.cap < 1 and self.settings.reports and self.usual.busy < BUSY
         return self.crowding > mark * (2 if idle else 1)
 
     def pick(self, s: RequestState) -> EndpointState | None:
-        """Fewest own launches in flight under the cap, ties by race; a cold one counts at mean load."""
+        """Least attempts in flight below the cap, ties by rank; a cold endpoint counts with at least the
+        mean load."""
         if not self.ready or self.in_flight >= self.room():
             return None
         tried = [attempt.endpoint_state for attempt in s.attempts]
@@ -438,13 +479,14 @@
                         return seat
         return None
 
-    def race(
-        self, seat: EndpointState, s: RequestState
-    ) -> float:  # least first: by chance, or by key alike everywhere
+    def race(self, seat: EndpointState, s: RequestState) -> float:
+        """Weighted order among equals, least first: random, or by the key and then the same in all
+        sidecars."""
         return -log(mixed(s.mark, seat.mark) if s.mark else self.random_source.draw() or 0.5) / seat.pull
 
     def told_least(self, load: int, s: RequestState, tried: list[EndpointState]) -> EndpointState | None:
-        """Of equals the one that told of the least load, if below the mean, to which each report fades."""
+        """Of equals the one with the least reported load below the mean. Reports decay towards the mean with
+        age."""
         mean, least, best = self.usual.told, self.usual.told, None
         for seat in self.told:
             report = seat.report
@@ -457,14 +499,14 @@
         return best
 
     def ask_around(self) -> None:
-        """One shallow probe a launch, for ties to come, while most places are empty; fewer at idle cores."""
+        """One probe per attempt, to decide later ties, while most endpoints are unused; fewer at low
+        utilization."""
         bucket, wanted = self.load_buckets[0], self.usual.busy > BUSY / 2 or self.random_source.draw() < 0.25
         if bucket and wanted and self.settings.reports and 2 * self.in_flight < self.ready:
             seat = bucket[self.random_source.upto(len(bucket) - 1)]
             stale = seat not in self.told or self.message_queue.now - seat.report.told_at > TOLD_AGE // 4
-            if (
-                stale and seat.report.cold_since is None
-            ):  # a cold one decides no tie, and has no work to spare
+            # A cold endpoint decides no tie, and has no capacity to spare for probes.
+            if stale and seat.report.cold_since is None:
                 self.message_queue.commands.append(t.StartProbe(seat.name))
 
     def may_take(self, seat: EndpointState, s: RequestState, tried: list[EndpointState]) -> bool:
@@ -472,11 +514,11 @@
             seat.report.trial or seat.in_flight >= self.cap * self.scale * seat.report.share
         ):
             return False
-        near = (
-            not s.zone or s.attempts or seat.report.entry.zone == s.zone
-        )  # launches again are few: they cross
+        # Repeated attempts are few, so they may cross zones.
+        near = not s.zone or s.attempts or seat.report.entry.zone == s.zone
         again = tried and (not self.group_allows(s, seat) or seat in tried and self.ready > len(tried))
-        if again or not near or not s.workload.open_at(seat.report.entry):  # also when all are down
+        # Placement holds even when all endpoints allowed by it are down.
+        if again or not near or not s.workload.open_at(seat.report.entry):
             return False
         return seat.report.cold_since is None or self.credited(seat)
 
@@ -496,28 +538,31 @@
             seat.spot = len(self.load_buckets[bucket])
             self.load_buckets[bucket].append(seat)
 
-    def warmth(self, report: EndpointReport) -> float:  # at the least, by now
+    def warmth(self, report: EndpointReport) -> float:
+        """The part of its full capacity that the endpoint has by now, at least."""
         if report.cold_since is None:
             return 1.0
         age = min(1.0, max(0, self.message_queue.now - report.cold_since) / self.settings.cold_time)
         return 1 - (1 - self.settings.cold_share) * (1 - age)
 
     def credited(self, seat: EndpointState) -> bool:
-        """Rule 4: by warmth what a warm one of its size handles, however few are left; where that is not
-        known see `unknown_each`. Credit of one launch at most."""
+        """Rule 4: a cold endpoint earns credit at the rate of a warm one of its size times its warmth,
+        however few endpoints are left; see `assumed_warm_rate` where that rate is not known. At most one
+        attempt of credit."""
         now, clock = self.message_queue.now, self.message_queue.now - self.idle
         if now - seat.report.cold_since >= self.settings.cold_time:
             seat.report.cold_since = None
             return True
         rate = self.warmth(seat.report) * (self.each or self.unknown_each()) * seat.size
-        rate *= self.common.brakes.get(seat.name, 1.0)  # all sidecars together
+        rate *= self.common.brakes.get(seat.name, 1.0)  # of all sidecars together
         seat.credit = min(1.0, seat.credit + rate * (clock - seat.credited) / SECOND)
         seat.credited = clock
         return seat.credit >= 1.0
 
     def unknown_each(self) -> float:
-        """Where none is warm. As few may be left: UNTRIED of their part of what comes, from PROOF_AFTER on
-        UNPROVED and MORE times what they handled; less of many sidecars, whose launches meet by chance."""
+        """The rate where no endpoint is warm. Few of them may be left, so it is only part of each endpoint's
+        share of the arrivals: UNTRIED at first; after PROOF_AFTER it is UNPROVED plus MORE times what cold
+        endpoints handled. Lower with many sidecars, whose attempts coincide at random."""
         now, age = self.message_queue.now, self.message_queue.now - self.first
         comes = self.came.total(now) * SECOND / min(5 * SECOND, max(SECOND // 2, age))
         part = comes / max(1, self.ready, self.size) / (1 + self.settings.sharers / MANY)
@@ -525,7 +570,8 @@
             return UNTRIED * part
         return min(part, UNPROVED * part + MORE * self.proved.total(now) / 2 / self.able)
 
-    def try_launch(self, s: RequestState) -> bool:  # true when it need not be held any longer
+    def try_launch(self, s: RequestState) -> bool:
+        """True when the request need not be held any longer."""
         allowed, now = self.may_launch(s), self.message_queue.now
         seat = self.pick(s) if allowed else None
         if allowed and seat is None:
@@ -556,7 +602,7 @@
             return
         attempt, now = s.attempts[event.attempt], self.message_queue.now
         if not attempt.counted:
-            self.count_in(attempt)  # it ended before its submission was whole
+            self.count_in(attempt)  # it ended before the request body was complete
         attempt.out, attempt.never_ran, seat = False, event.outcome in t.NEVER_RAN, attempt.endpoint_state
         s.spent = s.spent or event.last
         self.fly(seat, -1)
@@ -566,22 +612,23 @@
             self.handled += self.warmth(seat.report) == 1
             self.proved.add(now, self.warmth(seat.report) < 1)
             gauge.add(now, max(1, event.duration))
-        # What we call off at the hard limit is a time-out of its endpoint, or only quick answers would tell.
+        # What is cancelled at the hard limit counts as a timeout of its endpoint, or only quick answers
+        # would count.
         how = t.Outcome.TIMED_OUT if attempt.overdue else event.outcome
         overtaken = (
             s.done
             and not attempt.overdue
             or how in (t.Outcome.CALLED_OFF, t.Outcome.UNSENT, t.Outcome.REJECTED)
         )
-        warm = (
-            self.warmth(seat.report) if self.settings.uneven else 1.0
-        )  # or cold ones make growth look crowded
+        # Without this factor the slow answers of cold endpoints would make a growing fleet look crowded.
+        warm = self.warmth(seat.report) if self.settings.uneven else 1.0
         pace = event.duration * warm / max(1.0, gauge.uncrowded)
         if how in (t.Outcome.HANDLED, t.Outcome.TIMED_OUT):
-            gain = max(0.03, 1 / (8 + self.answered.total(now) / 3))  # over about a second's, at least eight
+            # The mean spans the answers of about a second, at least eight.
+            gain = max(0.03, 1 / (8 + self.answered.total(now) / 3))
             gauge.pace += 0.1 * (min(pace, 8.0) - gauge.pace)
             if gauge.pace > DRAGS * min(other.pace for other in self.gauges.values()):
-                pace = self.crowding  # slow at all endpoints while other workloads are not: it is no load
+                pace = self.crowding  # slow at all endpoints while other workloads are not: not due to load
             self.crowding += gain * (min(pace, 8.0) - self.crowding)
         self.answered.add(now, not overtaken)
         self.failed.add(now, not overtaken and how is not t.Outcome.HANDLED)
@@ -607,7 +654,8 @@
         spent = self.retried.total(now) + 1 >= RETRY_SHARE * self.taken.total(now)
         if s.held or hopeless or spent or not self.may_launch(s):
             return False
-        # Inner tiers pass failures up, or retries would multiply: but for what never ran, and spoilt answers.
+        # Inner tiers pass failures up, or retries would multiply; except what never ran, and unreadable
+        # answers.
         if not self.settings.front and s.first_run() is not None and not s.spoilt:
             return False
         self.retried.add(now)
@@ -626,7 +674,8 @@
                 max(self.patience(s), self.message_queue.now), self, RequestTimeout(s, False)
             )
 
-    def silent(self, event: EndpointSilent) -> None:  # second copies for what hangs there
+    def silent(self, event: EndpointSilent) -> None:
+        """Hedges the requests that hang at a silent endpoint."""
         for s in list(self.open.values()):
             there = any(attempt.out and attempt.endpoint_state.name == event.name for attempt in s.attempts)
             if there and s.out() == 1 and not s.retrying:
@@ -639,20 +688,22 @@
         if event.final and self.message_queue.now < s.due - s.settings.margin:
             return self.message_queue.set_timer(self.end_of(s), self, event)
         if not event.final and s.out():
-            self.unhold(s)  # a copy still waits for an answer
+            self.unhold(s)  # another attempt is still pending
             s.retrying = False
             return
         for attempt in s.attempts:
             attempt.overdue = attempt.out
         self.finish(s)
 
-    def may_deny(self, s: RequestState) -> bool:  # rule 2: a denial says that trying again is safe
+    def may_deny(self, s: RequestState) -> bool:
+        """Rule 2: a rejection tells the client that repeating the request is safe."""
         all_drop = (
             s.workload.repeat is t.RepeatPolicy.DEDUPLICATED and s.workload.group is t.DeduplicationScope.ALL
         )
         return all_drop or s.workload.repeat is t.RepeatPolicy.IDEMPOTENT or s.first_run() is None
 
-    def finish(self, s: RequestState) -> None:  # advice is jittered, lest the denied return as a wave
+    def finish(self, s: RequestState) -> None:
+        """Rejects the request. The retry advice is jittered, or rejected clients would return all at once."""
         advice = self.settings.advice // 2 + self.random_source.upto(self.settings.advice // 2)
         self.message_queue.commands.append(
             t.RejectRequest(s.name, advice) if self.may_deny(s) else t.AbortResponse(s.name)
@@ -703,10 +754,8 @@
         if self.endpoints[event.name].entry.state is t.EndpointStatus.GONE and not (
             seat.in_flight or seat.coming
         ):
-            del (
-                self.endpoint_states[event.name],
-                self.endpoints[event.name],
-            )  # or memory grows with all there ever were
+            # Or memory would grow with every endpoint that ever existed.
+            del self.endpoint_states[event.name], self.endpoints[event.name]
             self.told = deque((one for one in self.told if one is not seat), TOLD_KEPT)
 
     def count(self, seat: EndpointState, sign: int) -> None:
@@ -718,8 +767,9 @@
             self.open_in[seat.report.entry.zone] = self.open_in.get(seat.report.entry.zone, 0) + sign
 
     def against_kind(self, seat: EndpointState, pace: float, uncrowded: float) -> float:
-        """Guards against slow machines that stand behind the others for good, though all is well."""
-        pace = max(LEAST_PACE, pace)  # an answer that took no time
+        """The pace relative to the endpoint's kind, or slower machines would always rank last though nothing
+        is wrong."""
+        pace = max(LEAST_PACE, pace)  # an answer may have taken no time
         kind, far = seat.report.entry.kind, seat.report.entry.zone != self.settings.zone
         if uncrowded:
             self.kinds[kind] = 0.98 * self.kinds.get(kind, pace) + 0.02 * pace
@@ -728,7 +778,7 @@
         return pace * sum(self.kinds.values()) / max(1, len(self.kinds)) / self.kinds.get(kind, 1.0) or pace
 
     def balance(self, usual: float) -> None:
-        """What own traffic keeps in flight, and what part of it each endpoint gets."""
+        """Updates what own traffic keeps in flight, and the part of it that each endpoint gets."""
         now = self.message_queue.now
         self.began = now if self.began < 0 else self.began
         rate = self.came.total(now) * SECOND / min(5 * SECOND, max(SECOND, now - self.began))
@@ -739,7 +789,8 @@
         for seat in self.endpoint_states.values():
             report, entry = seat.report, seat.report.entry
             seat.pull = entry.weight / (1.0 if self.settings.told_speed else self.kinds.get(entry.kind, 1.0))
-            seat.pull **= 0.5 if self.settings.few else 1.0  # the other root is in who is used
+            # The selection of endpoints accounts for the other square root.
+            seat.pull **= 0.5 if self.settings.few else 1.0
             seat.pull *= min(1.5, (max(0.1, usual) / max(0.1, report.pace or usual)) ** 1.5)
             if self.settings.crossing and entry.zone != self.settings.zone:
                 seat.pull *= self.abroad
@@ -754,13 +805,15 @@
                     self.count(seat, 1)
                     self.shelve(seat)
 
-    def keep_sweeping(self) -> None:  # an idle sidecar is woken for nothing
+    def keep_sweeping(self) -> None:
+        """Only while requests are open: an idle sidecar should not wake up."""
         if not self.sweeping:
             self.sweeping = True
             self.message_queue.set_timer(self.message_queue.now + SWEEP, self, PeriodicCheck())
 
     def sweep(self, event: PeriodicCheck) -> None:
-        """Looks over what is out, and learns the cap from all answers: those of one endpoint are few."""
+        """Checks what is in flight, and learns the cap from the answers of all endpoints: those of one are
+        too few."""
         settings, self.sweeping = self.settings, False
         if self.pace_over(self.settings.crowded):
             self.cap = max(settings.cap_floor, self.cap * 0.93)
@@ -778,8 +831,8 @@
             self.keep_sweeping()
 
     def grow(self) -> None:
-        """Guards against a sidecar of many that has room for less than one launch for most of a minute: there
-        the cap grows by a part of itself, as long as what is sent is answered."""
+        """A sidecar with capacity for less than one attempt grows its cap by a fraction of it, as long as
+        what is sent is answered; by the fixed step it would stay there for most of a minute."""
         thin = self.ready and self.part() < 1 and not self.settings.sidecar_per_client
         if thin and (self.answers or not self.in_flight):
             if self.waiting or self.turned_back:
@@ -787,7 +840,8 @@
         elif self.waiting:
             self.cap = min(float(MAX_CAP), self.cap + self.settings.cap_growth)
 
-    def look_over(self, all_: bool) -> None:  # what is usual; a look at all endpoints costs most
+    def look_over(self, all_: bool) -> None:
+        """Visits all endpoints only on request, since that costs most."""
         now, pace, told = self.message_queue.now, self.usual.pace, self.usual.told
         took = int(max((g.usual for g in self.gauges.values()), default=self.usual.took))
         failed, answered = self.failed.total(now), self.answered.total(now)
@@ -803,14 +857,14 @@
             for seat in self.load_buckets[MAX_CAP]:
                 self.message_queue.send(self.endpoints[seat.name], self.usual)
             for seat in cold:
-                self.shelve(seat)  # the mean that it counts at has moved
+                self.shelve(seat)  # the mean load that it counts with has changed
         if all_ and self.settings.uneven:
             self.balance(pace)
         load = sum(busy) / len(busy) if busy else 1.0
         self.usual = FleetAverages(took, self.crowding, pace, failed, answered, told, load)
 
     def measure_warm(self, cold: list[EndpointState], span: int) -> None:
-        """What a warm endpoint handles: from here follows what a cold one may be sent."""
+        """Measures what a warm endpoint handles, from which follows what a cold one may be sent."""
         still = [seat.size for seat in cold if seat.counts() and self.warmth(seat.report) < 1]
         warm = self.weight - sum(still)
         if self.ready > len(still) and warm > 0 and span > 0:
@@ -824,7 +878,7 @@
 
 
 class EndpointActor(Actor):
-    """Judges one endpoint: its share of the cap, and whether it is ready, set aside or on trial."""
+    """Evaluates one endpoint: its share of the cap, and whether it is ready, ejected or on trial."""
 
     def __init__(
         self,
@@ -842,16 +896,15 @@
             random_source,
             entry,
         )
-        self.usual, self.share = (
-            FleetAverages(),
-            1.0,
-        )  # what is usual in the fleet; its part of the common cap
+        self.usual, self.share = FleetAverages(), 1.0
         self.told: float | None = None
         self.told_at, self.busy, self.crowded = 0, 1.0, False
-        self.mode = "ready"  # ready, aside, trial
-        self.in_flight, self.heard = 0, 0  # heard: last answer, or the first launch after having none out
+        self.mode = "ready"  # or "aside" (ejected), "trial"
+        # Time of the last answer, or of the first attempt after none was in flight.
+        self.in_flight, self.heard = 0, 0
         self.pace: float | None = None
-        self.answers, self.broken = 0, 0  # since it was last set aside; connections broken in a row
+        # Answers since the last ejection; connection failures in a row.
+        self.answers, self.broken = 0, 0
         self.failed, self.answered = BucketedSum(6, SECOND // 2), BucketedSum(6, SECOND // 2)
         self.rest, self.turn, self.good_probes, self.eased, self.blip = REST, 0, 0, 0, False
         self.cold_since: int | None = None
@@ -881,13 +934,15 @@
             event.started and self.message_queue.now - event.started < self.dispatcher.settings.cold_time,
         )
         fresh = fresh and (entry.started != self.entry.started or self.heard == 0)
-        if fresh:  # by another machine's clock it may be to come: then it would stay cold past its time
+        if fresh:
+            # By another machine's clock the start may lie in the future: it would stay cold for too long.
             self.cold_since = min(entry.started, self.message_queue.now)
         returned, self.entry = self.entry.state is not entry.state is t.EndpointStatus.READY, entry
         if self.mode == "aside" and fresh and entry.state is t.EndpointStatus.READY:
-            return self.on_trial()  # it runs, by the list: probes of all sidecars would be its whole budget
+            # By the list it runs, and the probes of all sidecars would use up its whole cold budget.
+            return self.on_trial()
         if self.mode == "aside" and returned:
-            self.schedule_probe(0)  # not to be probed so far: no need to sit out the rest
+            self.schedule_probe(0)  # it was not probed so far: no need to wait out the ejection time
         self.tell()
 
     def sent(self, event: AttemptSent) -> None:
@@ -920,7 +975,7 @@
         quiet = self.message_queue.now - self.heard
         self.failed.add(self.message_queue.now)
         if how in (t.Outcome.UNCONNECTED, t.Outcome.RESET):
-            # One connection not made is enough: the probe that follows soon is cheaper than another launch.
+            # One failure to connect is enough: the probe that follows soon is cheaper than another attempt.
             self.broken += 2 if how is t.Outcome.UNCONNECTED else 1
             if self.broken >= 2:
                 self.plead("connections break", True)
@@ -928,33 +983,39 @@
             self.broken = 0
             self.ease(how)
             if quiet > SILENCE * self.usual.took:
-                # A hang seen by one launch alone: each sidecar would go on losing launches to it one by one.
+                # A hang met by one attempt alone: else each sidecar would keep losing single attempts to it.
                 self.plead(f"silent {quiet // MS} ms up to a time-out", False)
         if self.mode == "trial":
             self.plead("failed its trial", True)
 
-    def report(self, load: t.LoadReport) -> None:  # how long one more takes by its own word, if it says so
+    def report(self, load: t.LoadReport) -> None:
+        """Takes up the queue length that one more request would meet, if reported, and the utilization."""
         if load.queued is not None:
             self.told, self.told_at = load.queued + 1, self.message_queue.now
         self.busy = 1.0 if load.busy is None else load.busy
 
-    def judge(self) -> None:  # from its answers, against what is usual in the fleet
+    def judge(self) -> None:
+        """Evaluates its answers against the fleet's averages."""
         now, usual = self.message_queue.now, self.usual
-        # Own launches in flight say little where many share it: a slow or full one goes behind the others.
+        # Own attempts in flight say little about a shared endpoint: a slow or full one is picked last.
         fresh = self.told is not None and now - self.told_at <= TOLD_AGE
-        self.crowded = fresh and 0 < 2 * usual.told < self.told  # 0: the mean is not known so far
+        self.crowded = fresh and 0 < 2 * usual.told < self.told  # a mean of 0 is not known yet
         if self.pace and self.answers >= 3 and now - self.heard < TOLD_AGE:
             self.crowded = self.crowded or self.pace > BEHIND * max(1.0, usual.pace)
         failed, answered = self.failed.total(now), self.answered.total(now)
-        failing = max(0.0, usual.failed - failed) / max(1.0, usual.answered - answered)  # of all others
-        if failed >= 3 and failed > (0.3 + 2 * failing) * answered:  # probes fail with no answer at all, too
-            # Quick errors free its places fast: it gets more and more, and must not count as what is usual.
+        failing = max(0.0, usual.failed - failed) / max(
+            1.0, usual.answered - answered
+        )  # of all other endpoints
+        if failed >= 3 and failed > (0.3 + 2 * failing) * answered:  # probes also fail without any answer
+            # Quick errors free its capacity fast, so it gets ever more requests; it must not count in the
+            # average.
             self.plead(f"failed {failed:.0f} of {answered:.0f}", False)
         elif self.pace and self.answers >= 6 and self.pace > SLOW * max(1.0, usual.pace):
-            # Slow by itself, not with all others: jammed or starved, it needs rest.
+            # Slow by itself, not with all others: overloaded or starved, it has to recover.
             self.plead(f"slow, pace {self.pace:.1f}, fleet {usual.pace:.1f}", False)
 
-    def end_trial(self) -> None:  # guards against taking back at full count what is still jammed
+    def end_trial(self) -> None:
+        """Keeps an endpoint that is still overloaded from returning with its full share."""
         if self.pace > SLOW * max(1.0, self.usual.pace):
             self.plead(f"still slow, pace {self.pace:.1f}", True)
         else:
@@ -962,14 +1023,14 @@
             self.message_queue.log(f"{self.entry.endpoint} ready again: 3 answers, pace {self.pace:.1f}")
 
     def ease(self, how: t.Outcome) -> None:
-        """Lowers its share, once per few answers; not for quick errors of all, which tell of no load."""
+        """Lowers its share, at most once per check interval; not for quick errors, which show no load by
+        themselves."""
         load = how not in (t.Outcome.ERROR, t.Outcome.SPOILT) or self.usual.crowding > ROOMY
         if load and self.message_queue.now - self.eased >= SWEEP:
             self.eased, self.share = self.message_queue.now, max(0.1, self.share * 0.7)
 
-    def look(
-        self, event: FleetAverages
-    ) -> None:  # launches are out there, or it stands behind: is that still right?
+    def look(self, event: FleetAverages) -> None:
+        """Evaluates again while attempts are in flight or the endpoint is picked last."""
         self.usual = event
         if self.mode == "aside" or self.entry.state is t.EndpointStatus.GONE:
             return
@@ -1023,8 +1084,8 @@
             self.schedule_probe(SECOND // 5 if good else SECOND + self.random_source.upto(SECOND // 2))
 
     def back(self) -> None:
-        """On trial: one launch at a time, counted as cold, since a probe shows only that it runs."""
-        if self.blip:  # connections broke, but every probe since was answered: it never was away
+        """Starts a trial: one attempt at a time, counted as cold, since a probe shows only that it runs."""
+        if self.blip:  # connections failed, but every probe since was answered: it was never down
             self.mode, self.broken = "ready", 0
             self.message_queue.log(f"{self.entry.endpoint} ready again: it was not away")
             return self.tell()
@@ -1045,7 +1106,9 @@
         self.tell()
 
 
-class EndpointRegistry(Actor):  # follows the list, and grants setting aside
+class EndpointRegistry(Actor):
+    """Follows the endpoint list, and grants ejections."""
+
     def __init__(
         self, message_queue: MessageQueue, dispatcher: Dispatcher, random_source: RandomSource
     ) -> None:
@@ -1058,15 +1121,16 @@
         )
         self.endpoints = dispatcher.endpoints
         self.listed: dict[str, t.ListEntry] = {}
-        self.out: set[str] = set()  # by hand
-        self.dropped: set[str] = set()  # listed as gone, undrained: where that does not bind they serve on
+        self.out: set[str] = set()  # by operators
+        # Listed as gone without a drain: they stay in use where that is not binding.
+        self.dropped: set[str] = set()
 
     def update(self, event: t.ListReceived) -> None:
         longest, failed = self.dispatcher.settings.ask_span, event.kind is t.ListKind.FAILED
-        self.asks = self.asks + 1 if failed else 0  # overloaded, or the watch broke: later each time
+        self.asks = self.asks + 1 if failed else 0  # discovery is overloaded, or the watch broke: back off
         base = min(SECOND, self.dispatcher.settings.told * ASK_APART) << min(self.asks, 4)
         span = min(longest, ASK_AGAIN, base) if failed else longest * (event.kind is t.ListKind.CACHED)
-        if span:  # jittered, or spread
+        if span:  # jittered after a failure, spread after a cached list
             self.message_queue.set_timer(
                 self.message_queue.now + failed * span // 4 + self.random_source.upto(span), self, PollDue()
             )
@@ -1077,18 +1141,18 @@
             for entry in [entry for name, entry in self.listed.items() if name not in named]:
                 self.tell(replace(entry, state=t.EndpointStatus.GONE))
         for entry in sorted(event.entries, key=lambda entry: entry.state is t.EndpointStatus.READY):
-            self.tell(entry)  # those that leave first: what is held goes out as soon as a new one is there
+            self.tell(entry)  # leaving ones first: held requests go out as soon as a new one is ready
 
     def tell(self, entry: t.ListEntry) -> None:
         name, was = entry.endpoint, self.listed.get(entry.endpoint)
         if not 0 < entry.weight < inf:
-            entry = replace(entry, weight=1.0)  # it can't be a size
+            entry = replace(entry, weight=1.0)  # not a valid size
         self.dropped.discard(name)
         gone = (
             entry.state is t.EndpointStatus.GONE and was is not None and was.state is t.EndpointStatus.READY
         )
         if gone and not self.dispatcher.settings.gone_binds and self.endpoints[name].mode != "aside":
-            return self.dropped.add(name)  # the list may be wrong: believed once the endpoint fails as well
+            return self.dropped.add(name)  # the list may be wrong: believed once the endpoint also fails
         if name not in self.endpoints:
             self.endpoints[name] = EndpointActor(
                 self.message_queue, self.dispatcher, self, self.random_source, entry
@@ -1102,7 +1166,7 @@
         self.message_queue.send(self.endpoints[name], entry)
 
     def by_hand(self, event: t.OperatorOverride) -> None:
-        """Rules 3 and 4 hold as for a drain and a start that the list told, which is followed underneath."""
+        """Rules 3 and 4 apply as for a listed drain or start; the list is still followed underneath."""
         if event.out == (event.endpoint in self.out):
             return
         (self.out.add if event.out else self.out.discard)(event.endpoint)
@@ -1121,7 +1185,7 @@
             self.message_queue.send(self.endpoints[event.endpoint], event)
 
     def plea(self, event: EjectionRequest) -> None:
-        """Never all at once on thin evidence: what all endpoints share is not one endpoint's fault."""
+        """Never ejects many on soft evidence: what all endpoints have in common is not the fault of one."""
         if event.name in self.dropped:
             self.endpoints[event.name].mode = "aside"
             return self.tell(replace(self.listed[event.name], state=t.EndpointStatus.GONE))
@@ -1132,7 +1196,7 @@
 
 
 class Sidecar:
-    """One instance: routes outside notes to the parts and keeps one wake-up pending."""
+    """The decision module: passes events from outside to its actors, and keeps one timer pending."""
 
     def __init__(self, d: t.Deployment) -> None:
         self.message_queue, random_source = MessageQueue(), RandomSource(d.seed)
@@ -1141,9 +1205,9 @@
         self.armed: int | None = None
 
     def step(self, now: int, events: list[t.Event], ring: bool = True) -> list[t.Command]:
-        """Without `ring`, alarms that are due wait for a later step. An exception over one note costs that
-        note: it is raised when the rest is done, with all orders, the next wake-up too, in
-        `message_queue.commands`."""
+        """Without `ring`, timers that are due wait for a later step. An exception while handling one event
+        loses only that event: it is raised after the others are handled, with all commands, including the
+        next timer, in `message_queue.commands`."""
         message_queue = self.message_queue
         message_queue.now, message_queue.commands = now, []
         for event in (event for event in events if not isinstance(event, t.TimerFired)):
--- a/lupinmill/workings.py
+++ b/lupinmill/workings.py
@@ -1,5 +1,5 @@
-"""The workings that the decisions stand on, without any of their own: chance, rings of buckets, gauges of
-answer times, the mail between the parts of `rules`, and the notes that the parts send one another."""
+"""Building blocks of the decision module: random source, sliding sums, latency estimates, the message queue
+between the actors of `rules`, and the messages that they exchange. No decisions are made here."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 
 from lupinmill import terms as t
 
-THIN = 40  # answers behind a mean where they are few
-MEAN_SPAN = 2_000_000  # microseconds between two means of a gauge
+THIN = 40  # answers behind a mean latency where caps are fractions
+MEAN_SPAN = 2_000_000  # microseconds between two means of a latency estimate
 
 if TYPE_CHECKING:
     from lupinmill.rules import RequestState
@@ -35,14 +35,15 @@
 
 
 def mixed(one: int, other: int) -> float:
-    """Two marks of 32 bits as one figure over 0 and up to 1, the same everywhere; of neighbours far apart."""
+    """Mixes two 32-bit hashes into a number above 0 and up to 1: the same in every process, and far apart for
+    similar inputs."""
     both = (one ^ other) * 0x9E3779B1 & 0xFFFFFFFF
     both = (both ^ both >> 15) * 0x85EBCA77 & 0xFFFFFFFF
     return ((both ^ both >> 13) + 1) / 2**32
 
 
 class BucketedSum:
-    """Sums over the last `buckets * width`, in buckets that are used again."""
+    """Sum over a sliding time window of `buckets * width` microseconds, in reused buckets."""
 
     __slots__ = ("width", "sums", "marks")
 
@@ -62,9 +63,8 @@
 
 
 class LatencyEstimate:
-    """Answer times of one workload: the usual one now, and the uncrowded one of the last half minute.
-
-    `evidence`: answers behind a mean."""
+    """Latency of one workload: the current one, and the uncrowded one, which is the least mean of the last
+    half minute. Each mean is taken over at least `evidence` answers."""
 
     def __init__(self, guess: int, evidence: int) -> None:
         self.usual = self.uncrowded = float(max(1, guess))
@@ -77,19 +77,21 @@
         self.total, self.count = self.total + took, self.count + 1
         if now // MEAN_SPAN != self.mark and self.count >= self.evidence:
             self.mark = now // MEAN_SPAN
-            if not self.means and self.evidence == THIN:  # that first mean may come of a jam already
+            # With many sidecars the first mean may already be taken in an overload.
+            if not self.means and self.evidence == THIN:
                 self.means.append(1.4 * self.uncrowded)
             self.means.append(self.total / self.count)
             self.uncrowded = min(self.means)
             self.total, self.count = 0.0, 0
         elif not self.means:
-            # Following it up here would call a crowd at the start the uncrowded state, and let caps grow.
+            # Following it upwards would take an overload at the start for the uncrowded state, and let caps
+            # grow.
             self.uncrowded = min(self.uncrowded, self.usual)
 
 
 class Actor:
-    """An actor: its inbox, and what it does about each type of note: the method whose one argument is `event`
-    of just that type."""
+    """Has an inbox, and a handler for each type of message: the method whose only argument is `event` of just
+    that type."""
 
     def __init__(self) -> None:
         self.inbox: list[Any] = []
@@ -113,12 +115,12 @@
 
 
 class MessageQueue:
-    """Inboxes and the one loop that empties them; orders to the outside collect here too."""
+    """Delivers the messages between actors in one loop, and collects the commands for the outside."""
 
     def __init__(self) -> None:
         self.now = 0
         self.commands: list[t.Command] = []
-        self.defects: list[Exception] = []  # what the parts raised over single notes
+        self.defects: list[Exception] = []  # raised by the handlers of single messages
         self.waiting: deque[Any] = deque()
         self.timers: list[tuple[int, int, Any, Any]] = []
         self.serial = 0
@@ -139,13 +141,13 @@
             for event in inbox:
                 try:
                     part.take(event)
-                except Exception as error:  # costs that note alone: what is queued, ordered and pending stays
+                except Exception as error:  # loses only that message: queues, commands and timers stay
                     error.about = event
                     self.defects.append(error)
 
     def fire_timers(self) -> int | None:
-        """Alarms after all news of the same moment: what is due must not go to an endpoint that just left.
-        Returns when the next is due, None where there is none."""
+        """Called after all events of the same time: what is due must not go to an endpoint that has just
+        left. Returns when the next timer is due, None if there is none."""
         while self.timers and self.timers[0][0] <= self.now:
             _, _, part, event = heappop(self.timers)
             self.send(part, event)
@@ -153,7 +155,7 @@
         return self.next_timer()
 
     def next_timer(self) -> int | None:
-        """When to be woken; alarms of what has ended meanwhile wake nobody."""
+        """When the next timer is due; timeouts of requests that are done are dropped."""
         while (
             self.timers and isinstance(self.timers[0][3], RequestTimeout) and self.timers[0][3].request.done
         ):
@@ -165,9 +167,11 @@
 
 
 @dataclass(slots=True)
-class EndpointReport:  # endpoint -> dispatcher: may it be picked, what it takes, how it was seen to do
+class EndpointReport:
+    """Endpoint to dispatcher: whether it may be picked, its share of the cap, and its recent performance."""
+
     name: str
-    open: bool
+    open: bool  # may be picked
     trial: bool
     crowded: bool
     share: float
@@ -180,12 +184,14 @@
 
 
 @dataclass(slots=True)
-class AttemptSent:  # dispatcher -> endpoint
-    pass
+class AttemptSent:
+    """Dispatcher to endpoint."""
 
 
 @dataclass(slots=True, frozen=True)
-class FleetAverages:  # dispatcher -> endpoint; in the fleet: crowding is the pace of all answers together
+class FleetAverages:
+    """Dispatcher to endpoint: figures over all endpoints. `crowding` is the mean pace of all answers."""
+
     took: int = 1_000_000
     crowding: float = 1.0
     pace: float = 1.0
@@ -196,74 +202,88 @@
 
 
 @dataclass(slots=True)
-class AttemptResult:  # dispatcher -> endpoint; pace is the time taken as a multiple of the uncrowded time
+class AttemptResult:
+    """Dispatcher to endpoint: an outcome. `pace` is its latency as a multiple of the uncrowded latency."""
+
     outcome: t.Outcome
     pace: float
-    overtaken: bool  # ended by us or by its client, not by the endpoint
+    overtaken: bool  # ended by this sidecar or by the client, not by the endpoint
     usual: FleetAverages
 
 
 @dataclass(slots=True)
-class PeriodicCheck:  # dispatcher -> dispatcher
-    pass
+class PeriodicCheck:
+    """Timer of the dispatcher."""
 
 
 @dataclass(slots=True)
-class EjectionRequest:  # endpoint -> registry: take me out; hard evidence needs no permission
+class EjectionRequest:
+    """Endpoint to registry. On hard evidence the limit on ejected endpoints does not apply."""
+
     name: str
     why: str
     hard: bool
 
 
 @dataclass(slots=True)
-class Ejected:  # registry -> endpoint: granted
+class Ejected:
+    """Registry to endpoint: the ejection is granted."""
+
     why: str
 
 
 @dataclass(slots=True)
-class EndpointSilent:  # endpoint -> dispatcher: what is out there will hardly be answered
+class EndpointSilent:
+    """Endpoint to dispatcher: its pending attempts will hardly be answered."""
+
     name: str
 
 
 @dataclass(slots=True)
 class ProbeDue:
+    """Timer of an endpoint; an outdated serial is ignored."""
+
     turn: int
 
 
 @dataclass(slots=True)
 class PollDue:
-    pass
+    """Timer of the registry: discovery is to be asked again."""
 
 
 @dataclass(slots=True)
 class RequestTimeout:
+    """Timer of the dispatcher: the end of a request's time, or (not `final`) of the time to hold it."""
+
     request: RequestState
     final: bool
 
 
 @dataclass(slots=True)
 class RetryDue:
+    """Timer of the dispatcher: the backoff of a retry is over."""
+
     request: RequestState
 
 
 @dataclass(slots=True)
 class EndpointState:
-    """What the desk knows of an endpoint: its own launches there, and the endpoint's last EndpointReport."""
+    """What the dispatcher knows of an endpoint: its own attempts there, and the last `EndpointReport`."""
 
     name: str
     report: EndpointReport
     in_flight: int = 0
-    elsewhere: int = 0  # of them, those of an older process of this sidecar
-    coming: int = 0  # launches whose submission is still coming, which are not in flight so far
-    bucket: int = -1  # where it stands among the ready ones: by launches in flight, the crowded far behind
-    spot: int = 0
+    elsewhere: int = 0  # of these, attempts of an older process of this sidecar
+    coming: int = 0  # attempts whose request body is incomplete: not counted as in flight yet
+    bucket: int = -1  # of `load_buckets`: by attempts in flight, crowded endpoints far behind; -1: none
+    spot: int = 0  # position in the bucket
     credit: float = 0.0
     credited: int = 0
-    mark: int = 0  # of its name, common to all sidecars
-    lot: float = 0.0  # of this sidecar: the least make up the endpoints that it uses
+    mark: int = 0  # the same in all sidecars
+    lot: float = 0.0  # random per sidecar: it uses the endpoints of the lowest ranks
     used: bool = True
-    pull: float = 1.0  # its part among equals
-    size: float = 1.0  # by its weight, where that tells of its size
+    pull: float = 1.0  # weight among equals
+    size: float = 1.0  # its listed weight, where that tells its size
 
     def counts(self) -> bool:
         return self.used and self.report.open
@@ -271,17 +291,19 @@
 
 @dataclass(slots=True)
 class Attempt:
+    """One attempt of a request at one endpoint."""
+
     endpoint_state: EndpointState
     sent: int
     out: bool = True
     never_ran: bool = False
     overdue: bool = False  # unanswered at the hard limit
-    counted: bool = False  # in what is in flight: not while its submission is still coming
+    counted: bool = False  # as in flight: not while the request body is incomplete
 
 
 @dataclass(slots=True)
 class RequestQueue:
-    """Held submissions of one workload, standing and zone, first come first served."""
+    """Held requests of one workload, tenant standing, repeat flag and zone; first come, first served."""
 
     worth: float
     zone: str = ""
