--- a/lupinmill/lab/commons.py
+++ b/lupinmill/lab/commons.py
@@ -167,7 +167,7 @@
         run = self.commons.run
         dispatcher = self.seat.module.dispatcher
         report = self.tally.report(run.timeline.now, self.name, self.seat.module)
-        self.tell(member.OwnReport(report, dict(dispatcher.open_in)))
+        self.tell(member.OwnReport(report, dict(dispatcher.ready_by_zone)))
         run.timeline.after(self.commons.period, self.look, life)
 
     def go(self, order: member.ApplyPlan) -> None:
--- a/lupinmill/rules.py
+++ b/lupinmill/rules.py
@@ -16,7 +16,7 @@
 
 from lupinmill import terms as t
 from lupinmill.workings import (
-    THIN,
+    MEAN_SAMPLES_FRACTIONAL,
     AttemptResult,
     Ejected,
     PollDue,
@@ -42,47 +42,53 @@
 
 MS, SECOND = 1_000, 1_000_000
 # Between two checks of the attempts in flight.
-SWEEP = 100 * MS
-RETRY_BASE, RETRY_MAX = 20 * MS, 1 * SECOND
+CHECK_INTERVAL = 100 * MS
+RETRY_BASE_DELAY, RETRY_MAX_DELAY = 20 * MS, 1 * SECOND
 # Retries stay below a tenth of the requests of the last ten seconds, counted in buckets of 0.5 s.
-RETRY_SHARE, RETRY_BUCKETS = 0.1, 20
+RETRY_BUDGET_SHARE, RETRY_BUDGET_BUCKETS = 0.1, 20
 CAP_START, MAX_CAP = 4, 32
 # Of an endpoint's caps at all sidecars together: sum at the start, growth per check while requests wait, and
 # floor.
-FLEET_START, FLEET_GROWTH, FLEET_FLOOR = 8.0, 0.1, 4.0
+FLEET_CAP_START, FLEET_CAP_GROWTH, FLEET_CAP_FLOOR = 8.0, 0.1, 4.0
 # Relative growth per check of a cap that leaves a sidecar less than one attempt in flight.
-THIN_GROWTH = 0.2
+SMALL_CAPACITY_GROWTH = 0.2
 # With a sidecar per client: start, growth and floor, as multiples of what its own traffic keeps in flight.
-BESIDE_CAPS = 3.0, 0.02, 0.5
+PER_CLIENT_CAPS = 3.0, 0.02, 0.5
 # Pace in the own zone above which other zones gain preference; the preference that they always keep.
-ABROAD, ABROAD_LEAST = 1.5, 0.03
-# As CROWDED and ROOMY; wider, since the mean of few answers varies more.
-BESIDE_MARKS = 2.2, 1.75
+REMOTE_PACE, REMOTE_PREFERENCE_MIN = 1.5, 0.03
+# As CROWDED_PACE and UNCROWDED_PACE; wider, since the mean of few answers varies more.
+PER_CLIENT_PACE_LIMITS = 2.2, 1.75
 # Factor on the starting cap where caps are fractions: with uneven load the fullest endpoint jams first.
-UNEVEN = 0.7
+FRACTIONAL_CAP_FACTOR = 0.7
 # Latencies, as multiples of the uncrowded latency, above which caps fall and below which they may rise.
-CROWDED, ROOMY = 1.9, 1.5
+CROWDED_PACE, UNCROWDED_PACE = 1.9, 1.5
 # See `Dispatcher.assumed_warm_rate`.
-UNTRIED, UNPROVED, MORE, PROOF_AFTER, MANY = 0.14, 0.05, 2.0, 1_250 * MS, 1_000
-LEAST_PACE = 0.001  # of a kind of endpoint: it is a divisor
+UNPROVEN_SHARE, PROVEN_BASE_SHARE, PROVEN_RATE_MULTIPLE, PROOF_TIME, MANY_SIDECARS = (
+    0.14,
+    0.05,
+    2.0,
+    1_250 * MS,
+    1_000,
+)
+MIN_PACE = 0.001  # of a kind of endpoint: it is a divisor
 # Below this CPU utilization in load reports endpoints are not crowded, whatever a few answers suggest.
-BUSY = 0.8
-REST, REST_MAX = 3 * SECOND, 12 * SECOND
-SHARE_BACK = 0.05  # of the common cap, regained with each answer
+BUSY_UTILIZATION = 0.8
+EJECTION_TIME, EJECTION_TIME_MAX = 3 * SECOND, 12 * SECOND
+SHARE_RECOVERY = 0.05  # of the common cap, regained with each answer
 # Answers behind a mean latency. Where caps are fractions answers are few, and the least of small means is too
-# low: there it is THIN.
-EVIDENCE = 10
-BEHIND = 1.5  # multiple of the median pace above which an endpoint is picked last
+# low: there it is MEAN_SAMPLES_FRACTIONAL.
+MEAN_SAMPLES = 10
+DEPRIORITIZED_PACE = 1.5  # multiple of the median pace above which an endpoint is picked last
 # Time for which a load report counts; number of recent reporters that decide ties.
-TOLD_AGE, TOLD_KEPT = 2_500 * MS, 8
+REPORT_LIFETIME, RECENT_REPORTERS = 2_500 * MS, 8
 # An endpoint without an answer for so many usual latencies is silent. The second figure is divided by the
 # attempts in flight there and added, as a single request may take long.
-SILENCE, LONELY = 4.0, 6.0
-SLOW = 2.7  # multiple of the median endpoint's pace above which an endpoint is slow
-DRAGS = 3.5  # multiple of the lowest workload's pace above which a workload is slow by itself
+SILENCE_MULTIPLE, SINGLE_ATTEMPT_SILENCE_MULTIPLE = 4.0, 6.0
+SLOW_PACE = 2.7  # multiple of the median endpoint's pace above which an endpoint is slow
+SLOW_WORKLOAD_RATIO = 3.5  # multiple of the lowest workload's pace above which a workload is slow by itself
 # Spacing between sidecars that all lost the endpoint list; the longest delay before one polls again.
-ASK_APART, ASK_AGAIN = 30 * MS, 1_600 * MS
-ASIDE_SHARE = 0.34  # on soft evidence at most this share of the endpoints is ejected
+POLL_SPACING, POLL_RETRY_MAX_DELAY = 30 * MS, 1_600 * MS
+MAX_EJECTED_SHARE = 0.34  # on soft evidence at most this share of the endpoints is ejected
 
 
 @dataclass(slots=True)
@@ -93,7 +99,7 @@
     workload: t.Workload
     due: int
     contract_end: int
-    arrived: int
+    arrived_at: int
     queue: RequestQueue
     settings: DispatchSettings  # in force when it was accepted
     attempts: list[Attempt] = field(default_factory=list)
@@ -102,17 +108,17 @@
     streaming: bool = False
     done: bool = False
     refusals: int = 0
-    spoilt: bool = False  # the last answer was unreadable
-    whole: bool = True  # its last byte has arrived
-    repeated: bool = False
-    spent: bool = False  # its body is no longer available for another attempt
-    mark: int = 0  # 0: no key
+    last_spoilt: bool = False  # the last answer was unreadable
+    body_received: bool = True  # its last byte has arrived
+    is_repeat: bool = False
+    body_lost: bool = False  # its body is no longer available for another attempt
+    key_hash: int = 0  # 0: no key
     zone: str = ""  # where the shared plan sends its first attempt; empty: anywhere
 
-    def out(self) -> int:
-        return sum(attempt.out for attempt in self.attempts)
+    def pending_count(self) -> int:
+        return sum(attempt.pending for attempt in self.attempts)
 
-    def first_run(self) -> Attempt | None:
+    def first_possible_run(self) -> Attempt | None:
         """The earliest attempt that is pending or may have run."""
         return next((attempt for attempt in self.attempts if not attempt.never_ran), None)
 
@@ -120,36 +126,85 @@
 class DispatchSettings:
     """Figures derived from the deployment, by which the dispatcher decides."""
 
-    def __init__(self, d: t.Deployment) -> None:
-        self.front, self.margin, self.warm_keys = d.tier == 0, 2 * d.round, d.warm_keys
-        self.workloads, self.max_attempts = {w.name: w for w in d.workloads}, d.max_attempts
-        self.copies, self.cancel, self.beyond = d.hedging_allowed, d.cancel_allowed, d.beyond_share_value
-        self.probes, self.reports = d.probes_allowed, d.probes_allowed and d.reports_asked
-        self.advice = d.longest_advice if d.advice_allowed else 0
-        self.cold_share, self.cold_time, self.gone_binds = d.cold_share, max(1, d.cold_time), d.gone_binds
-        self.overload_time, self.sized = max(1, d.overload_time), not d.weights_live
-        self.uneven, self.sidecar_per_client, self.few = d.uneven, d.sidecar_per_client, d.few_connections
-        self.told = self.sharers = max(1, d.instances)
-        self.ask_span = max(SECOND, min(d.poll_interval, 10 * SECOND)) * 2 // 5 if d.poll_discovery else 0
-        self.share_out(self.told)
+    def __init__(self, deployment: t.Deployment) -> None:
+        self.is_front, self.deadline_margin, self.warm_keys = (
+            deployment.tier == 0,
+            2 * deployment.round,
+            deployment.warm_keys,
+        )
+        self.workloads, self.max_attempts = (
+            {workload.name: workload for workload in deployment.workloads},
+            deployment.max_attempts,
+        )
+        self.hedging_allowed, self.cancel_allowed, self.beyond_share_value = (
+            deployment.hedging_allowed,
+            deployment.cancel_allowed,
+            deployment.beyond_share_value,
+        )
+        self.probes_allowed, self.load_reports = (
+            deployment.probes_allowed,
+            deployment.probes_allowed and deployment.reports_asked,
+        )
+        self.longest_advice = deployment.longest_advice if deployment.advice_allowed else 0
+        self.cold_share, self.cold_time, self.gone_binds = (
+            deployment.cold_share,
+            max(1, deployment.cold_time),
+            deployment.gone_binds,
+        )
+        self.overload_time, self.weights_are_sizes = (
+            max(1, deployment.overload_time),
+            not deployment.weights_live,
+        )
+        self.uneven, self.sidecar_per_client, self.few_connections = (
+            deployment.uneven,
+            deployment.sidecar_per_client,
+            deployment.few_connections,
+        )
+        self.configured_sidecars = self.active_sidecars = max(1, deployment.instances)
+        self.poll_span = (
+            max(SECOND, min(deployment.poll_interval, 10 * SECOND)) * 2 // 5
+            if deployment.poll_discovery
+            else 0
+        )
+        self.set_active_sidecars(self.configured_sidecars)
         # The more the goal pools all workloads, the more value weighs against evenness.
-        weight = d.pooled_weight + d.evenness_weight
-        self.greed = d.pooled_weight / weight if weight else 1.0
-        whole = sum(q.quota_per_s for q in d.tenants) or 1.0
-        self.quotas = {q.name: q.quota_per_s / whole for q in d.tenants} if self.front else {}
-        self.crowded, self.roomy = BESIDE_MARKS if d.sidecar_per_client else (CROWDED, ROOMY)
-        self.crossing, self.told_speed, self.zone = d.crossing_price, d.weights_tell_speed, d.zone
-
-    def share_out(self, sidecars: int) -> float:
+        weight = deployment.pooled_weight + deployment.evenness_weight
+        self.value_exponent = deployment.pooled_weight / weight if weight else 1.0
+        total_quota = sum(tenant.quota_per_s for tenant in deployment.tenants) or 1.0
+        self.tenant_shares = (
+            {tenant.name: tenant.quota_per_s / total_quota for tenant in deployment.tenants}
+            if self.is_front
+            else {}
+        )
+        self.crowded_pace, self.uncrowded_pace = (
+            PER_CLIENT_PACE_LIMITS if deployment.sidecar_per_client else (CROWDED_PACE, UNCROWDED_PACE)
+        )
+        self.crossing_price, self.weights_tell_speed, self.zone = (
+            deployment.crossing_price,
+            deployment.weights_tell_speed,
+            deployment.zone,
+        )
+
+    def set_active_sidecars(self, sidecars: int) -> float:
         """Returns the factor for a learned cap. With many sidecars even one attempt from each would overload
         the endpoints, so caps may be fractions. With a sidecar per client they are multiples of what its own
         traffic keeps in flight."""
-        before, self.sharers = self.sharers, sidecars if sidecars > 0 else self.told
-        even, self.evidence = (1.0, EVIDENCE) if self.sharers <= FLEET_START else (UNEVEN, THIN)
-        caps = [one / self.sharers for one in (even * FLEET_START, even * even * FLEET_GROWTH, FLEET_FLOOR)]
-        self.cap_start, self.cap_growth, self.cap_floor = BESIDE_CAPS if self.sidecar_per_client else caps
+        before, self.active_sidecars = (
+            self.active_sidecars,
+            sidecars if sidecars > 0 else self.configured_sidecars,
+        )
+        factor, self.mean_samples = (
+            (1.0, MEAN_SAMPLES)
+            if self.active_sidecars <= FLEET_CAP_START
+            else (FRACTIONAL_CAP_FACTOR, MEAN_SAMPLES_FRACTIONAL)
+        )
+        caps = [
+            total / self.active_sidecars
+            for total in (factor * FLEET_CAP_START, factor * factor * FLEET_CAP_GROWTH, FLEET_CAP_FLOOR)
+        ]
+        self.cap_start, self.cap_growth, self.cap_floor = PER_CLIENT_CAPS if self.sidecar_per_client else caps
         self.cap_start = min(CAP_START, self.cap_start)
-        return 1.0 if self.sidecar_per_client else before / self.sharers
+        return 1.0 if self.sidecar_per_client else before / self.active_sidecars
 
 
 class Dispatcher(Actor):
@@ -161,40 +216,50 @@
         super().__init__()
         self.message_queue, self.settings, self.random_source = message_queue, settings, random_source
         self.endpoints: dict[str, EndpointActor] = {}
-        self.open: dict[str, RequestState] = {}  # until the last outcome has arrived
+        self.requests: dict[str, RequestState] = {}  # until the last outcome has arrived
         self.endpoint_states: dict[str, EndpointState] = {}
         self.load_buckets: list[list[EndpointState]] = [[] for _ in range(2 * MAX_CAP)]  # of available ones
         # Sums over the available endpoints.
-        self.ready, self.in_flight, self.shares, self.weight = 0, 0, 0.0, 0.0
+        self.ready, self.in_flight, self.share_sum, self.size_sum = 0, 0, 0.0, 0.0
         self.busy: dict[str, EndpointState] = {}  # with attempts in flight
         self.cap = settings.cap_start  # common to all endpoints, of which each takes its share
-        self.told: deque[EndpointState] = deque(maxlen=TOLD_KEPT)
-        self.usual, self.sweeping, self.swept, self.luck, self.redraw = FleetAverages(), False, 0, 0.0, 0
+        self.recent_reporters: deque[EndpointState] = deque(maxlen=RECENT_REPORTERS)
+        self.averages, self.check_scheduled, self.check_count, self.rounding_draw, self.redraw_at = (
+            FleetAverages(),
+            False,
+            0,
+            0.0,
+            0,
+        )
         self.queues: dict[tuple[str, bool, bool, str], RequestQueue] = {}
-        self.common, self.open_in = t.FleetState(), {}
-        self.bound: list[RequestState] = []  # held for some of the endpoints only
+        self.fleet_state, self.ready_by_zone = t.FleetState(), {}
+        self.restricted: list[RequestState] = []  # held for some of the endpoints only
         self.waiting, self.shedding, self.crowding = 0, False, 1.0
-        self.turned_back, self.answers = False, 0
-        self.gauges: dict[str, LatencyEstimate] = {}
-        self.taken, self.retried = (
-            BucketedSum(RETRY_BUCKETS, SECOND // 2),
-            BucketedSum(RETRY_BUCKETS, SECOND // 2),
+        self.rejected_since_check, self.handled_since_check = False, 0
+        self.latency_estimates: dict[str, LatencyEstimate] = {}
+        self.new_requests, self.retries = (
+            BucketedSum(RETRY_BUDGET_BUCKETS, SECOND // 2),
+            BucketedSum(RETRY_BUDGET_BUCKETS, SECOND // 2),
+        )
+        self.attempts_sent, self.arrivals, self.arrivals_since = (
+            BucketedSum(10, SECOND // 10),
+            BucketedSum(10, SECOND // 2),
+            -1,
         )
-        self.launched, self.came, self.began = BucketedSum(10, SECOND // 10), BucketedSum(10, SECOND // 2), -1
         # Uncrowded latency over all workloads; the factor on the common cap.
-        self.unhurried, self.scale = 0.0, 1.0
+        self.uncrowded_latency, self.cap_scale = 0.0, 1.0
         # Requests per second that a warm endpoint of size 1 handles; total size listed as ready, ejected or
         # not.
-        self.each, self.size = 0.0, 0.0
+        self.warm_rate, self.listed_size = 0.0, 0.0
         # Requests handled by cold endpoints, and how many warm ones those amount to.
-        self.proved, self.able, self.first = BucketedSum(4, SECOND // 2), 0.0, -1
+        self.cold_handled, self.cold_capacity, self.first_arrival = BucketedSum(4, SECOND // 2), 0.0, -1
         # Time without traffic earns no credit: all sidecars would spend their savings at once.
-        self.idle, self.came_at = 0, -1
-        self.handled, self.looked = 0, 0
-        self.kinds: dict[str, float] = {}  # of endpoint
+        self.idle_time, self.last_arrival = 0, -1
+        self.warm_handled, self.warm_measured_at = 0, 0
+        self.pace_by_kind: dict[str, float] = {}  # of endpoint
         # Pace in the own zone and in all others; preference for endpoints in other zones.
-        self.zones, self.abroad = [1.0, 1.0], 0.2
-        self.sent_by = {name: BucketedSum(10, SECOND // 2) for name in settings.quotas}
+        self.pace_by_distance, self.remote_preference = [1.0, 1.0], 0.2
+        self.arrivals_by_tenant = {name: BucketedSum(10, SECOND // 2) for name in settings.tenant_shares}
         self.failed, self.answered = BucketedSum(6, SECOND // 2), BucketedSum(6, SECOND // 2)
 
     def take(self, event: Any) -> None:
@@ -204,339 +269,422 @@
 
     # A request arrives.
 
-    def arrive(self, event: t.RequestArrived) -> None:
+    def on_request_arrived(self, event: t.RequestArrived) -> None:
         now, settings = self.message_queue.now, self.settings
-        if event.request in self.open:
+        if event.request in self.requests:
             return  # a duplicate event
-        w = settings.workloads.get(event.workload) or t.Workload(
+        workload = settings.workloads.get(event.workload) or t.Workload(
             event.workload, event.due - now, event.due - now
         )
-        self.came.add(now)
-        self.idle += max(0, now - self.came_at - settings.overload_time) if self.came_at >= 0 else 0
-        self.came_at, self.first = now, now if self.came_at < 0 else self.first
-        if not event.keyed and w.repeat is t.RepeatPolicy.DEDUPLICATED:
+        self.arrivals.add(now)
+        self.idle_time += (
+            max(0, now - self.last_arrival - settings.overload_time) if self.last_arrival >= 0 else 0
+        )
+        self.last_arrival, self.first_arrival = now, now if self.last_arrival < 0 else self.first_arrival
+        if not event.keyed and workload.repeat is t.RepeatPolicy.DEDUPLICATED:
             # Without a key no endpoint would drop its repeats.
-            w = replace(w, repeat=t.RepeatPolicy.UNREPEATABLE)
-        self.taken.add(now, not event.repeated)
-        end = min(event.due, now + self.contract(w, event.due, event.repeated))
-        zone = self.sent_to(w)
-        queue = self.lane_of(w, self.beyond_share(event.tenant), event.repeated, zone)
-        s = RequestState(event.request, w, event.due, end, now, queue, settings, zone=zone)
-        s.whole, s.repeated = event.whole, event.repeated
-        s.mark = crc32(event.key.encode()) if settings.warm_keys and event.key else 0
-        self.open[s.name] = s
+            workload = replace(workload, repeat=t.RepeatPolicy.UNREPEATABLE)
+        self.new_requests.add(now, not event.repeated)
+        end = min(event.due, now + self.contract(workload, event.due, event.repeated))
+        zone = self.planned_zone(workload)
+        queue = self.queue_for(workload, self.is_beyond_share(event.tenant), event.repeated, zone)
+        request = RequestState(event.request, workload, event.due, end, now, queue, settings, zone=zone)
+        request.body_received, request.is_repeat = event.whole, event.repeated
+        request.key_hash = crc32(event.key.encode()) if settings.warm_keys and event.key else 0
+        self.requests[request.name] = request
         if not self.ready and settings.sidecar_per_client:
-            self.balance(1.0)
-        self.keep_sweeping()
-        self.message_queue.set_timer(self.end_of(s), self, RequestTimeout(s, True))
-        self.hold(s)
+            self.rebalance(1.0)
+        self.schedule_check()
+        self.message_queue.set_timer(self.reject_at(request), self, RequestTimeout(request, True))
+        self.hold(request)
         self.dispatch()
-        if s.held:
-            self.admit(s)
+        if request.held:
+            self.admit(request)
 
-    def contract(self, w: t.Workload, due: int, repeated: bool) -> int:
+    def contract(self, workload: t.Workload, due: int, repeated: bool) -> int:
         # The client of a repeat has been waiting for a while already.
-        own = w.contract // 2 if repeated else w.contract
-        return own if self.settings.front else due - self.message_queue.now
+        own = workload.contract // 2 if repeated else workload.contract
+        return own if self.settings.is_front else due - self.message_queue.now
 
-    def complete(self, event: t.RequestBodyReceived) -> None:
-        s, now = self.open.get(event.request), self.message_queue.now
-        if s is None or s.whole:
+    def on_body_received(self, event: t.RequestBodyReceived) -> None:
+        request, now = self.requests.get(event.request), self.message_queue.now
+        if request is None or request.body_received:
             return
         # Endpoints begin to work with the last byte: until then the request kept none busy.
-        s.whole, s.due, s.arrived = True, event.due, now
-        s.contract_end = min(s.due, now + self.contract(s.workload, s.due, s.repeated))
-        self.message_queue.set_timer(self.end_of(s), self, RequestTimeout(s, True))
-        for attempt in (attempt for attempt in s.attempts if attempt.out):
-            attempt.sent = now
-            self.count_in(attempt)
-
-    def end_of(self, s: RequestState) -> int:
+        request.body_received, request.due, request.arrived_at = True, event.due, now
+        request.contract_end = min(
+            request.due, now + self.contract(request.workload, request.due, request.is_repeat)
+        )
+        self.message_queue.set_timer(self.reject_at(request), self, RequestTimeout(request, True))
+        for attempt in (attempt for attempt in request.attempts if attempt.pending):
+            attempt.sent_at = now
+            self.record_sent(attempt)
+
+    def reject_at(self, request: RequestState) -> int:
         """Bounds the timer where the deadline is a guess: the request may be complete minutes before it."""
-        end = s.due - s.settings.margin
-        return end if s.whole else min(end, self.message_queue.now + 10 * SECOND)
-
-    def count_in(self, attempt: Attempt) -> None:
-        seat, attempt.counted = attempt.endpoint_state, True
-        seat.coming -= 1
-        self.fly(seat, 1)
-        self.launched.add(self.message_queue.now)
-        self.message_queue.send(self.endpoints[seat.name], AttemptSent())
-
-    def fly(self, seat: EndpointState, more: int) -> None:
-        seat.in_flight += more
-        self.in_flight += more * seat.counts()
-        if seat.in_flight:
-            self.busy[seat.name] = seat
+        end = request.due - request.settings.deadline_margin
+        return end if request.body_received else min(end, self.message_queue.now + 10 * SECOND)
+
+    def record_sent(self, attempt: Attempt) -> None:
+        endpoint, attempt.counted = attempt.endpoint_state, True
+        endpoint.receiving -= 1
+        self.adjust_in_flight(endpoint, 1)
+        self.attempts_sent.add(self.message_queue.now)
+        self.message_queue.send(self.endpoints[endpoint.name], AttemptSent())
+
+    def adjust_in_flight(self, endpoint: EndpointState, added: int) -> None:
+        endpoint.in_flight += added
+        self.in_flight += added * endpoint.is_available()
+        if endpoint.in_flight:
+            self.busy[endpoint.name] = endpoint
         else:
-            self.busy.pop(seat.name, None)
-        self.shelve(seat)
+            self.busy.pop(endpoint.name, None)
+        self.update_bucket(endpoint)
 
-    def elsewhere(self, event: t.PredecessorLoad) -> None:
+    def on_predecessor_load(self, event: t.PredecessorLoad) -> None:
         """Counts the older process's attempts, or both processes of an upgrade would fill every cap."""
-        self.retried.add(self.message_queue.now, event.retried)
-        for seat in list(self.endpoint_states.values()):
-            if more := event.in_flight.get(seat.name, 0) - seat.elsewhere:
-                seat.elsewhere += more
-                self.fly(seat, more)
-            if more and not seat.in_flight:
-                self.endpoints[seat.name].tell()  # it may be gone by now
-
-    def beyond_share(self, tenant: str) -> bool:
+        self.retries.add(self.message_queue.now, event.retried)
+        for endpoint in list(self.endpoint_states.values()):
+            if added := event.in_flight.get(endpoint.name, 0) - endpoint.predecessor_in_flight:
+                endpoint.predecessor_in_flight += added
+                self.adjust_in_flight(endpoint, added)
+            if added and not endpoint.in_flight:
+                self.endpoints[endpoint.name].send_report()  # it may be gone by now
+
+    def is_beyond_share(self, tenant: str) -> bool:
         """Whether this request exceeds its tenant's share of this sidecar's traffic. The quotas are of all
         sidecars together; their traffic is assumed to have the same mix of tenants."""
-        if (ring := self.sent_by.get(tenant)) is None:
+        if (arrivals := self.arrivals_by_tenant.get(tenant)) is None:
             return False
-        ring.add(self.message_queue.now)
-        part, sent = (
-            self.came.total(self.message_queue.now) * self.settings.quotas[tenant],
-            ring.total(self.message_queue.now),
+        arrivals.add(self.message_queue.now)
+        share, sent = (
+            self.arrivals.total(self.message_queue.now) * self.settings.tenant_shares[tenant],
+            arrivals.total(self.message_queue.now),
         )
-        return part < sent and self.random_source.draw() > part / sent
+        return share < sent and self.random_source.draw() > share / sent
 
-    def agree(self, event: t.FleetState) -> None:
+    def on_fleet_state(self, event: t.FleetState) -> None:
         """Applies the shared state until the next one or its expiry, after which the deployment's values
         hold."""
-        if event.until or self.message_queue.now >= self.common.until:
-            self.cap = min(float(MAX_CAP), self.cap * self.settings.share_out(event.sidecars))
-            self.common = event
+        if event.until or self.message_queue.now >= self.fleet_state.until:
+            self.cap = min(float(MAX_CAP), self.cap * self.settings.set_active_sidecars(event.sidecars))
+            self.fleet_state = event
         if event.until:
             self.message_queue.set_timer(event.until, self, t.FleetState())
 
-    def sent_to(self, w: t.Workload) -> str:
+    def planned_zone(self, workload: t.Workload) -> str:
         """The zone by the shared plan, or its fallback where that zone is lost. Placement rules take
         precedence."""
-        zone, plans = "", () if w.zones or w.kinds else self.common.plan.get(w.name, ())
+        zone, plans = (
+            "",
+            () if workload.zones or workload.kinds else self.fleet_state.plan.get(workload.name, ()),
+        )
         for shares in plans:
-            if not zone or self.lost(zone):
+            if not zone or self.is_zone_lost(zone):
                 at = self.random_source.draw()
                 zone = next((name for name, share in shares.items() if (at := at - share) < 0), zone)
         return zone
 
-    def lost(self, zone: str) -> bool:
+    def is_zone_lost(self, zone: str) -> bool:
         """Whether this sidecar finds most endpoints of the zone unavailable."""
-        return self.open_in.get(zone, 0) * 2 < self.common.listed.get(zone, 1)
+        return self.ready_by_zone.get(zone, 0) * 2 < self.fleet_state.listed.get(zone, 1)
 
-    def lane_of(self, w: t.Workload, beyond: bool, repeated: bool, zone: str) -> RequestQueue:
-        key = (w.name, beyond, repeated, zone)
-        queue = self.queues.get(key) or RequestQueue(self.worth(w, beyond, repeated), zone)
+    def queue_for(self, workload: t.Workload, beyond_share: bool, repeated: bool, zone: str) -> RequestQueue:
+        key = (workload.name, beyond_share, repeated, zone)
+        queue = self.queues.get(key) or RequestQueue(self.priority(workload, beyond_share, repeated), zone)
         return self.queues.setdefault(key, queue)
 
-    def worth(self, w: t.Workload, beyond: bool, repeated: bool) -> float:
-        worth = max(0.0, w.value) ** self.settings.greed * (self.settings.beyond if beyond else 1.0)
+    def priority(self, workload: t.Workload, beyond_share: bool, repeated: bool) -> float:
+        value = max(0.0, workload.value) ** self.settings.value_exponent * (
+            self.settings.beyond_share_value if beyond_share else 1.0
+        )
         if self.settings.sidecar_per_client:
-            worth *= SECOND / max(1, w.contract)  # long requests cost more of the endpoints' time
-        return worth * (0.7 if repeated else 1.0)
+            value *= SECOND / max(1, workload.contract)  # long requests cost more of the endpoints' time
+        return value * (0.7 if repeated else 1.0)
 
-    def deploy(self, event: t.DeploymentChanged) -> None:
+    def on_deployment_changed(self, event: t.DeploymentChanged) -> None:
         """Applies to requests from now on: open ones keep their settings, and learned figures stay."""
-        before, self.settings, in_hand = self.settings, DispatchSettings(event.deployment), self.open.values()
-        self.settings.sharers, known = before.sharers, self.settings.workloads
-        self.cap = min(float(MAX_CAP), self.cap * self.settings.share_out(self.common.sidecars))
-        self.sent_by = {
-            name: self.sent_by.get(name) or BucketedSum(10, SECOND // 2) for name in self.settings.quotas
+        before, self.settings, open_requests = (
+            self.settings,
+            DispatchSettings(event.deployment),
+            self.requests.values(),
+        )
+        self.settings.active_sidecars, known = before.active_sidecars, self.settings.workloads
+        self.cap = min(
+            float(MAX_CAP), self.cap * self.settings.set_active_sidecars(self.fleet_state.sidecars)
+        )
+        self.arrivals_by_tenant = {
+            name: self.arrivals_by_tenant.get(name) or BucketedSum(10, SECOND // 2)
+            for name in self.settings.tenant_shares
         }
         # Bounds memory where workload names come and go: what no open request uses is created again on
         # demand.
-        names, queues = {s.workload.name for s in in_hand} | known.keys(), {id(s.queue) for s in in_hand}
-        self.gauges = {name: gauge for name, gauge in self.gauges.items() if name in names}
+        names, queues = (
+            {request.workload.name for request in open_requests} | known.keys(),
+            {id(request.queue) for request in open_requests},
+        )
+        self.latency_estimates = {
+            name: estimate for name, estimate in self.latency_estimates.items() if name in names
+        }
         self.queues = {key: queue for key, queue in self.queues.items() if id(queue) in queues}
-        for (name, beyond, repeated, _), queue in self.queues.items():
-            queue.worth = self.worth(known[name], beyond, repeated) if name in known else queue.worth
+        for (name, beyond_share, repeated, _), queue in self.queues.items():
+            queue.priority = (
+                self.priority(known[name], beyond_share, repeated) if name in known else queue.priority
+            )
 
-    def gauge(self, w: t.Workload) -> LatencyEstimate:
-        if w.name not in self.gauges:
-            self.gauges[w.name] = LatencyEstimate(
-                w.contract // (5 if self.settings.sidecar_per_client else 3), self.settings.evidence
+    def latency_estimate(self, workload: t.Workload) -> LatencyEstimate:
+        if workload.name not in self.latency_estimates:
+            self.latency_estimates[workload.name] = LatencyEstimate(
+                workload.contract // (5 if self.settings.sidecar_per_client else 3),
+                self.settings.mean_samples,
             )
-        return self.gauges[w.name]
+        return self.latency_estimates[workload.name]
 
-    def patience(self, s: RequestState) -> int:
+    def hold_deadline(self, request: RequestState) -> int:
         """Until when holding the request can still lead to an answer in contract time."""
-        span = s.contract_end - s.arrived
-        return s.contract_end - int(min(self.gauge(s.workload).usual * 1.3, span * 0.6))
+        span = request.contract_end - request.arrived_at
+        return request.contract_end - int(
+            min(self.latency_estimate(request.workload).current * 1.3, span * 0.6)
+        )
 
-    def hold(self, s: RequestState) -> None:
-        s.held = True
+    def hold(self, request: RequestState) -> None:
+        request.held = True
         self.waiting += 1
-        w = s.workload
-        if w.zones or w.kinds or s.first_run() is not None and w.repeat is t.RepeatPolicy.DEDUPLICATED:
-            self.bound.append(s)
+        workload = request.workload
+        if (
+            workload.zones
+            or workload.kinds
+            or request.first_possible_run() is not None
+            and workload.repeat is t.RepeatPolicy.DEDUPLICATED
+        ):
+            self.restricted.append(request)
         else:
-            s.queue.waiting.append(s)
+            request.queue.waiting.append(request)
 
-    def admit(self, s: RequestState) -> None:
+    def admit(self, request: RequestState) -> None:
         """Rejects at once what would wait in vain. Where caps are fractions the rate follows from the
         capacity."""
-        queue, queues = s.queue, self.queues.values()
-        ahead = sum(len(other.waiting) for other in queues if other.worth > queue.worth) + len(queue.waiting)
-        room, limit, least = self.part(), self.patience(s), float(self.settings.sidecar_per_client)
-        allowed = max(least, room) * SECOND / self.gauge(s.workload).usual if least or self.cap < 1 else 0.0
-        rate = max(1.0, self.launched.total(self.message_queue.now), allowed)
-        open_ = not s.zone or self.open_in.get(s.zone)  # else no endpoint to wait for
-        if open_ and self.message_queue.now + int(ahead / rate * SECOND) <= limit:
-            self.message_queue.set_timer(limit, self, RequestTimeout(s, False))
+        queue, queues = request.queue, self.queues.values()
+        ahead = sum(len(other.waiting) for other in queues if other.priority > queue.priority) + len(
+            queue.waiting
+        )
+        room, limit, least = (
+            self.capacity(),
+            self.hold_deadline(request),
+            float(self.settings.sidecar_per_client),
+        )
+        allowed = (
+            max(least, room) * SECOND / self.latency_estimate(request.workload).current
+            if least or self.cap < 1
+            else 0.0
+        )
+        rate = max(1.0, self.attempts_sent.total(self.message_queue.now), allowed)
+        # Without an available endpoint in its zone there is nothing to wait for.
+        has_endpoints = not request.zone or self.ready_by_zone.get(request.zone)
+        if has_endpoints and self.message_queue.now + int(ahead / rate * SECOND) <= limit:
+            self.message_queue.set_timer(limit, self, RequestTimeout(request, False))
             return
-        self.turned_back = True
+        self.rejected_since_check = True
         if not self.shedding:
             self.shedding = True
             self.message_queue.log(f"shedding: {self.waiting} held, {rate:.0f} launches/s, room {room:.1f}")
-        self.finish(s)
+        self.finish(request)
 
     # Attempts are started for held requests.
 
     def dispatch(self) -> None:
-        self.bound = [s for s in self.bound if s.held and not self.try_launch(s)]
+        self.restricted = [
+            request for request in self.restricted if request.held and not self.try_attempt(request)
+        ]
         full: list[str] = []  # zones
         while True:
             best, urgency = None, -1.0
             for queue in self.queues.values():
-                line = queue.waiting
-                while line and not line[0].held:
-                    line.popleft()
-                if line and queue.zone not in full:
-                    head = line[0]
-                    waited = (self.message_queue.now - head.arrived) / max(
-                        1, head.contract_end - head.arrived + 1
+                waiting = queue.waiting
+                while waiting and not waiting[0].held:
+                    waiting.popleft()
+                if waiting and queue.zone not in full:
+                    head = waiting[0]
+                    waited = (self.message_queue.now - head.arrived_at) / max(
+                        1, head.contract_end - head.arrived_at + 1
                     )
-                    if queue.worth * (waited + 0.1) > urgency:
-                        best, urgency = queue, queue.worth * (waited + 0.1)
-            if best is not None and self.try_launch(best.waiting[0]):
+                    if queue.priority * (waited + 0.1) > urgency:
+                        best, urgency = queue, queue.priority * (waited + 0.1)
+            if best is not None and self.try_attempt(best.waiting[0]):
                 best.waiting.popleft()
             elif best is None or not best.zone:
                 return
             else:
                 full.append(best.zone)
 
-    def may_launch(self, s: RequestState) -> bool:
+    def may_attempt(self, request: RequestState) -> bool:
         """Whether a first or another attempt is allowed: by rule 2 and by the deployment."""
-        if s.done or s.streaming or s.spent or len(s.attempts) >= s.settings.max_attempts:
+        if (
+            request.done
+            or request.streaming
+            or request.body_lost
+            or len(request.attempts) >= request.settings.max_attempts
+        ):
             return False
-        if s.whole and self.message_queue.now >= s.due - s.settings.margin:
+        if request.body_received and self.message_queue.now >= request.due - request.settings.deadline_margin:
             return False  # it is about to be answered
-        first = s.first_run()
-        if first is None or s.out() and not s.settings.copies:
+        first = request.first_possible_run()
+        if first is None or request.pending_count() and not request.settings.hedging_allowed:
             return first is None
-        if s.workload.repeat is t.RepeatPolicy.DEDUPLICATED:
-            return self.message_queue.now < first.sent + s.workload.window - s.settings.margin
-        return s.workload.repeat is t.RepeatPolicy.IDEMPOTENT
+        if request.workload.repeat is t.RepeatPolicy.DEDUPLICATED:
+            return (
+                self.message_queue.now
+                < first.sent_at + request.workload.window - request.settings.deadline_margin
+            )
+        return request.workload.repeat is t.RepeatPolicy.IDEMPOTENT
 
-    def group_allows(self, s: RequestState, seat: EndpointState) -> bool:
-        first, group = s.first_run(), s.workload.group
+    def group_allows(self, request: RequestState, endpoint: EndpointState) -> bool:
+        first, group = request.first_possible_run(), request.workload.group
         if (
             first is None
-            or s.workload.repeat is not t.RepeatPolicy.DEDUPLICATED
+            or request.workload.repeat is not t.RepeatPolicy.DEDUPLICATED
             or group is t.DeduplicationScope.ALL
         ):
             return True
-        entries = first.endpoint_state.report.entry, seat.report.entry
-        old, new = (entry.zone if group is t.DeduplicationScope.ZONE else entry.cell for entry in entries)
-        return bool(new) and new == old
+        entries = first.endpoint_state.report.entry, endpoint.report.entry
+        first_group, group_here = (
+            entry.zone if group is t.DeduplicationScope.ZONE else entry.cell for entry in entries
+        )
+        return bool(group_here) and group_here == first_group
 
-    def room(self) -> int:
+    def in_flight_limit(self) -> int:
         """Limit on the attempts in flight at all available endpoints together; fractions are rounded at
         random."""
-        room = self.part()
+        room = self.capacity()
         if self.settings.sidecar_per_client:
-            return int(max(1.0, room + (0 if self.pace_over(self.settings.roomy) else sqrt(room))) + 0.5)
+            return int(
+                max(1.0, room + (0 if self.is_slower_than(self.settings.uncrowded_pace) else sqrt(room)))
+                + 0.5
+            )
         if self.cap >= 1:
             return max(1, ceil(room))
-        mean = self.launched.total(self.message_queue.now) * self.usual.took / SECOND
-        if mean <= room and not self.pace_over(self.settings.roomy):
-            room += min(sqrt(room), room * (1 / UNEVEN - 1))
-        if self.message_queue.now >= self.redraw:
-            self.luck, self.redraw = self.random_source.draw(), self.message_queue.now + self.usual.took
-        return int(room + self.luck)
-
-    def part(self) -> float:
+        mean = self.attempts_sent.total(self.message_queue.now) * self.averages.latency / SECOND
+        if mean <= room and not self.is_slower_than(self.settings.uncrowded_pace):
+            room += min(sqrt(room), room * (1 / FRACTIONAL_CAP_FACTOR - 1))
+        if self.message_queue.now >= self.redraw_at:
+            self.rounding_draw, self.redraw_at = (
+                self.random_source.draw(),
+                self.message_queue.now + self.averages.latency,
+            )
+        return int(room + self.rounding_draw)
+
+    def capacity(self) -> float:
         """This sidecar's part of what all available endpoints can have in flight."""
-        return self.cap * self.scale * self.shares
+        return self.cap * self.cap_scale * self.share_sum
 
-    def pace_over(self, mark: float) -> bool:
+    def is_slower_than(self, threshold: float) -> bool:
         """Where caps are fractions, a few answers make light load look crowded: load reports must confirm
         it."""
-        idle = self.cap < 1 and self.settings.reports and self.usual.busy < BUSY
-        return self.crowding > mark * (2 if idle else 1)
+        idle = self.cap < 1 and self.settings.load_reports and self.averages.busy < BUSY_UTILIZATION
+        return self.crowding > threshold * (2 if idle else 1)
 
-    def pick(self, s: RequestState) -> EndpointState | None:
+    def pick(self, request: RequestState) -> EndpointState | None:
         """Least attempts in flight below the cap, ties by rank; a cold endpoint counts with at least the
         mean load."""
-        if not self.ready or self.in_flight >= self.room():
+        if not self.ready or self.in_flight >= self.in_flight_limit():
             return None
-        tried = [attempt.endpoint_state for attempt in s.attempts]
-        for behind in (0, MAX_CAP):
-            for load in range(min(MAX_CAP, max(1, ceil(self.cap * self.scale)))):
-                bucket = self.load_buckets[behind + load]
-                if not behind and (told := self.told_least(load, s, tried)) is not None:
-                    return told
+        tried = [attempt.endpoint_state for attempt in request.attempts]
+        for offset in (0, MAX_CAP):
+            for load in range(min(MAX_CAP, max(1, ceil(self.cap * self.cap_scale)))):
+                bucket = self.load_buckets[offset + load]
+                if not offset and (reported := self.least_reported(load, request, tried)) is not None:
+                    return reported
                 if self.settings.uneven:
-                    line = sorted(bucket, key=lambda seat: self.race(seat, s))
+                    candidates = sorted(bucket, key=lambda endpoint: self.rank(endpoint, request))
                 else:
                     start = self.random_source.upto(len(bucket) - 1) if len(bucket) > 1 else 0
-                    line = bucket[start:] + bucket[:start]
-                for seat in line:
-                    if self.may_take(seat, s, tried):
-                        return seat
+                    candidates = bucket[start:] + bucket[:start]
+                for endpoint in candidates:
+                    if self.is_eligible(endpoint, request, tried):
+                        return endpoint
         return None
 
-    def race(self, seat: EndpointState, s: RequestState) -> float:
+    def rank(self, endpoint: EndpointState, request: RequestState) -> float:
         """Weighted order among equals, least first: random, or by the key and then the same in all
         sidecars."""
-        return -log(mixed(s.mark, seat.mark) if s.mark else self.random_source.draw() or 0.5) / seat.pull
+        return (
+            -log(
+                mixed(request.key_hash, endpoint.name_hash)
+                if request.key_hash
+                else self.random_source.draw() or 0.5
+            )
+            / endpoint.preference
+        )
 
-    def told_least(self, load: int, s: RequestState, tried: list[EndpointState]) -> EndpointState | None:
+    def least_reported(
+        self, load: int, request: RequestState, tried: list[EndpointState]
+    ) -> EndpointState | None:
         """Of equals the one with the least reported load below the mean. Reports decay towards the mean with
         age."""
-        mean, least, best = self.usual.told, self.usual.told, None
-        for seat in self.told:
-            report = seat.report
-            if seat.bucket == load and report.told is not None and report.cold_since is None:
-                likely = report.told + (mean - report.told) * min(
-                    1.0, (self.message_queue.now - report.told_at) / TOLD_AGE
+        mean, least, best = self.averages.reported_load, self.averages.reported_load, None
+        for endpoint in self.recent_reporters:
+            report = endpoint.report
+            if endpoint.bucket == load and report.reported_load is not None and report.cold_since is None:
+                estimated = report.reported_load + (mean - report.reported_load) * min(
+                    1.0, (self.message_queue.now - report.reported_at) / REPORT_LIFETIME
                 )
-                if likely < least and self.may_take(seat, s, tried):
-                    best, least = seat, likely
+                if estimated < least and self.is_eligible(endpoint, request, tried):
+                    best, least = endpoint, estimated
         return best
 
-    def ask_around(self) -> None:
+    def probe_for_load(self) -> None:
         """One probe per attempt, to decide later ties, while most endpoints are unused; fewer at low
         utilization."""
-        bucket, wanted = self.load_buckets[0], self.usual.busy > BUSY / 2 or self.random_source.draw() < 0.25
-        if bucket and wanted and self.settings.reports and 2 * self.in_flight < self.ready:
-            seat = bucket[self.random_source.upto(len(bucket) - 1)]
-            stale = seat not in self.told or self.message_queue.now - seat.report.told_at > TOLD_AGE // 4
+        bucket, wanted = (
+            self.load_buckets[0],
+            self.averages.busy > BUSY_UTILIZATION / 2 or self.random_source.draw() < 0.25,
+        )
+        if bucket and wanted and self.settings.load_reports and 2 * self.in_flight < self.ready:
+            endpoint = bucket[self.random_source.upto(len(bucket) - 1)]
+            stale = (
+                endpoint not in self.recent_reporters
+                or self.message_queue.now - endpoint.report.reported_at > REPORT_LIFETIME // 4
+            )
             # A cold endpoint decides no tie, and has no capacity to spare for probes.
-            if stale and seat.report.cold_since is None:
-                self.message_queue.commands.append(t.StartProbe(seat.name))
+            if stale and endpoint.report.cold_since is None:
+                self.message_queue.commands.append(t.StartProbe(endpoint.name))
 
-    def may_take(self, seat: EndpointState, s: RequestState, tried: list[EndpointState]) -> bool:
-        if seat.in_flight and (
-            seat.report.trial or seat.in_flight >= self.cap * self.scale * seat.report.share
+    def is_eligible(self, endpoint: EndpointState, request: RequestState, tried: list[EndpointState]) -> bool:
+        if endpoint.in_flight and (
+            endpoint.report.on_trial
+            or endpoint.in_flight >= self.cap * self.cap_scale * endpoint.report.share
         ):
             return False
         # Repeated attempts are few, so they may cross zones.
-        near = not s.zone or s.attempts or seat.report.entry.zone == s.zone
-        again = tried and (not self.group_allows(s, seat) or seat in tried and self.ready > len(tried))
+        zone_fits = not request.zone or request.attempts or endpoint.report.entry.zone == request.zone
+        excluded = tried and (
+            not self.group_allows(request, endpoint) or endpoint in tried and self.ready > len(tried)
+        )
         # Placement holds even when all endpoints allowed by it are down.
-        if again or not near or not s.workload.open_at(seat.report.entry):
+        if excluded or not zone_fits or not request.workload.open_at(endpoint.report.entry):
             return False
-        return seat.report.cold_since is None or self.credited(seat)
+        return endpoint.report.cold_since is None or self.has_credit(endpoint)
 
-    def shelve(self, seat: EndpointState) -> None:
+    def update_bucket(self, endpoint: EndpointState) -> None:
         bucket = -1
-        if seat.counts():
-            mean = 0 if seat.report.cold_since is None else round(self.in_flight / self.ready)
-            bucket = min(max(seat.in_flight, mean), MAX_CAP - 1) + (MAX_CAP if seat.report.crowded else 0)
-        if bucket == seat.bucket:
+        if endpoint.is_available():
+            mean = 0 if endpoint.report.cold_since is None else round(self.in_flight / self.ready)
+            bucket = min(max(endpoint.in_flight, mean), MAX_CAP - 1) + (
+                MAX_CAP if endpoint.report.crowded else 0
+            )
+        if bucket == endpoint.bucket:
             return
-        if seat.bucket >= 0:
-            last = self.load_buckets[seat.bucket].pop()
-            if last is not seat:
-                self.load_buckets[seat.bucket][seat.spot], last.spot = last, seat.spot
-        seat.bucket = bucket
+        if endpoint.bucket >= 0:
+            last = self.load_buckets[endpoint.bucket].pop()
+            if last is not endpoint:
+                self.load_buckets[endpoint.bucket][endpoint.bucket_index], last.bucket_index = (
+                    last,
+                    endpoint.bucket_index,
+                )
+        endpoint.bucket = bucket
         if bucket >= 0:
-            seat.spot = len(self.load_buckets[bucket])
-            self.load_buckets[bucket].append(seat)
+            endpoint.bucket_index = len(self.load_buckets[bucket])
+            self.load_buckets[bucket].append(endpoint)
 
     def warmth(self, report: EndpointReport) -> float:
         """The part of its full capacity that the endpoint has by now, at least."""
@@ -545,336 +693,445 @@
         age = min(1.0, max(0, self.message_queue.now - report.cold_since) / self.settings.cold_time)
         return 1 - (1 - self.settings.cold_share) * (1 - age)
 
-    def credited(self, seat: EndpointState) -> bool:
+    def has_credit(self, endpoint: EndpointState) -> bool:
         """Rule 4: a cold endpoint earns credit at the rate of a warm one of its size times its warmth,
         however few endpoints are left; see `assumed_warm_rate` where that rate is not known. At most one
         attempt of credit."""
-        now, clock = self.message_queue.now, self.message_queue.now - self.idle
-        if now - seat.report.cold_since >= self.settings.cold_time:
-            seat.report.cold_since = None
+        now, clock = self.message_queue.now, self.message_queue.now - self.idle_time
+        if now - endpoint.report.cold_since >= self.settings.cold_time:
+            endpoint.report.cold_since = None
             return True
-        rate = self.warmth(seat.report) * (self.each or self.unknown_each()) * seat.size
-        rate *= self.common.brakes.get(seat.name, 1.0)  # of all sidecars together
-        seat.credit = min(1.0, seat.credit + rate * (clock - seat.credited) / SECOND)
-        seat.credited = clock
-        return seat.credit >= 1.0
+        rate = self.warmth(endpoint.report) * (self.warm_rate or self.assumed_warm_rate()) * endpoint.size
+        rate *= self.fleet_state.brakes.get(endpoint.name, 1.0)  # of all sidecars together
+        endpoint.credit = min(1.0, endpoint.credit + rate * (clock - endpoint.credited_at) / SECOND)
+        endpoint.credited_at = clock
+        return endpoint.credit >= 1.0
 
-    def unknown_each(self) -> float:
+    def assumed_warm_rate(self) -> float:
         """The rate where no endpoint is warm. Few of them may be left, so it is only part of each endpoint's
-        share of the arrivals: UNTRIED at first; after PROOF_AFTER it is UNPROVED plus MORE times what cold
-        endpoints handled. Lower with many sidecars, whose attempts coincide at random."""
-        now, age = self.message_queue.now, self.message_queue.now - self.first
-        comes = self.came.total(now) * SECOND / min(5 * SECOND, max(SECOND // 2, age))
-        part = comes / max(1, self.ready, self.size) / (1 + self.settings.sharers / MANY)
-        if age < PROOF_AFTER or not self.able:
-            return UNTRIED * part
-        return min(part, UNPROVED * part + MORE * self.proved.total(now) / 2 / self.able)
-
-    def try_launch(self, s: RequestState) -> bool:
+        share of the arrivals: UNPROVEN_SHARE at first; after PROOF_TIME it is PROVEN_BASE_SHARE plus
+        PROVEN_RATE_MULTIPLE times what cold endpoints handled. Lower with many sidecars, whose attempts
+        coincide at random."""
+        now, age = self.message_queue.now, self.message_queue.now - self.first_arrival
+        arrival_rate = self.arrivals.total(now) * SECOND / min(5 * SECOND, max(SECOND // 2, age))
+        part = (
+            arrival_rate
+            / max(1, self.ready, self.listed_size)
+            / (1 + self.settings.active_sidecars / MANY_SIDECARS)
+        )
+        if age < PROOF_TIME or not self.cold_capacity:
+            return UNPROVEN_SHARE * part
+        return min(
+            part,
+            PROVEN_BASE_SHARE * part
+            + PROVEN_RATE_MULTIPLE * self.cold_handled.total(now) / 2 / self.cold_capacity,
+        )
+
+    def try_attempt(self, request: RequestState) -> bool:
         """True when the request need not be held any longer."""
-        allowed, now = self.may_launch(s), self.message_queue.now
-        seat = self.pick(s) if allowed else None
-        if allowed and seat is None:
+        allowed, now = self.may_attempt(request), self.message_queue.now
+        endpoint = self.pick(request) if allowed else None
+        if allowed and endpoint is None:
             return False
-        self.unhold(s)
-        if seat is None:
-            if not s.out():
-                self.finish(s)
+        self.release(request)
+        if endpoint is None:
+            if not request.pending_count():
+                self.finish(request)
             return True
-        seat.credit -= seat.report.cold_since is not None
-        s.attempts.append(Attempt(seat, now))
-        seat.coming += 1
-        s.retrying = False
-        self.message_queue.commands.append(t.StartAttempt(s.name, seat.name, s.due))
-        if s.whole:
-            self.count_in(s.attempts[-1])
-        self.ask_around()
+        endpoint.credit -= endpoint.report.cold_since is not None
+        request.attempts.append(Attempt(endpoint, now))
+        endpoint.receiving += 1
+        request.retrying = False
+        self.message_queue.commands.append(t.StartAttempt(request.name, endpoint.name, request.due))
+        if request.body_received:
+            self.record_sent(request.attempts[-1])
+        self.probe_for_load()
         return True
 
-    def unhold(self, s: RequestState) -> None:
-        self.waiting, s.held = self.waiting - s.held, False
+    def release(self, request: RequestState) -> None:
+        self.waiting, request.held = self.waiting - request.held, False
 
     # Outcomes, and what follows from them.
 
-    def end(self, event: t.AttemptEnded) -> None:
-        s = self.open.get(event.request)
-        if s is None or not 0 <= event.attempt < len(s.attempts) or not s.attempts[event.attempt].out:
+    def on_attempt_ended(self, event: t.AttemptEnded) -> None:
+        request = self.requests.get(event.request)
+        if (
+            request is None
+            or not 0 <= event.attempt < len(request.attempts)
+            or not request.attempts[event.attempt].pending
+        ):
             return
-        attempt, now = s.attempts[event.attempt], self.message_queue.now
+        attempt, now = request.attempts[event.attempt], self.message_queue.now
         if not attempt.counted:
-            self.count_in(attempt)  # it ended before the request body was complete
-        attempt.out, attempt.never_ran, seat = False, event.outcome in t.NEVER_RAN, attempt.endpoint_state
-        s.spent = s.spent or event.last
-        self.fly(seat, -1)
-        gauge = self.gauge(s.workload)
+            self.record_sent(attempt)  # it ended before the request body was complete
+        attempt.pending, attempt.never_ran, endpoint = (
+            False,
+            event.outcome in t.NEVER_RAN,
+            attempt.endpoint_state,
+        )
+        request.body_lost = request.body_lost or event.last
+        self.adjust_in_flight(endpoint, -1)
+        estimate = self.latency_estimate(request.workload)
         if event.outcome is t.Outcome.HANDLED:
-            self.answers += 1
-            self.handled += self.warmth(seat.report) == 1
-            self.proved.add(now, self.warmth(seat.report) < 1)
-            gauge.add(now, max(1, event.duration))
+            self.handled_since_check += 1
+            self.warm_handled += self.warmth(endpoint.report) == 1
+            self.cold_handled.add(now, self.warmth(endpoint.report) < 1)
+            estimate.add(now, max(1, event.duration))
         # What is cancelled at the hard limit counts as a timeout of its endpoint, or only quick answers
         # would count.
-        how = t.Outcome.TIMED_OUT if attempt.overdue else event.outcome
+        outcome = t.Outcome.TIMED_OUT if attempt.overdue else event.outcome
         overtaken = (
-            s.done
+            request.done
             and not attempt.overdue
-            or how in (t.Outcome.CALLED_OFF, t.Outcome.UNSENT, t.Outcome.REJECTED)
+            or outcome in (t.Outcome.CALLED_OFF, t.Outcome.UNSENT, t.Outcome.REJECTED)
         )
         # Without this factor the slow answers of cold endpoints would make a growing fleet look crowded.
-        warm = self.warmth(seat.report) if self.settings.uneven else 1.0
-        pace = event.duration * warm / max(1.0, gauge.uncrowded)
-        if how in (t.Outcome.HANDLED, t.Outcome.TIMED_OUT):
+        warm = self.warmth(endpoint.report) if self.settings.uneven else 1.0
+        pace = event.duration * warm / max(1.0, estimate.uncrowded)
+        if outcome in (t.Outcome.HANDLED, t.Outcome.TIMED_OUT):
             # The mean spans the answers of about a second, at least eight.
             gain = max(0.03, 1 / (8 + self.answered.total(now) / 3))
-            gauge.pace += 0.1 * (min(pace, 8.0) - gauge.pace)
-            if gauge.pace > DRAGS * min(other.pace for other in self.gauges.values()):
+            estimate.pace += 0.1 * (min(pace, 8.0) - estimate.pace)
+            if estimate.pace > SLOW_WORKLOAD_RATIO * min(
+                other.pace for other in self.latency_estimates.values()
+            ):
                 pace = self.crowding  # slow at all endpoints while other workloads are not: not due to load
             self.crowding += gain * (min(pace, 8.0) - self.crowding)
         self.answered.add(now, not overtaken)
-        self.failed.add(now, not overtaken and how is not t.Outcome.HANDLED)
+        self.failed.add(now, not overtaken and outcome is not t.Outcome.HANDLED)
         if self.settings.uneven:
-            pace = self.against_kind(
-                seat, min(pace, 8.0), gauge.uncrowded * (event.outcome is t.Outcome.HANDLED)
+            pace = self.relative_to_kind(
+                endpoint, min(pace, 8.0), estimate.uncrowded * (event.outcome is t.Outcome.HANDLED)
             )
-        self.message_queue.send(self.endpoints[seat.name], AttemptResult(how, pace, overtaken, self.usual))
+        self.message_queue.send(
+            self.endpoints[endpoint.name], AttemptResult(outcome, pace, overtaken, self.averages)
+        )
         if event.closed or event.outcome is t.Outcome.HANDLED:
-            self.close(s)
-        s.refusals, s.spoilt = (
-            s.refusals + (event.outcome is t.Outcome.REFUSED),
+            self.close(request)
+        request.refusals, request.last_spoilt = (
+            request.refusals + (event.outcome is t.Outcome.REFUSED),
             event.outcome is t.Outcome.SPOILT,
         )
-        if s.done and not s.out():
-            self.open.pop(s.name, None)
-        elif not s.done and not s.out() and not s.retrying and not self.plan_retry(s):
-            self.finish(s)
+        if request.done and not request.pending_count():
+            self.requests.pop(request.name, None)
+        elif (
+            not request.done
+            and not request.pending_count()
+            and not request.retrying
+            and not self.plan_retry(request)
+        ):
+            self.finish(request)
 
-    def plan_retry(self, s: RequestState) -> bool:
+    def plan_retry(self, request: RequestState) -> bool:
         now = self.message_queue.now
-        hopeless = now + int(self.gauge(s.workload).uncrowded * 0.5) > s.contract_end
-        spent = self.retried.total(now) + 1 >= RETRY_SHARE * self.taken.total(now)
-        if s.held or hopeless or spent or not self.may_launch(s):
+        too_late = now + int(self.latency_estimate(request.workload).uncrowded * 0.5) > request.contract_end
+        budget_spent = self.retries.total(now) + 1 >= RETRY_BUDGET_SHARE * self.new_requests.total(now)
+        if request.held or too_late or budget_spent or not self.may_attempt(request):
             return False
         # Inner tiers pass failures up, or retries would multiply; except what never ran, and unreadable
         # answers.
-        if not self.settings.front and s.first_run() is not None and not s.spoilt:
+        if (
+            not self.settings.is_front
+            and request.first_possible_run() is not None
+            and not request.last_spoilt
+        ):
             return False
-        self.retried.add(now)
-        s.retrying = True
-        ceiling = min(RETRY_MAX, RETRY_BASE << len(s.attempts) - 1 + s.refusals, (s.due - now) // 2)
-        self.message_queue.set_timer(now + self.random_source.upto(max(0, ceiling)), self, RetryDue(s))
+        self.retries.add(now)
+        request.retrying = True
+        ceiling = min(
+            RETRY_MAX_DELAY,
+            RETRY_BASE_DELAY << len(request.attempts) - 1 + request.refusals,
+            (request.due - now) // 2,
+        )
+        self.message_queue.set_timer(now + self.random_source.upto(max(0, ceiling)), self, RetryDue(request))
         return True
 
-    def retry_due(self, event: RetryDue) -> None:
-        s = event.request
-        if s.retrying:
-            self.hold(s)
+    def on_retry_due(self, event: RetryDue) -> None:
+        request = event.request
+        if request.retrying:
+            self.hold(request)
             self.dispatch()
-        if s.held:
+        if request.held:
             self.message_queue.set_timer(
-                max(self.patience(s), self.message_queue.now), self, RequestTimeout(s, False)
+                max(self.hold_deadline(request), self.message_queue.now), self, RequestTimeout(request, False)
             )
 
-    def silent(self, event: EndpointSilent) -> None:
+    def on_endpoint_silent(self, event: EndpointSilent) -> None:
         """Hedges the requests that hang at a silent endpoint."""
-        for s in list(self.open.values()):
-            there = any(attempt.out and attempt.endpoint_state.name == event.name for attempt in s.attempts)
-            if there and s.out() == 1 and not s.retrying:
-                self.plan_retry(s)
-
-    def give_up(self, event: RequestTimeout) -> None:
-        s = event.request
-        if s.done or s.streaming or not (event.final or s.held):
+        for request in list(self.requests.values()):
+            hangs = any(
+                attempt.pending and attempt.endpoint_state.name == event.name for attempt in request.attempts
+            )
+            if hangs and request.pending_count() == 1 and not request.retrying:
+                self.plan_retry(request)
+
+    def on_request_timeout(self, event: RequestTimeout) -> None:
+        request = event.request
+        if request.done or request.streaming or not (event.final or request.held):
             return
-        if event.final and self.message_queue.now < s.due - s.settings.margin:
-            return self.message_queue.set_timer(self.end_of(s), self, event)
-        if not event.final and s.out():
-            self.unhold(s)  # another attempt is still pending
-            s.retrying = False
+        if event.final and self.message_queue.now < request.due - request.settings.deadline_margin:
+            return self.message_queue.set_timer(self.reject_at(request), self, event)
+        if not event.final and request.pending_count():
+            self.release(request)  # another attempt is still pending
+            request.retrying = False
             return
-        for attempt in s.attempts:
-            attempt.overdue = attempt.out
-        self.finish(s)
+        for attempt in request.attempts:
+            attempt.overdue = attempt.pending
+        self.finish(request)
 
-    def may_deny(self, s: RequestState) -> bool:
+    def may_reject(self, request: RequestState) -> bool:
         """Rule 2: a rejection tells the client that repeating the request is safe."""
         all_drop = (
-            s.workload.repeat is t.RepeatPolicy.DEDUPLICATED and s.workload.group is t.DeduplicationScope.ALL
+            request.workload.repeat is t.RepeatPolicy.DEDUPLICATED
+            and request.workload.group is t.DeduplicationScope.ALL
+        )
+        return (
+            all_drop
+            or request.workload.repeat is t.RepeatPolicy.IDEMPOTENT
+            or request.first_possible_run() is None
         )
-        return all_drop or s.workload.repeat is t.RepeatPolicy.IDEMPOTENT or s.first_run() is None
 
-    def finish(self, s: RequestState) -> None:
+    def finish(self, request: RequestState) -> None:
         """Rejects the request. The retry advice is jittered, or rejected clients would return all at once."""
-        advice = self.settings.advice // 2 + self.random_source.upto(self.settings.advice // 2)
+        advice = self.settings.longest_advice // 2 + self.random_source.upto(
+            self.settings.longest_advice // 2
+        )
         self.message_queue.commands.append(
-            t.RejectRequest(s.name, advice) if self.may_deny(s) else t.AbortResponse(s.name)
+            t.RejectRequest(request.name, advice)
+            if self.may_reject(request)
+            else t.AbortResponse(request.name)
         )
-        self.close(s)
+        self.close(request)
 
-    def close(self, s: RequestState) -> None:
-        if s.done:
+    def close(self, request: RequestState) -> None:
+        if request.done:
             return
-        self.unhold(s)
-        s.done, s.retrying = True, False
-        called_off = (
-            number for number, attempt in enumerate(s.attempts) if attempt.out and s.settings.cancel
+        self.release(request)
+        request.done, request.retrying = True, False
+        cancelled = (
+            number
+            for number, attempt in enumerate(request.attempts)
+            if attempt.pending and request.settings.cancel_allowed
         )
-        self.message_queue.commands += [t.CancelAttempt(s.name, number) for number in called_off]
-        if not s.out():
-            self.open.pop(s.name, None)
+        self.message_queue.commands += [t.CancelAttempt(request.name, number) for number in cancelled]
+        if not request.pending_count():
+            self.requests.pop(request.name, None)
 
-    def withdraw(self, event: t.RequestCancelled) -> None:
-        if event.request in self.open:
-            self.close(self.open[event.request])
+    def on_request_cancelled(self, event: t.RequestCancelled) -> None:
+        if event.request in self.requests:
+            self.close(self.requests[event.request])
 
-    def start(self, event: t.ResponseStarted) -> None:
-        if s := self.open.get(event.request):
-            s.streaming = True
+    def on_response_started(self, event: t.ResponseStarted) -> None:
+        if request := self.requests.get(event.request):
+            request.streaming = True
 
-    def seat(self, event: EndpointReport) -> None:
+    def on_endpoint_report(self, event: EndpointReport) -> None:
         if event.name not in self.endpoints:
             return
         if event.name in self.endpoint_states:
-            self.count(self.endpoint_states[event.name], -1)
-        seat = self.endpoint_states.get(event.name)
-        if seat is None:
-            seat = self.endpoint_states[event.name] = EndpointState(
-                event.name, event, mark=crc32(event.name.encode())
+            self.add_to_totals(self.endpoint_states[event.name], -1)
+        endpoint = self.endpoint_states.get(event.name)
+        if endpoint is None:
+            endpoint = self.endpoint_states[event.name] = EndpointState(
+                event.name, event, name_hash=crc32(event.name.encode())
+            )
+            endpoint.preference, endpoint.selected = event.entry.weight, not self.settings.few_connections
+            endpoint.selection_rank = (
+                0.0
+                if endpoint.selected
+                else -log(self.random_source.draw() or 0.5) / sqrt(event.entry.weight)
             )
-            seat.pull, seat.used = event.entry.weight, not self.settings.few
-            seat.lot = 0.0 if seat.used else -log(self.random_source.draw() or 0.5) / sqrt(event.entry.weight)
         if event.cold_since is not None and (
-            event is seat.report or event.cold_since != seat.report.cold_since
+            event is endpoint.report or event.cold_since != endpoint.report.cold_since
+        ):
+            endpoint.credit, endpoint.credited_at = (
+                self.random_source.draw(),
+                self.message_queue.now - self.idle_time,
+            )
+        endpoint.report, endpoint.size = event, event.entry.weight if self.settings.weights_are_sizes else 1.0
+        if (
+            event.reported_load is not None
+            and event.reported_at == self.message_queue.now
+            and endpoint not in self.recent_reporters
         ):
-            seat.credit, seat.credited = self.random_source.draw(), self.message_queue.now - self.idle
-        seat.report, seat.size = event, event.entry.weight if self.settings.sized else 1.0
-        if event.told is not None and event.told_at == self.message_queue.now and seat not in self.told:
-            self.told.append(seat)
-        self.count(seat, 1)
-        self.shelve(seat)
+            self.recent_reporters.append(endpoint)
+        self.add_to_totals(endpoint, 1)
+        self.update_bucket(endpoint)
         if self.endpoints[event.name].entry.state is t.EndpointStatus.GONE and not (
-            seat.in_flight or seat.coming
+            endpoint.in_flight or endpoint.receiving
         ):
             # Or memory would grow with every endpoint that ever existed.
             del self.endpoint_states[event.name], self.endpoints[event.name]
-            self.told = deque((one for one in self.told if one is not seat), TOLD_KEPT)
+            self.recent_reporters = deque(
+                (reporter for reporter in self.recent_reporters if reporter is not endpoint), RECENT_REPORTERS
+            )
 
-    def count(self, seat: EndpointState, sign: int) -> None:
-        if seat.counts():
+    def add_to_totals(self, endpoint: EndpointState, sign: int) -> None:
+        if endpoint.is_available():
             self.ready += sign
-            self.in_flight += sign * seat.in_flight
-            self.shares += sign * seat.report.share
-            self.weight += sign * seat.size
-            self.open_in[seat.report.entry.zone] = self.open_in.get(seat.report.entry.zone, 0) + sign
+            self.in_flight += sign * endpoint.in_flight
+            self.share_sum += sign * endpoint.report.share
+            self.size_sum += sign * endpoint.size
+            self.ready_by_zone[endpoint.report.entry.zone] = (
+                self.ready_by_zone.get(endpoint.report.entry.zone, 0) + sign
+            )
 
-    def against_kind(self, seat: EndpointState, pace: float, uncrowded: float) -> float:
+    def relative_to_kind(self, endpoint: EndpointState, pace: float, uncrowded: float) -> float:
         """The pace relative to the endpoint's kind, or slower machines would always rank last though nothing
         is wrong."""
-        pace = max(LEAST_PACE, pace)  # an answer may have taken no time
-        kind, far = seat.report.entry.kind, seat.report.entry.zone != self.settings.zone
+        pace = max(MIN_PACE, pace)  # an answer may have taken no time
+        kind, remote = endpoint.report.entry.kind, endpoint.report.entry.zone != self.settings.zone
         if uncrowded:
-            self.kinds[kind] = 0.98 * self.kinds.get(kind, pace) + 0.02 * pace
-            self.zones[far] += 0.05 * (pace - self.zones[far])
-            self.unhurried += (uncrowded - self.unhurried) * (0.02 if self.unhurried else 1.0)
-        return pace * sum(self.kinds.values()) / max(1, len(self.kinds)) / self.kinds.get(kind, 1.0) or pace
+            self.pace_by_kind[kind] = 0.98 * self.pace_by_kind.get(kind, pace) + 0.02 * pace
+            self.pace_by_distance[remote] += 0.05 * (pace - self.pace_by_distance[remote])
+            self.uncrowded_latency += (uncrowded - self.uncrowded_latency) * (
+                0.02 if self.uncrowded_latency else 1.0
+            )
+        return (
+            pace
+            * sum(self.pace_by_kind.values())
+            / max(1, len(self.pace_by_kind))
+            / self.pace_by_kind.get(kind, 1.0)
+            or pace
+        )
 
-    def balance(self, usual: float) -> None:
+    def rebalance(self, median_pace: float) -> None:
         """Updates what own traffic keeps in flight, and the part of it that each endpoint gets."""
         now = self.message_queue.now
-        self.began = now if self.began < 0 else self.began
-        rate = self.came.total(now) * SECOND / min(5 * SECOND, max(SECOND, now - self.began))
+        self.arrivals_since = now if self.arrivals_since < 0 else self.arrivals_since
+        rate = self.arrivals.total(now) * SECOND / min(5 * SECOND, max(SECOND, now - self.arrivals_since))
         if self.settings.sidecar_per_client:
-            self.scale = rate * (self.unhurried or 100 * MS) / SECOND / max(1, self.ready)
-        wanted = self.zones[0] > max(ABROAD, self.zones[1])
-        self.abroad = min(1.0, self.abroad * 1.2) if wanted else max(ABROAD_LEAST, self.abroad * 0.9)
-        for seat in self.endpoint_states.values():
-            report, entry = seat.report, seat.report.entry
-            seat.pull = entry.weight / (1.0 if self.settings.told_speed else self.kinds.get(entry.kind, 1.0))
+            self.cap_scale = rate * (self.uncrowded_latency or 100 * MS) / SECOND / max(1, self.ready)
+        prefer_remote = self.pace_by_distance[0] > max(REMOTE_PACE, self.pace_by_distance[1])
+        self.remote_preference = (
+            min(1.0, self.remote_preference * 1.2)
+            if prefer_remote
+            else max(REMOTE_PREFERENCE_MIN, self.remote_preference * 0.9)
+        )
+        for endpoint in self.endpoint_states.values():
+            report, entry = endpoint.report, endpoint.report.entry
+            endpoint.preference = entry.weight / (
+                1.0 if self.settings.weights_tell_speed else self.pace_by_kind.get(entry.kind, 1.0)
+            )
             # The selection of endpoints accounts for the other square root.
-            seat.pull **= 0.5 if self.settings.few else 1.0
-            seat.pull *= min(1.5, (max(0.1, usual) / max(0.1, report.pace or usual)) ** 1.5)
-            if self.settings.crossing and entry.zone != self.settings.zone:
-                seat.pull *= self.abroad
-        if self.settings.few:
-            places = ceil(2 + rate / 8)
-            for seat in sorted(self.endpoint_states.values(), key=lambda seat: seat.lot):
-                used = places > 0
-                places -= seat.report.open
-                if used != seat.used:
-                    self.count(seat, -1)
-                    seat.used = used
-                    self.count(seat, 1)
-                    self.shelve(seat)
-
-    def keep_sweeping(self) -> None:
+            endpoint.preference **= 0.5 if self.settings.few_connections else 1.0
+            endpoint.preference *= min(
+                1.5, (max(0.1, median_pace) / max(0.1, report.pace or median_pace)) ** 1.5
+            )
+            if self.settings.crossing_price and entry.zone != self.settings.zone:
+                endpoint.preference *= self.remote_preference
+        if self.settings.few_connections:
+            remaining = ceil(2 + rate / 8)
+            for endpoint in sorted(
+                self.endpoint_states.values(), key=lambda endpoint: endpoint.selection_rank
+            ):
+                selected = remaining > 0
+                remaining -= endpoint.report.open
+                if selected != endpoint.selected:
+                    self.add_to_totals(endpoint, -1)
+                    endpoint.selected = selected
+                    self.add_to_totals(endpoint, 1)
+                    self.update_bucket(endpoint)
+
+    def schedule_check(self) -> None:
         """Only while requests are open: an idle sidecar should not wake up."""
-        if not self.sweeping:
-            self.sweeping = True
-            self.message_queue.set_timer(self.message_queue.now + SWEEP, self, PeriodicCheck())
+        if not self.check_scheduled:
+            self.check_scheduled = True
+            self.message_queue.set_timer(self.message_queue.now + CHECK_INTERVAL, self, PeriodicCheck())
 
-    def sweep(self, event: PeriodicCheck) -> None:
+    def on_periodic_check(self, event: PeriodicCheck) -> None:
         """Checks what is in flight, and learns the cap from the answers of all endpoints: those of one are
         too few."""
-        settings, self.sweeping = self.settings, False
-        if self.pace_over(self.settings.crowded):
+        settings, self.check_scheduled = self.settings, False
+        if self.is_slower_than(self.settings.crowded_pace):
             self.cap = max(settings.cap_floor, self.cap * 0.93)
-        elif not self.pace_over(self.settings.roomy):
-            self.grow()
-        self.turned_back, self.answers = False, 0
-        self.swept += 1
-        self.look_over(self.swept % 5 == 0)
-        for seat in list(self.busy.values()):
-            self.message_queue.send(self.endpoints[seat.name], self.usual)
+        elif not self.is_slower_than(self.settings.uncrowded_pace):
+            self.grow_cap()
+        self.rejected_since_check, self.handled_since_check = False, 0
+        self.check_count += 1
+        self.update_averages(self.check_count % 5 == 0)
+        for endpoint in list(self.busy.values()):
+            self.message_queue.send(self.endpoints[endpoint.name], self.averages)
         if self.shedding and not self.waiting:
             self.shedding = False
-            self.message_queue.log(f"shedding ended: {self.in_flight} in flight, room {self.part():.1f}")
-        if self.open:
-            self.keep_sweeping()
+            self.message_queue.log(f"shedding ended: {self.in_flight} in flight, room {self.capacity():.1f}")
+        if self.requests:
+            self.schedule_check()
 
-    def grow(self) -> None:
+    def grow_cap(self) -> None:
         """A sidecar with capacity for less than one attempt grows its cap by a fraction of it, as long as
         what is sent is answered; by the fixed step it would stay there for most of a minute."""
-        thin = self.ready and self.part() < 1 and not self.settings.sidecar_per_client
-        if thin and (self.answers or not self.in_flight):
-            if self.waiting or self.turned_back:
-                self.cap += max(self.settings.cap_growth, THIN_GROWTH * self.cap)
+        under_one = self.ready and self.capacity() < 1 and not self.settings.sidecar_per_client
+        if under_one and (self.handled_since_check or not self.in_flight):
+            if self.waiting or self.rejected_since_check:
+                self.cap += max(self.settings.cap_growth, SMALL_CAPACITY_GROWTH * self.cap)
         elif self.waiting:
             self.cap = min(float(MAX_CAP), self.cap + self.settings.cap_growth)
 
-    def look_over(self, all_: bool) -> None:
+    def update_averages(self, all_endpoints: bool) -> None:
         """Visits all endpoints only on request, since that costs most."""
-        now, pace, told = self.message_queue.now, self.usual.pace, self.usual.told
-        took = int(max((g.usual for g in self.gauges.values()), default=self.usual.took))
+        now, pace, reported_load = self.message_queue.now, self.averages.pace, self.averages.reported_load
+        latency = int(
+            max(
+                (estimate.current for estimate in self.latency_estimates.values()),
+                default=self.averages.latency,
+            )
+        )
         failed, answered = self.failed.total(now), self.answered.total(now)
-        busy = [seat.report.busy for seat in self.told if seat.report.told_at > now - TOLD_AGE]
-        if all_:
-            report = [seat.report for seat in self.endpoint_states.values()]
-            paces = sorted(one.pace for one in report if one.pace is not None)
+        busy = [
+            endpoint.report.busy
+            for endpoint in self.recent_reporters
+            if endpoint.report.reported_at > now - REPORT_LIFETIME
+        ]
+        if all_endpoints:
+            reports = [endpoint.report for endpoint in self.endpoint_states.values()]
+            paces = sorted(report.pace for report in reports if report.pace is not None)
             pace = paces[len(paces) // 2] if paces else 1.0
-            reports = [one.told for one in report if one.told is not None and one.told_at > now - TOLD_AGE]
-            told = sum(reports) / len(reports) if reports else 0.0
-            cold = [seat for seat in self.endpoint_states.values() if seat.report.cold_since is not None]
-            self.measure_warm(cold, now - self.looked)
-            for seat in self.load_buckets[MAX_CAP]:
-                self.message_queue.send(self.endpoints[seat.name], self.usual)
-            for seat in cold:
-                self.shelve(seat)  # the mean load that it counts with has changed
-        if all_ and self.settings.uneven:
-            self.balance(pace)
-        load = sum(busy) / len(busy) if busy else 1.0
-        self.usual = FleetAverages(took, self.crowding, pace, failed, answered, told, load)
-
-    def measure_warm(self, cold: list[EndpointState], span: int) -> None:
+            loads = [
+                report.reported_load
+                for report in reports
+                if report.reported_load is not None and report.reported_at > now - REPORT_LIFETIME
+            ]
+            reported_load = sum(loads) / len(loads) if loads else 0.0
+            cold = [
+                endpoint
+                for endpoint in self.endpoint_states.values()
+                if endpoint.report.cold_since is not None
+            ]
+            self.measure_warm_rate(cold, now - self.warm_measured_at)
+            for endpoint in self.load_buckets[MAX_CAP]:
+                self.message_queue.send(self.endpoints[endpoint.name], self.averages)
+            for endpoint in cold:
+                self.update_bucket(endpoint)  # the mean load that it counts with has changed
+        if all_endpoints and self.settings.uneven:
+            self.rebalance(pace)
+        utilization = sum(busy) / len(busy) if busy else 1.0
+        self.averages = FleetAverages(
+            latency, self.crowding, pace, failed, answered, reported_load, utilization
+        )
+
+    def measure_warm_rate(self, cold: list[EndpointState], span: int) -> None:
         """Measures what a warm endpoint handles, from which follows what a cold one may be sent."""
-        still = [seat.size for seat in cold if seat.counts() and self.warmth(seat.report) < 1]
-        warm = self.weight - sum(still)
-        if self.ready > len(still) and warm > 0 and span > 0:
-            gain = max(5 / self.swept, min(1.0, span / (5 * SECOND)))
-            self.each += gain * (self.handled * SECOND / span / warm - self.each)
-        self.handled, self.looked = 0, self.message_queue.now
-        if cold and not self.each:
-            used = [seat for seat in self.endpoint_states.values() if seat.used]
-            self.size = sum([seat.size for seat in used if seat.report.entry.state is t.EndpointStatus.READY])
-            self.able = sum([self.warmth(seat.report) * seat.size for seat in cold if seat.counts()])
+        cold_sizes = [
+            endpoint.size for endpoint in cold if endpoint.is_available() and self.warmth(endpoint.report) < 1
+        ]
+        warm_size = self.size_sum - sum(cold_sizes)
+        if self.ready > len(cold_sizes) and warm_size > 0 and span > 0:
+            gain = max(5 / self.check_count, min(1.0, span / (5 * SECOND)))
+            self.warm_rate += gain * (self.warm_handled * SECOND / span / warm_size - self.warm_rate)
+        self.warm_handled, self.warm_measured_at = 0, self.message_queue.now
+        if cold and not self.warm_rate:
+            selected = [endpoint for endpoint in self.endpoint_states.values() if endpoint.selected]
+            self.listed_size = sum(
+                [
+                    endpoint.size
+                    for endpoint in selected
+                    if endpoint.report.entry.state is t.EndpointStatus.READY
+                ]
+            )
+            self.cold_capacity = sum(
+                [self.warmth(endpoint.report) * endpoint.size for endpoint in cold if endpoint.is_available()]
+            )
 
 
 class EndpointActor(Actor):
@@ -896,214 +1153,248 @@
             random_source,
             entry,
         )
-        self.usual, self.share = FleetAverages(), 1.0
-        self.told: float | None = None
-        self.told_at, self.busy, self.crowded = 0, 1.0, False
+        self.averages, self.share = FleetAverages(), 1.0
+        self.reported_load: float | None = None
+        self.reported_at, self.busy, self.crowded = 0, 1.0, False
         self.mode = "ready"  # or "aside" (ejected), "trial"
         # Time of the last answer, or of the first attempt after none was in flight.
-        self.in_flight, self.heard = 0, 0
+        self.in_flight, self.last_heard = 0, 0
         self.pace: float | None = None
         # Answers since the last ejection; connection failures in a row.
-        self.answers, self.broken = 0, 0
+        self.answers, self.connection_failures = 0, 0
         self.failed, self.answered = BucketedSum(6, SECOND // 2), BucketedSum(6, SECOND // 2)
-        self.rest, self.turn, self.good_probes, self.eased, self.blip = REST, 0, 0, 0, False
+        self.ejection_time, self.probe_serial, self.good_probes, self.share_reduced_at, self.brief_outage = (
+            EJECTION_TIME,
+            0,
+            0,
+            0,
+            False,
+        )
         self.cold_since: int | None = None
 
-    def tell(self) -> None:
-        open_ = self.mode != "aside" and self.entry.state is t.EndpointStatus.READY
+    def send_report(self) -> None:
+        selectable = self.mode != "aside" and self.entry.state is t.EndpointStatus.READY
         self.message_queue.send(
             self.dispatcher,
             EndpointReport(
                 self.entry.endpoint,
-                open_,
+                selectable,
                 self.mode == "trial",
                 self.crowded,
                 self.share,
                 self.pace,
-                self.told,
-                self.told_at,
+                self.reported_load,
+                self.reported_at,
                 self.busy,
                 self.cold_since,
                 self.entry,
             ),
         )
 
-    def listed(self, event: t.ListEntry) -> None:
+    def on_list_entry(self, event: t.ListEntry) -> None:
         entry, fresh = (
             event,
             event.started and self.message_queue.now - event.started < self.dispatcher.settings.cold_time,
         )
-        fresh = fresh and (entry.started != self.entry.started or self.heard == 0)
+        fresh = fresh and (entry.started != self.entry.started or self.last_heard == 0)
         if fresh:
             # By another machine's clock the start may lie in the future: it would stay cold for too long.
             self.cold_since = min(entry.started, self.message_queue.now)
-        returned, self.entry = self.entry.state is not entry.state is t.EndpointStatus.READY, entry
+        is_ready_again, self.entry = self.entry.state is not entry.state is t.EndpointStatus.READY, entry
         if self.mode == "aside" and fresh and entry.state is t.EndpointStatus.READY:
             # By the list it runs, and the probes of all sidecars would use up its whole cold budget.
-            return self.on_trial()
-        if self.mode == "aside" and returned:
+            return self.start_trial()
+        if self.mode == "aside" and is_ready_again:
             self.schedule_probe(0)  # it was not probed so far: no need to wait out the ejection time
-        self.tell()
+        self.send_report()
 
-    def sent(self, event: AttemptSent) -> None:
-        self.heard, self.in_flight = (
-            self.heard if self.in_flight else self.message_queue.now,
+    def on_attempt_sent(self, event: AttemptSent) -> None:
+        self.last_heard, self.in_flight = (
+            self.last_heard if self.in_flight else self.message_queue.now,
             self.in_flight + 1,
         )
 
-    def answer(self, event: AttemptResult) -> None:
-        self.in_flight, self.usual = self.in_flight - 1, event.usual
+    def on_attempt_result(self, event: AttemptResult) -> None:
+        self.in_flight, self.averages = self.in_flight - 1, event.averages
         if not event.overtaken:
             self.answered.add(self.message_queue.now)
-            self.heard = self.heard if event.outcome is t.Outcome.TIMED_OUT else self.message_queue.now
+            self.last_heard = (
+                self.last_heard if event.outcome is t.Outcome.TIMED_OUT else self.message_queue.now
+            )
             if event.outcome is t.Outcome.HANDLED:
-                self.handled(event.pace)
+                self.record_handled(event.pace)
             else:
-                self.failure(event.outcome)
-            self.judge()
-        self.tell()
-
-    def handled(self, pace: float) -> None:
-        self.broken, self.answers = 0, self.answers + 1
-        was = pace if self.pace is None else self.pace
-        self.pace = was + max(0.1, 1 / (self.answers + 1)) * (min(pace, 8) - was)
-        self.share = min(1.0, self.share + SHARE_BACK)
+                self.record_failure(event.outcome)
+            self.evaluate()
+        self.send_report()
+
+    def record_handled(self, pace: float) -> None:
+        self.connection_failures, self.answers = 0, self.answers + 1
+        previous = pace if self.pace is None else self.pace
+        self.pace = previous + max(0.1, 1 / (self.answers + 1)) * (min(pace, 8) - previous)
+        self.share = min(1.0, self.share + SHARE_RECOVERY)
         if self.mode == "trial" and self.answers >= 3:
             self.end_trial()
 
-    def failure(self, how: t.Outcome) -> None:
-        quiet = self.message_queue.now - self.heard
+    def record_failure(self, outcome: t.Outcome) -> None:
+        silence = self.message_queue.now - self.last_heard
         self.failed.add(self.message_queue.now)
-        if how in (t.Outcome.UNCONNECTED, t.Outcome.RESET):
+        if outcome in (t.Outcome.UNCONNECTED, t.Outcome.RESET):
             # One failure to connect is enough: the probe that follows soon is cheaper than another attempt.
-            self.broken += 2 if how is t.Outcome.UNCONNECTED else 1
-            if self.broken >= 2:
-                self.plead("connections break", True)
+            self.connection_failures += 2 if outcome is t.Outcome.UNCONNECTED else 1
+            if self.connection_failures >= 2:
+                self.request_ejection("connections break", True)
         else:
-            self.broken = 0
-            self.ease(how)
-            if quiet > SILENCE * self.usual.took:
+            self.connection_failures = 0
+            self.reduce_share(outcome)
+            if silence > SILENCE_MULTIPLE * self.averages.latency:
                 # A hang met by one attempt alone: else each sidecar would keep losing single attempts to it.
-                self.plead(f"silent {quiet // MS} ms up to a time-out", False)
+                self.request_ejection(f"silent {silence // MS} ms up to a time-out", False)
         if self.mode == "trial":
-            self.plead("failed its trial", True)
+            self.request_ejection("failed its trial", True)
 
-    def report(self, load: t.LoadReport) -> None:
+    def record_load(self, load: t.LoadReport) -> None:
         """Takes up the queue length that one more request would meet, if reported, and the utilization."""
         if load.queued is not None:
-            self.told, self.told_at = load.queued + 1, self.message_queue.now
+            self.reported_load, self.reported_at = load.queued + 1, self.message_queue.now
         self.busy = 1.0 if load.busy is None else load.busy
 
-    def judge(self) -> None:
+    def evaluate(self) -> None:
         """Evaluates its answers against the fleet's averages."""
-        now, usual = self.message_queue.now, self.usual
+        now, averages = self.message_queue.now, self.averages
         # Own attempts in flight say little about a shared endpoint: a slow or full one is picked last.
-        fresh = self.told is not None and now - self.told_at <= TOLD_AGE
-        self.crowded = fresh and 0 < 2 * usual.told < self.told  # a mean of 0 is not known yet
-        if self.pace and self.answers >= 3 and now - self.heard < TOLD_AGE:
-            self.crowded = self.crowded or self.pace > BEHIND * max(1.0, usual.pace)
+        fresh = self.reported_load is not None and now - self.reported_at <= REPORT_LIFETIME
+        # A mean of 0 is not known yet.
+        self.crowded = fresh and 0 < 2 * averages.reported_load < self.reported_load
+        if self.pace and self.answers >= 3 and now - self.last_heard < REPORT_LIFETIME:
+            self.crowded = self.crowded or self.pace > DEPRIORITIZED_PACE * max(1.0, averages.pace)
         failed, answered = self.failed.total(now), self.answered.total(now)
-        failing = max(0.0, usual.failed - failed) / max(
-            1.0, usual.answered - answered
+        failing_share = max(0.0, averages.failed - failed) / max(
+            1.0, averages.answered - answered
         )  # of all other endpoints
-        if failed >= 3 and failed > (0.3 + 2 * failing) * answered:  # probes also fail without any answer
+        # Probes also fail without any answer.
+        if failed >= 3 and failed > (0.3 + 2 * failing_share) * answered:
             # Quick errors free its capacity fast, so it gets ever more requests; it must not count in the
             # average.
-            self.plead(f"failed {failed:.0f} of {answered:.0f}", False)
-        elif self.pace and self.answers >= 6 and self.pace > SLOW * max(1.0, usual.pace):
+            self.request_ejection(f"failed {failed:.0f} of {answered:.0f}", False)
+        elif self.pace and self.answers >= 6 and self.pace > SLOW_PACE * max(1.0, averages.pace):
             # Slow by itself, not with all others: overloaded or starved, it has to recover.
-            self.plead(f"slow, pace {self.pace:.1f}, fleet {usual.pace:.1f}", False)
+            self.request_ejection(f"slow, pace {self.pace:.1f}, fleet {averages.pace:.1f}", False)
 
     def end_trial(self) -> None:
         """Keeps an endpoint that is still overloaded from returning with its full share."""
-        if self.pace > SLOW * max(1.0, self.usual.pace):
-            self.plead(f"still slow, pace {self.pace:.1f}", True)
+        if self.pace > SLOW_PACE * max(1.0, self.averages.pace):
+            self.request_ejection(f"still slow, pace {self.pace:.1f}", True)
         else:
             self.mode = "ready"
             self.message_queue.log(f"{self.entry.endpoint} ready again: 3 answers, pace {self.pace:.1f}")
 
-    def ease(self, how: t.Outcome) -> None:
+    def reduce_share(self, outcome: t.Outcome) -> None:
         """Lowers its share, at most once per check interval; not for quick errors, which show no load by
         themselves."""
-        load = how not in (t.Outcome.ERROR, t.Outcome.SPOILT) or self.usual.crowding > ROOMY
-        if load and self.message_queue.now - self.eased >= SWEEP:
-            self.eased, self.share = self.message_queue.now, max(0.1, self.share * 0.7)
+        due_to_load = (
+            outcome not in (t.Outcome.ERROR, t.Outcome.SPOILT) or self.averages.crowding > UNCROWDED_PACE
+        )
+        if due_to_load and self.message_queue.now - self.share_reduced_at >= CHECK_INTERVAL:
+            self.share_reduced_at, self.share = self.message_queue.now, max(0.1, self.share * 0.7)
 
-    def look(self, event: FleetAverages) -> None:
+    def on_fleet_averages(self, event: FleetAverages) -> None:
         """Evaluates again while attempts are in flight or the endpoint is picked last."""
-        self.usual = event
+        self.averages = event
         if self.mode == "aside" or self.entry.state is t.EndpointStatus.GONE:
             return
-        quiet = self.message_queue.now - self.heard
-        if self.in_flight and quiet > (SILENCE + LONELY / self.in_flight) * event.took + SWEEP:
-            self.plead(f"silent {quiet // MS} ms, usual {event.took // MS} ms", False)
-        self.judge()
-        self.tell()
+        silence = self.message_queue.now - self.last_heard
+        if (
+            self.in_flight
+            and silence
+            > (SILENCE_MULTIPLE + SINGLE_ATTEMPT_SILENCE_MULTIPLE / self.in_flight) * event.latency
+            + CHECK_INTERVAL
+        ):
+            self.request_ejection(f"silent {silence // MS} ms, usual {event.latency // MS} ms", False)
+        self.evaluate()
+        self.send_report()
 
-    def plead(self, why: str, hard: bool) -> None:
+    def request_ejection(self, reason: str, hard: bool) -> None:
         if self.mode != "aside":
-            self.message_queue.send(self.registry, EjectionRequest(self.entry.endpoint, why, hard))
+            self.message_queue.send(self.registry, EjectionRequest(self.entry.endpoint, reason, hard))
 
-    def aside(self, event: Ejected) -> None:
+    def on_ejected(self, event: Ejected) -> None:
         if self.mode == "aside":
             return
-        self.rest = min(REST_MAX, self.rest * 2) if self.mode == "trial" else REST
-        self.mode, self.good_probes, self.blip = "aside", 0, self.mode == "ready" and self.broken >= 2
-        self.message_queue.log(f"{self.entry.endpoint} set aside: {event.why}")
-        if self.in_flight and event.why.startswith("silent"):
+        self.ejection_time = (
+            min(EJECTION_TIME_MAX, self.ejection_time * 2) if self.mode == "trial" else EJECTION_TIME
+        )
+        self.mode, self.good_probes, self.brief_outage = (
+            "aside",
+            0,
+            self.mode == "ready" and self.connection_failures >= 2,
+        )
+        self.message_queue.log(f"{self.entry.endpoint} set aside: {event.reason}")
+        if self.in_flight and event.reason.startswith("silent"):
             self.message_queue.send(self.dispatcher, EndpointSilent(self.entry.endpoint))
-        rest = self.rest - self.random_source.upto(self.rest // 4)
-        self.schedule_probe(SECOND // 10 if self.broken >= 2 and self.dispatcher.settings.probes else rest)
-        self.tell()
+        delay = self.ejection_time - self.random_source.upto(self.ejection_time // 4)
+        self.schedule_probe(
+            SECOND // 10
+            if self.connection_failures >= 2 and self.dispatcher.settings.probes_allowed
+            else delay
+        )
+        self.send_report()
 
     def schedule_probe(self, delay: int) -> None:
-        self.turn += 1
-        self.message_queue.set_timer(self.message_queue.now + delay, self, ProbeDue(self.turn))
+        self.probe_serial += 1
+        self.message_queue.set_timer(self.message_queue.now + delay, self, ProbeDue(self.probe_serial))
 
-    def probe_due(self, event: ProbeDue) -> None:
-        if event.turn != self.turn or self.mode != "aside" or self.entry.state is not t.EndpointStatus.READY:
+    def on_probe_due(self, event: ProbeDue) -> None:
+        if (
+            event.serial != self.probe_serial
+            or self.mode != "aside"
+            or self.entry.state is not t.EndpointStatus.READY
+        ):
             return
-        if self.dispatcher.settings.probes:
+        if self.dispatcher.settings.probes_allowed:
             self.message_queue.commands.append(t.StartProbe(self.entry.endpoint))
         else:
-            self.back()
+            self.readmit()
 
-    def probed(self, event: t.ProbeEnded) -> None:
+    def on_probe_ended(self, event: t.ProbeEnded) -> None:
         if event.load is not None:
-            self.report(event.load)
+            self.record_load(event.load)
         if self.mode != "aside":
             if event.outcome is t.Outcome.UNCONNECTED:
-                self.failure(event.outcome)
-            self.judge()
-            return self.tell()
-        good = event.outcome is t.Outcome.HANDLED
-        self.good_probes, self.blip = self.good_probes + 1 if good else 0, self.blip and good
+                self.record_failure(event.outcome)
+            self.evaluate()
+            return self.send_report()
+        succeeded = event.outcome is t.Outcome.HANDLED
+        self.good_probes, self.brief_outage = (
+            self.good_probes + 1 if succeeded else 0,
+            self.brief_outage and succeeded,
+        )
         if self.good_probes >= 2:
-            self.back()
+            self.readmit()
         else:
-            self.schedule_probe(SECOND // 5 if good else SECOND + self.random_source.upto(SECOND // 2))
+            self.schedule_probe(SECOND // 5 if succeeded else SECOND + self.random_source.upto(SECOND // 2))
 
-    def back(self) -> None:
+    def readmit(self) -> None:
         """Starts a trial: one attempt at a time, counted as cold, since a probe shows only that it runs."""
-        if self.blip:  # connections failed, but every probe since was answered: it was never down
-            self.mode, self.broken = "ready", 0
+        if self.brief_outage:  # connections failed, but every probe since was answered: it was never down
+            self.mode, self.connection_failures = "ready", 0
             self.message_queue.log(f"{self.entry.endpoint} ready again: it was not away")
-            return self.tell()
-        self.on_trial()
+            return self.send_report()
+        self.start_trial()
 
-    def on_trial(self) -> None:
-        self.mode, self.answers, self.pace, self.broken = "trial", 0, None, 0
+    def start_trial(self) -> None:
+        self.mode, self.answers, self.pace, self.connection_failures = "trial", 0, None, 0
         self.failed, self.answered = BucketedSum(6, SECOND // 2), BucketedSum(6, SECOND // 2)
-        cold = (
+        still_cold = (
             self.cold_since is not None
             and self.message_queue.now - self.cold_since < self.dispatcher.settings.cold_time
         )
-        self.heard, self.cold_since = (
+        self.last_heard, self.cold_since = (
             self.message_queue.now,
-            self.cold_since if cold else self.message_queue.now,
+            self.cold_since if still_cold else self.message_queue.now,
         )
         self.message_queue.log(f"{self.entry.endpoint} on trial")
-        self.tell()
+        self.send_report()
 
 
 class EndpointRegistry(Actor):
@@ -1113,7 +1404,7 @@
         self, message_queue: MessageQueue, dispatcher: Dispatcher, random_source: RandomSource
     ) -> None:
         super().__init__()
-        self.message_queue, self.dispatcher, self.random_source, self.asks = (
+        self.message_queue, self.dispatcher, self.random_source, self.failed_polls = (
             message_queue,
             dispatcher,
             random_source,
@@ -1121,35 +1412,44 @@
         )
         self.endpoints = dispatcher.endpoints
         self.listed: dict[str, t.ListEntry] = {}
-        self.out: set[str] = set()  # by operators
+        self.taken_out: set[str] = set()  # by operators
         # Listed as gone without a drain: they stay in use where that is not binding.
         self.dropped: set[str] = set()
 
-    def update(self, event: t.ListReceived) -> None:
-        longest, failed = self.dispatcher.settings.ask_span, event.kind is t.ListKind.FAILED
-        self.asks = self.asks + 1 if failed else 0  # discovery is overloaded, or the watch broke: back off
-        base = min(SECOND, self.dispatcher.settings.told * ASK_APART) << min(self.asks, 4)
-        span = min(longest, ASK_AGAIN, base) if failed else longest * (event.kind is t.ListKind.CACHED)
-        if span:  # jittered after a failure, spread after a cached list
+    def on_list_received(self, event: t.ListReceived) -> None:
+        poll_span, failed = self.dispatcher.settings.poll_span, event.kind is t.ListKind.FAILED
+        # Backs off: discovery is overloaded, or the watch broke.
+        self.failed_polls = self.failed_polls + 1 if failed else 0
+        base = min(SECOND, self.dispatcher.settings.configured_sidecars * POLL_SPACING) << min(
+            self.failed_polls, 4
+        )
+        delay = (
+            min(poll_span, POLL_RETRY_MAX_DELAY, base)
+            if failed
+            else poll_span * (event.kind is t.ListKind.CACHED)
+        )
+        if delay:  # jittered after a failure, spread after a cached list
             self.message_queue.set_timer(
-                self.message_queue.now + failed * span // 4 + self.random_source.upto(span), self, PollDue()
+                self.message_queue.now + failed * delay // 4 + self.random_source.upto(delay), self, PollDue()
             )
         if failed:
             return
         if event.kind is not t.ListKind.CHANGES:
-            named = {entry.endpoint for entry in event.entries}
-            for entry in [entry for name, entry in self.listed.items() if name not in named]:
-                self.tell(replace(entry, state=t.EndpointStatus.GONE))
+            listed_names = {entry.endpoint for entry in event.entries}
+            for entry in [entry for name, entry in self.listed.items() if name not in listed_names]:
+                self.apply_entry(replace(entry, state=t.EndpointStatus.GONE))
         for entry in sorted(event.entries, key=lambda entry: entry.state is t.EndpointStatus.READY):
-            self.tell(entry)  # leaving ones first: held requests go out as soon as a new one is ready
+            self.apply_entry(entry)  # leaving ones first: held requests go out as soon as a new one is ready
 
-    def tell(self, entry: t.ListEntry) -> None:
-        name, was = entry.endpoint, self.listed.get(entry.endpoint)
+    def apply_entry(self, entry: t.ListEntry) -> None:
+        name, previous = entry.endpoint, self.listed.get(entry.endpoint)
         if not 0 < entry.weight < inf:
             entry = replace(entry, weight=1.0)  # not a valid size
         self.dropped.discard(name)
         gone = (
-            entry.state is t.EndpointStatus.GONE and was is not None and was.state is t.EndpointStatus.READY
+            entry.state is t.EndpointStatus.GONE
+            and previous is not None
+            and previous.state is t.EndpointStatus.READY
         )
         if gone and not self.dispatcher.settings.gone_binds and self.endpoints[name].mode != "aside":
             return self.dropped.add(name)  # the list may be wrong: believed once the endpoint also fails
@@ -1161,50 +1461,54 @@
             self.listed.pop(name, None)
         else:
             self.listed[name] = entry
-        if name in self.out and entry.state is t.EndpointStatus.READY:
+        if name in self.taken_out and entry.state is t.EndpointStatus.READY:
             entry = replace(entry, state=t.EndpointStatus.DRAINING)
         self.message_queue.send(self.endpoints[name], entry)
 
-    def by_hand(self, event: t.OperatorOverride) -> None:
+    def on_operator_override(self, event: t.OperatorOverride) -> None:
         """Rules 3 and 4 apply as for a listed drain or start; the list is still followed underneath."""
-        if event.out == (event.endpoint in self.out):
+        if event.out == (event.endpoint in self.taken_out):
             return
-        (self.out.add if event.out else self.out.discard)(event.endpoint)
+        (self.taken_out.add if event.out else self.taken_out.discard)(event.endpoint)
         entry = self.listed.get(event.endpoint)
         if entry is not None:
-            self.tell(
+            self.apply_entry(
                 entry if event.out else replace(entry, started=max(entry.started, self.message_queue.now))
             )
         self.message_queue.log(f"{event.endpoint} {'out' if event.out else 'back'} by hand")
 
-    def ask(self, event: PollDue) -> None:
+    def on_poll_due(self, event: PollDue) -> None:
         self.message_queue.commands.append(t.StartWatch())
 
-    def probed(self, event: t.ProbeEnded) -> None:
+    def on_probe_ended(self, event: t.ProbeEnded) -> None:
         if event.endpoint in self.endpoints:
             self.message_queue.send(self.endpoints[event.endpoint], event)
 
-    def plea(self, event: EjectionRequest) -> None:
+    def on_ejection_request(self, event: EjectionRequest) -> None:
         """Never ejects many on soft evidence: what all endpoints have in common is not the fault of one."""
         if event.name in self.dropped:
             self.endpoints[event.name].mode = "aside"
-            return self.tell(replace(self.listed[event.name], state=t.EndpointStatus.GONE))
-        aside = sum(self.endpoints[name].mode == "aside" for name in self.listed)
-        most = max(1, ASIDE_SHARE * len(self.listed))
-        if len(self.listed) - aside > 1 and event.name in self.listed and (event.hard or aside + 1 <= most):
-            self.message_queue.send(self.endpoints[event.name], Ejected(event.why))
+            return self.apply_entry(replace(self.listed[event.name], state=t.EndpointStatus.GONE))
+        ejected = sum(self.endpoints[name].mode == "aside" for name in self.listed)
+        limit = max(1, MAX_EJECTED_SHARE * len(self.listed))
+        if (
+            len(self.listed) - ejected > 1
+            and event.name in self.listed
+            and (event.hard or ejected + 1 <= limit)
+        ):
+            self.message_queue.send(self.endpoints[event.name], Ejected(event.reason))
 
 
 class Sidecar:
     """The decision module: passes events from outside to its actors, and keeps one timer pending."""
 
-    def __init__(self, d: t.Deployment) -> None:
-        self.message_queue, random_source = MessageQueue(), RandomSource(d.seed)
-        self.dispatcher = Dispatcher(self.message_queue, DispatchSettings(d), random_source)
+    def __init__(self, deployment: t.Deployment) -> None:
+        self.message_queue, random_source = MessageQueue(), RandomSource(deployment.seed)
+        self.dispatcher = Dispatcher(self.message_queue, DispatchSettings(deployment), random_source)
         self.registry = EndpointRegistry(self.message_queue, self.dispatcher, random_source)
-        self.armed: int | None = None
+        self.timer_at: int | None = None
 
-    def step(self, now: int, events: list[t.Event], ring: bool = True) -> list[t.Command]:
+    def step(self, now: int, events: list[t.Event], fire_timers: bool = True) -> list[t.Command]:
         """Without `ring`, timers that are due wait for a later step. An exception while handling one event
         loses only that event: it is raised after the others are handled, with all commands, including the
         next timer, in `message_queue.commands`."""
@@ -1218,13 +1522,13 @@
                 event,
             )
             message_queue.run()
-        at = message_queue.fire_timers() if ring else None
-        if at is not None and (
-            self.armed is None or self.armed <= now or at < self.armed or message_queue.defects
+        next_due = message_queue.fire_timers() if fire_timers else None
+        if next_due is not None and (
+            self.timer_at is None or self.timer_at <= now or next_due < self.timer_at or message_queue.defects
         ):
-            self.armed = max(now + 1, at)
-            message_queue.commands.append(t.SetTimer(self.armed, 1))
+            self.timer_at = max(now + 1, next_due)
+            message_queue.commands.append(t.SetTimer(self.timer_at, 1))
         if message_queue.defects:
-            first, message_queue.defects = message_queue.defects[0], []
-            raise first
+            first_defect, message_queue.defects = message_queue.defects[0], []
+            raise first_defect
         return message_queue.commands
--- a/lupinmill/workings.py
+++ b/lupinmill/workings.py
@@ -12,7 +12,7 @@
 
 from lupinmill import terms as t
 
-THIN = 40  # answers behind a mean latency where caps are fractions
+MEAN_SAMPLES_FRACTIONAL = 40  # answers behind a mean latency where caps are fractions
 MEAN_SPAN = 2_000_000  # microseconds between two means of a latency estimate
 
 if TYPE_CHECKING:
@@ -34,10 +34,10 @@
         return int(self.draw() * (ceiling + 1))
 
 
-def mixed(one: int, other: int) -> float:
+def mixed(first: int, second: int) -> float:
     """Mixes two 32-bit hashes into a number above 0 and up to 1: the same in every process, and far apart for
     similar inputs."""
-    both = (one ^ other) * 0x9E3779B1 & 0xFFFFFFFF
+    both = (first ^ second) * 0x9E3779B1 & 0xFFFFFFFF
     both = (both ^ both >> 15) * 0x85EBCA77 & 0xFFFFFFFF
     return ((both ^ both >> 13) + 1) / 2**32
 
@@ -45,40 +45,40 @@
 class BucketedSum:
     """Sum over a sliding time window of `buckets * width` microseconds, in reused buckets."""
 
-    __slots__ = ("width", "sums", "marks")
+    __slots__ = ("width", "sums", "indexes")
 
     def __init__(self, buckets: int, width: int) -> None:
-        self.width, self.sums, self.marks = width, [0.0] * buckets, [-1] * buckets
+        self.width, self.sums, self.indexes = width, [0.0] * buckets, [-1] * buckets
 
     def add(self, now: int, amount: float = 1.0) -> None:
-        mark = now // self.width
-        slot = mark % len(self.sums)
-        if self.marks[slot] != mark:
-            self.marks[slot], self.sums[slot] = mark, 0.0
+        index = now // self.width
+        slot = index % len(self.sums)
+        if self.indexes[slot] != index:
+            self.indexes[slot], self.sums[slot] = index, 0.0
         self.sums[slot] += amount
 
     def total(self, now: int) -> float:
         oldest = now // self.width - len(self.sums)
-        return sum(s for s, mark in zip(self.sums, self.marks) if mark > oldest)
+        return sum(amount for amount, index in zip(self.sums, self.indexes) if index > oldest)
 
 
 class LatencyEstimate:
     """Latency of one workload: the current one, and the uncrowded one, which is the least mean of the last
     half minute. Each mean is taken over at least `evidence` answers."""
 
-    def __init__(self, guess: int, evidence: int) -> None:
-        self.usual = self.uncrowded = float(max(1, guess))
-        self.evidence = evidence
+    def __init__(self, initial: int, min_samples: int) -> None:
+        self.current = self.uncrowded = float(max(1, initial))
+        self.min_samples = min_samples
         self.means: deque[float] = deque(maxlen=15)
-        self.mark, self.total, self.count, self.pace = -1, 0.0, 0, 1.0
+        self.bucket, self.total, self.count, self.pace = -1, 0.0, 0, 1.0
 
-    def add(self, now: int, took: int) -> None:
-        self.usual += (took - self.usual) * (0.05 if self.means else 0.2)
-        self.total, self.count = self.total + took, self.count + 1
-        if now // MEAN_SPAN != self.mark and self.count >= self.evidence:
-            self.mark = now // MEAN_SPAN
+    def add(self, now: int, duration: int) -> None:
+        self.current += (duration - self.current) * (0.05 if self.means else 0.2)
+        self.total, self.count = self.total + duration, self.count + 1
+        if now // MEAN_SPAN != self.bucket and self.count >= self.min_samples:
+            self.bucket = now // MEAN_SPAN
             # With many sidecars the first mean may already be taken in an overload.
-            if not self.means and self.evidence == THIN:
+            if not self.means and self.min_samples == MEAN_SAMPLES_FRACTIONAL:
                 self.means.append(1.4 * self.uncrowded)
             self.means.append(self.total / self.count)
             self.uncrowded = min(self.means)
@@ -86,7 +86,7 @@
         elif not self.means:
             # Following it upwards would take an overload at the start for the uncrowded state, and let caps
             # grow.
-            self.uncrowded = min(self.uncrowded, self.usual)
+            self.uncrowded = min(self.uncrowded, self.current)
 
 
 class Actor:
@@ -104,12 +104,12 @@
 
 
 @cache
-def handlers(part: type) -> tuple[tuple[type, str], ...]:
+def handlers(actor: type) -> tuple[tuple[type, str], ...]:
     found: dict[type, str] = {}
-    for name, method in vars(part).items():
+    for name, method in vars(actor).items():
         kind = get_type_hints(method).get("event", Any) if callable(method) else Any
         if kind is not Any:
-            assert kind not in found, f"{part.__name__}: {found[kind]} and {name} take {kind.__name__}"
+            assert kind not in found, f"{actor.__name__}: {found[kind]} and {name} take {kind.__name__}"
             found[kind] = name
     return tuple(found.items())
 
@@ -125,22 +125,22 @@
         self.timers: list[tuple[int, int, Any, Any]] = []
         self.serial = 0
 
-    def send(self, part: Any, event: Any) -> None:
-        if not part.inbox:
-            self.waiting.append(part)
-        part.inbox.append(event)
+    def send(self, actor: Any, event: Any) -> None:
+        if not actor.inbox:
+            self.waiting.append(actor)
+        actor.inbox.append(event)
 
-    def set_timer(self, at: int, part: Any, event: Any) -> None:
+    def set_timer(self, at: int, actor: Any, event: Any) -> None:
         self.serial += 1
-        heappush(self.timers, (at, self.serial, part, event))
+        heappush(self.timers, (at, self.serial, actor, event))
 
     def run(self) -> None:
         while self.waiting:
-            part = self.waiting.popleft()
-            inbox, part.inbox = part.inbox, []
+            actor = self.waiting.popleft()
+            inbox, actor.inbox = actor.inbox, []
             for event in inbox:
                 try:
-                    part.take(event)
+                    actor.take(event)
                 except Exception as error:  # loses only that message: queues, commands and timers stay
                     error.about = event
                     self.defects.append(error)
@@ -149,8 +149,8 @@
         """Called after all events of the same time: what is due must not go to an endpoint that has just
         left. Returns when the next timer is due, None if there is none."""
         while self.timers and self.timers[0][0] <= self.now:
-            _, _, part, event = heappop(self.timers)
-            self.send(part, event)
+            _, _, actor, event = heappop(self.timers)
+            self.send(actor, event)
         self.run()
         return self.next_timer()
 
@@ -172,12 +172,12 @@
 
     name: str
     open: bool  # may be picked
-    trial: bool
+    on_trial: bool
     crowded: bool
     share: float
     pace: float | None
-    told: float | None
-    told_at: int
+    reported_load: float | None
+    reported_at: int
     busy: float
     cold_since: int | None
     entry: t.ListEntry
@@ -192,12 +192,12 @@
 class FleetAverages:
     """Dispatcher to endpoint: figures over all endpoints. `crowding` is the mean pace of all answers."""
 
-    took: int = 1_000_000
+    latency: int = 1_000_000
     crowding: float = 1.0
     pace: float = 1.0
     failed: float = 0.0
     answered: float = 0.0
-    told: float = 0.0
+    reported_load: float = 0.0
     busy: float = 1.0
 
 
@@ -208,7 +208,7 @@
     outcome: t.Outcome
     pace: float
     overtaken: bool  # ended by this sidecar or by the client, not by the endpoint
-    usual: FleetAverages
+    averages: FleetAverages
 
 
 @dataclass(slots=True)
@@ -221,7 +221,7 @@
     """Endpoint to registry. On hard evidence the limit on ejected endpoints does not apply."""
 
     name: str
-    why: str
+    reason: str
     hard: bool
 
 
@@ -229,7 +229,7 @@
 class Ejected:
     """Registry to endpoint: the ejection is granted."""
 
-    why: str
+    reason: str
 
 
 @dataclass(slots=True)
@@ -243,7 +243,7 @@
 class ProbeDue:
     """Timer of an endpoint; an outdated serial is ignored."""
 
-    turn: int
+    serial: int
 
 
 @dataclass(slots=True)
@@ -273,20 +273,20 @@
     name: str
     report: EndpointReport
     in_flight: int = 0
-    elsewhere: int = 0  # of these, attempts of an older process of this sidecar
-    coming: int = 0  # attempts whose request body is incomplete: not counted as in flight yet
+    predecessor_in_flight: int = 0  # of these, attempts of an older process of this sidecar
+    receiving: int = 0  # attempts whose request body is incomplete: not counted as in flight yet
     bucket: int = -1  # of `load_buckets`: by attempts in flight, crowded endpoints far behind; -1: none
-    spot: int = 0  # position in the bucket
+    bucket_index: int = 0  # position in the bucket
     credit: float = 0.0
-    credited: int = 0
-    mark: int = 0  # the same in all sidecars
-    lot: float = 0.0  # random per sidecar: it uses the endpoints of the lowest ranks
-    used: bool = True
-    pull: float = 1.0  # weight among equals
+    credited_at: int = 0
+    name_hash: int = 0  # the same in all sidecars
+    selection_rank: float = 0.0  # random per sidecar: it uses the endpoints of the lowest ranks
+    selected: bool = True
+    preference: float = 1.0  # weight among equals
     size: float = 1.0  # its listed weight, where that tells its size
 
-    def counts(self) -> bool:
-        return self.used and self.report.open
+    def is_available(self) -> bool:
+        return self.selected and self.report.open
 
 
 @dataclass(slots=True)
@@ -294,8 +294,8 @@
     """One attempt of a request at one endpoint."""
 
     endpoint_state: EndpointState
-    sent: int
-    out: bool = True
+    sent_at: int
+    pending: bool = True
     never_ran: bool = False
     overdue: bool = False  # unanswered at the hard limit
     counted: bool = False  # as in flight: not while the request body is incomplete
@@ -305,6 +305,6 @@
 class RequestQueue:
     """Held requests of one workload, tenant standing, repeat flag and zone; first come, first served."""
 
-    worth: float
+    priority: float
     zone: str = ""
     waiting: deque[RequestState] = field(default_factory=deque)
--- a/lupinmill/zones/driver.py
+++ b/lupinmill/zones/driver.py
@@ -72,7 +72,7 @@
     def send_report(self) -> None:
         sidecar, now = self.engine.sidecar, self.engine.clock.now()
         report = self.monitor.report(now, self.core.name, sidecar)
-        self.process(member.OwnReport(report, dict(sidecar.dispatcher.open_in)))
+        self.process(member.OwnReport(report, dict(sidecar.dispatcher.ready_by_zone)))
 
     # Events in, commands out.
 
--- a/lupinmill/zones/traffic_monitor.py
+++ b/lupinmill/zones/traffic_monitor.py
@@ -24,10 +24,10 @@
     """Wraps the decision module's `step`."""
     step = sidecar.step
 
-    def monitored(now: int, events: list[t.Event], ring: bool = True) -> list[t.Command]:
+    def monitored(now: int, events: list[t.Event], fire_timers: bool = True) -> list[t.Command]:
         for event in events:
             monitor.before_step(now, event, sidecar)
-        commands = step(now, events, ring)
+        commands = step(now, events, fire_timers)
         monitor.after_step(now, commands, sidecar)
         return commands
 
@@ -63,16 +63,16 @@
             if ring is not None:
                 ring.add(now)
         elif isinstance(event, t.AttemptEnded):
-            request = sidecar.dispatcher.open.get(event.request)
+            request = sidecar.dispatcher.requests.get(event.request)
             if (
                 request is None
                 or event.attempt >= len(request.attempts)
-                or not request.attempts[event.attempt].out
+                or not request.attempts[event.attempt].pending
             ):
                 return
             counters = self.zones.get(request.attempts[event.attempt].endpoint_state.report.entry.zone)
             if counters is not None:
-                gauge = sidecar.dispatcher.gauges.get(request.workload.name)
+                gauge = sidecar.dispatcher.latency_estimates.get(request.workload.name)
                 self.attempt_ended(now, counters, event, gauge.uncrowded if gauge is not None else 0.0)
 
     def attempt_ended(
@@ -94,7 +94,7 @@
             if isinstance(command, t.StartAttempt):
                 endpoint, request = (
                     sidecar.dispatcher.endpoint_states.get(command.endpoint),
-                    sidecar.dispatcher.open.get(command.request),
+                    sidecar.dispatcher.requests.get(command.request),
                 )
                 if endpoint is None or request is None:
                     continue
@@ -116,14 +116,14 @@
         denying = denied > MAX_DENIED_SHARE * max(1.0, arrived)
         listed, cold = self.listed_by_zone(sidecar), {}
         for endpoint in dispatcher.endpoint_states.values():
-            if endpoint.counts() and endpoint.report.cold_since is not None:
+            if endpoint.is_available() and endpoint.report.cold_since is not None:
                 zone = endpoint.report.entry.zone
                 cold[zone] = cold.get(zone, 0.0) + 1 - dispatcher.warmth(endpoint.report)
         observations = {}
         for zone, counters in self.zones.items():
             handled = counters.handled.total(now)
             slowdown = counters.slowdowns.total(now) / handled if handled else 1.0
-            ready = max(0, dispatcher.open_in.get(zone, 0))
+            ready = max(0, dispatcher.ready_by_zone.get(zone, 0))
             cold_share = cold.get(zone, 0) / ready if ready else 0.0
             observations[zone] = ZoneObservation(
                 counters.attempts.total(now),
--- a/tests/test_beside.py
+++ b/tests/test_beside.py
@@ -136,7 +136,7 @@
     bed, rand = Bed(d, endpoints=8), random.Random(3)
     beyond = {"a": 0, "b": 0}
     taken, desk = {"a": 0, "b": 0}, bed.sidecar.dispatcher
-    whole = desk.beyond_share
+    whole = desk.is_beyond_share
 
     def watched(tenant: str) -> bool:
         found = whole(tenant)
@@ -144,7 +144,7 @@
         taken[tenant] += 1
         return found
 
-    desk.beyond_share = watched
+    desk.is_beyond_share = watched
     serve(bed, 600, 20 * MS, tenant=lambda at: "a" if rand.random() < 0.75 else "b")
     assert beyond["b"] < 0.1 * taken["b"] and 0.2 < beyond["a"] / taken["a"] < 0.5
 
@@ -196,9 +196,11 @@
     before, after = old.sidecar.dispatcher, new.sidecar.dispatcher
     for desk in (before, after):
         desk.message_queue.now = old.now
-        desk.balance(1.0)
-    assert after.kinds == before.kinds and after.unhurried == before.unhurried > 0
-    assert 0.9 * before.part() < after.part() < 1.1 * before.part() and after.part() > 2
+        desk.rebalance(1.0)
+    assert (
+        after.pace_by_kind == before.pace_by_kind and after.uncrowded_latency == before.uncrowded_latency > 0
+    )
+    assert 0.9 * before.capacity() < after.capacity() < 1.1 * before.capacity() and after.capacity() > 2
 
 
 def test_nothing_learned_passes_between_the_two_shapes():
--- a/tests/test_common.py
+++ b/tests/test_common.py
@@ -8,7 +8,7 @@
 from lupinmill import terms as t
 from lupinmill.peers.live_count import FALL_DELAY_US, TRUST_US, LiveCount
 from lupinmill.peers.view import SECOND
-from lupinmill.rules import CAP_START, FLEET_START, Sidecar
+from lupinmill.rules import CAP_START, FLEET_CAP_START, Sidecar
 from lupinmill.state import learned
 
 MS = 1_000
@@ -61,9 +61,11 @@
 def test_a_plan_that_is_not_confirmed_ends_by_itself():
     bed = bed_with_endpoints()
     update_shared_state(bed, until=SECOND, plan=same_plan_for_all({"a": 1.0}), sidecars=4)
-    assert bed.sidecar.dispatcher.settings.sharers == 4
+    assert bed.sidecar.dispatcher.settings.active_sidecars == 4
     bed.run(2 * SECOND)
-    assert bed.sidecar.dispatcher.settings.sharers == 2 and not bed.sidecar.dispatcher.common.plan
+    assert (
+        bed.sidecar.dispatcher.settings.active_sidecars == 2 and not bed.sidecar.dispatcher.fleet_state.plan
+    )
     assert len(set(zones_of_first_attempts(bed, complete_requests(bed, 60)))) == 3
 
 
@@ -172,13 +174,13 @@
 def test_caps_follow_the_live_count_and_what_was_learned_is_scaled():
     sidecar = Sidecar(deployment(instances=4))
     start = sidecar.dispatcher.cap
-    assert start == FLEET_START / 4
+    assert start == FLEET_CAP_START / 4
     sidecar.step(SECOND, [t.FleetState(sidecars=2, until=9 * SECOND)])
     assert sidecar.dispatcher.cap == 2 * start and sidecar.dispatcher.settings.cap_start == CAP_START
     sidecar.step(2 * SECOND, [t.FleetState(sidecars=8, until=9 * SECOND)])
     assert sidecar.dispatcher.cap == start / 2
     sidecar.step(9 * SECOND, [t.TimerFired(1)])
-    assert sidecar.dispatcher.cap == start and sidecar.dispatcher.settings.sharers == 4
+    assert sidecar.dispatcher.cap == start and sidecar.dispatcher.settings.active_sidecars == 4
 
 
 def test_the_next_process_of_an_upgrade_learns_the_cap_as_among_those_told():
@@ -186,7 +188,7 @@
     old, new = Sidecar(deployment(instances=4)), Sidecar(deployment(instances=4))
     old.step(SECOND, [t.FleetState(sidecars=2, until=9 * SECOND)])
     learned.recall(new, learned.learned(old), SECOND)
-    assert new.dispatcher.cap == FLEET_START / 4
+    assert new.dispatcher.cap == FLEET_CAP_START / 4
 
 
 def test_a_fall_of_the_count_waits_and_a_rise_does_not():
--- a/tests/test_config_sidecar.py
+++ b/tests/test_config_sidecar.py
@@ -162,11 +162,11 @@
         assert program.pool.time_out == 0.7 and program.pool.fresh == 11.0 * 0.8
         assert program.take_in.advice == 250_000
         assert program.door.workloads == {"view", "issue", "quick"} == program.admit.workloads
-        assert program.engine.sidecar.dispatcher.settings.sharers == 2
+        assert program.engine.sidecar.dispatcher.settings.active_sidecars == 2
         await net.in_force({FLEET: {"workloads": {"quick": None}}})
         assert (await net.ask(wanted("s4", "quick"))).status == 503
         assert (await net.ask(wanted("s5", "bid"))).status == 200
-        assert program.engine.sidecar.dispatcher.settings.sharers == 1
+        assert program.engine.sidecar.dispatcher.settings.active_sidecars == 1
         cap = program.engine.sidecar.dispatcher.cap
         await net.in_force({FLEET: {"instances": 400}})
         assert program.discovery.wait == 2.0 and program.engine.sidecar.dispatcher.cap == cap / 400
@@ -187,11 +187,11 @@
         async with anyio.create_task_group() as group:
             group.start_soon(ask, "old")
             await until(lambda: net.stands[0].seen)
-            open_ = net.program.engine.sidecar.dispatcher.open["old"]
+            open_ = net.program.engine.sidecar.dispatcher.requests["old"]
             await net.in_force({FLEET: {"workloads": {"view": {"repeat": "once", "contract-time-s": 0.2}}}})
             group.start_soon(ask, "new")
-            await until(lambda: "new" in net.program.engine.sidecar.dispatcher.open)
-            newer = net.program.engine.sidecar.dispatcher.open["new"]
+            await until(lambda: "new" in net.program.engine.sidecar.dispatcher.requests)
+            newer = net.program.engine.sidecar.dispatcher.requests["new"]
             assert open_.workload.repeat is t.RepeatPolicy.IDEMPOTENT and open_.workload.contract == 500_000
             assert newer.workload.repeat is t.RepeatPolicy.UNREPEATABLE and newer.workload.contract == 200_000
         assert times["old"][0] in (502, 503) and times["new"][0] == 502
--- a/tests/test_config_terms.py
+++ b/tests/test_config_terms.py
@@ -66,7 +66,7 @@
 def waits_for_a_retry(bed: Bed, workload: t.Workload, how: t.Outcome) -> str:
     name = bed.arrive(workload)
     bed.end(name, 0, how, after=10_000)
-    assert bed.sidecar.dispatcher.open[name].retrying and not bed.out(name)
+    assert bed.sidecar.dispatcher.requests[name].retrying and not bed.out(name)
     return name
 
 
@@ -139,7 +139,7 @@
     assert all(name in bed.closed for name in held)
     assert sum(bed.closed[name] == "handled" for name in held) >= 8
     bed.deploy(workloads=[ONCE])
-    assert set(bed.sidecar.dispatcher.gauges) <= {"issue"} and not bed.sidecar.dispatcher.queues
+    assert set(bed.sidecar.dispatcher.latency_estimates) <= {"issue"} and not bed.sidecar.dispatcher.queues
 
 
 def test_worths_follow_and_what_was_learned_stays():
@@ -147,12 +147,16 @@
     busy(bed)
     desk = bed.sidecar.dispatcher
     held = [bed.arrive(one) for one in (IDEM, KEYED) for _ in range(6)]
-    cap, gauge, lanes = desk.cap, desk.gauges["view"], dict(desk.queues)
-    usual = (gauge.usual, gauge.uncrowded)
+    cap, gauge, lanes = desk.cap, desk.latency_estimates["view"], dict(desk.queues)
+    usual = (gauge.current, gauge.uncrowded)
     assert {key[0] for key, lane in lanes.items() if lane.waiting} == {"view", "bid"}
     bed.deploy(workloads=[as_(IDEM, value=9.0), KEYED])
-    assert desk.cap == cap and desk.gauges["view"] is gauge and (gauge.usual, gauge.uncrowded) == usual
-    assert {key: lane.worth for key, lane in desk.queues.items()} == {
+    assert (
+        desk.cap == cap
+        and desk.latency_estimates["view"] is gauge
+        and (gauge.current, gauge.uncrowded) == usual
+    )
+    assert {key: lane.priority for key, lane in desk.queues.items()} == {
         key: 9.0 if key[0] == "view" else KEYED.value for key in desk.queues
     }
     view = next(lane for key, lane in desk.queues.items() if key[0] == "view")
@@ -162,7 +166,9 @@
         for command in bed.end(held[0], 0, t.Outcome.HANDLED, after=5_000)
         if isinstance(command, t.StartAttempt)
     ]
-    assert launched and all(bed.sidecar.dispatcher.open[name].workload.name == "view" for name in launched)
+    assert launched and all(
+        bed.sidecar.dispatcher.requests[name].workload.name == "view" for name in launched
+    )
 
 
 def test_instances_share_out_the_learned_cap():
@@ -171,13 +177,17 @@
     desk = bed.sidecar.dispatcher
     cap = desk.cap
     bed.deploy(instances=8)
-    assert desk.cap == cap / 4 and desk.settings.sharers == 8 and desk.settings.told == 8
+    assert (
+        desk.cap == cap / 4 and desk.settings.active_sidecars == 8 and desk.settings.configured_sidecars == 8
+    )
     bed.step(t.FleetState(sidecars=4, until=bed.now + SECOND), after=1)
     assert desk.cap == cap / 2
     bed.deploy(instances=16)  # the live count goes before it while it counts
-    assert desk.cap == cap / 2 and desk.settings.sharers == 4 and desk.settings.told == 16
+    assert (
+        desk.cap == cap / 2 and desk.settings.active_sidecars == 4 and desk.settings.configured_sidecars == 16
+    )
     bed.run(2 * SECOND)
-    assert desk.cap == pytest.approx(cap / 8) and desk.settings.sharers == 16
+    assert desk.cap == pytest.approx(cap / 8) and desk.settings.active_sidecars == 16
 
 
 def test_the_same_deployment_again_changes_no_decision():
@@ -299,7 +309,7 @@
             bed.end(name, at, t.Outcome.CALLED_OFF)
     bed.run(SECOND)
     desk = bed.sidecar.dispatcher
-    assert not desk.open and not desk.waiting and not desk.in_flight
+    assert not desk.requests and not desk.waiting and not desk.in_flight
 
 
 def test_two_thousand_changes_leave_memory_and_tables_bounded():
@@ -335,8 +345,10 @@
             for book in (bed.flights, bed.terms, bed.closed, bed.answers, bed.logs, bed.wakes, bed.probes):
                 book.clear()
             sizes.append(len(pickle.dumps(bed.sidecar)))
-        assert len(desk.queues) <= 5 + len(desk.open) and len(desk.gauges) <= 5 + len(desk.open)
-        assert len(desk.sent_by) == 1 and len(gate.lines) <= 5
+        assert len(desk.queues) <= 5 + len(desk.requests) and len(desk.latency_estimates) <= 5 + len(
+            desk.requests
+        )
+        assert len(desk.arrivals_by_tenant) == 1 and len(gate.lines) <= 5
         assert len(admit.gone) <= 1_000 and len(admit.known) <= 1_005
-    assert not desk.open and len(desk.queues) == 0
+    assert not desk.requests and len(desk.queues) == 0
     assert max(sizes[1:]) < 1.2 * sizes[0], sizes
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -65,7 +65,7 @@
 async def all_quiet(net: Net) -> None:
     """Nothing is left in the module either."""
     desk = net.program.engine.sidecar.dispatcher
-    await until(lambda: not net.program.book.journeys and not desk.open)
+    await until(lambda: not net.program.book.journeys and not desk.requests)
     assert (
         desk.waiting == 0
         and desk.in_flight == 0
@@ -274,7 +274,7 @@
         return await fine(request)
 
     async def check(net: Net):
-        net.program.engine.sidecar.dispatcher.taken.add(net.program.engine.clock.now(), 1000.0)
+        net.program.engine.sidecar.dispatcher.new_requests.add(net.program.engine.clock.now(), 1000.0)
         async with await connect(net) as stream:
             for at in range(before):
                 await stream.send(wanted(f"b{at}"))
@@ -405,7 +405,7 @@
     async def check(net: Net):
         desk = net.program.engine.sidecar.dispatcher
         if held_by == "a retry delay":
-            desk.taken.add(desk.message_queue.now, 1000.0)  # the budget allows one
+            desk.new_requests.add(desk.message_queue.now, 1000.0)  # the budget allows one
             desk.random_source.upto = lambda ceiling: ceiling  # the longest delay
         if held_by == "a connection that comes up late":
             opens = net.program.pool.open
@@ -428,7 +428,7 @@
                 await arrived(net, "s1")
                 await stream.send(b"more")
             await withdrawn(net)
-            assert "s1" not in desk.open or desk.open["s1"].done
+            assert "s1" not in desk.requests or desk.requests["s1"].done
             gone.set()
         assert (await net.ask(wanted("s2"))).status == 200
         await all_quiet(net)
--- a/tests/test_crossings_endpoints.py
+++ b/tests/test_crossings_endpoints.py
@@ -93,7 +93,7 @@
 
     async def check(net: Net):
         monkeypatch.setattr(transport, "stream_socket", narrow)
-        net.program.engine.sidecar.dispatcher.taken.add(net.program.engine.clock.now(), 1000.0)
+        net.program.engine.sidecar.dispatcher.new_requests.add(net.program.engine.clock.now(), 1000.0)
         if kept:
             assert (await net.ask(wanted("s0"))).status == 200
             (one,) = net.program.pool.idle["e0"]
@@ -313,7 +313,7 @@
     """Endpoints drop repeats by the key: where a request brings none, nothing would be dropped."""
 
     async def check(net: Net):
-        net.program.engine.sidecar.dispatcher.taken.add(net.program.engine.clock.now(), 1000.0)
+        net.program.engine.sidecar.dispatcher.new_requests.add(net.program.engine.clock.now(), 1000.0)
         data = wanted("s1", "bid", "0.9")
         answer = await net.ask(data if key else data.replace(b"Idempotency-Key: k-s1\r\n", b""))
         assert answer.status in (400, 502)
--- a/tests/test_discovery_directory.py
+++ b/tests/test_discovery_directory.py
@@ -17,7 +17,7 @@
 def fail_updates(net: Net, times: int) -> list[t.ListReceived]:
     """Makes the module's list raise in the middle of its next `times` updates; returns the failed entries."""
     roster = net.program.engine.sidecar.registry
-    original_tell, update, failed = roster.tell, roster.handlers[t.ListReceived], []
+    original_tell, update, failed = roster.apply_entry, roster.handlers[t.ListReceived], []
 
     def failing_tell(entry):
         if len(failed) < times and entry.endpoint == "e1":
@@ -25,7 +25,7 @@
             raise ZeroDivisionError("planted")
         original_tell(entry)
 
-    roster.tell = failing_tell
+    roster.apply_entry = failing_tell
     assert update is not None
     return failed
 
--- a/tests/test_engine_defects.py
+++ b/tests/test_engine_defects.py
@@ -37,7 +37,7 @@
 
 def test_an_arrival_that_the_module_fails_on_is_answered_long_before_its_deadline():
     async def check(net: Net):
-        fail_on(net, "arrive", lambda event: event.request == "bad")
+        fail_on(net, "on_request_arrived", lambda event: event.request == "bad")
         with anyio.fail_after(4):  # its deadline is 8 s away
             answer = await net.ask(wanted("bad", "issue", "8.0"))
         assert answer.status == 502
@@ -52,7 +52,9 @@
 def test_an_outcome_that_the_module_fails_on_ends_its_request_at_once(how):
     async def check(net: Net):
         fail_on(
-            net, "end", lambda event: event.request == "bad" and event.outcome is not t.Outcome.CALLED_OFF
+            net,
+            "on_attempt_ended",
+            lambda event: event.request == "bad" and event.outcome is not t.Outcome.CALLED_OFF,
         )
         with anyio.fail_after(4):
             assert (await net.ask(wanted("bad", "issue", "8.0"))).status == 502
@@ -116,7 +118,7 @@
         self.message_queue = self
         self.commands: list = []
 
-    def step(self, now: int, events: list, ring: bool = True) -> list:
+    def step(self, now: int, events: list, fire_timers: bool = True) -> list:
         self.commands = []
         if isinstance(events[0], t.RequestCancelled):
             self.commands = [t.WriteLog("ordered before the failure")]
@@ -196,7 +198,7 @@
             raise KeyError("planted")
 
         engine.carriers |= {t.StartAttempt: raising, t.RejectRequest: lambda command: done.append("denied")}
-        engine.sidecar.step = lambda now, events, ring: (
+        engine.sidecar.step = lambda now, events, fire_timers: (
             [t.StartAttempt("s1", "e0", 0), t.RejectRequest("s2")]
             if events[0].request == "outer"
             else done.append("inner") or []
@@ -216,7 +218,7 @@
         engine, desk = net.program.engine, net.program.engine.sidecar.dispatcher
         due = engine.clock.now() + 8_000_000
         engine.tell(t.RequestArrived("ghost", "issue", due))  # no client's: the book knows nothing of it
-        await until(lambda: not desk.open)
+        await until(lambda: not desk.requests)
         assert desk.in_flight == 0 and not any(seat.in_flight for seat in desk.endpoint_states.values())
         assert (await net.ask(wanted("s1", "issue"))).status == 200
 
@@ -229,8 +231,14 @@
 
     async def check(net: Net):
         chosen = {f"s{at}" for at in range(0, 60, 3)}
-        fail_on(net, "arrive", lambda event: event.request in chosen and int(event.request[1:]) % 2)
-        fail_on(net, "end", lambda event: event.request in chosen and event.outcome is t.Outcome.HANDLED)
+        fail_on(
+            net, "on_request_arrived", lambda event: event.request in chosen and int(event.request[1:]) % 2
+        )
+        fail_on(
+            net,
+            "on_attempt_ended",
+            lambda event: event.request in chosen and event.outcome is t.Outcome.HANDLED,
+        )
         got = {}
 
         async def ask(first: int) -> None:
@@ -256,13 +264,13 @@
         engine = net.program.engine
         step, planted = engine.sidecar.step, []
 
-        def failing(now, events, ring):
-            commands = step(now, events, ring)
+        def failing(now, events, fire_timers):
+            commands = step(now, events, fire_timers)
             if not planted and isinstance(events[0], t.RequestArrived) and events[0].request == "innocent":
                 planted.append(1)
                 engine.sidecar.message_queue.commands = commands
                 error = ZeroDivisionError("planted")
-                error.about = RequestTimeout(engine.sidecar.dispatcher.open["waits"], True)
+                error.about = RequestTimeout(engine.sidecar.dispatcher.requests["waits"], True)
                 raise error
             return commands
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -188,17 +188,17 @@
     new = Sidecar(deployment(seed=8))
     new.step(bed.now, [t.ListReceived(t.ListKind.CACHED, [listing(at) for at in range(4)])])
     learned.recall(new, table, bed.now)
-    assert new.dispatcher.retried.total(bed.now) == old.dispatcher.retried.total(bed.now) > 0
-    assert new.dispatcher.taken.total(bed.now) == old.dispatcher.taken.total(bed.now)
+    assert new.dispatcher.retries.total(bed.now) == old.dispatcher.retries.total(bed.now) > 0
+    assert new.dispatcher.new_requests.total(bed.now) == old.dispatcher.new_requests.total(bed.now)
     assert new.dispatcher.cap == old.dispatcher.cap and new.dispatcher.crowding == old.dispatcher.crowding
     assert (
         new.dispatcher.endpoints[asided].mode == "aside"
         and not new.dispatcher.endpoint_states[asided].report.open
     )
-    gauge = new.dispatcher.gauges["view"]
+    gauge = new.dispatcher.latency_estimates["view"]
     assert (
-        gauge.usual == old.dispatcher.gauges["view"].usual
-        and gauge.means == old.dispatcher.gauges["view"].means
+        gauge.current == old.dispatcher.latency_estimates["view"].current
+        and gauge.means == old.dispatcher.latency_estimates["view"].means
     )
 
 
@@ -209,7 +209,7 @@
         bed.end(bed.arrive(IDEM), 0, t.Outcome.HANDLED, after=10_000)
     full = {f"e{at}": round(desk.cap) for at in range(2)}
     bed.step(t.PredecessorLoad(full, 3))
-    assert desk.retried.total(bed.now) == 3 and desk.in_flight == sum(full.values())
+    assert desk.retries.total(bed.now) == 3 and desk.in_flight == sum(full.values())
     name = bed.arrive(IDEM)
     assert not bed.out(name)  # queued: the cap is reached
     bed.step(t.PredecessorLoad({"e0": full["e0"]}))
@@ -302,7 +302,13 @@
             await until(lambda: clients(new) == 1)
             assert clients(old) == 1
             await until(lambda: "slow" in new.book.elsewhere)
-            assert sum(seat.elsewhere for seat in new.engine.sidecar.dispatcher.endpoint_states.values()) == 1
+            assert (
+                sum(
+                    seat.predecessor_in_flight
+                    for seat in new.engine.sidecar.dispatcher.endpoint_states.values()
+                )
+                == 1
+            )
             assert (await net.ask(wanted("slow"))).status == 400  # a request with this id is open
             await busy.send(wanted("next"))  # pipelined behind the open one
             assert b"done-slow" in await busy.receive()
@@ -310,7 +316,10 @@
             assert b"done-a2" in await exchange(idle, "a2")
             await until(lambda: clients(new) == 2 and clients(old) == 0)
             await until(lambda: not new.book.elsewhere)
-            assert all(seat.elsewhere == 0 for seat in new.engine.sidecar.dispatcher.endpoint_states.values())
+            assert all(
+                seat.predecessor_in_flight == 0
+                for seat in new.engine.sidecar.dispatcher.endpoint_states.values()
+            )
             assert (await net.ask(wanted("fresh"))).body == b"done-fresh"
             assert not old.book.journeys
 
--- a/tests/test_module_faults.py
+++ b/tests/test_module_faults.py
@@ -32,7 +32,7 @@
     bed.step(t.ListReceived(t.ListKind.CHANGES, [listing(0, t.EndpointStatus.GONE)]))
     bed.step(t.ListReceived(t.ListKind.CHANGES, [listing(0)]))
     assert (
-        bed.sidecar.dispatcher.open["u"].attempts[0].endpoint_state
+        bed.sidecar.dispatcher.requests["u"].attempts[0].endpoint_state
         is bed.sidecar.dispatcher.endpoint_states["e0"]
     )
     bed.end("u", 0, t.Outcome.HANDLED)
@@ -50,7 +50,7 @@
     bed = Bed(deployment(uneven=True), endpoints=2)
     name = bed.arrive(IDEM)
     bed.end(name, 0, t.Outcome.HANDLED)
-    assert all(pace > 0 for pace in bed.sidecar.dispatcher.kinds.values())
+    assert all(pace > 0 for pace in bed.sidecar.dispatcher.pace_by_kind.values())
     bed.run(SECOND)
     assert bed.arrive(IDEM) in bed.flights
 
--- a/tests/test_module_hostile.py
+++ b/tests/test_module_hostile.py
@@ -125,15 +125,15 @@
 
     def add_up(self) -> None:
         desk = self.module.dispatcher
-        ready = [seat for seat in desk.endpoint_states.values() if seat.used and seat.report.open]
+        ready = [seat for seat in desk.endpoint_states.values() if seat.selected and seat.report.open]
         assert desk.ready == len(ready)
         assert desk.in_flight == sum(seat.in_flight for seat in ready)
-        assert desk.shares == pytest.approx(sum(seat.report.share for seat in ready), abs=1e-6)
-        assert desk.waiting == sum(s.held for s in desk.open.values())
+        assert desk.share_sum == pytest.approx(sum(seat.report.share for seat in ready), abs=1e-6)
+        assert desk.waiting == sum(s.held for s in desk.requests.values())
         zones: dict[str, int] = {}
         for seat in ready:
             zones[seat.report.entry.zone] = zones.get(seat.report.entry.zone, 0) + 1
-        assert {zone: count for zone, count in desk.open_in.items() if count} == zones
+        assert {zone: count for zone, count in desk.ready_by_zone.items() if count} == zones
         self.add_up_flights()
         shelved = [seat for shelf in desk.load_buckets for seat in shelf]
         assert sorted(seat.name for seat in shelved) == sorted(seat.name for seat in ready)
@@ -142,16 +142,16 @@
 
     def add_up_flights(self) -> None:
         desk = self.module.dispatcher
-        counted = {name: seat.elsewhere for name, seat in desk.endpoint_states.items()}
+        counted = {name: seat.predecessor_in_flight for name, seat in desk.endpoint_states.items()}
         coming = dict.fromkeys(desk.endpoint_states, 0)
-        for submission in desk.open.values():
+        for submission in desk.requests.values():
             for flight in submission.attempts:
-                if flight.out:
+                if flight.pending:
                     assert desk.endpoint_states[flight.endpoint_state.name] is flight.endpoint_state
                     where = counted if flight.counted else coming
                     where[flight.endpoint_state.name] += 1
         assert counted == {name: seat.in_flight for name, seat in desk.endpoint_states.items()}
-        assert coming == {name: seat.coming for name, seat in desk.endpoint_states.items()}
+        assert coming == {name: seat.receiving for name, seat in desk.endpoint_states.items()}
 
     # What happens to it.
 
@@ -293,7 +293,7 @@
         for key in list(self.out):
             self.finish(key, t.Outcome.ERROR)
         assert not self.owed
-        assert not self.module.dispatcher.open and not self.module.dispatcher.busy
+        assert not self.module.dispatcher.requests and not self.module.dispatcher.busy
 
 
 @pytest.mark.parametrize("seed", range(60))
--- a/tests/test_module_learned.py
+++ b/tests/test_module_learned.py
@@ -28,9 +28,9 @@
 
 def test_what_a_warm_endpoint_handles_is_handed_over():
     old, new = sidecar(), sidecar()
-    old.dispatcher.each = 7.5
+    old.dispatcher.warm_rate = 7.5
     learned.recall(new, learned.learned(old), NOW)
-    assert new.dispatcher.each == 7.5
+    assert new.dispatcher.warm_rate == 7.5
 
 
 @pytest.mark.parametrize("live, size", [(False, 4.0), (True, 1.0)])
@@ -46,4 +46,4 @@
             )
         ],
     )
-    assert made.dispatcher.endpoint_states["e0"].size == size and made.dispatcher.weight == size
+    assert made.dispatcher.endpoint_states["e0"].size == size and made.dispatcher.size_sum == size
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -7,7 +7,14 @@
 from bed import IDEM, KEYED, KEYED_ALL, ONCE, Bed, deployment, listing
 
 from lupinmill import terms as t
-from lupinmill.rules import CAP_START, FLEET_START, RETRY_BASE, SECOND, UNEVEN, LatencyEstimate
+from lupinmill.rules import (
+    CAP_START,
+    FLEET_CAP_START,
+    RETRY_BASE_DELAY,
+    SECOND,
+    FRACTIONAL_CAP_FACTOR,
+    LatencyEstimate,
+)
 
 MS = 1000
 BESIDE = dict(
@@ -62,8 +69,8 @@
         first, second = bed.flights[name]
         assert first["endpoint"] != second["endpoint"]
         delays.append(second["sent"] - start)
-    assert max(delays) <= RETRY_BASE + 2 * MS
-    assert len(set(delays)) > 10 and min(delays) < RETRY_BASE // 4
+    assert max(delays) <= RETRY_BASE_DELAY + 2 * MS
+    assert len(set(delays)) > 10 and min(delays) < RETRY_BASE_DELAY // 4
 
 
 def test_inner_tiers_launch_once_and_pass_the_failure_up():
@@ -277,7 +284,7 @@
         for launch in bed.out(name):
             bed.end(name, launch, t.Outcome.CALLED_OFF)
     assert set(desk.endpoints) == set(desk.endpoint_states) == set(listed) and len(desk.endpoint_states) == 4
-    assert {seat.name for seat in desk.told} <= set(desk.endpoint_states)
+    assert {seat.name for seat in desk.recent_reporters} <= set(desk.endpoint_states)
     assert (
         desk.ready == sum(seat.report.open for seat in desk.endpoint_states.values()) and desk.in_flight >= 0
     )
@@ -390,7 +397,7 @@
         for _ in range(3):
             bed.arrive(IDEM)
         flying.append(sum(f["how"] is None for fs in bed.flights.values() for f in fs))
-    assert 0.5 * FLEET_START < sum(flying) / 8 <= 1.1 * FLEET_START  # of all together, an endpoint
+    assert 0.5 * FLEET_CAP_START < sum(flying) / 8 <= 1.1 * FLEET_CAP_START  # of all together, an endpoint
     assert instances < 100 or min(flying) == 0  # and some send none
 
 
@@ -539,7 +546,7 @@
     warm(bed)
     name = bed.arrive(workload)
     bed.end(name, 0, how)
-    bed.run(RETRY_BASE + 5 * MS)
+    bed.run(RETRY_BASE_DELAY + 5 * MS)
     assert len(bed.flights[name]) == launches
 
 
@@ -665,7 +672,7 @@
     gauge = LatencyEstimate(200 * MS, 40)
     for took in (150 * MS, 140 * MS, 130 * MS, 600 * MS, 700 * MS, 800 * MS):
         gauge.add(SECOND, took)
-    assert gauge.uncrowded < 200 * MS < gauge.usual
+    assert gauge.uncrowded < 200 * MS < gauge.current
     for _ in range(40):  # the first mean is taken in the jam, too
         gauge.add(3 * SECOND, 800 * MS)
     assert len(gauge.means) > 1 and gauge.uncrowded < 300 * MS
@@ -682,7 +689,7 @@
             if bed.now - bed.flights[name][launch]["sent"] >= 300 * MS:
                 bed.end(name, launch, t.Outcome.HANDLED)
         total.append(len(out))
-    assert sum(total[20:60]) / 40 <= 1.5 * 50 * FLEET_START * UNEVEN / 100
+    assert sum(total[20:60]) / 40 <= 1.5 * 50 * FLEET_CAP_START * FRACTIONAL_CAP_FACTOR / 100
 
 
 def test_a_tie_goes_to_the_endpoint_that_told_of_less_even_without_a_crowd():
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -120,7 +120,7 @@
         assert keys == [f"week{at % 3}" for at in range(12)]
         assert not any(isinstance(event, t.ProbeEnded) for event in net.events)
         seats = net.program.engine.sidecar.dispatcher.endpoint_states.values()
-        assert sum(seat.used for seat in seats) <= 4 < len(seats)
+        assert sum(seat.selected for seat in seats) <= 4 < len(seats)
         overlong = await net.ask(wanted("s99", more=f"Req-Key: {'k' * 201}\r\n"))
         assert overlong.status == 400
 
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -367,7 +367,10 @@
 
 def test_a_failing_module_costs_no_other_submission_and_its_own_gets_a_break_off():
     async def check(net: Net):
-        desk, whole = net.program.engine.sidecar.dispatcher, net.program.engine.sidecar.dispatcher.arrive
+        desk, whole = (
+            net.program.engine.sidecar.dispatcher,
+            net.program.engine.sidecar.dispatcher.on_request_arrived,
+        )
 
         def broken(event):
             if event.request == "bad":
@@ -432,7 +435,7 @@
 def test_notes_told_behind_one_that_fails_are_not_lost():
     async def check(net: Net):
         engine, desk = net.program.engine, net.program.engine.sidecar.dispatcher
-        whole = desk.arrive
+        whole = desk.on_request_arrived
 
         def arrive(event):
             whole(event)
--- a/tests/test_slow_start_fleet.py
+++ b/tests/test_slow_start_fleet.py
@@ -244,7 +244,7 @@
         seat.credit = 0.0
         bed.step(after=TIME - SECOND)
         bed.arrive(t.Workload("view", SECOND, 2 * SECOND))
-        ready += bed.sidecar.dispatcher.credited(seat)
+        ready += bed.sidecar.dispatcher.has_credit(seat)
     assert ready * sidecars / 60 < allowed(2.5 * able)
 
 
@@ -260,7 +260,7 @@
     bed.step(t.ListReceived(t.ListKind.CHANGES, [listing(9, started=bed.now)]))
     one = bed.sidecar.registry.endpoints["e9"]
     bed.step(after=60 * SECOND)
-    one.back()
+    one.readmit()
     bed.sidecar.message_queue.run()
     seat = bed.sidecar.dispatcher.endpoint_states["e9"]
     assert seat.report.cold_since == bed.now and bed.sidecar.dispatcher.warmth(seat.report) < 0.5
@@ -269,7 +269,7 @@
 def test_a_small_endpoint_earns_by_its_size():
     bed = Bed(deployment(**POOL))
     desk = bed.sidecar.dispatcher
-    desk.each = 100.0
+    desk.warm_rate = 100.0
     rows = [
         t.ListEntry(f"c{size}", t.EndpointStatus.READY, "z", "k", "0", bed.now - 10 * SECOND, size)
         for size in (1.0, 0.25)
@@ -279,7 +279,7 @@
         desk.endpoint_states[name].credit = 0.0
     bed.sidecar.message_queue.now += 5 * MS
     earned = [
-        desk.credited(desk.endpoint_states[name]) or desk.endpoint_states[name].credit
+        desk.has_credit(desk.endpoint_states[name]) or desk.endpoint_states[name].credit
         for name in ("c1.0", "c0.25")
     ]
     assert earned[0] == pytest.approx(4 * earned[1])
--- a/tests/test_zones_member.py
+++ b/tests/test_zones_member.py
@@ -437,7 +437,7 @@
     assert (
         1.5 < own_report.observations["a"].capacity / (own_report.observations["a"].attempts / 2) < 2.5
     ), "twice the observed rate while answers are as fast as uncrowded ones"
-    assert not sidecar.dispatcher.open and len(monitor.cold) == 0
+    assert not sidecar.dispatcher.requests and len(monitor.cold) == 0
 
 
 def test_a_zone_that_denies_has_no_more_room_than_it_used():
