--- a/lupinmill/limits/__init__.py
+++ b/lupinmill/limits/__init__.py
@@ -1,1 +1,2 @@
-"""What the program itself can carry: how far its loop is behind, what is taken in, and what is shed first."""
+"""Protection of the program's own CPU: measures the lateness of its event loop, limits the requests that it
+takes up, and sheds the least important ones first."""
--- a/lupinmill/limits/gate.py
+++ b/lupinmill/limits/gate.py
@@ -1,8 +1,10 @@
-"""Which requests the program takes up, and when, while its own core is short. Pure: the clock comes with each
-call, chance from the seed. The law and its stability stand in docs/design/limits.md.
+"""Admission control for overload of the program's own CPU core: which requests are taken up, and when. Pure:
+the time comes with each call, randomness from the seed. The control law and its stability are described in
+docs/design/limits.md.
 
-Owns the lines of requests that wait before the program, and the window of those inside it. What is taken up,
-the decision module decides about as ever; what is denied here never reached it, and was launched nowhere."""
+Owns the queues of requests that wait for admission, and the window of those inside the program. The decision
+module decides about requests that are taken up; those denied here never reach it, and no attempt was
+made."""
 
 from __future__ import annotations
 
@@ -15,256 +17,286 @@
 from lupinmill.workings import RandomSource, BucketedSum
 
 MS, SECOND = 1_000, 1_000_000
-TARGET = 7 * MS  # how late the loop may be: each request passes it some five times
-ENTER, LEAVE = 16 * MS, 4 * MS  # lateness at which the window begins to count, and below which it may end
-CALM = 1 * SECOND  # for so long nothing was held or denied before the window ends
-TURN = 50 * MS  # between two changes of the window: what it did last has come through by then
-CUT, GROW = 0.5, 0.06  # the most that one turn takes away or adds, as parts of the window
-LEAST = 4  # requests inside, however late the loop is
-HEADROOM = 8  # the window never grows beyond what is inside by more than this, and half of that again
-PATIENCE = 0.5  # part of the time to the contract that may be spent in a line
-LEAST_PATIENCE = 0.15
-KEPT = 0.7  # part of the most carried of late that is counted on, whatever the last half second says
-SPARE = 0.1  # part of what is carried that is counted on for a line whatever stands before it
-BUCKETS, WIDTH = 10, 50 * MS
-REPEATED = 0.7  # a client's repeat is worth less than a first try, as in the decision module
-LATE_WAITS = 0.1  # where more of a line's waits end in denials, its patience shrinks
-BEAT = 10 * MS  # between two beats, beside how late they come
-FADE = 0.9995  # a beat: half is forgotten in a quarter of a minute
-MOST_HELD = 4_000  # requests in all lines together
-
-
-class Fate(Enum):
+TARGET_LATENESS = 7 * MS  # of the event loop, through which each request passes about five times
+# Loop lateness above which the window applies, and below which it may end.
+ENTER_LATENESS, LEAVE_LATENESS = 16 * MS, 4 * MS
+CALM_TIME = 1 * SECOND  # without a request held or denied, before the window ends
+ADJUST_INTERVAL = 50 * MS  # between two changes of the window: the last one has taken effect by then
+MAX_DECREASE, MAX_INCREASE = 0.5, 0.06  # per change, as parts of the window
+MIN_WINDOW = 4  # requests
+# The window grows at most to one and a half times the requests inside plus this.
+WINDOW_HEADROOM = 8
+# Bounds of the part of the contract time that may be spent in a queue.
+MAX_WAIT_SHARE = 0.5
+MIN_WAIT_SHARE = 0.15
+PEAK_RATE_SHARE = 0.7  # part of the recent peak rate that is expected whatever the last half second showed
+MIN_RATE_SHARE = 0.1  # part of the expected rate that is assumed for a queue whatever goes before it
+BUCKETS, BUCKET_WIDTH = 10, 50 * MS
+REPEAT_FACTOR = 0.7  # on the priority of a client's repeat, as in the decision module
+MAX_EXPIRED_SHARE = 0.1  # of the requests that leave a queue; above it the queue's maximum wait shrinks
+HEARTBEAT = 10 * MS  # between two measurements of the lateness
+PEAK_RATE_DECAY = 0.9995  # per heartbeat: a half-life of about a quarter of a minute
+MAX_HELD = 4_000  # requests in all queues together
+
+
+class Verdict(Enum):
+    """What became of a request at the gate."""
+
     TAKEN = "taken"
     HELD = "held"
     DENIED = "denied"
 
 
 @dataclass(slots=True)
-class Offer:
-    """A request as its head tells of it. `left` is what its client will still wait, `token` the caller's
-    own."""
+class AdmissionRequest:
+    """A request as known from its head. `time_left` is how long its client will still wait; `token` and
+    `client` belong to the caller."""
 
     workload: str
-    left: int
+    time_left: int
     repeated: bool = False
     tenant: str = ""
     token: Any = None
     client: Any = None
-    came: int = 0
-    line: Line | None = None
-    gone: bool = False
+    queued_at: int = 0
+    queue: AdmissionQueue | None = None
+    cancelled: bool = False
 
 
 @dataclass(slots=True)
-class Line:
-    """Those of one worth, oldest first: each was let in because its turn comes in time, so the order keeps
-    that promise; newest first would break it for all behind."""
+class AdmissionQueue:
+    """Requests of one priority, oldest first: each was admitted because its turn would come in time, and this
+    order keeps to that estimate; newest first would break it for all behind."""
 
-    worth: float
+    priority: float
     contract: int
-    waiting: deque[Offer] = field(default_factory=deque)
-    length: int = 0  # of those that still wait
-    let_in: BucketedSum = field(
-        default_factory=lambda: BucketedSum(BUCKETS, WIDTH)
-    )  # to the window or to the line
-    ends: BucketedSum = field(default_factory=lambda: BucketedSum(BUCKETS, WIDTH))
-    too_late: BucketedSum = field(default_factory=lambda: BucketedSum(BUCKETS, WIDTH))
-    patience: float = PATIENCE
-
-
-def worth(w: t.Workload, repeated: bool) -> float:
-    return w.value * (REPEATED if repeated else 1.0)
-
-
-class Gate:
-    def __init__(self, d: t.Deployment) -> None:
-        self.workloads = {w.name: w for w in d.workloads}
-        self.front = d.tier == 0
-        self.advice = d.longest_advice if d.advice_allowed else 0
-        self.random_source = RandomSource(d.seed ^ 0x6A7E)
-        self.lines: dict[tuple[str, bool], Line] = {}
-        self.order: list[Line] = []  # the most worth first
+    waiting: deque[AdmissionRequest] = field(default_factory=deque)
+    length: int = 0  # without cancelled requests
+    # To the window or to this queue.
+    admitted: BucketedSum = field(default_factory=lambda: BucketedSum(BUCKETS, BUCKET_WIDTH))
+    departed: BucketedSum = field(default_factory=lambda: BucketedSum(BUCKETS, BUCKET_WIDTH))
+    expired: BucketedSum = field(default_factory=lambda: BucketedSum(BUCKETS, BUCKET_WIDTH))
+    max_wait_share: float = MAX_WAIT_SHARE
+
+
+def priority(workload: t.Workload, repeated: bool) -> float:
+    return workload.value * (REPEAT_FACTOR if repeated else 1.0)
+
+
+class AdmissionGate:
+    """Limits the requests inside the program by the lateness of its event loop, lowest priority last."""
+
+    def __init__(self, deployment: t.Deployment) -> None:
+        self.workloads = {workload.name: workload for workload in deployment.workloads}
+        self.is_front = deployment.tier == 0
+        self.longest_advice = deployment.longest_advice if deployment.advice_allowed else 0
+        self.random_source = RandomSource(deployment.seed ^ 0x6A7E)
+        self.queues: dict[tuple[str, bool], AdmissionQueue] = {}
+        self.queues_by_priority: list[AdmissionQueue] = []  # the highest first
         self.inside, self.held = 0, 0
         self.active, self.window = False, 0.0
-        self.late, self.smooth, self.turned, self.pressed = 0, 0.0, 0, 0
-        self.done = BucketedSum(BUCKETS, WIDTH)
-        # The most carried a second of late, and the part of the time that goes into denials.
-        self.carries, self.denying = 0.0, 0.0
-        self.log: list[str] = []  # changes of mode, to be taken by the driver
-        self.counts = {fate: 0 for fate in Fate}
-
-    def deploy(self, d: t.Deployment) -> None:
-        """Other workloads, from now on. Those that wait of one that is gone have their turn, and are judged
-        behind the gate."""
-        self.workloads = {w.name: w for w in d.workloads}
-        self.advice = d.longest_advice if d.advice_allowed else 0
-        # Guards memory against names that come and go.
-        self.lines = {
-            key: line for key, line in self.lines.items() if line.waiting or key[0] in self.workloads
+        self.lateness, self.smoothed_lateness, self.adjusted_at, self.pressed_at = 0, 0.0, 0, 0
+        self.finished_requests = BucketedSum(BUCKETS, BUCKET_WIDTH)
+        # The most requests finished per second recently; the part of the time that denials take.
+        self.peak_rate, self.denying_share = 0.0, 0.0
+        self.log: list[str] = []  # changes of mode, to be collected by the driver
+        self.verdict_counts = {verdict: 0 for verdict in Verdict}
+
+    def deploy(self, deployment: t.Deployment) -> None:
+        """Replaces the workloads from now on. Waiting requests of one that is gone keep their place; the
+        decision module decides about them."""
+        self.workloads = {workload.name: workload for workload in deployment.workloads}
+        self.longest_advice = deployment.longest_advice if deployment.advice_allowed else 0
+        # Bounds memory where workload names come and go.
+        self.queues = {
+            key: queue for key, queue in self.queues.items() if queue.waiting or key[0] in self.workloads
         }
-        for (name, repeated), line in self.lines.items():
-            if (w := self.workloads.get(name)) is not None:
-                line.worth, line.contract = worth(w, repeated), w.contract
-        self.order = sorted(self.lines.values(), key=lambda one: -one.worth)
+        for (name, repeated), queue in self.queues.items():
+            if (workload := self.workloads.get(name)) is not None:
+                queue.priority, queue.contract = priority(workload, repeated), workload.contract
+        self.queues_by_priority = sorted(self.queues.values(), key=lambda queue: -queue.priority)
 
-    # What happens.
+    # Events.
 
-    def offer(self, now: int, offer: Offer) -> Fate:
-        """At once while the core isn't short. Afterwards: inside while the window has room and nobody of as
-        much worth waits; in a line where its turn comes in time; denied otherwise."""
+    def admit(self, now: int, request: AdmissionRequest) -> Verdict:
+        """Takes the request up at once while the core is not overloaded, or while the window has room and no
+        request of at least its priority waits; holds it where its turn will come in time; denies it
+        otherwise."""
         if not self.active:
-            return self.take(offer)
-        line = self.line_of(offer)
-        if self.inside < self.window and not self.before(line, True):
-            line.let_in.add(now)
-            return self.take(offer)
-        self.pressed = now
-        if not self.in_time(now, line, offer):
-            self.counts[Fate.DENIED] += 1
-            return Fate.DENIED
-        line.let_in.add(now)
-        offer.came, offer.line = now, line
-        line.waiting.append(offer)
-        line.length += 1
+            return self.take(request)
+        queue = self.queue_of(request)
+        if self.inside < self.window and not self.count_ahead(queue, True):
+            queue.admitted.add(now)
+            return self.take(request)
+        self.pressed_at = now
+        if not self.is_in_time(now, queue, request):
+            self.verdict_counts[Verdict.DENIED] += 1
+            return Verdict.DENIED
+        queue.admitted.add(now)
+        request.queued_at, request.queue = now, queue
+        queue.waiting.append(request)
+        queue.length += 1
         self.held += 1
-        self.counts[Fate.HELD] += 1
-        return Fate.HELD
+        self.verdict_counts[Verdict.HELD] += 1
+        return Verdict.HELD
 
-    def take(self, offer: Offer) -> Fate:
+    def take(self, request: AdmissionRequest) -> Verdict:
         self.inside += 1
-        self.counts[Fate.TAKEN] += 1
-        return Fate.TAKEN
+        self.verdict_counts[Verdict.TAKEN] += 1
+        return Verdict.TAKEN
 
     def entered(self) -> None:
-        """One came in that no head was judged of."""
+        """Counts a request that was taken up without `admit`."""
         self.inside += 1
 
-    def left(self, now: int) -> None:
-        """One inside has its answer, or its client has gone."""
+    def finished(self, now: int) -> None:
+        """Called when a request inside is answered, or its client has gone."""
         self.inside -= 1
-        self.done.add(now)
+        self.finished_requests.add(now)
 
-    def forget(self, offer: Offer) -> None:
-        """Its client has gone while it waited."""
-        if not offer.gone and offer.line is not None:
-            offer.gone = True
-            offer.line.length -= 1
+    def forget(self, request: AdmissionRequest) -> None:
+        """Called when the client has gone while its request waited."""
+        if not request.cancelled and request.queue is not None:
+            request.cancelled = True
+            request.queue.length -= 1
             self.held -= 1
 
-    def release(self, now: int) -> list[tuple[Offer, Fate]]:
-        """Those whose turn it is, the most worth first; and of every line those whose time can't be met any
-        more: guards against one full line behind which nobody looks at the others."""
-        found: list[tuple[Offer, Fate]] = []
-        for line in self.order:
-            while line.waiting:
-                offer = line.waiting[0]
-                if offer.gone:
-                    line.waiting.popleft()
+    def release(self, now: int) -> list[tuple[AdmissionRequest, Verdict]]:
+        """Returns the requests whose turn it is, the highest priority first, and those of every queue that
+        can no longer be answered in time: a full queue must not keep those behind it waiting past their
+        time."""
+        found: list[tuple[AdmissionRequest, Verdict]] = []
+        for queue in self.queues_by_priority:
+            while queue.waiting:
+                request = queue.waiting[0]
+                if request.cancelled:
+                    queue.waiting.popleft()
                     continue
-                late = now - offer.came > min(offer.left // 2, line.contract * 2 // 3)
-                if not late and self.active and self.inside >= self.window:
+                expired = now - request.queued_at > min(request.time_left // 2, queue.contract * 2 // 3)
+                if not expired and self.active and self.inside >= self.window:
                     break
-                line.waiting.popleft()
-                self.forget(offer)
-                line.ends.add(now)
-                if late:
-                    line.too_late.add(now)
-                    self.pressed = now
-                    self.counts[Fate.DENIED] += 1
+                queue.waiting.popleft()
+                self.forget(request)
+                queue.departed.add(now)
+                if expired:
+                    queue.expired.add(now)
+                    self.pressed_at = now
+                    self.verdict_counts[Verdict.DENIED] += 1
                 else:
-                    self.take(offer)
-                found.append((offer, Fate.DENIED if late else Fate.TAKEN))
+                    self.take(request)
+                found.append((request, Verdict.DENIED if expired else Verdict.TAKEN))
         return found
 
-    def beat(self, now: int, late: int, denying: int = 0, unlaunched: int = 0) -> None:
-        """How late the loop came to this moment, and how long it denied since the last one, in microseconds;
-        told some hundred times a second while anything is inside. `unlaunched`: how many inside were launched
-        nowhere."""
-        self.denying += (denying / (BEAT + late) - self.denying) * 0.1
-        self.carries = max(self.carries * FADE, self.done.total(now) * SECOND / (BUCKETS * WIDTH))
-        self.late = late
-        self.smooth += (late - self.smooth) * (0.5 if late > self.smooth else 0.2)
+    def record_lateness(self, now: int, lateness: int, denying: int = 0, unlaunched: int = 0) -> None:
+        """Adjusts the window. Takes the loop's lateness at this heartbeat, and the time spent on denials
+        since the last one, in microseconds; called about a hundred times per second while any request is
+        inside. `unlaunched` is the number of requests inside without an attempt."""
+        self.denying_share += (denying / (HEARTBEAT + lateness) - self.denying_share) * 0.1
+        self.peak_rate = max(
+            self.peak_rate * PEAK_RATE_DECAY,
+            self.finished_requests.total(now) * SECOND / (BUCKETS * BUCKET_WIDTH),
+        )
+        self.lateness = lateness
+        self.smoothed_lateness += (lateness - self.smoothed_lateness) * (
+            0.5 if lateness > self.smoothed_lateness else 0.2
+        )
         if not self.active:
-            if self.smooth > ENTER:
-                self.begin(now)
+            if self.smoothed_lateness > ENTER_LATENESS:
+                self.activate(now)
             return
-        if now - self.turned < TURN:
+        if now - self.adjusted_at < ADJUST_INTERVAL:
             return
-        self.turned = now
-        # Lateness that comes of denials is none that fewer inside would mend: less would be handled, no more.
-        own = self.smooth * (1 - min(0.9, self.denying))
-        over = (own - TARGET) / (4 * TARGET)
-        if over > 0:
-            self.window = max(LEAST, self.window * (1 - CUT * min(1.0, over)))
-        elif unlaunched > max(LEAST, self.inside // 4):
-            # Those that the module holds wait in no line of this gate: what is worth more can't pass them.
-            self.window = max(LEAST, min(self.window, self.inside) * 0.95)
+        self.adjusted_at = now
+        # A smaller window would not reduce lateness that is due to denials, only the number of requests
+        # handled.
+        own_lateness = self.smoothed_lateness * (1 - min(0.9, self.denying_share))
+        excess = (own_lateness - TARGET_LATENESS) / (4 * TARGET_LATENESS)
+        if excess > 0:
+            self.window = max(MIN_WINDOW, self.window * (1 - MAX_DECREASE * min(1.0, excess)))
+        elif unlaunched > max(MIN_WINDOW, self.inside // 4):
+            # Requests held by the decision module wait in no queue of this gate: higher priorities can't
+            # overtake them.
+            self.window = max(MIN_WINDOW, min(self.window, self.inside) * 0.95)
         else:
-            room = self.inside + self.inside // 2 + HEADROOM
-            self.window = min(max(self.window, LEAST) * (1 + GROW) + 1, max(room, self.window * 0.95))
-        for line in self.order:
-            ends = line.ends.total(now)
-            if ends >= 10:
-                bad = line.too_late.total(now) > LATE_WAITS * ends
-                changed = line.patience * (0.8 if bad else 1.02)
-                line.patience = min(PATIENCE, max(LEAST_PATIENCE, changed))
-        if now - self.pressed > CALM and not self.held and self.smooth < LEAVE:
+            room = self.inside + self.inside // 2 + WINDOW_HEADROOM
+            self.window = min(
+                max(self.window, MIN_WINDOW) * (1 + MAX_INCREASE) + 1, max(room, self.window * 0.95)
+            )
+        for queue in self.queues_by_priority:
+            departed = queue.departed.total(now)
+            if departed >= 10:
+                too_many_expired = queue.expired.total(now) > MAX_EXPIRED_SHARE * departed
+                changed = queue.max_wait_share * (0.8 if too_many_expired else 1.02)
+                queue.max_wait_share = min(MAX_WAIT_SHARE, max(MIN_WAIT_SHARE, changed))
+        if now - self.pressed_at > CALM_TIME and not self.held and self.smoothed_lateness < LEAVE_LATENESS:
             self.active = False
-            self.log.append(f"own core no longer short: late {self.smooth / MS:.1f} ms, {self.inside} inside")
-
-    def begin(self, now: int) -> None:
-        self.active, self.turned, self.pressed = True, now, now
-        self.window = max(LEAST, self.inside * min(1.0, 2 * TARGET / max(1.0, self.smooth)))
+            self.log.append(
+                f"own core no longer short: late {self.smoothed_lateness / MS:.1f} ms, {self.inside} inside"
+            )
+
+    def activate(self, now: int) -> None:
+        self.active, self.adjusted_at, self.pressed_at = True, now, now
+        self.window = max(
+            MIN_WINDOW, self.inside * min(1.0, 2 * TARGET_LATENESS / max(1.0, self.smoothed_lateness))
+        )
         self.log.append(
-            f"own core short: late {self.smooth / MS:.1f} ms, {self.inside} inside, "
-            f"window {self.window:.0f}, {self.carried(now):.0f} handled/s"
+            f"own core short: late {self.smoothed_lateness / MS:.1f} ms, {self.inside} inside, "
+            f"window {self.window:.0f}, {self.expected_rate(now):.0f} handled/s"
         )
 
-    # What it is judged by.
+    # Estimates.
 
-    def line_of(self, offer: Offer) -> Line:
-        key = (offer.workload, offer.repeated)
-        if key not in self.lines:
-            w = self.workloads[offer.workload]
-            line = Line(worth(w, offer.repeated), w.contract)
-            self.lines[key] = line
-            self.order = sorted(self.lines.values(), key=lambda one: -one.worth)
-        return self.lines[key]
+    def queue_of(self, request: AdmissionRequest) -> AdmissionQueue:
+        key = (request.workload, request.repeated)
+        if key not in self.queues:
+            workload = self.workloads[request.workload]
+            queue = AdmissionQueue(priority(workload, request.repeated), workload.contract)
+            self.queues[key] = queue
+            self.queues_by_priority = sorted(self.queues.values(), key=lambda queue: -queue.priority)
+        return self.queues[key]
 
-    def before(self, line: Line, itself: bool) -> int:
-        """How many wait that go first."""
+    def count_ahead(self, queue: AdmissionQueue, include_own: bool) -> int:
+        """Counts the waiting requests that go first."""
         ahead = 0
-        for other in self.order:
-            if other is line:
+        for other in self.queues_by_priority:
+            if other is queue:
                 break
             ahead += other.length
-        return ahead + (line.length if itself else 0)
-
-    def carried(self, now: int) -> float:
-        """Answers a second that can be counted on: those of the last half second, as if nothing were denied
-        beside them, and most of the best of late. Guards against a spiral: while the core is busy denying it
-        answers little, and judged by that alone it would deny all the more. Where it is too much, patience
-        shrinks."""
-        rate = self.done.total(now) * SECOND / (BUCKETS * WIDTH) / (1 - min(0.9, self.denying))
-        return max(1.0, KEPT * self.carries, min(self.carries, rate))
-
-    def in_time(self, now: int, line: Line, offer: Offer) -> bool:
-        """Will its turn come soon enough? What goes first goes on coming while it waits, so that a line moves
-        only by what is left of what is carried."""
-        if self.held >= MOST_HELD:
+        return ahead + (queue.length if include_own else 0)
+
+    def expected_rate(self, now: int) -> float:
+        """Requests per second that can be expected to finish: the rate of the last half second without the
+        time for denials, but at least most of the recent peak. Guards against a spiral: a core that is busy
+        with denials finishes few requests, and by that rate alone it would deny even more. Where the
+        estimate is too high, the maximum wait shrinks."""
+        rate = (
+            self.finished_requests.total(now)
+            * SECOND
+            / (BUCKETS * BUCKET_WIDTH)
+            / (1 - min(0.9, self.denying_share))
+        )
+        return max(1.0, PEAK_RATE_SHARE * self.peak_rate, min(self.peak_rate, rate))
+
+    def is_in_time(self, now: int, queue: AdmissionQueue, request: AdmissionRequest) -> bool:
+        """Whether its turn will come soon enough. Requests of higher priority keep arriving meanwhile, so a
+        queue moves only at the rate that they leave over."""
+        if self.held >= MAX_HELD:
             return False
-        carried = self.carried(now)
-        first = 0.0
-        for other in self.order:
-            if other is line:
+        rate = self.expected_rate(now)
+        preferred = 0.0
+        for other in self.queues_by_priority:
+            if other is queue:
                 break
-            first += other.let_in.total(now) * SECOND / (BUCKETS * WIDTH)
-        speed = max(SPARE * carried, carried - first)
-        wait = (self.before(line, True) + 1) / speed * SECOND
-        return wait <= min(line.patience * line.contract, offer.left // 3)
-
-    def come_back(self) -> int:
-        """Microseconds after which a denied one should ask again: spread, so that they don't come back
-        together."""
-        return self.advice // 4 + self.random_source.upto(self.advice * 3 // 4) if self.advice else 0
+            preferred += other.admitted.total(now) * SECOND / (BUCKETS * BUCKET_WIDTH)
+        service_rate = max(MIN_RATE_SHARE * rate, rate - preferred)
+        wait = (self.count_ahead(queue, True) + 1) / service_rate * SECOND
+        return wait <= min(queue.max_wait_share * queue.contract, request.time_left // 3)
+
+    def retry_advice(self) -> int:
+        """Microseconds after which a denied client should retry: spread, so that they don't return all at
+        once."""
+        return (
+            self.longest_advice // 4 + self.random_source.upto(self.longest_advice * 3 // 4)
+            if self.longest_advice
+            else 0
+        )
--- a/lupinmill/program/sidecar.py
+++ b/lupinmill/program/sidecar.py
@@ -19,7 +19,7 @@
 from lupinmill.admin.operator_overrides import Mode, OperatorOverrides
 from lupinmill.handover import handover_state
 from lupinmill.handover.driver import Handover
-from lupinmill.limits.gate import Gate
+from lupinmill.limits.gate import AdmissionGate
 from lupinmill.discovery.driver import DiscoveryClient
 from lupinmill.program.signals import ENDING, HANDLED, Signals
 from lupinmill.program.told import BadStart, Told, fixed
@@ -258,7 +258,7 @@
         send = Send(self.pool, self.directory, self.book, deployment.reports_asked, self.log)
         advice = deployment.longest_advice // 2 if deployment.advice_allowed else 0
         self.admit.advice = advice
-        self.door = door = listener.door = Door(Gate(deployment), self.book, self.log)
+        self.door = door = listener.door = Door(AdmissionGate(deployment), self.book, self.log)
         self.take_in = take_in = TakeIn(
             listener, self.admit, Relay(self.book, self.log), door, advice, self.log, self.shelf
         )
--- a/lupinmill/routing/door.py
+++ b/lupinmill/routing/door.py
@@ -10,7 +10,7 @@
 import anyio
 
 from lupinmill import terms as t
-from lupinmill.limits.gate import Fate, Gate, Offer
+from lupinmill.limits.gate import Verdict, AdmissionGate, AdmissionRequest
 from lupinmill.protocol import quick
 from lupinmill.routing.book import Book
 from lupinmill.routing.engine import Log, defect
@@ -38,7 +38,7 @@
     """What a client's task asks before it takes up a request: `judge` at once, `wait` for one that is
     held."""
 
-    def __init__(self, gate: Gate, book: Book, log: Log) -> None:
+    def __init__(self, gate: AdmissionGate, book: Book, log: Log) -> None:
         self.gate, self.book, self.engine, self.log = gate, book, book.engine, log
         self.workloads = set(gate.workloads)
         self.due: float | None = None  # of the heartbeat, while it beats
@@ -68,14 +68,14 @@
         if asked is None:
             return True
         left = max(0, asked.left - client.waited_for(asked.left))
-        offer = Offer(asked.workload, left, asked.repeated, asked.tenant, client=client)
-        fate = self.gate.offer(self.engine.clock.now(), offer)
-        if fate is Fate.DENIED:
+        offer = AdmissionRequest(asked.workload, left, asked.repeated, asked.tenant, client=client)
+        fate = self.gate.admit(self.engine.clock.now(), offer)
+        if fate is Verdict.DENIED:
             denied = self.deny(client)
             self.count(perf_counter() - began + READING)
             return not denied
         client.asked = client.owed = True
-        if fate is Fate.HELD:
+        if fate is Verdict.HELD:
             offer.token, client.offer = Turn(), offer
         else:
             client.inside = True
@@ -98,7 +98,7 @@
 
     def deny(self, client: Client) -> bool:
         """Written at once and whole; a client that takes no answers is not waited for."""
-        data = quick.denial(self.gate.come_back())
+        data = quick.denial(self.gate.retry_advice())
         try:
             whole = client.sock.send(data) == len(data)
         except OSError:
@@ -114,7 +114,7 @@
         if offer is None:
             return not client.broken
         try:
-            with anyio.move_on_after(offer.left * BACKSTOP / 1_000_000) as offer.token.scope:
+            with anyio.move_on_after(offer.time_left * BACKSTOP / 1_000_000) as offer.token.scope:
                 if not offer.token.called:
                     await client.gone()
         finally:
@@ -147,7 +147,7 @@
             self.forget(client)
             if client.inside:
                 client.inside = False
-                self.gate.left(self.engine.clock.now())
+                self.gate.finished(self.engine.clock.now())
                 if self.gate.held:
                     self.release()
         except Exception as error:
@@ -155,7 +155,7 @@
 
     def release(self) -> None:
         for offer, fate in self.gate.release(self.engine.clock.now()):
-            offer.client.inside = fate is Fate.TAKEN
+            offer.client.inside = fate is Verdict.TAKEN
             offer.token.call()
 
     # The heartbeat.
@@ -178,7 +178,9 @@
 
     def judge_lateness(self, late: int) -> None:
         gate = self.gate
-        gate.beat(self.engine.clock.now(), late, int(self.denying * 1_000_000), self.book.unlaunched)
+        gate.record_lateness(
+            self.engine.clock.now(), late, int(self.denying * 1_000_000), self.book.unlaunched
+        )
         self.denying = 0.0
         for text in gate.log:
             self.log("mode", text=text)
--- a/tests/test_clients_door.py
+++ b/tests/test_clients_door.py
@@ -11,7 +11,7 @@
 from test_sidecar import fine, seen, until
 
 from lupinmill import terms as t
-from lupinmill.limits.gate import Gate
+from lupinmill.limits.gate import AdmissionGate
 from lupinmill.protocol import quick
 from lupinmill.routing.book import Book
 from lupinmill.routing.door import Door
@@ -27,7 +27,7 @@
     """A door behind which every request waits, and that is released by hand alone."""
     gate = net.program.door.gate
     gate.active, gate.window = True, 0.0
-    gate.in_time, gate.beat = (lambda *_: True), (lambda *_: None)
+    gate.is_in_time, gate.record_lateness = (lambda *_: True), (lambda *_: None)
     release, gate.release = gate.release, lambda now: []
     return gate, release
 
@@ -42,12 +42,12 @@
 
     async def check(net: Net):
         gate = net.program.door.gate
-        gate.beat = lambda *_: None
+        gate.record_lateness = lambda *_: None
         gate.active = judged_by == "the loop's call"
         async with await connect(net) as stream:
             listener = net.program.descriptors.close_idle_client.__self__
             await until(lambda: listener.idle and next(iter(listener.idle)).waiting is not None)
-            gate.active, gate.offer = True, defective
+            gate.active, gate.admit = True, defective
             await stream.send(wanted("s1"))
             with anyio.fail_after(5):
                 assert (await stream.receive()).startswith(b"HTTP/1.1 200")
@@ -58,13 +58,13 @@
     on_network(check, fine)
 
 
-@pytest.mark.parametrize("part", ["left", "release"])
+@pytest.mark.parametrize("part", ["finished", "release"])
 def test_a_defect_at_the_end_of_a_request_ends_no_program(part):
     """`leave` is called last of all in a client's task: what it raised ended the program's task group."""
 
     async def check(net: Net):
         gate = net.program.door.gate
-        gate.beat = lambda *_: None
+        gate.record_lateness = lambda *_: None
         if part == "release":
             gate.held = 1  # somebody waits, so that a release is due
         whole = getattr(gate, part)
@@ -109,8 +109,8 @@
         async with await connect(net) as stream:
             listener = net.program.descriptors.close_idle_client.__self__
             await until(lambda: listener.idle)
-            gate.active, gate.window, gate.in_time = True, 0.0, lambda *_: False
-            gate.beat = lambda *_: None
+            gate.active, gate.window, gate.is_in_time = True, 0.0, lambda *_: False
+            gate.record_lateness = lambda *_: None
             monkeypatch.setattr(quick, "denial", lambda come_back: b"x" * (16 << 20))
             await stream.send(wanted("s1"))
             got = b""
@@ -152,9 +152,9 @@
 
     async def check(net: Net):
         gate = net.program.door.gate
-        gate.beat = lambda *_: None
-        offer = gate.offer
-        gate.offer = lambda now, one: (offers.append(one), offer(now, one))[1]
+        gate.record_lateness = lambda *_: None
+        offer = gate.admit
+        gate.admit = lambda now, one: (offers.append(one), offer(now, one))[1]
         gate.active, gate.window = True, 10.0
         async with await connect(net) as stream:
             listener = net.program.descriptors.close_idle_client.__self__
@@ -166,7 +166,7 @@
 
     on_network(check, fine)
     (offer,) = offers
-    assert offer.left <= 7_800_000
+    assert offer.time_left <= 7_800_000
 
 
 # --- the gate's count, whatever order things come in ------------------------------------------------------
@@ -202,12 +202,12 @@
     chance = random.Random(seed)
     d = deployment()
 
-    async def main() -> Gate:
-        gate = Gate(d)
+    async def main() -> AdmissionGate:
+        gate = AdmissionGate(d)
         engine = Engine(d, Clock(), lambda *_, **__: None)
         door = Door(gate, Book(engine), lambda *_, **__: None)
-        gate.beat = lambda *_: None
-        gate.active, gate.window, gate.carries = True, 2.0, 1000.0
+        gate.record_lateness = lambda *_: None
+        gate.active, gate.window, gate.peak_rate = True, 2.0, 1000.0
         clients: list[StandIn] = []
 
         async def serve(client: StandIn) -> None:
@@ -258,7 +258,9 @@
                     elif draw < 0.6:
                         door.release()
                     inside = sum(one.inside for one in clients)
-                    assert gate.inside == inside and gate.held == sum(line.length for line in gate.order)
+                    assert gate.inside == inside and gate.held == sum(
+                        line.length for line in gate.queues_by_priority
+                    )
                 gate.window = 1000.0
                 for _ in range(50):
                     door.release()
@@ -277,7 +279,7 @@
 
     async def check(net: Net):
         door = net.program.door
-        door.gate.beat = lambda *_: None
+        door.gate.record_lateness = lambda *_: None
         door.gate.active, door.gate.window = True, 10.0
         listener = net.program.descriptors.close_idle_client.__self__
         stream = await connect(net)
--- a/tests/test_clients_drawn.py
+++ b/tests/test_clients_drawn.py
@@ -84,7 +84,7 @@
             time.sleep(0.03)  # the loop lags
         elif draw < 0.5:
             gate.active, gate.window = True, chance.choice([0.0, 4.0, 50.0])
-            gate.turned = gate.pressed = net.program.engine.clock.now()
+            gate.adjusted_at = gate.pressed_at = net.program.engine.clock.now()
         elif draw < 0.6:
             closing = chance.random() < 0.5
             take_in.closing = lambda closing=closing: closing
--- a/tests/test_clients_end.py
+++ b/tests/test_clients_end.py
@@ -158,17 +158,19 @@
     async def check(net: Net):
         door, gate = net.program.door, net.program.door.gate
         gate.active, gate.window = True, 0.0
-        gate.in_time, gate.beat = (lambda *_: True), (lambda *_: None)
+        gate.is_in_time, gate.record_lateness = (lambda *_: True), (lambda *_: None)
         release, gate.release = gate.release, lambda now: []
         async with await connect(net) as stream:
             await stream.send(wanted("s1", deadline="8"))
             await until(lambda: gate.held)
-            await until(lambda: [one for line in gate.order for one in line.waiting if one.token.scope])
-            (offer,) = [one for line in gate.order for one in line.waiting]
+            await until(
+                lambda: [one for line in gate.queues_by_priority for one in line.waiting if one.token.scope]
+            )
+            (offer,) = [one for line in gate.queues_by_priority for one in line.waiting]
             client = offer.client
             await stream.send(wanted("s2", deadline="8", body=b"a" * (3 * AHEAD)))
             await until(lambda: client.overrun and client.quiet())
-            offer.left = 0  # its turn can't come in time any more
+            offer.time_left = 0  # its turn can't come in time any more
             gate.release = release
             door.release()
             assert (await stream.receive()).startswith(b"HTTP/1.1 503")
@@ -194,20 +196,22 @@
     async def check(net: Net):
         door, gate = net.program.door, net.program.door.gate
         gate.active, gate.window = True, 0.0
-        gate.in_time, gate.beat = (lambda *_: True), (lambda *_: None)
+        gate.is_in_time, gate.record_lateness = (lambda *_: True), (lambda *_: None)
         release, gate.release = gate.release, lambda now: []
         async with await connect(net) as stream:
             await stream.send(wanted("s1", deadline="8"))
             await until(lambda: gate.held)
-            await until(lambda: [one for line in gate.order for one in line.waiting if one.token.scope])
-            (offer,) = [one for line in gate.order for one in line.waiting]
+            await until(
+                lambda: [one for line in gate.queues_by_priority for one in line.waiting if one.token.scope]
+            )
+            (offer,) = [one for line in gate.queues_by_priority for one in line.waiting]
             client = offer.client
             await stream.send(wanted("s2", deadline="8"))
             await until(lambda: client.ahead)
             await stream.send(b"x" * (3 * AHEAD))
             await until(lambda: client.overrun and client.quiet())
             client.ahead, client.ahead_size = type(client.ahead)([client.ahead[0]]), 0  # s2 alone was kept
-            offer.left, gate.in_time, gate.release = 0, (lambda *_: False), release
+            offer.time_left, gate.is_in_time, gate.release = 0, (lambda *_: False), release
             door.release()
             got = b""
             with anyio.fail_after(5):
--- a/tests/test_config_overlay.py
+++ b/tests/test_config_overlay.py
@@ -11,7 +11,7 @@
 from lupinmill import terms as t
 from lupinmill.config import checks, merge
 from lupinmill.config.model import Entries, Key
-from lupinmill.limits.gate import Fate, Gate, Offer
+from lupinmill.limits.gate import Verdict, AdmissionGate, AdmissionRequest
 from lupinmill.program import in_force, operators_file
 from lupinmill.program.told import understand
 from lupinmill.protocol import settings as protocol_settings
@@ -227,17 +227,17 @@
 
 
 def test_those_that_wait_at_the_door_of_a_workload_that_goes_have_their_turn():
-    gate = Gate(deployment(workloads=[IDEM, KEYED]))
-    gate.active, gate.window, gate.carries, now = True, 0.0, 1_000.0, 100 * SECOND
-    offers = {name: Offer(name, 3 * SECOND) for name in ("view", "bid")}
-    assert {gate.offer(now, offer) for offer in offers.values()} == {Fate.HELD}
+    gate = AdmissionGate(deployment(workloads=[IDEM, KEYED]))
+    gate.active, gate.window, gate.peak_rate, now = True, 0.0, 1_000.0, 100 * SECOND
+    offers = {name: AdmissionRequest(name, 3 * SECOND) for name in ("view", "bid")}
+    assert {gate.admit(now, offer) for offer in offers.values()} == {Verdict.HELD}
     gate.deploy(deployment(workloads=[in_force.replace(IDEM, value=9.0, contract=2 * SECOND)]))
-    assert [line.worth for line in gate.order] == [9.0, KEYED.value]
-    assert gate.lines["view", False].contract == 2 * SECOND and set(gate.workloads) == {"view"}
+    assert [line.priority for line in gate.queues_by_priority] == [9.0, KEYED.value]
+    assert gate.queues["view", False].contract == 2 * SECOND and set(gate.workloads) == {"view"}
     gate.window = 2.0
     assert [(offer.workload, fate) for offer, fate in gate.release(now + 1)] == [
-        ("view", Fate.TAKEN),
-        ("bid", Fate.TAKEN),
+        ("view", Verdict.TAKEN),
+        ("bid", Verdict.TAKEN),
     ]
     gate.deploy(deployment(workloads=[IDEM]))
-    assert set(gate.lines) == {("view", False)}
+    assert set(gate.queues) == {("view", False)}
--- a/tests/test_config_terms.py
+++ b/tests/test_config_terms.py
@@ -11,7 +11,7 @@
 
 from lupinmill import terms as t
 from lupinmill.config.model import Key
-from lupinmill.limits.gate import Fate, Gate, Offer
+from lupinmill.limits.gate import Verdict, AdmissionGate, AdmissionRequest
 from lupinmill.program import in_force
 from lupinmill.routing.admit import Admit
 from lupinmill.rules import Sidecar
@@ -315,8 +315,8 @@
 def test_two_thousand_changes_leave_memory_and_tables_bounded():
     """Names come and go, and none comes back: a day's changes of a service that names its releases."""
     bed, rng, names = Live(deployment(workloads=[IDEM])), random.Random(11), iter(range(10**6))
-    gate, desk = Gate(deployment(workloads=[IDEM])), bed.sidecar.dispatcher
-    gate.active, gate.window, gate.carries = True, 0.0, 1_000.0
+    gate, desk = AdmissionGate(deployment(workloads=[IDEM])), bed.sidecar.dispatcher
+    gate.active, gate.window, gate.peak_rate = True, 0.0, 1_000.0
     admit = Admit(None, None, {"view"}, None)
     row = in_force.replace(IDEM)
     sizes = []
@@ -329,8 +329,8 @@
         admit.deploy({w.name for w in workloads}, 0)
         for w in workloads:
             name = bed.arrive(w, tenant=tenants[0].name)
-            offer = Offer(w.name, w.hard_limit)
-            if gate.offer(bed.now, offer) is Fate.HELD:
+            offer = AdmissionRequest(w.name, w.hard_limit)
+            if gate.admit(bed.now, offer) is Verdict.HELD:
                 gate.forget(offer)
             if bed.out(name):
                 bed.end(name, 0, t.Outcome.HANDLED, after=5_000)
@@ -348,7 +348,7 @@
         assert len(desk.queues) <= 5 + len(desk.requests) and len(desk.latency_estimates) <= 5 + len(
             desk.requests
         )
-        assert len(desk.arrivals_by_tenant) == 1 and len(gate.lines) <= 5
+        assert len(desk.arrivals_by_tenant) == 1 and len(gate.queues) <= 5
         assert len(admit.gone) <= 1_000 and len(admit.known) <= 1_005
     assert not desk.requests and len(desk.queues) == 0
     assert max(sizes[1:]) < 1.2 * sizes[0], sizes
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -144,7 +144,7 @@
     async def check(net: Net):
         gate = net.program.door.gate
         gate.active, gate.window = True, 0.0
-        gate.in_time, gate.beat = (lambda *_: True), (lambda *_: None)
+        gate.is_in_time, gate.record_lateness = (lambda *_: True), (lambda *_: None)
         release, gate.release = gate.release, lambda now: []
         held = wanted("s1", deadline="8")
         async with await connect(net) as stream:
@@ -167,13 +167,15 @@
     async def check(net: Net):
         door, gate = net.program.door, net.program.door.gate
         gate.active, gate.window = True, 0.0
-        gate.in_time, gate.beat = (lambda *_: True), (lambda *_: None)
+        gate.is_in_time, gate.record_lateness = (lambda *_: True), (lambda *_: None)
         release, gate.release = gate.release, lambda now: []
         with socket.create_connection(net.address.rsplit(":", 1)) as sock:
             sock.send(wanted("s1", deadline="8"))
             await until(lambda: gate.held)
-            await until(lambda: [one for line in gate.order for one in line.waiting if one.token.scope])
-            (offer,) = [one for line in gate.order for one in line.waiting]
+            await until(
+                lambda: [one for line in gate.queues_by_priority for one in line.waiting if one.token.scope]
+            )
+            (offer,) = [one for line in gate.queues_by_priority for one in line.waiting]
         assert offer.client.sock.recv(1, socket.MSG_PEEK) == b""  # it is there, and nobody has looked
         gate.window, gate.release = 8.0, release
         door.release()
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -9,8 +9,8 @@
 
 from bed import Net, on_network, settings, wanted
 from lupinmill import terms as t
-from lupinmill.limits.gate import ENTER, Fate, Gate, Offer
-from lupinmill.limits.gate import BEAT as GATE_BEAT
+from lupinmill.limits.gate import ENTER_LATENESS, Verdict, AdmissionGate, AdmissionRequest
+from lupinmill.limits.gate import HEARTBEAT as GATE_HEARTBEAT
 from lupinmill.protocol import quick
 from lupinmill.protocol.http import Answer
 from lupinmill.routing.door import Door
@@ -27,11 +27,11 @@
 
     def __init__(self, seed: int = 1, cost: int = 1_000, denial: int = 60) -> None:
         d = t.Deployment(seed=seed, workloads=[VIEW, BID], advice_allowed=True, longest_advice=SECOND)
-        self.gate, self.chance = Gate(d), random.Random(seed)
+        self.gate, self.chance = AdmissionGate(d), random.Random(seed)
         self.cost, self.denial, self.now, self.slow = cost, denial, 0, 1.0
         self.inside: list[list] = []  # [passes left, workload, came]
         self.arriving: deque[tuple[int, str]] = deque()
-        self.beat_due, self.denying = GATE_BEAT, 0
+        self.beat_due, self.denying = GATE_HEARTBEAT, 0
         self.asked = {"view": 0, "bid": 0}
         self.good = {"view": 0, "bid": 0}
         self.denied = {"view": 0, "bid": 0}
@@ -55,11 +55,11 @@
             came, name = self.arriving.popleft()
             self.asked[name] += 1
             hard = VIEW.hard_limit if name == "view" else BID.hard_limit
-            offer = Offer(name, hard - (began - came), token=(name, came))
-            fate = gate.offer(began, offer)
-            if fate is Fate.TAKEN:
+            offer = AdmissionRequest(name, hard - (began - came), token=(name, came))
+            fate = gate.admit(began, offer)
+            if fate is Verdict.TAKEN:
                 self.inside.append([PASSES, name, came])
-            elif fate is Fate.DENIED:
+            elif fate is Verdict.DENIED:
                 spent += self.denial
                 self.denying += self.denial
                 self.deny(name, came)
@@ -68,17 +68,17 @@
             spent += self.cost * self.slow / PASSES
         self.now = began + max(int(spent), 100)
         for _, name, came in [one for one in self.inside if not one[0]]:
-            gate.left(self.now)
+            gate.finished(self.now)
             self.answered += 1
             self.good[name] += self.now - came <= (VIEW.contract if name == "view" else BID.contract)
         self.inside = [one for one in self.inside if one[0]]
         if self.now >= self.beat_due:
-            gate.beat(self.now, self.now - self.beat_due, self.denying)
-            self.denying, self.beat_due = 0, self.now + GATE_BEAT
+            gate.record_lateness(self.now, self.now - self.beat_due, self.denying)
+            self.denying, self.beat_due = 0, self.now + GATE_HEARTBEAT
             self.windows.append(gate.window if gate.active else float("nan"))
         for offer, fate in gate.release(self.now):
             name, came = offer.token
-            if fate is Fate.TAKEN:
+            if fate is Verdict.TAKEN:
                 self.inside.append([PASSES, name, came])
             else:
                 self.deny(name, came)
@@ -175,43 +175,47 @@
 
 def test_a_lines_wait_ends_whatever_stands_before_it() -> None:
     """The line of most worth is full and the window too: those of the others still end in their time."""
-    gate = Gate(t.Deployment(seed=1, workloads=[VIEW, BID]))
-    gate.beat(0, 10 * ENTER)
+    gate = AdmissionGate(t.Deployment(seed=1, workloads=[VIEW, BID]))
+    gate.record_lateness(0, 10 * ENTER_LATENESS)
     assert gate.active
     gate.window = 0.0
-    gate.carries = 1000.0
+    gate.peak_rate = 1000.0
     for _ in range(3):
-        assert gate.offer(0, Offer("bid", BID.hard_limit)) is Fate.HELD
-        assert gate.offer(0, Offer("view", VIEW.hard_limit)) is Fate.HELD
+        assert gate.admit(0, AdmissionRequest("bid", BID.hard_limit)) is Verdict.HELD
+        assert gate.admit(0, AdmissionRequest("view", VIEW.hard_limit)) is Verdict.HELD
     ended = [(offer.workload, fate) for offer, fate in gate.release(450 * MS)]
-    assert ended == [("view", Fate.DENIED)] * 3 and gate.held == 3
+    assert ended == [("view", Verdict.DENIED)] * 3 and gate.held == 3
 
 
 def test_a_repeat_gives_way_to_a_first_try_and_one_that_left_is_forgotten() -> None:
-    gate = Gate(t.Deployment(seed=1, workloads=[VIEW, BID]))
-    gate.beat(0, 10 * ENTER)
-    gate.window, gate.carries = 0.0, 1000.0
-    repeat, first, bid = Offer("view", SECOND, True), Offer("view", SECOND), Offer("bid", SECOND)
+    gate = AdmissionGate(t.Deployment(seed=1, workloads=[VIEW, BID]))
+    gate.record_lateness(0, 10 * ENTER_LATENESS)
+    gate.window, gate.peak_rate = 0.0, 1000.0
+    repeat, first, bid = (
+        AdmissionRequest("view", SECOND, True),
+        AdmissionRequest("view", SECOND),
+        AdmissionRequest("bid", SECOND),
+    )
     for offer in (repeat, first, bid):
-        assert gate.offer(0, offer) is Fate.HELD
+        assert gate.admit(0, offer) is Verdict.HELD
     gate.forget(bid)
     gate.window = 10.0
     assert [offer for offer, _ in gate.release(10 * MS)] == [first, repeat] and gate.held == 0
 
 
 def test_what_cannot_be_met_any_more_is_denied_at_once() -> None:
-    gate = Gate(t.Deployment(seed=1, workloads=[VIEW, BID]))
-    gate.beat(0, 10 * ENTER)
-    gate.window, gate.carries = 0.0, 100.0
-    assert gate.offer(0, Offer("view", 20 * MS)) is Fate.DENIED
-    assert gate.offer(0, Offer("view", SECOND)) is Fate.HELD
+    gate = AdmissionGate(t.Deployment(seed=1, workloads=[VIEW, BID]))
+    gate.record_lateness(0, 10 * ENTER_LATENESS)
+    gate.window, gate.peak_rate = 0.0, 100.0
+    assert gate.admit(0, AdmissionRequest("view", 20 * MS)) is Verdict.DENIED
+    assert gate.admit(0, AdmissionRequest("view", SECOND)) is Verdict.HELD
 
 
 def test_a_denied_one_is_told_when_to_come_back_spread_and_only_where_allowed() -> None:
-    gate = Gate(t.Deployment(seed=1, workloads=[VIEW], advice_allowed=True, longest_advice=SECOND))
-    told = [gate.come_back() for _ in range(100)]
+    gate = AdmissionGate(t.Deployment(seed=1, workloads=[VIEW], advice_allowed=True, longest_advice=SECOND))
+    told = [gate.retry_advice() for _ in range(100)]
     assert min(told) >= SECOND // 4 and max(told) <= SECOND and len(set(told)) > 90
-    assert Gate(t.Deployment(seed=1, workloads=[VIEW], longest_advice=SECOND)).come_back() == 0
+    assert AdmissionGate(t.Deployment(seed=1, workloads=[VIEW], longest_advice=SECOND)).retry_advice() == 0
 
 
 # A head at a glance.
@@ -257,13 +261,13 @@
     return Answer(200, [], b"ok")
 
 
-def shut(net: Net) -> Gate:
+def shut(net: Net) -> AdmissionGate:
     """A door that takes nothing up, as when the core is far behind."""
     door = net.program.door
     assert isinstance(door, Door)
-    door.gate.beat(0, 10 * ENTER)
-    door.gate.window, door.gate.carries = 0.0, 1.0
-    door.gate.beat = lambda *_: None
+    door.gate.record_lateness(0, 10 * ENTER_LATENESS)
+    door.gate.window, door.gate.peak_rate = 0.0, 1.0
+    door.gate.record_lateness = lambda *_: None
     return door.gate
 
 
@@ -289,7 +293,7 @@
 def test_what_waits_at_the_door_is_taken_up_in_its_turn_and_what_is_odd_goes_the_usual_way() -> None:
     async def check(net: Net) -> None:
         gate = shut(net)
-        gate.carries = 1000.0
+        gate.peak_rate = 1000.0
         import anyio
 
         async with anyio.create_task_group() as group:
