--- a/lupinmill/__init__.py
+++ b/lupinmill/__init__.py
@@ -1,1 +1,1 @@
-"""lupinmill: a load balancer for services that call services."""
+"""Lupinmill: a load balancer for service-to-service requests, run as a sidecar beside each caller."""
--- a/lupinmill/benchlink/__init__.py
+++ b/lupinmill/benchlink/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions on the simulator's wire: codec and host. No decisions live here."""
+"""Connects the decision module to the simulator's line protocol. No decisions are made here."""
--- a/lupinmill/benchlink/codec.py
+++ b/lupinmill/benchlink/codec.py
@@ -1,4 +1,5 @@
-"""Wire text to notes, orders to wire text."""
+"""Translates the simulator's messages to events, and commands to messages. All words and keys are the
+simulator's."""
 
 from __future__ import annotations
 
@@ -9,7 +10,7 @@
 from lupinmill.protocol.reports import REPORT
 from lupinmill.protocol.settings import Fields
 
-HOW = {
+OUTCOMES = {
     "S": t.Outcome.HANDLED,
     "E": t.Outcome.ERROR,
     "F": t.Outcome.REFUSED,
@@ -24,7 +25,7 @@
 
 
 class Malformed(Exception):
-    """A line the wire does not allow."""
+    """A line that the protocol does not allow."""
 
 
 def micros(text: str) -> int:
@@ -39,88 +40,98 @@
     name, *pairs = line.split(" ")
     fields = {}
     for pair in pairs:
-        key, found, value = pair.partition("=")
-        if not found:
+        key, separator, value = pair.partition("=")
+        if not separator:
             raise Malformed(f"{name}: {pair[:60]!r} is not name=value")
         fields[key] = value
     return name, fields
 
 
-def report_fields(fields: Fields) -> list[tuple[str, float] | None]:
+def report_columns(fields: Fields) -> list[tuple[str, float] | None]:
     names = fields.get("load-report.fields", "")
     return [REPORT.get(name) for name in names.split(",")] if names else []
 
 
-def listing(f: Fields) -> t.ListEntry:
+def list_entry(fields: Fields) -> t.ListEntry:
     return t.ListEntry(
-        endpoint=f["endpoint"],
-        state=STATES[f["readiness"]],
-        zone=f.get("az", ""),
-        kind=f.get("generation-hw", ""),
-        cell=f.get("group", ""),
-        started=micros(f.get("started-at-s", "0")),
-        weight=float(f.get("rating", "1")) or 1.0,
+        endpoint=fields["endpoint"],
+        state=STATES[fields["readiness"]],
+        zone=fields.get("az", ""),
+        kind=fields.get("generation-hw", ""),
+        cell=fields.get("group", ""),
+        started=micros(fields.get("started-at-s", "0")),
+        weight=float(fields.get("rating", "1")) or 1.0,
     )
 
 
-def load(text: str | None, report: list[tuple[str, float] | None]) -> t.LoadReport | None:
+def load_report(text: str | None, columns: list[tuple[str, float] | None]) -> t.LoadReport | None:
     if not text:
         return None
-    found = t.LoadReport()
-    for entry, value in zip(report, text.split(",")):
-        if entry and value not in ("", "-"):
-            setattr(found, entry[0], float(value) * entry[1])
-    return found
-
-
-def arrived(f: Fields, _: Any) -> t.RequestArrived:
-    repeated = f.get("retry") == "1"
-    due, key = micros(f["due-s"]), f.get("name-key", "")
-    return t.RequestArrived(f["handle"], f["profile"], due, f.get("tenant", ""), repeated, key=key)
+    parsed = t.LoadReport()
+    for column, value in zip(columns, text.split(",")):
+        if column and value not in ("", "-"):
+            setattr(parsed, column[0], float(value) * column[1])
+    return parsed
+
+
+def request_arrived(fields: Fields, _: Any) -> t.RequestArrived:
+    repeated = fields.get("retry") == "1"
+    due, key = micros(fields["due-s"]), fields.get("name-key", "")
+    return t.RequestArrived(
+        fields["handle"], fields["profile"], due, fields.get("tenant", ""), repeated, key=key
+    )
 
 
-def ended(f: Fields, report: Any) -> t.AttemptEnded:
-    closed = f.get("closed") == "1"
-    took = micros(f.get("spent-s", "0"))
+def attempt_ended(fields: Fields, columns: Any) -> t.AttemptEnded:
+    closed = fields.get("closed") == "1"
+    duration = micros(fields.get("spent-s", "0"))
     return t.AttemptEnded(
-        f["handle"], int(f["try"]), HOW[f["how"]], took, closed, load(f.get("stats"), report)
+        fields["handle"],
+        int(fields["try"]),
+        OUTCOMES[fields["how"]],
+        duration,
+        closed,
+        load_report(fields.get("stats"), columns),
     )
 
 
-def probed(f: Fields, report: Any) -> t.ProbeEnded:
+def probe_ended(fields: Fields, columns: Any) -> t.ProbeEnded:
     return t.ProbeEnded(
-        f["endpoint"], HOW[f["how"]], micros(f.get("spent-s", "0")), load(f.get("stats"), report)
+        fields["endpoint"],
+        OUTCOMES[fields["how"]],
+        micros(fields.get("spent-s", "0")),
+        load_report(fields.get("stats"), columns),
     )
 
 
 EVENTS: dict[str, Callable[[Fields, Any], t.Event]] = {
-    "JOB_IN": arrived,
-    "VERDICT": ended,
-    "PROBE_RESULT": probed,
-    "WAKE": lambda f, _: t.TimerFired(int(f["ref"])),
-    "VANISHED": lambda f, _: t.RequestCancelled(f["handle"]),
-    "ESTABLISHED": lambda f, _: t.ResponseStarted(f["handle"], int(f["try"])),
+    "JOB_IN": request_arrived,
+    "VERDICT": attempt_ended,
+    "PROBE_RESULT": probe_ended,
+    "WAKE": lambda fields, _: t.TimerFired(int(fields["ref"])),
+    "VANISHED": lambda fields, _: t.RequestCancelled(fields["handle"]),
+    "ESTABLISHED": lambda fields, _: t.ResponseStarted(fields["handle"], int(fields["try"])),
 }
 
 
-def deny(o: t.RejectRequest) -> str:
-    advice = f" come-back-s={seconds(o.retry_after)}" if o.retry_after else ""
-    return f"BUSY handle={o.request}{advice}"
+def reject_line(command: t.RejectRequest) -> str:
+    advice = f" come-back-s={seconds(command.retry_after)}" if command.retry_after else ""
+    return f"BUSY handle={command.request}{advice}"
 
 
-ORDERS: dict[type, Callable[[Any], str]] = {
-    t.StartAttempt: lambda o: (
-        f"ROUTE handle={o.request} endpoint={o.endpoint} abandon-at-s={seconds(o.until)}"
+COMMANDS: dict[type, Callable[[Any], str]] = {
+    t.StartAttempt: lambda command: (
+        f"ROUTE handle={command.request} endpoint={command.endpoint} abandon-at-s={seconds(command.until)}"
     ),
-    t.CancelAttempt: lambda o: f"ABANDON handle={o.request} try={o.attempt}",
-    t.RejectRequest: deny,
-    t.AbortResponse: lambda o: f"FAIL handle={o.request}",
-    t.SetTimer: lambda o: f"NOTIFY_ME due-at-s={seconds(o.at)} ref={o.ref}",
-    t.StartProbe: lambda o: f"PING endpoint={o.endpoint}",
-    t.StartWatch: lambda o: "TAIL want=1",
-    t.WriteLog: lambda o: "REMARK body-text=" + o.text.replace("\n", " "),
+    t.CancelAttempt: lambda command: f"ABANDON handle={command.request} try={command.attempt}",
+    t.RejectRequest: reject_line,
+    t.AbortResponse: lambda command: f"FAIL handle={command.request}",
+    t.SetTimer: lambda command: f"NOTIFY_ME due-at-s={seconds(command.at)} ref={command.ref}",
+    t.StartProbe: lambda command: f"PING endpoint={command.endpoint}",
+    t.StartWatch: lambda command: "TAIL want=1",
+    t.WriteLog: lambda command: "REMARK body-text=" + command.text.replace("\n", " "),
 }
 
 
-def order_line(command: t.Command) -> str:
-    return ORDERS[type(command)](command)
+def command_line(command: t.Command) -> str:
+    return COMMANDS[type(command)](command)
--- a/lupinmill/benchlink/host.py
+++ b/lupinmill/benchlink/host.py
@@ -1,4 +1,5 @@
-"""Hosts many isolated instances of the decision module on one pair of streams."""
+"""Hosts many isolated instances of the decision module on one pair of streams, in the simulator's
+protocol."""
 
 from __future__ import annotations
 
@@ -13,7 +14,7 @@
 
 
 class ModuleFailed(Exception):
-    """The decision module raised; the text is for GIVE_IN."""
+    """The decision module raised; the text goes into GIVE_IN."""
 
     def __init__(self, instance: str, text: str) -> None:
         super().__init__(text)
@@ -22,43 +23,51 @@
 
 @dataclass(slots=True)
 class Hosted:
+    """An instance, and the columns of its load reports."""
+
     sidecar: Sidecar
-    report: list[tuple[str, float] | None]
+    report_columns: list[tuple[str, float] | None]
 
 
 @dataclass(slots=True)
 class Batch:
+    """The events of one step, for each instance that it names."""
+
     now: int
     current: str = ""
-    events: dict[str, list[t.Event]] = field(default_factory=dict)  # in the order instances were first named
-    rows_due: int = 0
+    events: dict[str, list[t.Event]] = field(default_factory=dict)  # in the order of first mention
+    rows_due: int = 0  # lines of a list that are still to come
 
 
 class Host:
+    """Reads lines into batches, and steps the instances."""
+
     def __init__(self) -> None:
         self.instances: dict[str, Hosted] = {}
-        self.rosters: dict[str, list[t.ListEntry]] = {}
-        self.filling: list[t.ListEntry] = []
+        self.lists: dict[str, list[t.ListEntry]] = {}
+        self.open_list: list[t.ListEntry] = []
 
     def read(self, batch: Batch, line: str) -> None:
-        name, f = codec.split(line)
+        name, fields = codec.split(line)
         if batch.rows_due:
             if name != "ROW":
                 raise Malformed(f"{name} where {batch.rows_due} more ROW lines were due")
-            self.filling.append(codec.listing(f))
+            self.open_list.append(codec.list_entry(fields))
             batch.rows_due -= 1
         elif name == "SWITCH_TO":
-            batch.current = f["sidecar-id"]
+            batch.current = fields["sidecar-id"]
         elif name == "LEDGER":
-            self.filling = self.rosters[f["roster-id"]] = []
-            batch.rows_due = int(f["hosts"])
+            self.open_list = self.lists[fields["roster-id"]] = []
+            batch.rows_due = int(fields["hosts"])
         elif name == "ENLIST":
-            self.instances[batch.current] = Hosted(Sidecar(settings.deployment(f)), codec.report_fields(f))
+            self.instances[batch.current] = Hosted(
+                Sidecar(settings.deployment(fields)), codec.report_columns(fields)
+            )
             batch.events[batch.current] = []
         else:
-            self.read_event(batch, name, f)
+            self.read_event(batch, name, fields)
 
-    def read_event(self, batch: Batch, name: str, f: codec.Fields) -> None:
+    def read_event(self, batch: Batch, name: str, fields: codec.Fields) -> None:
         hosted = self.instances.get(batch.current)
         if hosted is None:
             raise Malformed(f"{name} for the unknown instance {batch.current[:60]!r}")
@@ -67,13 +76,13 @@
             batch.events.pop(batch.current, None)
             return
         if name == "UPDATE":
-            kind = codec.LIST_KINDS[f["mode"]]
-            entries = [] if kind is t.ListKind.FAILED else self.rosters[f["roster-id"]]
+            kind = codec.LIST_KINDS[fields["mode"]]
+            entries = [] if kind is t.ListKind.FAILED else self.lists[fields["roster-id"]]
             event: t.Event = t.ListReceived(kind, entries)
         elif name in codec.EVENTS:
-            event = codec.EVENTS[name](f, hosted.report)
+            event = codec.EVENTS[name](fields, hosted.report_columns)
         else:
-            return  # messages of later wires are skipped, like unknown keys
+            return  # messages of later protocol versions are skipped, like unknown keys
         batch.events.setdefault(batch.current, []).append(event)
 
     def reply(self, batch: Batch) -> str:
@@ -85,7 +94,7 @@
                 raise ModuleFailed(instance, f"{type(error).__name__}: {error}") from error
             if commands:
                 lines.append(f"AS sidecar-id={instance}")
-                lines.extend(map(codec.order_line, commands))
+                lines.extend(map(codec.command_line, commands))
         lines.append("DONE\n")
         return "\n".join(lines)
 
--- a/lupinmill/state/__init__.py
+++ b/lupinmill/state/__init__.py
@@ -1,1 +1,1 @@
-"""What the decisions have learned, as plain tables that another process can take up."""
+"""Export and import of the decision module's learned state, for the next process of an upgrade."""
--- a/lupinmill/state/learned.py
+++ b/lupinmill/state/learned.py
@@ -1,5 +1,7 @@
-"""What the decision module has learned, as a plain table, and back. Pure. It decides nothing: figures that
-can't be read, or are of what no list names, are left out, and the module starts there as it would anyway."""
+"""Exports what the decision module has learned to a plain table, and imports it. Pure, without any decisions:
+figures that are unreadable or belong to unlisted endpoints are skipped, and keep their initial values.
+
+The keys of the table pass between processes of different versions: they must not change."""
 
 from __future__ import annotations
 
@@ -23,35 +25,36 @@
         "kinds": dispatcher.pace_by_kind,
         "cap": dispatcher.cap
         * dispatcher.settings.active_sidecars
-        / max(1, dispatcher.settings.configured_sidecars),  # as among so many as told
+        / max(1, dispatcher.settings.configured_sidecars),  # scaled to the configured number of sidecars
         "crowding": dispatcher.crowding,
         "gauges": {
-            name: [gauge.current, gauge.uncrowded, list(gauge.means)]
-            for name, gauge in dispatcher.latency_estimates.items()
+            name: [estimate.current, estimate.uncrowded, list(estimate.means)]
+            for name, estimate in dispatcher.latency_estimates.items()
         },
         "taken": bucket_pairs(dispatcher.new_requests),
         "retried": bucket_pairs(dispatcher.retries),
         "launched": bucket_pairs(dispatcher.attempts_sent),
         "endpoints": {
             name: {
-                "mode": one.mode,
-                "share": one.share,
-                "pace": one.pace,
-                "answers": one.answers,
-                "broken": one.connection_failures,
-                "rest": one.ejection_time,
-                "cold_since": one.cold_since,
-                "heard": one.last_heard,
+                "mode": endpoint.mode,
+                "share": endpoint.share,
+                "pace": endpoint.pace,
+                "answers": endpoint.answers,
+                "broken": endpoint.connection_failures,
+                "rest": endpoint.ejection_time,
+                "cold_since": endpoint.cold_since,
+                "heard": endpoint.last_heard,
             }
-            for name, one in dispatcher.endpoints.items()
+            for name, endpoint in dispatcher.endpoints.items()
         },
     }
 
 
 def recall(sidecar: Sidecar, table: Table, now: int) -> None:
-    """Into a module that has its list already. Budgets count as spent; what was set aside stays so, and is
-    probed anew; who was on trial goes on. Nothing is taken from the other shape of deployment: there a cap
-    counts launches, here multiples of what own traffic keeps in flight, or the other way round."""
+    """Imports the table into a module that has its endpoint list already. Retry budgets stay as spent,
+    ejected endpoints stay ejected and are probed anew, and trials go on. Nothing is imported between a
+    deployment with a sidecar per client and one without: in one a cap counts attempts, in the other
+    multiples of what own traffic keeps in flight."""
     dispatcher = sidecar.dispatcher
     if bool(table.get("beside")) is not dispatcher.settings.sidecar_per_client:
         return
@@ -66,52 +69,55 @@
     dispatcher.warm_rate = max(0.0, number(table.get("each"), 0.0))
     dispatcher.pace_by_kind = {str(kind): number(pace, 1.0) for kind, pace in table.get("kinds", {}).items()}
     dispatcher.crowding = min(8.0, max(0.0, number(table.get("crowding"), 1.0)))
-    for name, (usual, uncrowded, means) in table.get("gauges", {}).items():
+    for name, (current, uncrowded, means) in table.get("gauges", {}).items():
         if name in dispatcher.settings.workloads:
-            gauge = dispatcher.latency_estimate(dispatcher.settings.workloads[name])
-            gauge.current, gauge.uncrowded = float(usual), float(uncrowded)
-            gauge.means.extend(float(mean) for mean in means)
-    rings = (
+            estimate = dispatcher.latency_estimate(dispatcher.settings.workloads[name])
+            estimate.current, estimate.uncrowded = float(current), float(uncrowded)
+            estimate.means.extend(float(mean) for mean in means)
+    sums = (
         (dispatcher.new_requests, "taken"),
         (dispatcher.retries, "retried"),
         (dispatcher.attempts_sent, "launched"),
         (dispatcher.arrivals, "came"),
     )
-    for kept, pairs in rings:
-        restore_buckets(kept, table.get(pairs, []))
-    for name, said in table.get("endpoints", {}).items():
-        one = dispatcher.endpoints.get(name)
-        if one is None:
+    for window, key in sums:
+        restore_buckets(window, table.get(key, []))
+    for name, saved in table.get("endpoints", {}).items():
+        endpoint = dispatcher.endpoints.get(name)
+        if endpoint is None:
             continue
-        one.share = min(1.0, max(0.1, number(said.get("share"), 1.0)))
-        one.pace = None if said.get("pace") is None else min(8.0, number(said["pace"], 1.0))
-        one.answers, one.connection_failures = int(said.get("answers", 0)), int(said.get("broken", 0))
-        one.ejection_time, one.last_heard = (
-            int(said.get("rest", one.ejection_time)),
-            int(said.get("heard", 0)),
+        endpoint.share = min(1.0, max(0.1, number(saved.get("share"), 1.0)))
+        endpoint.pace = None if saved.get("pace") is None else min(8.0, number(saved["pace"], 1.0))
+        endpoint.answers, endpoint.connection_failures = (
+            int(saved.get("answers", 0)),
+            int(saved.get("broken", 0)),
+        )
+        endpoint.ejection_time, endpoint.last_heard = (
+            int(saved.get("rest", endpoint.ejection_time)),
+            int(saved.get("heard", 0)),
         )
-        # The list that this process was told may know of a start that the other one had not heard of.
-        one.cold_since = max(one.cold_since or 0, int(said.get("cold_since") or 0)) or None
-        if said.get("mode") in ("aside", "trial"):
-            one.mode = said["mode"]
-            if one.mode == "aside":
-                one.schedule_probe(dispatcher.random_source.upto(one.ejection_time // 4))
-        one.send_report()
+        # The list of this process may know of a start that the other process had not heard of.
+        endpoint.cold_since = max(endpoint.cold_since or 0, int(saved.get("cold_since") or 0)) or None
+        if saved.get("mode") in ("aside", "trial"):
+            endpoint.mode = saved["mode"]
+            if endpoint.mode == "aside":
+                endpoint.schedule_probe(dispatcher.random_source.upto(endpoint.ejection_time // 4))
+        endpoint.send_report()
     sidecar.message_queue.run()
 
 
-def number(value: Any, usual: float) -> float:
-    known = isinstance(value, int | float) and not isinstance(value, bool) and isfinite(value)
-    return float(value) if known else usual
+def number(value: Any, default: float) -> float:
+    valid = isinstance(value, int | float) and not isinstance(value, bool) and isfinite(value)
+    return float(value) if valid else default
 
 
-def bucket_pairs(kept: BucketedSum) -> list[list[float]]:
-    return [[mark, total] for mark, total in zip(kept.indexes, kept.sums) if mark >= 0]
+def bucket_pairs(window: BucketedSum) -> list[list[float]]:
+    return [[index, total] for index, total in zip(window.indexes, window.sums) if index >= 0]
 
 
-def restore_buckets(kept: BucketedSum, pairs: list[list[float]]) -> None:
-    """Both processes go by the same clock, so buckets fit."""
-    for mark, total in pairs:
-        slot = int(mark) % len(kept.sums)
-        if kept.indexes[slot] < mark:
-            kept.indexes[slot], kept.sums[slot] = int(mark), float(total)
+def restore_buckets(window: BucketedSum, pairs: list[list[float]]) -> None:
+    """Both processes use the same clock, so the bucket indexes agree."""
+    for index, total in pairs:
+        slot = int(index) % len(window.sums)
+        if window.indexes[slot] < index:
+            window.indexes[slot], window.sums[slot] = int(index), float(total)
