--- a/lupinmill/limits/gate.py
+++ b/lupinmill/limits/gate.py
@@ -187,10 +187,10 @@
                 found.append((request, Verdict.DENIED if expired else Verdict.TAKEN))
         return found
 
-    def record_lateness(self, now: int, lateness: int, denying: int = 0, unlaunched: int = 0) -> None:
+    def record_lateness(self, now: int, lateness: int, denying: int = 0, without_attempt: int = 0) -> None:
         """Adjusts the window. Takes the loop's lateness at this heartbeat, and the time spent on denials
         since the last one, in microseconds; called about a hundred times per second while any request is
-        inside. `unlaunched` is the number of requests inside without an attempt."""
+        inside. `without_attempt` is the number of requests inside that no attempt was made for."""
         self.denying_share += (denying / (HEARTBEAT + lateness) - self.denying_share) * 0.1
         self.peak_rate = max(
             self.peak_rate * PEAK_RATE_DECAY,
@@ -213,7 +213,7 @@
         excess = (own_lateness - TARGET_LATENESS) / (4 * TARGET_LATENESS)
         if excess > 0:
             self.window = max(MIN_WINDOW, self.window * (1 - MAX_DECREASE * min(1.0, excess)))
-        elif unlaunched > max(MIN_WINDOW, self.inside // 4):
+        elif without_attempt > max(MIN_WINDOW, self.inside // 4):
             # Requests held by the decision module wait in no queue of this gate: higher priorities can't
             # overtake them.
             self.window = max(MIN_WINDOW, min(self.window, self.inside) * 0.95)
--- a/lupinmill/rules.py
+++ b/lupinmill/rules.py
@@ -468,14 +468,14 @@
         ahead = sum(len(other.waiting) for other in queues if other.priority > queue.priority) + len(
             queue.waiting
         )
-        room, limit, least = (
+        capacity, limit, minimum = (
             self.capacity(),
             self.hold_deadline(request),
             float(self.settings.sidecar_per_client),
         )
         allowed = (
-            max(least, room) * SECOND / self.latency_estimate(request.workload).current
-            if least or self.cap < 1
+            max(minimum, capacity) * SECOND / self.latency_estimate(request.workload).current
+            if minimum or self.cap < 1
             else 0.0
         )
         rate = max(1.0, self.attempts_sent.total(self.message_queue.now), allowed)
@@ -487,7 +487,9 @@
         self.rejected_since_check = True
         if not self.shedding:
             self.shedding = True
-            self.message_queue.log(f"shedding: {self.waiting} held, {rate:.0f} launches/s, room {room:.1f}")
+            self.message_queue.log(
+                f"shedding: {self.waiting} held, {rate:.0f} attempts/s, capacity {capacity:.1f}"
+            )
         self.finish(request)
 
     # Attempts are started for held requests.
@@ -555,23 +557,23 @@
     def in_flight_limit(self) -> int:
         """Limit on the attempts in flight at all available endpoints together; fractions are rounded at
         random."""
-        room = self.capacity()
+        limit = self.capacity()
         if self.settings.sidecar_per_client:
             return int(
-                max(1.0, room + (0 if self.is_slower_than(self.settings.uncrowded_pace) else sqrt(room)))
+                max(1.0, limit + (0 if self.is_slower_than(self.settings.uncrowded_pace) else sqrt(limit)))
                 + 0.5
             )
         if self.cap >= 1:
-            return max(1, ceil(room))
+            return max(1, ceil(limit))
         mean = self.attempts_sent.total(self.message_queue.now) * self.averages.latency / SECOND
-        if mean <= room and not self.is_slower_than(self.settings.uncrowded_pace):
-            room += min(sqrt(room), room * (1 / FRACTIONAL_CAP_FACTOR - 1))
+        if mean <= limit and not self.is_slower_than(self.settings.uncrowded_pace):
+            limit += min(sqrt(limit), limit * (1 / FRACTIONAL_CAP_FACTOR - 1))
         if self.message_queue.now >= self.redraw_at:
             self.rounding_draw, self.redraw_at = (
                 self.random_source.draw(),
                 self.message_queue.now + self.averages.latency,
             )
-        return int(room + self.rounding_draw)
+        return int(limit + self.rounding_draw)
 
     def capacity(self) -> float:
         """This sidecar's part of what all available endpoints can have in flight."""
@@ -1054,7 +1056,9 @@
             self.message_queue.send(self.endpoints[endpoint.name], self.averages)
         if self.shedding and not self.waiting:
             self.shedding = False
-            self.message_queue.log(f"shedding ended: {self.in_flight} in flight, room {self.capacity():.1f}")
+            self.message_queue.log(
+                f"shedding ended: {self.in_flight} in flight, capacity {self.capacity():.1f}"
+            )
         if self.requests:
             self.schedule_check()
 
--- a/lupinmill/workings.py
+++ b/lupinmill/workings.py
@@ -64,7 +64,7 @@
 
 class LatencyEstimate:
     """Latency of one workload: the current one, and the uncrowded one, which is the least mean of the last
-    half minute. Each mean is taken over at least `evidence` answers."""
+    half minute. Each mean is taken over at least `min_samples` answers."""
 
     def __init__(self, initial: int, min_samples: int) -> None:
         self.current = self.uncrowded = float(max(1, initial))
