--- a/tests/test_arrivals.py
+++ b/tests/test_arrivals.py
@@ -1,5 +1,5 @@
-"""Bounds of when a client wrote its last byte, over drawn clients, networks and readers in virtual time. Each
-drawn world follows TCP's window: what has no room here waits with the sender."""
+"""Bounds of when a client wrote its last byte, over random clients, networks and readers in virtual time.
+Each simulation follows TCP flow control: data beyond the receive window waits at the sender."""
 
 import random
 from collections import deque
@@ -14,18 +14,18 @@
 SEGMENT = 16 * 1024  # bytes that arrive together
 READ = 16 * 1024  # bytes read at once
 TICK = MS // 2
-SLACK = 60 * MS  # by which a bound may be wrong, beside the time that the network takes
+SLACK = 60 * MS  # error allowed for a bound, beside the network time
 
 
 class World:
-    """One request of a client that writes `writes` (when, how much), read by a loop that stands still during
-    `stops` (begin, end)."""
+    """One request, written by its client as `writes` (time, size), and read by an event loop that is blocked
+    during `stops` (begin, end)."""
 
     def __init__(self, writes: list[tuple[int, int]], stops: list[tuple[int, int]], round_trip: int) -> None:
         self.writes, self.stops, self.round_trip = deque(writes), stops, round_trip
         self.size = sum(size for _, size in writes)
         self.last_write = writes[-1][0]
-        self.now = self.with_sender = self.under_way = self.taken = 0
+        self.now = self.unsent = self.in_transit = self.taken = 0
         self.segments: deque[tuple[int, int]] = deque()  # arrival and size
         self.unread: deque[list[int]] = deque()
         self.arrivals = Arrivals(lambda: round_trip)
@@ -35,15 +35,15 @@
 
     def network(self) -> None:
         while self.writes and self.writes[0][0] <= self.now:
-            self.with_sender += self.writes.popleft()[1]
-        while self.with_sender and self.unread_size() + self.under_way < WINDOW:
-            size = min(SEGMENT, self.with_sender, WINDOW - self.unread_size() - self.under_way)
-            self.with_sender -= size
-            self.under_way += size
+            self.unsent += self.writes.popleft()[1]
+        while self.unsent and self.unread_size() + self.in_transit < WINDOW:
+            size = min(SEGMENT, self.unsent, WINDOW - self.unread_size() - self.in_transit)
+            self.unsent -= size
+            self.in_transit += size
             self.segments.append((self.now + self.round_trip // 2, size))
         while self.segments and self.segments[0][0] <= self.now:
             arrived, size = self.segments.popleft()
-            self.under_way -= size
+            self.in_transit -= size
             self.unread.append([arrived, size])
 
     def transfer(self) -> int:
@@ -74,7 +74,7 @@
         return self.arrivals.backlog.waited(self.now).at_most
 
     def steps(self):
-        """A step whenever the reader runs."""
+        """Yields after each run of the reader."""
         while self.taken < self.size:
             self.network()
             if not self.stopped():
@@ -95,7 +95,7 @@
 
 @pytest.mark.parametrize("seed", range(150))
 def test_no_client_has_waited_longer_than_the_bound_says(seed):
-    """Of a request that is still read it may have been written whole; of one that is whole it was."""
+    """A request that is still being read may already have been written as a whole."""
     world = drawn(random.Random(seed))
     for _ in world.steps():
         if world.now >= world.last_write:
@@ -107,7 +107,8 @@
     [(3_000, 10 * MS, 100), (20_000, 70 * MS, 100), (20_000, 90 * MS, 10 * MS), (200_000, 300 * MS, 10 * MS)],
 )
 def test_a_client_that_writes_slowly_is_believed(size, pause, round_trip):
-    """The loop stands still once; after that what comes proves soon that the client is writing still."""
+    """The event loop is blocked once; what arrives afterwards soon proves that the client is still
+    writing."""
     writes = [(at * pause, size) for at in range(1_500_000 // size)]
     world = World(writes, [(1, 400 * MS)], round_trip)
     late = [world.at_most() for _ in world.steps() if world.now > 700 * MS + 3 * pause]
@@ -115,7 +116,7 @@
 
 
 def test_a_silence_shorter_than_a_round_trip_proves_nothing():
-    """A sender that has written all waits for acknowledgements."""
+    """A sender that has written everything may be waiting for acknowledgements."""
     followed = Arrivals(lambda: 200 * MS)
     for at in range(4):
         followed.read(Read(READ, 0, 0, at == 3))
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -1,4 +1,4 @@
-"""The wire: whole batches in and out, and what happens on bad input."""
+"""The simulator's protocol: complete batches in and out, and malformed input."""
 
 import io
 
--- a/tests/test_beside.py
+++ b/tests/test_beside.py
@@ -1,4 +1,4 @@
-"""A sidecar beside each client: a test for each assumption about the shape of a deployment that fell."""
+"""Deployments with a sidecar per client: a test for each assumption that did not hold there."""
 
 import random
 
@@ -28,9 +28,15 @@
 
 
 def serve(
-    bed: Bed, count: int, apart: int, took=lambda endpoint: 50 * MS, key=lambda at: "", tenant=lambda at: ""
+    bed: Bed,
+    count: int,
+    apart: int,
+    latency=lambda endpoint: 50 * MS,
+    key=lambda at: "",
+    tenant=lambda at: "",
 ):
-    """`count` submissions, one each `apart`, answered after their endpoint's time. Gives where they went."""
+    """Sends `count` requests, `apart` microseconds between two, each answered after its endpoint's latency.
+    Returns the endpoints that they went to."""
     out, picks = [], []
     for at in range(count + IDEM.hard_limit // apart):
         if at < count:
@@ -40,10 +46,10 @@
             out.append(name)
         bed.run(apart)
         for name in list(out):
-            for launch in bed.out(name):
-                flight = bed.flights[name][launch]
-                if bed.now - flight["sent"] >= took(flight["endpoint"]):
-                    bed.end(name, launch, t.Outcome.HANDLED)
+            for attempt in bed.out(name):
+                flight = bed.flights[name][attempt]
+                if bed.now - flight["sent"] >= latency(flight["endpoint"]):
+                    bed.end(name, attempt, t.Outcome.HANDLED)
             if name not in bed.owed:
                 out.remove(name)
                 picks += [flight["endpoint"] for flight in bed.flights[name]]
@@ -51,14 +57,15 @@
 
 
 def test_a_busy_sidecar_is_not_held_to_an_even_part_of_the_fleet():
-    """Seen: 43 to 68% denied at full size while the endpoints had room, all by the few busy sidecars."""
+    """Guards against equal parts of the capacity: the few busy sidecars denied 43 to 68% of all requests at
+    full size while the endpoints had free capacity."""
     bed = Bed(beside(), endpoints=20)
     serve(bed, 400, 10 * MS)
     assert list(bed.closed.values()).count("denied") == 0
 
 
 def test_the_first_submission_is_launched_at_once():
-    """Seen: every sidecar with few connections denied all that came in its first half second."""
+    """Guards against sidecars with few connections that denied all requests of their first half second."""
     bed = Bed(beside(few_connections=True), endpoints=20)
     assert bed.flights[bed.arrive(IDEM)]
 
@@ -69,23 +76,23 @@
     assert 2 <= len(used) <= 4
     for _ in range(3 * len(used)):
         name = bed.arrive(IDEM)
-        for launch in bed.out(name):
-            if bed.flights[name][launch]["endpoint"] in used:
-                bed.end(name, launch, t.Outcome.UNCONNECTED)
+        for attempt in bed.out(name):
+            if bed.flights[name][attempt]["endpoint"] in used:
+                bed.end(name, attempt, t.Outcome.UNCONNECTED)
     assert set(serve(bed, 20, 200 * MS)) - used
 
 
 def test_sidecars_with_few_connections_use_all_endpoints_by_weight():
-    told = [entry(f"e{at}", weight=8.0 if at < 10 else 2.0) for at in range(20)]
-    launches = {one.endpoint: 0 for one in told}
+    entries = [entry(f"e{at}", weight=8.0 if at < 10 else 2.0) for at in range(20)]
+    attempts = {one.endpoint: 0 for one in entries}
     for seed in range(60):
         bed = Bed(beside(few_connections=True, seed=seed), endpoints=0)
-        fleet(bed, *told)
+        fleet(bed, *entries)
         for name in serve(bed, 20, 200 * MS):
-            launches[name] += 1
-    heavy = sum(launches[f"e{at}"] for at in range(10))
-    light = sum(launches.values()) - heavy
-    assert 2.5 < heavy / light < 6 and all(launches.values())
+            attempts[name] += 1
+    heavy = sum(attempts[f"e{at}"] for at in range(10))
+    light = sum(attempts.values()) - heavy
+    assert 2.5 < heavy / light < 6 and all(attempts.values())
 
 
 def test_a_key_goes_to_the_same_endpoint_from_every_sidecar_while_it_has_room():
@@ -108,7 +115,8 @@
 
 
 def test_slow_machines_do_not_stand_behind_the_others_for_good():
-    """Seen: endpoints of the slow kind on the shelf of the crowded all day, though all was well with them."""
+    """Guards against endpoints of a slow kind that always count as crowded though nothing is wrong with
+    them."""
     bed = Bed(beside(), endpoints=0)
     fleet(
         bed,
@@ -116,13 +124,14 @@
         *[entry(f"slow{at}", kind="slow") for at in range(4)],
     )
     picks = serve(bed, 600, 20 * MS, lambda name: (120 if name.startswith("slow") else 50) * MS)
-    seats = bed.sidecar.dispatcher.endpoint_states
-    assert not any(seats[f"slow{at}"].report.crowded for at in range(4))
+    states = bed.sidecar.dispatcher.endpoint_states
+    assert not any(states[f"slow{at}"].report.crowded for at in range(4))
     assert 40 < sum(name.startswith("slow") for name in picks[200:]) < 200
 
 
 def test_without_probes_a_broken_connection_is_not_tried_again_at_once():
-    """Seen: a trial each tenth of a second at an endpoint that was away, each at the cost of a launch."""
+    """Guards against a trial each tenth of a second at an endpoint that is down, each at the cost of an
+    attempt."""
     bed = Bed(beside(), endpoints=3)
     serve(bed, 50, 50 * MS)
     name = bed.arrive(IDEM)
@@ -133,24 +142,25 @@
 
 def test_only_what_a_tenant_sends_beyond_its_part_of_own_traffic_is_beyond_its_share():
     d = beside(tenants=[t.Tenant("a", 50.0), t.Tenant("b", 50.0)], beyond_share_value=0.1)
-    bed, rand = Bed(d, endpoints=8), random.Random(3)
+    bed, rng = Bed(d, endpoints=8), random.Random(3)
     beyond = {"a": 0, "b": 0}
-    taken, desk = {"a": 0, "b": 0}, bed.sidecar.dispatcher
-    whole = desk.is_beyond_share
+    taken, dispatcher = {"a": 0, "b": 0}, bed.sidecar.dispatcher
+    original = dispatcher.is_beyond_share
 
     def watched(tenant: str) -> bool:
-        found = whole(tenant)
+        found = original(tenant)
         beyond[tenant] += found
         taken[tenant] += 1
         return found
 
-    desk.is_beyond_share = watched
-    serve(bed, 600, 20 * MS, tenant=lambda at: "a" if rand.random() < 0.75 else "b")
+    dispatcher.is_beyond_share = watched
+    serve(bed, 600, 20 * MS, tenant=lambda at: "a" if rng.random() < 0.75 else "b")
     assert beyond["b"] < 0.1 * taken["b"] and 0.2 < beyond["a"] / taken["a"] < 0.5
 
 
 def test_a_fleet_that_grows_with_cold_endpoints_does_not_look_crowded():
-    """Seen: 26 cold endpoints beside 9 jammed ones; their slow answers shut the caps, and half was denied."""
+    """Guards against the slow answers of cold endpoints lowering all caps: with 26 cold endpoints beside 9
+    overloaded ones half of the requests were denied."""
     bed = Bed(beside(cold_share=0.2, cold_time=20 * SECOND), endpoints=4)
     serve(bed, 200, 20 * MS)
     new = [entry(f"new{at}", started=bed.now) for at in range(4)]
@@ -162,23 +172,23 @@
 
 @pytest.mark.parametrize("few", [False, True])
 def test_what_is_given_up_is_denied_by_the_end_of_its_contract_and_told_when_to_come_back(few):
-    """Nothing waits for its deadline so that its client stays quiet."""
+    """Requests are not held until their deadline just to keep their clients from retrying."""
     bed = Bed(beside(few_connections=few, advice_allowed=True, longest_advice=SECOND), endpoints=2)
-    came, waits = {}, []
+    arrived_at, waits = {}, []
     for _ in range(600):
         commands = []
         step = bed.step
         bed.step = lambda *events, _orders=commands, _step=step, **more: (
             _orders.extend(found := _step(*events, **more)) or found
         )
-        came[bed.arrive(IDEM)] = bed.now
+        arrived_at[bed.arrive(IDEM)] = bed.now
         bed.run(5 * MS)
         del bed.step
         for command in commands:
             if isinstance(command, t.RejectRequest):
                 assert command.retry_after >= SECOND // 2
             if isinstance(command, t.RejectRequest) and not bed.flights[command.request]:
-                waits.append(bed.now - came[command.request])
+                waits.append(bed.now - arrived_at[command.request])
     assert len(waits) > 300 and max(waits) < IDEM.contract
 
 
@@ -189,14 +199,15 @@
 
 
 def test_the_next_process_of_an_upgrade_goes_on_with_the_room_of_its_traffic():
-    """Without its rate a busy sidecar began again with room for one launch."""
+    """Guards against a busy sidecar that starts again with capacity for one attempt, as its rate was not
+    handed over."""
     old, new = Bed(beside(), endpoints=8), Bed(beside(), endpoints=8)
     serve(old, 400, 10 * MS)
     taken_over(old, new)
     before, after = old.sidecar.dispatcher, new.sidecar.dispatcher
-    for desk in (before, after):
-        desk.message_queue.now = old.now
-        desk.rebalance(1.0)
+    for dispatcher in (before, after):
+        dispatcher.message_queue.now = old.now
+        dispatcher.rebalance(1.0)
     assert (
         after.pace_by_kind == before.pace_by_kind and after.uncrowded_latency == before.uncrowded_latency > 0
     )
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -1,6 +1,6 @@
-"""What all sidecars together send to an endpoint that starts cold, in virtual time, against the budget: in
-any window of the time told, no more than N + 2 x root of N + 2 (N under 30: N + 3 x root of N + 3), N being
-what it may be sent then."""
+"""What all sidecars together send to a cold endpoint, in virtual time, compared with its budget: in any
+window of the overload time at most N + 2 * sqrt(N) + 2 attempts (for N below 30: N + 3 * sqrt(N) + 3), where
+N is the number that it may be sent at its warmth."""
 
 import heapq
 import random
@@ -15,8 +15,8 @@
 
 MS = 1000
 ENDPOINTS, CORES, SERVICE = 10, 4, 50 * MS
-CAPACITY = CORES * SECOND / SERVICE  # of a warm endpoint, submissions a second
-FAULT, END = 6 * SECOND, 11 * SECOND  # after the begin; those that start cold do so at FAULT
+CAPACITY = CORES * SECOND / SERVICE  # of a warm endpoint, requests per second
+FAULT, END = 6 * SECOND, 11 * SECOND  # after the begin; cold endpoints start at FAULT
 SHARE, TIME, MULTIPLE, SPAN = (
     0.17,
     20 * SECOND,
@@ -24,15 +24,16 @@
     SECOND,
 )  # cold share and time, overload factor, fall time
 POOL = dict(cold_share=SHARE, cold_time=TIME)
-BESIDE = POOL | dict(
+PER_CLIENT = POOL | dict(
     sidecar_per_client=True, uneven=True, hedging_allowed=False, probes_allowed=False, zone="z"
 )
-FEW = BESIDE | dict(few_connections=True)
+FEW = PER_CLIENT | dict(few_connections=True)
 
 
 @dataclass
 class Server:
-    """Cores and a short queue; what it can do grows with its warmth. `born`: when it started cold."""
+    """An endpoint with cores and a short queue; its capacity grows with its warmth. `born`: when it started
+    cold."""
 
     name: str
     cores: int = CORES
@@ -41,7 +42,7 @@
     life: int = 0
     busy: int = 0
     queue: list = field(default_factory=list)
-    came: list[int] = field(default_factory=list)  # all that reached it: copies and probes as well
+    arrivals: list[int] = field(default_factory=list)  # times of all attempts, and of probes where they count
 
     def capacity(self, service: int) -> float:
         return self.cores * SECOND / service
@@ -51,7 +52,7 @@
 
 
 class Fleet:
-    """Sidecars of one tier, their clients and their endpoints. All events in one heap."""
+    """Sidecars of one tier with their clients and endpoints. All events are in one heap."""
 
     def __init__(
         self,
@@ -63,18 +64,18 @@
         endpoints: int = ENDPOINTS,
         service: int = SERVICE,
         cores: int = CORES,
-        **told,
+        **settings,
     ) -> None:
         self.rng, self.now, self.serial, self.begin = random.Random(seed), 100 * SECOND, 0, 100 * SECOND
-        self.told = [
-            deployment(seed=self.rng.getrandbits(40), instances=sidecars, **told) for _ in range(sidecars)
+        self.deployments = [
+            deployment(seed=self.rng.getrandbits(40), instances=sidecars, **settings) for _ in range(sidecars)
         ]
-        self.sidecars = [Sidecar(one) for one in self.told]
+        self.sidecars = [Sidecar(one) for one in self.deployments]
         self.weights = [self.rng.lognormvariate(0, skew) for _ in self.sidecars]
         self.service, self.cores = service, cores
         self.servers = {f"e{at}": Server(f"e{at}", cores) for at in range(endpoints)}
         self.rate, self.clump = load * sum(one.capacity(service) for one in self.servers.values()), clump
-        self.events, self.out, self.handled, self.launches = [], {}, [], {}
+        self.events, self.out, self.handled, self.attempt_counts = [], {}, [], {}
         self.probes, self.count_probes = {}, False
         self.asked, self.denied = [], []
         self.tell(t.ListKind.FULL, *self.servers)
@@ -111,25 +112,25 @@
     def step(self, one: int, *events: t.Event) -> None:
         for command in self.sidecars[one].step(self.now, list(events)):
             if isinstance(command, t.StartAttempt):
-                self.launch(one, command)
+                self.start_attempt(one, command)
             elif isinstance(command, t.RejectRequest):
                 self.denied.append(self.now)
             elif isinstance(command, t.SetTimer):
                 self.at(command.at, self.step, one, t.TimerFired(1))
             elif isinstance(command, t.StartProbe):
-                how = t.Outcome.UNCONNECTED if self.servers[command.endpoint].away else t.Outcome.HANDLED
+                outcome = t.Outcome.UNCONNECTED if self.servers[command.endpoint].away else t.Outcome.HANDLED
                 self.probes[command.endpoint] = self.probes.get(command.endpoint, 0) + 1
                 if self.count_probes:
-                    self.servers[command.endpoint].came.append(self.now)
+                    self.servers[command.endpoint].arrivals.append(self.now)
                 self.at(
                     self.now + MS,
                     self.step,
                     one,
                     t.ProbeEnded(
                         command.endpoint,
-                        how,
+                        outcome,
                         MS,
-                        self.load(command.endpoint) if self.told[0].reports_asked else None,
+                        self.load(command.endpoint) if self.deployments[0].reports_asked else None,
                     ),
                 )
             elif isinstance(command, t.CancelAttempt):
@@ -139,14 +140,16 @@
         server = self.servers[name]
         return t.LoadReport(queued=len(server.queue) + server.busy, busy=server.busy / server.cores)
 
-    def launch(self, one: int, command: t.StartAttempt) -> None:
-        number = self.launches[one, command.request] = self.launches.get((one, command.request), -1) + 1
+    def start_attempt(self, one: int, command: t.StartAttempt) -> None:
+        number = self.attempt_counts[one, command.request] = (
+            self.attempt_counts.get((one, command.request), -1) + 1
+        )
         key, server = (one, command.request, number), self.servers[command.endpoint]
         self.out[key] = server, self.now
-        server.came.append(self.now)
+        server.arrivals.append(self.now)
         if server.away or len(server.queue) >= 8 * server.cores:
-            how = t.Outcome.UNCONNECTED if server.away else t.Outcome.REFUSED
-            self.at(self.now + MS, self.end, key, how)
+            outcome = t.Outcome.UNCONNECTED if server.away else t.Outcome.REFUSED
+            self.at(self.now + MS, self.end, key, outcome)
         else:
             server.queue.append(key)
             self.work(server)
@@ -167,12 +170,15 @@
             self.end(key, t.Outcome.HANDLED)
             self.work(server)
 
-    def end(self, key: tuple, how: t.Outcome) -> None:
+    def end(self, key: tuple, outcome: t.Outcome) -> None:
         if key in self.out:
             server, sent = self.out.pop(key)
             server.queue = [one for one in server.queue if one != key]
             self.step(
-                key[0], t.AttemptEnded(key[1], key[2], how, max(1, self.now - sent), how is t.Outcome.HANDLED)
+                key[0],
+                t.AttemptEnded(
+                    key[1], key[2], outcome, max(1, self.now - sent), outcome is t.Outcome.HANDLED
+                ),
             )
 
     def die(self, *names: str) -> None:
@@ -183,39 +189,39 @@
                 self.end(key, t.Outcome.RESET)
 
     def start(self, *names: str) -> None:
-        """Cold, and every sidecar is told at once."""
+        """Starts endpoints cold; every sidecar gets the list at once."""
         for name in names:
             server = self.servers.setdefault(name, Server(name))
-            server.born, server.away, server.came = self.now, False, []
+            server.born, server.away, server.arrivals = self.now, False, []
         self.tell(t.ListKind.CHANGES, *names)
 
-    def anew(self) -> None:
-        """Every sidecar's process begins anew with the list it had."""
+    def restart_sidecars(self) -> None:
+        """Restarts every sidecar's process with the list that it had."""
         for key in list(self.out):
             self.out.pop(key)
-        self.sidecars = [Sidecar(one) for one in self.told]
+        self.sidecars = [Sidecar(one) for one in self.deployments]
         self.tell(t.ListKind.CACHED, *self.servers)
 
     def fullest(self) -> float:
-        """The most that came to any cold endpoint in a window, as a part of its budget."""
+        """The most attempts that any cold endpoint received in a window, as a part of its budget."""
         cold = [server for server in self.servers.values() if server.born is not None]
         assert cold
         return max(self.fullest_of(server) for server in cold)
 
     def fullest_of(self, server: Server) -> float:
         worst, first = 0.0, 0
-        for last, came in enumerate(server.came):
-            if came > server.born + TIME:
+        for last, arrived in enumerate(server.arrivals):
+            if arrived > server.born + TIME:
                 break  # it is warm
-            while server.came[first] <= came - SPAN:
+            while server.arrivals[first] <= arrived - SPAN:
                 first += 1
-            able = server.warmth(max(server.born, came - SPAN // 2)) * server.capacity(self.service)
+            able = server.warmth(max(server.born, arrived - SPAN // 2)) * server.capacity(self.service)
             worst = max(worst, (last - first + 1) / allowed(MULTIPLE * able * SPAN / SECOND))
         return worst
 
 
 def allowed(budget: float) -> float:
-    """The most that a cold endpoint may get in a window with a budget of so many."""
+    """The most attempts that a cold endpoint may receive in a window with this budget."""
     slack = 2 * sqrt(budget) + 2 if budget >= 30 else 3 * sqrt(budget) + 3
     return budget + slack
 
@@ -233,7 +239,7 @@
 
 
 def few_left(fleet: Fleet) -> None:
-    """Of all endpoints one stays; then a cold one joins."""
+    """All endpoints but one go; then a cold one joins."""
     gone = [name for name in fleet.servers if name != "e0"]
     fleet.at(fleet.begin + FAULT - SECOND // 2, fleet.die, *gone)
     fleet.at(
@@ -244,45 +250,45 @@
 
 
 def half_and_all_processes(fleet: Fleet) -> None:
-    """Half of the endpoints come back cold while all sidecars are restarted, under a burst."""
+    """Half of the endpoints come back cold while all sidecars restart, during a burst."""
     half = list(fleet.servers)[: len(fleet.servers) // 2]
     fleet.at(fleet.begin + FAULT - SECOND // 10, fleet.die, *half)
     bursts(fleet)
     fleet.at(fleet.begin + FAULT, fleet.start, *half)
-    fleet.at(fleet.begin + FAULT + 1, fleet.anew)
+    fleet.at(fleet.begin + FAULT + 1, fleet.restart_sidecars)
 
 
 CASES = [
-    (told, case, sidecars)
-    for told in (POOL, BESIDE, FEW)
+    (settings, case, sidecars)
+    for settings in (POOL, PER_CLIENT, FEW)
     for case, sidecars in ((joins, 1), (joins, 5), (bursts, 12), (few_left, 30), (half_and_all_processes, 30))
 ]
 
 
-@pytest.mark.parametrize("told, case, sidecars", [*CASES, (FEW, few_left, 200), (POOL, bursts, 200)])
-def test_the_sum_of_all_sidecars_stays_within_what_a_cold_endpoint_may_be_sent(told, case, sidecars):
-    """Beside each client a cold one got its part of all launches by warmth, and so of what had gone to nine
-    that were lost: 1.4 to 1.6 times the budget."""
-    fleet = Fleet(1, sidecars, 0.7, **told)
+@pytest.mark.parametrize("settings, case, sidecars", [*CASES, (FEW, few_left, 200), (POOL, bursts, 200)])
+def test_the_sum_of_all_sidecars_stays_within_what_a_cold_endpoint_may_be_sent(settings, case, sidecars):
+    """Guards against giving a cold endpoint its part of all traffic by warmth: with a sidecar per client it
+    also got a part of the traffic of nine lost endpoints, 1.4 to 1.6 times its budget."""
+    fleet = Fleet(1, sidecars, 0.7, **settings)
     case(fleet)
     fleet.run()
     assert fleet.fullest() < 1.0
 
 
 @pytest.mark.parametrize("seed", range(3))
-@pytest.mark.parametrize("told", [POOL, FEW])
-def test_thin_uneven_traffic_in_clumps_builds_up_no_burst_on_a_cold_endpoint(told, seed):
-    fleet = Fleet(seed, 30, 0.5, skew=1.0, clump=6, **told)
+@pytest.mark.parametrize("settings", [POOL, FEW])
+def test_thin_uneven_traffic_in_clumps_builds_up_no_burst_on_a_cold_endpoint(settings, seed):
+    fleet = Fleet(seed, 30, 0.5, skew=1.0, clump=6, **settings)
     joins(fleet)
     fleet.run()
     assert fleet.fullest() < 1.0
 
 
-@pytest.mark.parametrize("told", [POOL, BESIDE, FEW])
-def test_a_fleet_of_cold_endpoints_alone_is_used_as_far_as_it_may_be(told):
-    """Where all started anew at once each launch earned less than one more, and all launches died away until
-    the endpoints counted as warm."""
-    fleet = Fleet(2, 30, 0.7, **told)
+@pytest.mark.parametrize("settings", [POOL, PER_CLIENT, FEW])
+def test_a_fleet_of_cold_endpoints_alone_is_used_as_far_as_it_may_be(settings):
+    """Guards against a credit rate that decays: when all endpoints had started at once, each attempt earned
+    less than one more, and traffic died away until the endpoints counted as warm."""
+    fleet = Fleet(2, 30, 0.7, **settings)
     everything = list(fleet.servers)
     fleet.at(fleet.begin + FAULT - SECOND // 2, fleet.die, *everything)
     fleet.at(fleet.begin + FAULT, fleet.start, *everything)
--- a/tests/test_engine_defects.py
+++ b/tests/test_engine_defects.py
@@ -1,5 +1,5 @@
-"""Defects of the decision module, of what carries out its orders, and of the tasks that launch: each costs
-the one request it is about, which gets its answer at once; the program and all other requests go on."""
+"""Defects of the decision module, of the execution of its commands, and of the tasks that make attempts: each
+costs only the request that it is about, which is answered at once; the program and other requests go on."""
 
 import anyio
 import pytest
@@ -18,9 +18,9 @@
 
 
 def fail_on(net: Net, handler: str, which) -> None:
-    """The module's desk raises on the notes that `which` picks, before it does anything about them."""
-    desk = net.program.engine.sidecar.dispatcher
-    handlers = {kind: handle for kind, handle in desk.handlers.items() if handle.__name__ == handler}
+    """Makes the dispatcher raise on the events that `which` selects, before it handles them."""
+    dispatcher = net.program.engine.sidecar.dispatcher
+    handlers = {kind: handle for kind, handle in dispatcher.handlers.items() if handle.__name__ == handler}
     ((kind, handle),) = handlers.items()
 
     def failing(event):
@@ -28,7 +28,7 @@
             raise ZeroDivisionError("planted")
         handle(event)
 
-    desk.handlers[kind] = failing
+    dispatcher.handlers[kind] = failing
 
 
 def logged(net: Net, event: str) -> list[dict]:
@@ -60,14 +60,14 @@
             assert (await net.ask(wanted("bad", "issue", "8.0"))).status == 502
         net.stands[0].act = fine
         assert (await net.ask(wanted("s1", "issue", "8.0"))).status == 200
-        await all_quiet(net)  # the module counts no launch at the endpoint any more
+        await all_quiet(net)  # the module counts no attempt at the endpoint any more
 
     net = on_network(check, always(how), workloads=PATIENT, limits=NO_PROBES)
     assert len(logged(net, "module_failed")) == 1
 
 
 def test_outcomes_that_cannot_be_told_end_neither_the_program_nor_another_request():
-    """Seen failing: the exception left the launch's task, and ended every other one of the program."""
+    """Guards against an exception that leaves the attempt's task and ends all other tasks of the program."""
 
     async def check(net: Net):
         ended = net.program.book.tell_ended
@@ -107,11 +107,11 @@
     on_network(check, fine, limits=NO_PROBES)
 
 
-# --- wake-ups -------------------------------------------------------------------------------------------
+# --- timers -------------------------------------------------------------------------------------------
 
 
 class Asleep:
-    """A module that asks once for a wake-up, as the real one does, and fails on one note."""
+    """A module that sets a timer once, as the real one does, and fails on one type of event."""
 
     def __init__(self, at: int) -> None:
         self.at, self.armed, self.woken = at, False, []
@@ -136,8 +136,8 @@
 
 
 def test_a_failure_loses_no_wake_up_that_the_module_counts_on():
-    """Seen failing: the wake-up after a failure took the place of the module's own, which was never asked for
-    again: what was due then waited for the next note from outside."""
+    """Guards against the timer after a failure replacing the module's own, which is not set again: what was
+    due then waited for the next event from outside."""
     logs: list = []
 
     async def main() -> None:
@@ -182,7 +182,7 @@
     anyio.run(main)
 
 
-# --- carriers -------------------------------------------------------------------------------------------
+# --- commands -------------------------------------------------------------------------------------------
 
 
 def test_an_order_that_cannot_be_carried_out_loses_none_behind_it_and_tells_from_within_wait():
@@ -211,15 +211,18 @@
 
 
 def test_a_launch_of_what_is_over_here_frees_its_place_in_the_module():
-    """The module failed on the end of a submission, and keeps it open. Seen failing: its launch raised in the
-    carrier and counted at the endpoint for good."""
+    """The module failed on the end of a request, and keeps it open. Guards against a command for it that
+    raises, so that the attempt counts at the endpoint for good."""
 
     async def check(net: Net):
-        engine, desk = net.program.engine, net.program.engine.sidecar.dispatcher
+        engine, dispatcher = net.program.engine, net.program.engine.sidecar.dispatcher
         due = engine.clock.now() + 8_000_000
-        engine.tell(t.RequestArrived("ghost", "issue", due))  # no client's: the book knows nothing of it
-        await until(lambda: not desk.requests)
-        assert desk.in_flight == 0 and not any(seat.in_flight for seat in desk.endpoint_states.values())
+        # of no client: the request table does not know it
+        engine.tell(t.RequestArrived("ghost", "issue", due))
+        await until(lambda: not dispatcher.requests)
+        assert dispatcher.in_flight == 0 and not any(
+            state.in_flight for state in dispatcher.endpoint_states.values()
+        )
         assert (await net.ask(wanted("s1", "issue"))).status == 200
 
     net = on_network(check, fine, workloads=LONG, limits=NO_PROBES)
@@ -227,7 +230,7 @@
 
 
 def test_requests_around_failing_ones_each_get_one_answer_and_nothing_stays_behind():
-    """Seen failing: each outcome that the module failed on took a place at its endpoint for good."""
+    """Guards against outcomes that the module fails on and that count at their endpoint for good."""
 
     async def check(net: Net):
         chosen = {f"s{at}" for at in range(0, 60, 3)}
@@ -258,7 +261,8 @@
 
 
 def test_a_failure_on_an_alarm_ends_the_request_that_it_was_about_and_not_the_one_just_told_of():
-    """Seen failing: whoever arrived in the step in which another's alarm failed was answered 502."""
+    """Guards against a 502 for the request that arrives in the step in which another request's timer
+    fails."""
 
     async def check(net: Net):
         engine = net.program.engine
@@ -284,7 +288,7 @@
             async with anyio.create_task_group() as group:
                 group.start_soon(ask, "first")
                 await until(lambda: "first" in net.program.book.journeys)
-                engine.sidecar.dispatcher.cap = 0.1  # one launch at a time: the next ones are held
+                engine.sidecar.dispatcher.cap = 0.1  # one attempt at a time: the next requests are held
                 group.start_soon(ask, "waits")
                 await until(lambda: "waits" in net.program.book.journeys)
                 group.start_soon(ask, "innocent")
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""The gate before the program: its law in virtual time, and the door on sockets."""
+"""Admission control: the gate's control law in virtual time, and the admission controller on sockets."""
 
 from __future__ import annotations
 
@@ -18,18 +18,20 @@
 MS, SECOND = 1_000, 1_000_000
 VIEW = t.Workload("view", 600 * MS, 1500 * MS, 2.0)
 BID = t.Workload("bid", 1200 * MS, 3 * SECOND, 8.0, repeat=t.RepeatPolicy.DEDUPLICATED, window=5 * SECOND)
-PASSES = 5  # of the loop that one request needs
+PASSES = 5  # of the event loop that one request needs
 
 
 class Core:
-    """A loop in virtual time: each pass takes up what has come and works on all that is inside, a part each.
-    Seeded. `cost` and `denial` are microseconds of CPU; `slow` makes all dearer for a while."""
+    """An event loop in virtual time: each pass admits the requests that have arrived, and works on a part of
+    each request inside. Seeded. `cost` and `denial` are microseconds of CPU; `slow` multiplies the cost."""
 
     def __init__(self, seed: int = 1, cost: int = 1_000, denial: int = 60) -> None:
-        d = t.Deployment(seed=seed, workloads=[VIEW, BID], advice_allowed=True, longest_advice=SECOND)
-        self.gate, self.chance = AdmissionGate(d), random.Random(seed)
+        deployment = t.Deployment(
+            seed=seed, workloads=[VIEW, BID], advice_allowed=True, longest_advice=SECOND
+        )
+        self.gate, self.rng = AdmissionGate(deployment), random.Random(seed)
         self.cost, self.denial, self.now, self.slow = cost, denial, 0, 1.0
-        self.inside: list[list] = []  # [passes left, workload, came]
+        self.inside: list[list] = []  # [passes left, workload, arrived_at]
         self.arriving: deque[tuple[int, str]] = deque()
         self.beat_due, self.denying = GATE_HEARTBEAT, 0
         self.asked = {"view": 0, "bid": 0}
@@ -41,52 +43,52 @@
 
     def load(self, until: int, rate: float, bids: float = 0.27) -> None:
         at = self.arriving[-1][0] if self.arriving else self.now
-        while (at := at + int(self.chance.expovariate(rate / SECOND)) + 1) < until:
-            self.arriving.append((at, "bid" if self.chance.random() < bids else "view"))
+        while (at := at + int(self.rng.expovariate(rate / SECOND)) + 1) < until:
+            self.arriving.append((at, "bid" if self.rng.random() < bids else "view"))
 
     def run(self, until: int) -> None:
         while self.now < until:
             self.one_pass()
 
     def one_pass(self) -> None:
-        began, gate = self.now, self.gate
+        pass_start, gate = self.now, self.gate
         spent = 20.0
-        while self.arriving and self.arriving[0][0] <= began:
-            came, name = self.arriving.popleft()
+        while self.arriving and self.arriving[0][0] <= pass_start:
+            arrived_at, name = self.arriving.popleft()
             self.asked[name] += 1
             hard = VIEW.hard_limit if name == "view" else BID.hard_limit
-            offer = AdmissionRequest(name, hard - (began - came), token=(name, came))
-            fate = gate.admit(began, offer)
-            if fate is Verdict.TAKEN:
-                self.inside.append([PASSES, name, came])
-            elif fate is Verdict.DENIED:
+            request = AdmissionRequest(name, hard - (pass_start - arrived_at), token=(name, arrived_at))
+            verdict = gate.admit(pass_start, request)
+            if verdict is Verdict.TAKEN:
+                self.inside.append([PASSES, name, arrived_at])
+            elif verdict is Verdict.DENIED:
                 spent += self.denial
                 self.denying += self.denial
-                self.deny(name, came)
+                self.deny(name, arrived_at)
         for one in self.inside:
             one[0] -= 1
             spent += self.cost * self.slow / PASSES
-        self.now = began + max(int(spent), 100)
-        for _, name, came in [one for one in self.inside if not one[0]]:
+        self.now = pass_start + max(int(spent), 100)
+        for _, name, arrived_at in [one for one in self.inside if not one[0]]:
             gate.finished(self.now)
             self.answered += 1
-            self.good[name] += self.now - came <= (VIEW.contract if name == "view" else BID.contract)
+            self.good[name] += self.now - arrived_at <= (VIEW.contract if name == "view" else BID.contract)
         self.inside = [one for one in self.inside if one[0]]
         if self.now >= self.beat_due:
             gate.record_lateness(self.now, self.now - self.beat_due, self.denying)
             self.denying, self.beat_due = 0, self.now + GATE_HEARTBEAT
             self.windows.append(gate.window if gate.active else float("nan"))
-        for offer, fate in gate.release(self.now):
-            name, came = offer.token
-            if fate is Verdict.TAKEN:
-                self.inside.append([PASSES, name, came])
+        for request, verdict in gate.release(self.now):
+            name, arrived_at = request.token
+            if verdict is Verdict.TAKEN:
+                self.inside.append([PASSES, name, arrived_at])
             else:
-                self.deny(name, came)
+                self.deny(name, arrived_at)
 
-    def deny(self, name: str, came: int) -> None:
+    def deny(self, name: str, arrived_at: int) -> None:
         self.denied[name] += 1
         self.answered += 1
-        self.denial_waits.append(self.now - came)
+        self.denial_waits.append(self.now - arrived_at)
 
     def share(self, name: str) -> float:
         return self.good[name] / max(1, self.asked[name])
@@ -109,7 +111,7 @@
     bids = 270 * times
     if bids <= 850:
         assert core.share("bid") > 0.95
-    else:  # nothing cheaper is left to shed: as many bids as fit, beside the denials
+    else:  # no lower priority is left to shed: as many bids as fit beside the denials
         assert core.good["bid"] / 10 > 0.5 * (1000 - 0.06 * 1000 * times)
     assert core.share("view") < core.share("bid")
     assert core.answered == sum(core.asked.values()) and not core.gate.held and not core.inside
@@ -119,7 +121,8 @@
     core = Core()
     core.load(10 * SECOND, 3000, bids=1.0)
     core.run(13 * SECOND)
-    # 3,000 asked a second, 60 us each for those denied: some 850 a second are left at the most.
+    # Of 3,000 requests per second, the denied ones cost 60 us each: at most about 850 per second can be
+    # handled.
     assert core.good["bid"] / 10 > 0.75 * 850
 
 
@@ -147,14 +150,14 @@
 
 @pytest.mark.parametrize("seed", range(1, 5))
 def test_the_window_settles_and_does_not_swing(seed: int) -> None:
-    """Under a steady load that is too much, the window's spread over the last seconds stays small beside its
-    mean, and the core goes on being used."""
+    """Under constant overload the window's standard deviation over the last seconds stays small against its
+    mean, and the core stays in use."""
     core = Core(seed)
     core.load(12 * SECOND, 2000)
     core.run(12 * SECOND)
     last = core.windows[-len(core.windows) // 3 :]
     mean = sum(last) / len(last)
-    spread = (sum((w - mean) ** 2 for w in last) / len(last)) ** 0.5
+    spread = (sum((window - mean) ** 2 for window in last) / len(last)) ** 0.5
     assert spread < 0.5 * mean, (mean, spread)
     assert (core.good["bid"] + core.good["view"]) / 12 > 700
 
@@ -174,7 +177,7 @@
 
 
 def test_a_lines_wait_ends_whatever_stands_before_it() -> None:
-    """The line of most worth is full and the window too: those of the others still end in their time."""
+    """The queue of the highest priority and the window are full; waits in other queues still end in time."""
     gate = AdmissionGate(t.Deployment(seed=1, workloads=[VIEW, BID]))
     gate.record_lateness(0, 10 * ENTER_LATENESS)
     assert gate.active
@@ -183,7 +186,7 @@
     for _ in range(3):
         assert gate.admit(0, AdmissionRequest("bid", BID.hard_limit)) is Verdict.HELD
         assert gate.admit(0, AdmissionRequest("view", VIEW.hard_limit)) is Verdict.HELD
-    ended = [(offer.workload, fate) for offer, fate in gate.release(450 * MS)]
+    ended = [(request.workload, verdict) for request, verdict in gate.release(450 * MS)]
     assert ended == [("view", Verdict.DENIED)] * 3 and gate.held == 3
 
 
@@ -196,11 +199,11 @@
         AdmissionRequest("view", SECOND),
         AdmissionRequest("bid", SECOND),
     )
-    for offer in (repeat, first, bid):
-        assert gate.admit(0, offer) is Verdict.HELD
+    for request in (repeat, first, bid):
+        assert gate.admit(0, request) is Verdict.HELD
     gate.forget(bid)
     gate.window = 10.0
-    assert [offer for offer, _ in gate.release(10 * MS)] == [first, repeat] and gate.held == 0
+    assert [request for request, _ in gate.release(10 * MS)] == [first, repeat] and gate.held == 0
 
 
 def test_what_cannot_be_met_any_more_is_denied_at_once() -> None:
@@ -213,12 +216,12 @@
 
 def test_a_denied_one_is_told_when_to_come_back_spread_and_only_where_allowed() -> None:
     gate = AdmissionGate(t.Deployment(seed=1, workloads=[VIEW], advice_allowed=True, longest_advice=SECOND))
-    told = [gate.retry_advice() for _ in range(100)]
-    assert min(told) >= SECOND // 4 and max(told) <= SECOND and len(set(told)) > 90
+    advice = [gate.retry_advice() for _ in range(100)]
+    assert min(advice) >= SECOND // 4 and max(advice) <= SECOND and len(set(advice)) > 90
     assert AdmissionGate(t.Deployment(seed=1, workloads=[VIEW], longest_advice=SECOND)).retry_advice() == 0
 
 
-# A head at a glance.
+# The quick parser of request heads.
 
 KNOWN = {"view", "bid"}
 
@@ -242,19 +245,17 @@
 
 
 def test_any_bytes_are_glanced_at_without_a_failure() -> None:
-    chance = random.Random(4)
+    rng = random.Random(4)
     whole = wanted("a", "bid", "0.5", b"body")
     for _ in range(3000):
         data = bytearray(whole)
-        for _ in range(chance.randrange(1, 6)):
-            at = chance.randrange(len(data))
-            data[at : at + chance.randrange(3)] = bytes(
-                chance.randrange(256) for _ in range(chance.randrange(3))
-            )
+        for _ in range(rng.randrange(1, 6)):
+            at = rng.randrange(len(data))
+            data[at : at + rng.randrange(3)] = bytes(rng.randrange(256) for _ in range(rng.randrange(3)))
         quick.glance(bytes(data), KNOWN)
 
 
-# The door on sockets.
+# Admission control on sockets.
 
 
 async def answers(request):
@@ -262,7 +263,7 @@
 
 
 def shut(net: Net) -> AdmissionGate:
-    """A door that takes nothing up, as when the core is far behind."""
+    """Closes the window, as when the core is far behind."""
     door = net.program.door
     assert isinstance(door, Door)
     door.gate.record_lateness(0, 10 * ENTER_LATENESS)
--- a/tests/test_module_faults.py
+++ b/tests/test_module_faults.py
@@ -1,5 +1,4 @@
-"""Faults of the decision module that odd notes found, one test each, and what it does when one of its parts
-raises."""
+"""Defects of the decision module that unusual events revealed, and its behaviour when a handler raises."""
 
 import pytest
 from bed import IDEM, Bed, deployment, listing
@@ -11,7 +10,8 @@
 
 
 def test_an_endpoint_may_go_while_a_request_sent_there_is_still_coming():
-    """Its seat was dropped, as the launch was not counted so far; the outcome then found no endpoint."""
+    """Guards against dropping the endpoint's state while an attempt there is not counted yet: its outcome
+    found no endpoint."""
     bed = Bed(deployment(workloads=[IDEM]), endpoints=1)
     bed.owed["u"] = t.RequestArrived("u", IDEM.name, bed.now + SECOND, whole=False)
     bed.flights["u"] = []
@@ -43,7 +43,7 @@
     bed = Bed(deployment(reports_asked=True), endpoints=1)
     for _ in range(4):
         bed.step(t.ProbeEnded("e0", t.Outcome.UNCONNECTED, MS))
-    assert bed.sidecar.dispatcher.ready == 1  # the last one stays
+    assert bed.sidecar.dispatcher.ready == 1  # the last one is not ejected
 
 
 def test_a_first_answer_that_took_no_time_weighs_its_kind_by_the_least_pace():
@@ -66,7 +66,8 @@
 
 
 def test_work_in_hand_is_answered_in_time_under_a_deployment_with_a_shorter_round():
-    """Its alarm, set by the margin of before, rang too early by the new one and was not set again."""
+    """Guards against a timer that was set with the earlier margin: it fired too early by the new one, and
+    was not set again."""
     bed = Bed(deployment(round=5 * MS), endpoints=1)
     name = bed.arrive(IDEM)
     bed.step(t.DeploymentChanged(deployment(round=MS)))
@@ -91,25 +92,25 @@
     assert not bed.sidecar.step(bed.now, [t.RequestArrived(name, IDEM.name, bed.now + SECOND)])
 
 
-# An exception in one of its parts.
+# Exceptions in handlers.
 
 
 class Broken(Exception):
-    """What the stand-in for a defect raises."""
+    """Raised by the planted defect."""
 
 
 def with_defect(kind: type, when) -> Bed:
-    """A module whose desk raises over notes of a kind."""
+    """A module whose dispatcher raises on events of this type that satisfy `when`."""
     bed = Bed(deployment(), endpoints=2)
-    desk = bed.sidecar.dispatcher
-    whole = desk.handlers[kind]
+    dispatcher = bed.sidecar.dispatcher
+    original = dispatcher.handlers[kind]
 
     def handle(event) -> None:
         if when(event):
             raise Broken
-        whole(event)
+        original(event)
 
-    desk.handlers[kind] = handle
+    dispatcher.handlers[kind] = handle
     return bed
 
 
@@ -132,7 +133,7 @@
     with pytest.raises(Broken):
         bed.sidecar.step(bed.now + 1, arrivals(bed, "bad"))
     wakes = [command.at for command in bed.sidecar.message_queue.commands if isinstance(command, t.SetTimer)]
-    assert wakes == [bed.sidecar.message_queue.next_timer()]  # the driver may have lost the one before
+    assert wakes == [bed.sidecar.message_queue.next_timer()]  # the driver may have lost the earlier one
     assert isinstance(bed.sidecar.step(bed.now + 2, []), list)
 
 
@@ -141,12 +142,12 @@
     sidecar: Sidecar = bed.sidecar
     sidecar.step(bed.now, arrivals(bed, "a", "b"))
     kind = next(kind for kind in sidecar.dispatcher.handlers if kind.__name__ == "RequestTimeout")
-    whole = sidecar.dispatcher.handlers[kind]
+    original = sidecar.dispatcher.handlers[kind]
 
     def give_up(event) -> None:
         if event.request.name == "a":
             raise Broken
-        whole(event)
+        original(event)
 
     sidecar.dispatcher.handlers[kind] = give_up
     with pytest.raises(Broken):
--- a/tests/test_module_hostile.py
+++ b/tests/test_module_hostile.py
@@ -1,5 +1,5 @@
-"""Drives the decision module with notes that are odd in every way that their types allow, over deployments of
-all shapes, and adds up anew after every step what the module counts on the way."""
+"""Drives the decision module with unusual events of every kind that the types allow, over random
+deployments, and recounts after every step the totals that the module keeps incrementally."""
 
 import random
 
@@ -41,7 +41,7 @@
     def flag() -> bool:
         return rng.random() < 0.5
 
-    beside = flag()
+    per_client = flag()
     return t.Deployment(
         seed=rng.getrandbits(40),
         tier=rng.choice([0, 1]),
@@ -64,43 +64,43 @@
         reports_asked=flag(),
         advice_allowed=flag(),
         longest_advice=rng.choice([0, SECOND]),
-        sidecar_per_client=beside,
+        sidecar_per_client=per_client,
         zone=rng.choice(ZONES),
         gone_binds=flag(),
-        uneven=beside or flag(),
+        uneven=per_client or flag(),
         crossing_price=rng.choice([0.0, 0.1]),
         warm_keys=flag(),
         weights_tell_speed=flag(),
-        few_connections=beside and flag(),
+        few_connections=per_client and flag(),
     )
 
 
 class Hostile:
-    """One module, its surroundings, and the books of what it owes and has out."""
+    """One module and its environment, with the requests that it has to answer and the attempts in attempt."""
 
     def __init__(self, seed: int) -> None:
         self.rng, self.now, self.serial = random.Random(seed), 100 * SECOND, 0
         self.deployment = drawn_deployment(self.rng)
         self.module = Sidecar(self.deployment)
         self.names = [f"e{at}" for at in range(self.rng.choice([1, 2, 6, 40]))]
-        self.owed: dict[str, int] = {}  # to its deadline
-        self.guessed: set[str] = set()  # whose last byte has not come
-        self.streams: set[str] = set()  # whose answer has begun: no deadline any longer
-        self.out: dict[tuple[str, int], str] = {}
-        self.launches: dict[str, int] = {}
+        self.owed: dict[str, int] = {}  # deadline by request
+        self.guessed: set[str] = set()  # requests with an incomplete body
+        self.streams: set[str] = set()  # requests whose response has begun: their deadline no longer applies
+        self.in_flight: dict[tuple[str, int], str] = {}
+        self.attempts: dict[str, int] = {}
         self.wake: int | None = None
 
     def step(self, *events: t.Event) -> None:
         for command in self.module.step(self.now, list(events)):
             self.carry_out(command)
-        self.add_up()
+        self.check_totals()
 
     def carry_out(self, command: t.Command) -> None:
         if isinstance(command, t.StartAttempt):
             assert command.request in self.owed, "sent after its end"
-            number = self.launches.get(command.request, 0)
-            self.launches[command.request] = number + 1
-            self.out[command.request, number] = command.endpoint
+            number = self.attempts.get(command.request, 0)
+            self.attempts[command.request] = number + 1
+            self.in_flight[command.request, number] = command.endpoint
         elif isinstance(command, t.RejectRequest | t.AbortResponse):
             assert command.request in self.owed, "answered twice"
             del self.owed[command.request]
@@ -109,10 +109,10 @@
             assert command.at > self.now
             self.wake = command.at
         elif isinstance(command, t.CancelAttempt):
-            assert command.attempt < self.launches[command.request]
+            assert command.attempt < self.attempts[command.request]
 
     def pass_time(self, span: int) -> None:
-        """Wakes it when it asked for it."""
+        """Fires the module's timers on the way."""
         end = self.now + span
         while self.wake is not None and self.wake <= end:
             self.now, self.wake = max(self.now, self.wake), None
@@ -121,39 +121,43 @@
         late = {name for name, due in self.owed.items() if due < self.now}
         assert late <= self.guessed | self.streams, "not answered before its deadline"
 
-    # What the module counts, from scratch.
-
-    def add_up(self) -> None:
-        desk = self.module.dispatcher
-        ready = [seat for seat in desk.endpoint_states.values() if seat.selected and seat.report.open]
-        assert desk.ready == len(ready)
-        assert desk.in_flight == sum(seat.in_flight for seat in ready)
-        assert desk.share_sum == pytest.approx(sum(seat.report.share for seat in ready), abs=1e-6)
-        assert desk.waiting == sum(s.held for s in desk.requests.values())
+    # The module's totals, counted from scratch.
+
+    def check_totals(self) -> None:
+        dispatcher = self.module.dispatcher
+        ready = [
+            state for state in dispatcher.endpoint_states.values() if state.selected and state.report.open
+        ]
+        assert dispatcher.ready == len(ready)
+        assert dispatcher.in_flight == sum(state.in_flight for state in ready)
+        assert dispatcher.share_sum == pytest.approx(sum(state.report.share for state in ready), abs=1e-6)
+        assert dispatcher.waiting == sum(request.held for request in dispatcher.requests.values())
         zones: dict[str, int] = {}
-        for seat in ready:
-            zones[seat.report.entry.zone] = zones.get(seat.report.entry.zone, 0) + 1
-        assert {zone: count for zone, count in desk.ready_by_zone.items() if count} == zones
-        self.add_up_flights()
-        shelved = [seat for shelf in desk.load_buckets for seat in shelf]
-        assert sorted(seat.name for seat in shelved) == sorted(seat.name for seat in ready)
-        assert set(desk.busy) == {seat.name for seat in desk.endpoint_states.values() if seat.in_flight}
-        assert desk.endpoint_states.keys() == desk.endpoints.keys()
-
-    def add_up_flights(self) -> None:
-        desk = self.module.dispatcher
-        counted = {name: seat.predecessor_in_flight for name, seat in desk.endpoint_states.items()}
-        coming = dict.fromkeys(desk.endpoint_states, 0)
-        for submission in desk.requests.values():
-            for flight in submission.attempts:
-                if flight.pending:
-                    assert desk.endpoint_states[flight.endpoint_state.name] is flight.endpoint_state
-                    where = counted if flight.counted else coming
-                    where[flight.endpoint_state.name] += 1
-        assert counted == {name: seat.in_flight for name, seat in desk.endpoint_states.items()}
-        assert coming == {name: seat.receiving for name, seat in desk.endpoint_states.items()}
-
-    # What happens to it.
+        for state in ready:
+            zones[state.report.entry.zone] = zones.get(state.report.entry.zone, 0) + 1
+        assert {zone: count for zone, count in dispatcher.ready_by_zone.items() if count} == zones
+        self.check_attempts()
+        in_buckets = [state for bucket in dispatcher.load_buckets for state in bucket]
+        assert sorted(state.name for state in in_buckets) == sorted(state.name for state in ready)
+        assert set(dispatcher.busy) == {
+            state.name for state in dispatcher.endpoint_states.values() if state.in_flight
+        }
+        assert dispatcher.endpoint_states.keys() == dispatcher.endpoints.keys()
+
+    def check_attempts(self) -> None:
+        dispatcher = self.module.dispatcher
+        counted = {name: state.predecessor_in_flight for name, state in dispatcher.endpoint_states.items()}
+        coming = dict.fromkeys(dispatcher.endpoint_states, 0)
+        for request in dispatcher.requests.values():
+            for attempt in request.attempts:
+                if attempt.pending:
+                    assert dispatcher.endpoint_states[attempt.endpoint_state.name] is attempt.endpoint_state
+                    where = counted if attempt.counted else coming
+                    where[attempt.endpoint_state.name] += 1
+        assert counted == {name: state.in_flight for name, state in dispatcher.endpoint_states.items()}
+        assert coming == {name: state.receiving for name, state in dispatcher.endpoint_states.items()}
+
+    # Events.
 
     def listing(self) -> t.ListEntry:
         rng = self.rng
@@ -196,28 +200,28 @@
         self.step(t.RequestBodyReceived(name, due))
 
     def end(self) -> None:
-        if not self.out:
+        if not self.in_flight:
             return self.step(t.AttemptEnded("no such", 0, t.Outcome.ERROR, 0))
-        key = self.rng.choice(list(self.out))
+        key = self.rng.choice(list(self.in_flight))
         self.finish(key, self.rng.choice(list(t.Outcome)))
 
-    def finish(self, key: tuple[str, int], how: t.Outcome) -> None:
+    def finish(self, key: tuple[str, int], outcome: t.Outcome) -> None:
         name, number = key
-        del self.out[key]
-        handled = how is t.Outcome.HANDLED
+        del self.in_flight[key]
+        handled = outcome is t.Outcome.HANDLED
         closed = handled or name not in self.owed
         if handled:
             self.owed.pop(name, None)
             self.guessed.discard(name)
-        took = self.rng.choice([-5, 0, 0, 1, 20 * MS, SECOND])
+        duration = self.rng.choice([-5, 0, 0, 1, 20 * MS, SECOND])
         load = t.LoadReport(self.rng.choice([None, 0.0, 9.0]), busy=self.rng.choice([None, 0.0, 1.0]))
         ended = t.AttemptEnded(
-            name, number, how, took, closed, self.rng.choice([None, load]), self.rng.random() < 0.1
+            name, number, outcome, duration, closed, self.rng.choice([None, load]), self.rng.random() < 0.1
         )
         self.step(ended)
         self.step(
-            t.AttemptEnded(name, self.rng.choice([number, -1, 99]), how, took)
-        )  # once more, or never sent
+            t.AttemptEnded(name, self.rng.choice([number, -1, 99]), outcome, duration)
+        )  # a repeated outcome, or one of an attempt that was never made
 
     def withdraw(self) -> None:
         name = self.rng.choice([*self.owed, "no such"])
@@ -226,16 +230,16 @@
         self.step(t.RequestCancelled(name))
 
     def start(self) -> None:
-        begun = [key for key in self.out if key[0] in self.owed]
+        begun = [key for key in self.in_flight if key[0] in self.owed]
         name, number = self.rng.choice(begun) if begun else ("no such", 0)
         self.streams.add(name)
         self.step(t.ResponseStarted(name, number))
 
     def probed(self) -> None:
-        how = self.rng.choice([t.Outcome.HANDLED, t.Outcome.UNCONNECTED, t.Outcome.TIMED_OUT])
+        outcome = self.rng.choice([t.Outcome.HANDLED, t.Outcome.UNCONNECTED, t.Outcome.TIMED_OUT])
         load = self.rng.choice([None, t.LoadReport(0.0, busy=0.0), t.LoadReport(50.0)])
         self.step(
-            t.ProbeEnded(self.rng.choice([*self.names, "no such"]), how, self.rng.choice([0, MS]), load)
+            t.ProbeEnded(self.rng.choice([*self.names, "no such"]), outcome, self.rng.choice([0, MS]), load)
         )
 
     def by_hand(self) -> None:
@@ -286,11 +290,12 @@
         self.end_all()
 
     def end_all(self) -> None:
-        """Nothing may be owed once all deadlines are over, and nothing left when all launches have ended."""
+        """All requests must be answered by their deadlines, and nothing may be left when all attempts have
+        ended."""
         self.step(t.PredecessorLoad({}))
         self.pass_time(30 * SECOND)
         assert self.owed.keys() <= self.streams
-        for key in list(self.out):
+        for key in list(self.in_flight):
             self.finish(key, t.Outcome.ERROR)
         assert not self.owed
         assert not self.module.dispatcher.requests and not self.module.dispatcher.busy
--- a/tests/test_module_learned.py
+++ b/tests/test_module_learned.py
@@ -1,4 +1,4 @@
-"""What one process learned of cold endpoints, taken up by the next one of an upgrade."""
+"""The next process of an upgrade imports what the previous one learned of cold endpoints."""
 
 import pytest
 from bed import SECOND, deployment, listing
@@ -19,7 +19,7 @@
 
 @pytest.mark.parametrize("before, after", [(0, STARTED), (STARTED, 0), (STARTED, STARTED), (0, 0)])
 def test_a_start_that_either_process_knows_of_stays_known(before, after):
-    """Seen failing: the older process's None went before what the list had just told."""
+    """Guards against the older process's None overwriting a start that the list has just reported."""
     old, new = sidecar(before), sidecar(after)
     learned.recall(new, learned.learned(old), NOW)
     assert new.dispatcher.endpoints["e0"].cold_since == (STARTED if before or after else None)
@@ -35,8 +35,8 @@
 
 @pytest.mark.parametrize("live, size", [(False, 4.0), (True, 1.0)])
 def test_a_weight_that_falls_with_load_is_taken_for_no_size(live, size):
-    """An idle cold endpoint has a greater weight than warm ones that hold requests: it would be sent as many
-    times more than its part."""
+    """An idle cold endpoint has a greater weight than warm ones under load: taken for its size, the weight
+    would multiply its share of the traffic."""
     made = Sidecar(deployment(weights_live=live))
     made.step(
         NOW,
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,5 @@
-"""Plain cases, seeded random runs over the four rules, and one small test for each failure found."""
+"""Basic cases of the decision module, seeded random runs that check the four rules, and a small test for each
+failure found."""
 
 import random
 import sys
@@ -17,7 +18,7 @@
 )
 
 MS = 1000
-BESIDE = dict(
+SIDECAR_PER_CLIENT = dict(
     sidecar_per_client=True,
     uneven=True,
     hedging_allowed=False,
@@ -26,16 +27,16 @@
     crossing_price=0.1,
     warm_keys=True,
 )
-HOWS = [h for h in t.Outcome if h is not t.Outcome.CALLED_OFF]
+OUTCOMES = [outcome for outcome in t.Outcome if outcome is not t.Outcome.CALLED_OFF]
 
 
 def warm(bed: Bed, rounds: int = 60, took: int = 100 * MS, workload: t.Workload = IDEM) -> None:
-    """Enough handled traffic for a retry budget and for usual answer times."""
+    """Enough handled traffic for a retry budget and for stable latency estimates."""
     for _ in range(rounds):
         name = bed.arrive(workload)
         bed.run(took)
-        for launch in bed.out(name):
-            bed.end(name, launch, t.Outcome.HANDLED)
+        for attempt in bed.out(name):
+            bed.end(name, attempt, t.Outcome.HANDLED)
 
 
 def test_a_submission_is_launched_at_once_and_handled():
@@ -88,18 +89,18 @@
         bed.arrive(IDEM)
         bed.run(40 * MS)
         for name in list(bed.flights):
-            for launch in bed.out(name):
-                bed.end(name, launch, t.Outcome.ERROR)
-    launches = sum(len(f) for f in bed.flights.values())
-    assert 0 < launches - taken < taken / 10
+            for attempt in bed.out(name):
+                bed.end(name, attempt, t.Outcome.ERROR)
+    attempts = sum(len(f) for f in bed.flights.values())
+    assert 0 < attempts - taken < taken / 10
 
 
-@pytest.mark.parametrize("how, closed", [(t.Outcome.ERROR, "broken off"), (t.Outcome.UNCONNECTED, None)])
-def test_unrepeatable_is_relaunched_only_if_it_never_ran(how, closed):
+@pytest.mark.parametrize("outcome, closed", [(t.Outcome.ERROR, "broken off"), (t.Outcome.UNCONNECTED, None)])
+def test_unrepeatable_is_relaunched_only_if_it_never_ran(outcome, closed):
     bed = Bed(deployment())
     warm(bed, 30)
     name = bed.arrive(ONCE)
-    bed.end(name, 0, how)
+    bed.end(name, 0, outcome)
     bed.run(100 * MS)
     assert bed.closed.get(name) == closed
     assert len(bed.flights[name]) == (1 if closed else 2)
@@ -143,22 +144,22 @@
     for _ in range(100):
         name = bed.arrive(IDEM)
         bed.run(20 * MS)
-        for launch in bed.out(name):
-            bed.end(name, launch, t.Outcome.HANDLED)
+        for attempt in bed.out(name):
+            bed.end(name, attempt, t.Outcome.HANDLED)
     sent = [f["sent"] for fs in bed.flights.values() for f in fs if f["endpoint"] == "e9"]
     assert 1 <= len(sent) <= 100 / 5 + 1
 
 
 def hang(bed: Bed) -> list[str]:
-    """Traffic that e0 never answers; gives what was sent there."""
+    """Traffic that e0 never answers; returns the requests that were sent there."""
     warm(bed, 60)
     stuck = []
     for _ in range(80):
         name = bed.arrive(IDEM)
         bed.run(50 * MS)
-        for launch in bed.out(name):
-            if bed.flights[name][launch]["endpoint"] != "e0":
-                bed.end(name, launch, t.Outcome.HANDLED)
+        for attempt in bed.out(name):
+            if bed.flights[name][attempt]["endpoint"] != "e0":
+                bed.end(name, attempt, t.Outcome.HANDLED)
             else:
                 stuck.append(name)
     return stuck
@@ -168,7 +169,7 @@
     bed = Bed(deployment(), endpoints=4)
     stuck = hang(bed)
     assert any("e0 set aside: silent" in line for line in bed.logs)
-    assert any(len(bed.flights[n]) == 2 for n in stuck)  # second copies elsewhere
+    assert any(len(bed.flights[n]) == 2 for n in stuck)  # hedged elsewhere
     for _ in range(4):
         bed.run(SECOND)
         for endpoint in bed.probes:
@@ -184,11 +185,11 @@
         for _ in range(150):
             name = bed.arrive(ONCE)
             bed.run(20 * MS)
-            for launch in bed.out(name):
-                failed = bed.flights[name][launch]["endpoint"] in bad
-                bed.end(name, launch, t.Outcome.ERROR if failed else t.Outcome.HANDLED)
-        aside = {line.split()[0] for line in bed.logs if "set aside" in line}
-        assert aside == ({"e0"} if len(bad) == 1 else set())
+            for attempt in bed.out(name):
+                failed = bed.flights[name][attempt]["endpoint"] in bad
+                bed.end(name, attempt, t.Outcome.ERROR if failed else t.Outcome.HANDLED)
+        ejected = {line.split()[0] for line in bed.logs if "set aside" in line}
+        assert ejected == ({"e0"} if len(bad) == 1 else set())
 
 
 @pytest.mark.parametrize(
@@ -199,7 +200,8 @@
     ],
 )
 def test_where_connections_break_but_all_probes_are_answered_it_is_back_at_once(away, then, least, most):
-    """Seen failing with three endpoints of four on trial for seconds after a few resets, and most denied."""
+    """Guards against a few resets that put three of four endpoints on trial for seconds, with most requests
+    denied."""
     bed = Bed(deployment())
     warm(bed)
     name = bed.arrive(IDEM)
@@ -215,9 +217,9 @@
 
 
 def test_an_endpoint_that_fails_often_is_not_measured_against_itself():
-    """Seen failing with a front sidecar that never set aside an endpoint with two quick errors of three: what
-    it answered was most of what the fleet answered, so that failing looked usual."""
-    bed, rand = Bed(deployment(), endpoints=4), random.Random(3)
+    """Guards against comparing an endpoint with averages that include itself: one that answered two requests
+    of three with quick errors was never ejected, since its own answers dominated the fleet's error rate."""
+    bed, rng = Bed(deployment(), endpoints=4), random.Random(3)
     warm(bed, 40)
     out = [bed.arrive(ONCE) for _ in range(5)]
     for at in range(300):
@@ -226,7 +228,7 @@
             flight = bed.flights[name][0]
             bad = flight["endpoint"] == "e0"
             if bad or bed.now - flight["sent"] >= 100 * MS:
-                fails = bad and rand.random() < (0.2 if at < 150 else 0.6)
+                fails = bad and rng.random() < (0.2 if at < 150 else 0.6)
                 bed.end(name, 0, t.Outcome.ERROR if fails else t.Outcome.HANDLED)
                 out.append(bed.arrive(ONCE))
     assert any(line.startswith("e0 set aside: failed") for line in bed.logs)
@@ -234,12 +236,13 @@
 
 
 def test_errors_shut_caps_only_while_answers_are_crowded():
-    """Guards against answers spoilt at all endpoints alike: half of the room was gone on a light day."""
+    """Unreadable answers from all endpoints alike must not reduce the capacity: half of it was lost under
+    light load."""
     bed = Bed(deployment())
     warm(bed)
-    for how, falls in ((t.Outcome.ERROR, False), (t.Outcome.TIMED_OUT, True)):
+    for outcome, falls in ((t.Outcome.ERROR, False), (t.Outcome.TIMED_OUT, True)):
         for _ in range(3):
-            bed.end(name := bed.arrive(ONCE), 0, how, after=100 * MS)
+            bed.end(name := bed.arrive(ONCE), 0, outcome, after=100 * MS)
             assert bed.closed[name] == "broken off"
         assert any(e.share < 0.9 for e in bed.sidecar.dispatcher.endpoints.values()) is falls
 
@@ -258,12 +261,13 @@
 
 
 def test_nothing_stays_of_endpoints_that_are_gone():
-    """Seen failing with an actor, a seat and a place in `told` for each of 300."""
+    """Guards against a leak of an actor, a state and a place among the recent reporters for each of 300
+    endpoints."""
     bed = Bed(deployment())
-    desk, rand, listed = bed.sidecar.dispatcher, random.Random(5), bed.sidecar.registry.listed
+    dispatcher, rng, listed = bed.sidecar.dispatcher, random.Random(5), bed.sidecar.registry.listed
     for at in range(300):
         for _ in range(3):
-            bed.arrive(rand.choice([IDEM, KEYED]))
+            bed.arrive(rng.choice([IDEM, KEYED]))
         gone = sorted(listed)[0]
         new = t.ListEntry(f"n{at}", t.EndpointStatus.READY, "z", "k", "0")
         if at % 2:
@@ -275,18 +279,22 @@
             left = [entry for entry in listed.values() if entry.endpoint != gone]
             bed.step(t.ListReceived(t.ListKind.FULL, [*left, new]), after=10 * MS)
         for name in list(bed.flights):
-            for launch in bed.out(name):
-                how = rand.choice([t.Outcome.HANDLED, t.Outcome.RESET, t.Outcome.UNCONNECTED])
-                bed.end(name, launch, how, t.LoadReport(1.0))
+            for attempt in bed.out(name):
+                outcome = rng.choice([t.Outcome.HANDLED, t.Outcome.RESET, t.Outcome.UNCONNECTED])
+                bed.end(name, attempt, outcome, t.LoadReport(1.0))
         bed.step(t.ProbeEnded(gone, t.Outcome.HANDLED, MS))
     bed.run(4 * SECOND)
     for name in list(bed.flights):
-        for launch in bed.out(name):
-            bed.end(name, launch, t.Outcome.CALLED_OFF)
-    assert set(desk.endpoints) == set(desk.endpoint_states) == set(listed) and len(desk.endpoint_states) == 4
-    assert {seat.name for seat in desk.recent_reporters} <= set(desk.endpoint_states)
+        for attempt in bed.out(name):
+            bed.end(name, attempt, t.Outcome.CALLED_OFF)
     assert (
-        desk.ready == sum(seat.report.open for seat in desk.endpoint_states.values()) and desk.in_flight >= 0
+        set(dispatcher.endpoints) == set(dispatcher.endpoint_states) == set(listed)
+        and len(dispatcher.endpoint_states) == 4
+    )
+    assert {state.name for state in dispatcher.recent_reporters} <= set(dispatcher.endpoint_states)
+    assert (
+        dispatcher.ready == sum(state.report.open for state in dispatcher.endpoint_states.values())
+        and dispatcher.in_flight >= 0
     )
 
 
@@ -306,18 +314,18 @@
 
 @pytest.mark.parametrize("seed", range(45))
 def test_the_rules_hold_through_random_days(seed):
-    chance = random.Random(seed)
-    tier = chance.randrange(2)
+    rng = random.Random(seed)
+    tier = rng.randrange(2)
     bed = Bed(
         deployment(
             seed=seed,
             tier=tier,
-            hedging_allowed=chance.random() < 0.7,
-            poll_discovery=chance.random() < 0.5,
-            cancel_allowed=chance.random() < 0.7,
-            probes_allowed=chance.random() < 0.8,
+            hedging_allowed=rng.random() < 0.7,
+            poll_discovery=rng.random() < 0.5,
+            cancel_allowed=rng.random() < 0.7,
+            probes_allowed=rng.random() < 0.8,
             poll_interval=10 * SECOND,
-            max_attempts=chance.randint(1, 4),
+            max_attempts=rng.randint(1, 4),
         )
         if seed < 30
         else deployment(
@@ -327,33 +335,33 @@
             poll_interval=10 * SECOND,
             cancel_allowed=seed % 2 > 0,
             few_connections=seed % 3 > 0,
-            **BESIDE,
+            **SIDECAR_PER_CLIENT,
         ),
-        endpoints=chance.randint(0, 6),
+        endpoints=rng.randint(0, 6),
     )
     for _ in range(1500):
         bed.run(5 * MS)
-        roll = chance.random()
+        roll = rng.random()
         live = [(n, i) for n, fs in bed.flights.items() for i, f in enumerate(fs) if f["how"] is None]
         if roll < 0.45:
-            w = chance.choice(bed.d.workloads)
-            bed.arrive(w, chance.randint(20 * MS, w.hard_limit))
+            w = rng.choice(bed.d.workloads)
+            bed.arrive(w, rng.randint(20 * MS, w.hard_limit))
         elif roll < 0.9 and live:
-            name, launch = chance.choice(live)
-            bed.end(name, launch, t.Outcome.HANDLED if chance.random() < 0.6 else chance.choice(HOWS))
+            name, attempt = rng.choice(live)
+            bed.end(name, attempt, t.Outcome.HANDLED if rng.random() < 0.6 else rng.choice(OUTCOMES))
         elif roll < 0.93:
-            started = bed.now if chance.random() < 0.5 else 0
-            entry = listing(chance.randrange(8), chance.choice(list(t.EndpointStatus)), started)
+            started = bed.now if rng.random() < 0.5 else 0
+            entry = listing(rng.randrange(8), rng.choice(list(t.EndpointStatus)), started)
             bed.step(t.ListReceived(t.ListKind.CHANGES, [entry]))
         elif roll < 0.94 and bed.owed:
-            bed.step(t.RequestCancelled(chance.choice(list(bed.owed))))
+            bed.step(t.RequestCancelled(rng.choice(list(bed.owed))))
         for endpoint in bed.probes:
-            bed.step(t.ProbeEnded(endpoint, chance.choice(HOWS), MS))
+            bed.step(t.ProbeEnded(endpoint, rng.choice(OUTCOMES), MS))
         bed.probes.clear()
-        for name, launch in live:
+        for name, attempt in live:
             arrived = bed.owed.get(name)
-            if arrived and arrived.due <= bed.now and launch in bed.out(name):
-                bed.end(name, launch, t.Outcome.TIMED_OUT)
+            if arrived and arrived.due <= bed.now and attempt in bed.out(name):
+                bed.end(name, attempt, t.Outcome.TIMED_OUT)
     bed.run(4 * SECOND)
     assert not bed.owed
 
@@ -365,40 +373,41 @@
         bed.arrive(ONCE, 400 * MS)
         bed.run(30 * MS)
         for other in list(bed.flights):
-            for launch in bed.out(other):
-                if bed.flights[other][launch]["endpoint"] != "e0":
-                    bed.end(other, launch, t.Outcome.HANDLED)
+            for attempt in bed.out(other):
+                if bed.flights[other][attempt]["endpoint"] != "e0":
+                    bed.end(other, attempt, t.Outcome.HANDLED)
                 elif other not in bed.owed:
-                    bed.end(other, launch, t.Outcome.CALLED_OFF)
+                    bed.end(other, attempt, t.Outcome.CALLED_OFF)
     assert any("e0 set aside" in line for line in bed.logs)
 
 
 def test_a_new_endpoint_starts_with_the_cap_the_others_have_learned():
     bed = Bed(deployment(instances=3), endpoints=4)
     warm(bed, 40, took=50 * MS)
-    for _ in range(60):  # all answers slow down: caps fall
+    for _ in range(60):  # all answers slow down, so caps fall
         names = [bed.arrive(IDEM) for _ in range(4)]
         bed.run(200 * MS)
         for name in names:
-            for launch in bed.out(name):
-                bed.end(name, launch, t.Outcome.HANDLED)
+            for attempt in bed.out(name):
+                bed.end(name, attempt, t.Outcome.HANDLED)
     bed.step(t.ListReceived(t.ListKind.CHANGES, [listing(9)]))
     for _ in range(12):
         bed.arrive(IDEM)
-    flying = [f["endpoint"] for fs in bed.flights.values() for f in fs if f["how"] is None]
-    assert 1 <= flying.count("e9") < 4
+    in_flight = [f["endpoint"] for fs in bed.flights.values() for f in fs if f["how"] is None]
+    assert 1 <= in_flight.count("e9") < 4
 
 
 @pytest.mark.parametrize("instances", [24, 400])
 def test_many_sidecars_share_an_endpoint_in_fractions_rounded_by_chance(instances):
-    flying = []
+    in_flight = []
     for seed in range(instances):
         bed = Bed(deployment(instances=instances, seed=seed), endpoints=8)
         for _ in range(3):
             bed.arrive(IDEM)
-        flying.append(sum(f["how"] is None for fs in bed.flights.values() for f in fs))
-    assert 0.5 * FLEET_CAP_START < sum(flying) / 8 <= 1.1 * FLEET_CAP_START  # of all together, an endpoint
-    assert instances < 100 or min(flying) == 0  # and some send none
+        in_flight.append(sum(f["how"] is None for fs in bed.flights.values() for f in fs))
+    # all sidecars' attempts per endpoint
+    assert 0.5 * FLEET_CAP_START < sum(in_flight) / 8 <= 1.1 * FLEET_CAP_START
+    assert instances < 100 or min(in_flight) == 0  # some have no attempt in flight
 
 
 def test_an_endpoint_that_reports_a_crowd_is_passed_over_while_others_have_room():
@@ -419,17 +428,18 @@
 
 @pytest.mark.parametrize("uneven", [False, True])
 def test_a_bound_workload_goes_to_no_other_endpoint_and_holds_up_nothing_else(uneven):
-    """As reported: claim-star, which only north-hall serves, went to west-hall at its first launch."""
+    """Guards against a first attempt outside the workload's zones: a workload that only one zone serves was
+    sent to another."""
     star = t.Workload(
         "star", SECOND, 2 * SECOND, repeat=t.RepeatPolicy.DEDUPLICATED, window=SECOND, zones=("n",)
     )
     bed = Bed(deployment(workloads=[IDEM, star], uneven=uneven, zone="z"), endpoints=0)
-    told = [
+    entries = [
         t.ListEntry(f"e{at}", t.EndpointStatus.READY, "n" if at < 2 else "z", "k", "0") for at in range(6)
     ]
-    bed.step(t.ListReceived(t.ListKind.FULL, told))
-    chance, stars, others = random.Random(3), [], []
-    hows = [t.Outcome.HANDLED] * 8 + [t.Outcome.REFUSED, t.Outcome.ERROR]
+    bed.step(t.ListReceived(t.ListKind.FULL, entries))
+    rng, stars, others = random.Random(3), [], []
+    outcomes = [t.Outcome.HANDLED] * 8 + [t.Outcome.REFUSED, t.Outcome.ERROR]
     for at in range(400):
         if at == 200:
             bed.step(
@@ -440,25 +450,26 @@
         (stars if at % 3 else others).append(bed.arrive(star if at % 3 else IDEM))
         bed.run(20 * MS)
         for name in list(bed.flights):
-            for launch in bed.out(name):
-                bed.end(name, launch, chance.choice(hows))
+            for attempt in bed.out(name):
+                bed.end(name, attempt, rng.choice(outcomes))
     assert {f["endpoint"] for name in stars for f in bed.flights[name]} == {"e0", "e1"}
     assert sum(bed.closed.get(name) == "handled" for name in others) > 0.8 * len(others)
 
 
 def test_a_workload_that_is_slow_everywhere_shuts_no_caps_and_blames_no_endpoint():
-    """Seen at puzzle-world-main: one workload waited two contracts at every endpoint, half was denied."""
-    bed, chance = Bed(deployment(), endpoints=4), random.Random(4)
+    """One workload took two contract times at every endpoint; the caps fell, and half of all requests were
+    denied."""
+    bed, rng = Bed(deployment(), endpoints=4), random.Random(4)
     warm(bed, took=40 * MS)
     warm(bed, took=40 * MS, workload=ONCE)
     due = []
     for _ in range(800):
-        w = ONCE if chance.random() < 0.4 else IDEM
+        w = ONCE if rng.random() < 0.4 else IDEM
         due.append((bed.now + (400 if w is ONCE else 40) * MS, bed.arrive(w)))
         bed.run(20 * MS)
         for at, name in due:
-            for launch in bed.out(name) if at <= bed.now else []:
-                bed.end(name, launch, t.Outcome.HANDLED)
+            for attempt in bed.out(name) if at <= bed.now else []:
+                bed.end(name, attempt, t.Outcome.HANDLED)
         due = [(at, name) for at, name in due if name not in bed.closed]
     assert bed.sidecar.dispatcher.crowding < 1.5 and bed.sidecar.dispatcher.cap >= CAP_START
     assert not any("set aside" in line for line in bed.logs)
@@ -466,7 +477,8 @@
 
 @pytest.mark.parametrize("drained", [False, True])
 def test_where_gone_alone_does_not_bind_what_the_list_drops_serves_until_it_fails(drained):
-    """Incident ibd6aa9: the list called 10 of 13 gone that served on; the other three got all of it."""
+    """Incident ibd6aa9: the list dropped 10 of 13 endpoints that were still serving; the other three got all
+    traffic."""
     bed = Bed(deployment(gone_binds=False), endpoints=4)
     warm(bed)
     if drained:
@@ -474,7 +486,7 @@
     bed.step(t.ListReceived(t.ListKind.CHANGES, [listing(0, t.EndpointStatus.GONE)]))
     bed.state["e0"] = (
         t.EndpointStatus.GONE if drained else t.EndpointStatus.READY
-    )  # what the bed holds each launch against
+    )  # by which the bed checks each attempt
     picks = []
     for _ in range(20):
         picks.append(name := bed.arrive(IDEM))
@@ -494,17 +506,18 @@
 def test_a_workload_bound_to_kinds_goes_to_those_alone():
     heavy = t.Workload("heavy", SECOND, 2 * SECOND, 1.0, 0.0, t.RepeatPolicy.IDEMPOTENT, kinds=("big",))
     bed = Bed(deployment(workloads=[heavy]), endpoints=0)
-    told = [
+    entries = [
         t.ListEntry(f"e{at}", t.EndpointStatus.READY, "z", "big" if at == 3 else "small", "0")
         for at in range(4)
     ]
-    bed.step(t.ListReceived(t.ListKind.FULL, told))
+    bed.step(t.ListReceived(t.ListKind.FULL, entries))
     names = [bed.arrive(heavy) for _ in range(9)]
     assert {f["endpoint"] for name in names for f in bed.flights[name]} == {"e3"}
 
 
 def test_a_first_report_puts_nobody_behind_before_the_mean_is_known():
-    """Seen: whoever was probed in the first half second stood behind the others, whatever it told."""
+    """Guards against picking last whichever endpoint was probed in the first half second, whatever it
+    reported."""
     bed = Bed(deployment(reports_asked=True), endpoints=3)
     bed.step(t.ProbeEnded("e0", t.Outcome.HANDLED, MS, t.LoadReport(queued=0.0)))
     assert not bed.sidecar.dispatcher.endpoint_states["e0"].report.crowded
@@ -523,31 +536,31 @@
 
 
 def test_an_inner_launch_that_never_ran_goes_elsewhere_but_one_that_may_have_run_does_not():
-    for how, launches in ((t.Outcome.UNCONNECTED, 2), (t.Outcome.REFUSED, 2), (t.Outcome.RESET, 1)):
+    for outcome, attempts in ((t.Outcome.UNCONNECTED, 2), (t.Outcome.REFUSED, 2), (t.Outcome.RESET, 1)):
         bed = Bed(deployment(tier=1))
         warm(bed, 30)
         name = bed.arrive(ONCE)
-        bed.end(name, 0, how)
+        bed.end(name, 0, outcome)
         bed.run(100 * MS)
-        assert len({f["endpoint"] for f in bed.flights[name]}) == launches
+        assert len({f["endpoint"] for f in bed.flights[name]}) == attempts
 
 
 @pytest.mark.parametrize(
-    "how, workload, launches",
+    "outcome, workload, attempts",
     [
         (t.Outcome.SPOILT, IDEM, 2),
         (t.Outcome.SPOILT, ONCE, 1),
         (t.Outcome.ERROR, IDEM, 1),
     ],
 )
-def test_an_inner_launch_whose_answer_came_spoilt_goes_out_anew_where_allowed(how, workload, launches):
-    """Passed up instead, each took a place in the budget of the front, which had none left for others."""
+def test_an_inner_launch_whose_answer_came_spoilt_goes_out_anew_where_allowed(outcome, workload, attempts):
+    """Passed up instead, each used up the retry budget of the front tier, which had none left for others."""
     bed = Bed(deployment(tier=1))
     warm(bed)
     name = bed.arrive(workload)
-    bed.end(name, 0, how)
+    bed.end(name, 0, outcome)
     bed.run(RETRY_BASE_DELAY + 5 * MS)
-    assert len(bed.flights[name]) == launches
+    assert len(bed.flights[name]) == attempts
 
 
 def test_a_hang_met_by_single_launches_is_seen_at_their_time_out():
@@ -567,14 +580,14 @@
 def test_nothing_deduplicated_is_sent_again_after_its_window():
     kind = t.RepeatPolicy.DEDUPLICATED, t.DeduplicationScope.ALL, SECOND // 2
     short = t.Workload("short", 3 * SECOND, 5 * SECOND, 1.0, 0.0, *kind)
-    for wait, launches in ((100 * MS, 2), (700 * MS, 1)):
+    for wait, attempts in ((100 * MS, 2), (700 * MS, 1)):
         bed = Bed(deployment(workloads=[IDEM, short]))
         warm(bed, 30)
         name = bed.arrive(short)
         bed.run(wait)
         bed.end(name, 0, t.Outcome.ERROR)
         bed.run(200 * MS)
-        assert len(bed.flights[name]) == launches
+        assert len(bed.flights[name]) == attempts
 
 
 def test_a_cold_endpoint_is_not_filled_up_to_the_mean_at_once():
@@ -593,12 +606,12 @@
         names = [bed.arrive(IDEM) for _ in range(4)]
         bed.run(150 * MS)
         for name in names:
-            for launch in bed.out(name):
-                bed.end(name, launch, t.Outcome.HANDLED)
+            for attempt in bed.out(name):
+                bed.end(name, attempt, t.Outcome.HANDLED)
     for _ in range(20):
         bed.arrive(IDEM)
-    flying = sum(f["how"] is None for fs in bed.flights.values() for f in fs)
-    assert flying < 4 * CAP_START
+    in_flight = sum(f["how"] is None for fs in bed.flights.values() for f in fs)
+    assert in_flight < 4 * CAP_START
     assert not any("set aside" in line for line in bed.logs)
 
 
@@ -622,7 +635,8 @@
 def probing(
     instances: int = 20, endpoints: int = 8, heavy: tuple = ("e0",), busy: float = 0.5, load: float = 50.0
 ) -> Bed:
-    """Light traffic of one sidecar among many, whose probes are answered with reports; e0's are heavy."""
+    """Light traffic of one sidecar among many, whose probes are answered with load reports; those of `heavy`
+    are high."""
     bed = Bed(deployment(instances=instances, reports_asked=True), endpoints=endpoints)
     bed.taken = 0
     for _ in range(150):
@@ -635,8 +649,8 @@
         bed.probed = getattr(bed, "probed", 0) + len(bed.probes)
         bed.probes.clear()
         bed.run(100 * MS)
-        for launch in bed.out(name):
-            bed.end(name, launch, t.Outcome.HANDLED)
+        for attempt in bed.out(name):
+            bed.end(name, attempt, t.Outcome.HANDLED)
     return bed
 
 
@@ -649,23 +663,23 @@
 
 
 def test_no_place_among_the_ready_ones_is_no_fault():
-    probing(instances=9, endpoints=3, heavy=("e0", "e1"))  # the only light one is in use
+    probing(instances=9, endpoints=3, heavy=("e0", "e1"))  # the only one with a low load is in use
 
 
 @pytest.mark.parametrize("busy, falls", [(0.4, False), (0.95, True)])
 def test_where_caps_are_fractions_probed_reports_must_bear_out_a_crowd(busy, falls):
     bed = probing(busy=busy)
-    desk = bed.sidecar.dispatcher
-    start = desk.cap
+    dispatcher = bed.sidecar.dispatcher
+    start = dispatcher.cap
     for _ in range(12):  # 2.5 times slower than before
         name = bed.arrive(IDEM)
         bed.run(325 * MS)
         for endpoint in bed.probes:
             bed.step(t.ProbeEnded(endpoint, t.Outcome.HANDLED, MS, t.LoadReport(queued=1.0, busy=busy)))
         bed.probes.clear()
-        for launch in bed.out(name):
-            bed.end(name, launch, t.Outcome.HANDLED)
-    assert (desk.cap < 0.8 * start) is falls
+        for attempt in bed.out(name):
+            bed.end(name, attempt, t.Outcome.HANDLED)
+    assert (dispatcher.cap < 0.8 * start) is falls
 
 
 def test_a_jam_at_the_start_is_not_taken_for_the_uncrowded_state():
@@ -685,9 +699,9 @@
         bed.arrive(IDEM)
         bed.run(50 * MS)
         out = [(n, i) for n, fs in bed.flights.items() for i, f in enumerate(fs) if f["how"] is None]
-        for name, launch in out:
-            if bed.now - bed.flights[name][launch]["sent"] >= 300 * MS:
-                bed.end(name, launch, t.Outcome.HANDLED)
+        for name, attempt in out:
+            if bed.now - bed.flights[name][attempt]["sent"] >= 300 * MS:
+                bed.end(name, attempt, t.Outcome.HANDLED)
         total.append(len(out))
     assert sum(total[20:60]) / 40 <= 1.5 * 50 * FLEET_CAP_START * FRACTIONAL_CAP_FACTOR / 100
 
--- a/tests/test_start_lists.py
+++ b/tests/test_start_lists.py
@@ -1,4 +1,4 @@
-"""Lists with rows that can't be used: what each costs, in discovery's answers and in the list of a start."""
+"""Endpoint lists with unusable rows, in discovery's answers and in the list given at the start."""
 
 import orjson
 import pytest
@@ -56,7 +56,7 @@
 @pytest.mark.parametrize("whole", [True, False])
 @pytest.mark.parametrize("fault", UNUSABLE)
 def test_a_row_that_names_its_endpoint_and_can_not_be_used_counts_as_its_drain(fault, whole):
-    """Seen failing as `Garbled`, the whole list's end, or as an endpoint that takes launches."""
+    """Guards against rejecting the whole list as `Garbled`, and against an endpoint that stays in use."""
     known = read(GOOD | fault, OTHER, snapshot=whole)
     assert states(known) == {"e0": t.EndpointStatus.DRAINING, "e1": t.EndpointStatus.READY}
     assert known.whole is whole and known.addresses["e1"] and known.unnamed == 0
@@ -74,7 +74,7 @@
     "row", [5, None, [], {}, GOOD | {"name": None}, GOOD | {"name": ""}, GOOD | {"name": []}]
 )
 def test_a_row_without_a_name_is_left_out_and_counted(row):
-    """Seen failing as `Garbled`, and for null as an endpoint called None."""
+    """Guards against rejecting the list as `Garbled`, and for null against an endpoint named None."""
     known = read(row, OTHER)
     assert states(known) == {"e1": t.EndpointStatus.READY} and known.unnamed == 1 and len(known.refused) == 1
     with pytest.raises(Garbled, match="no row names an endpoint"):
@@ -85,7 +85,7 @@
     "fault, entry",
     [
         ({"zone": None, "type": None}, {"zone": "", "kind": ""}),
-        ({"group": None}, {"cell": ""}),  # which the module holds for no cell at all
+        ({"group": None}, {"cell": ""}),  # which the decision module takes for no cell
         ({"since_ms": None}, {"started": 0}),
         ({"since_ms": 17.0}, {"started": 17_000}),
         ({"since_ms": "17"}, {"started": 17_000}),
@@ -110,7 +110,7 @@
 def test_versions_and_empty_changes_as_some_services_write_them():
     assert read(GOOD, index=41.0).index == 41 and read(GOOD, index="41").index == 41
     assert lists.known({"index": 4, "snapshot": False, "endpoints": None}).entries == []
-    with pytest.raises(Garbled):  # this one would take every endpoint away
+    with pytest.raises(Garbled):  # this one would remove every endpoint
         lists.known({"index": 4, "snapshot": True, "endpoints": None})
 
 
@@ -129,7 +129,7 @@
     ],
 )
 def test_the_list_told_at_a_start_never_costs_the_start(known, names):
-    """Seen failing as `missing 'endpoints'` and the like, with exit 2."""
+    """Guards against a program that exits with 2 and `missing 'endpoints'` or the like."""
     found = lists.at_start(known)
     assert [entry.endpoint for entry in found.entries] == names
     assert bool(found.refused) is (known is not None)
--- a/tests/test_thin_share.py
+++ b/tests/test_thin_share.py
@@ -1,4 +1,4 @@
-"""A sidecar of so many before so few endpoints that its part of them is less than one launch."""
+"""One of many sidecars before few endpoints, whose capacity is less than one attempt."""
 
 import pytest
 import test_cold_fleet
@@ -10,25 +10,26 @@
 PROBING = POOL | dict(reports_asked=True, probes_allowed=True)
 
 
-class StartedAnew(Fleet):
-    """One of many sidecars, alone with warm and idle endpoints."""
+class NewSidecar(Fleet):
+    """One of many sidecars, newly started before warm and idle endpoints."""
 
-    def __init__(self, seed: int, sidecars: int, endpoints: int, **told) -> None:
+    def __init__(self, seed: int, sidecars: int, endpoints: int, **settings) -> None:
         capacity = endpoints * test_cold_fleet.CORES * SECOND / SERVICE
-        super().__init__(seed, 1, RATE / capacity, endpoints=endpoints, service=SERVICE, **told)
-        self.told[0].instances = sidecars
-        self.anew()
+        super().__init__(seed, 1, RATE / capacity, endpoints=endpoints, service=SERVICE, **settings)
+        self.deployments[0].instances = sidecars
+        self.restart_sidecars()
 
 
 @pytest.mark.parametrize("seed", range(3))
-@pytest.mark.parametrize("told", [POOL, PROBING])
+@pytest.mark.parametrize("settings", [POOL, PROBING])
 @pytest.mark.parametrize("sidecars, endpoints", [(12, 6), (120, 6), (300, 6), (300, 20)])
 def test_one_process_of_many_that_starts_anew_soon_refuses_next_to_nothing(
-    sidecars, endpoints, told, seed, monkeypatch
+    sidecars, endpoints, settings, seed, monkeypatch
 ):
-    """Guards against a share of a launch that grows by as little: 70 to 81% were refused for ten seconds."""
+    """Guards against a capacity below one attempt that grows too slowly: 70 to 81% of the requests were
+    denied for ten seconds."""
     monkeypatch.setattr(test_cold_fleet, "END", SPAN)
-    fleet = StartedAnew(seed, sidecars, endpoints, **told)
+    fleet = NewSidecar(seed, sidecars, endpoints, **settings)
     fleet.run()
     late = [at for at in fleet.denied if at > fleet.begin + SECOND]
     asked = [at for at in fleet.asked if at > fleet.begin + SECOND]
@@ -38,9 +39,9 @@
 
 @pytest.mark.parametrize("sidecars, load", [(1, 0.7), (30, 0.7), (120, 1.3), (300, 0.7), (300, 1.3)])
 def test_processes_that_all_start_anew_fill_no_cold_endpoint(sidecars, load):
-    """Rule 4, where each of them sees an idle endpoint and a share that may grow."""
+    """Rule 4, where each sidecar sees an idle endpoint and may grow its cap."""
     fleet = Fleet(1, sidecars, load, **POOL)
     fleet.at(fleet.begin + FAULT, fleet.start, "e0")
-    fleet.at(fleet.begin + FAULT + 1, fleet.anew)
+    fleet.at(fleet.begin + FAULT + 1, fleet.restart_sidecars)
     fleet.run()
     assert fleet.fullest() < 1.0
