--- a/tests/test_engine_defects.py
+++ b/tests/test_engine_defects.py
@@ -1,5 +1,5 @@
-"""Defects of the decision module, of what carries out its orders, and of the tasks that launch: each costs
-the one request it is about, which gets its answer at once; the program and all other requests go on."""
+"""Defects of the decision module, of the execution of its commands, and of the tasks that make attempts: each
+costs only the request that it is about, which is answered at once; the program and other requests go on."""
 
 import anyio
 import pytest
@@ -18,9 +18,9 @@
 
 
 def fail_on(net: Net, handler: str, which) -> None:
-    """The module's desk raises on the notes that `which` picks, before it does anything about them."""
-    desk = net.program.engine.sidecar.dispatcher
-    handlers = {kind: handle for kind, handle in desk.handlers.items() if handle.__name__ == handler}
+    """Makes the dispatcher raise on the events that `which` selects, before it handles them."""
+    dispatcher = net.program.engine.sidecar.dispatcher
+    handlers = {kind: handle for kind, handle in dispatcher.handlers.items() if handle.__name__ == handler}
     ((kind, handle),) = handlers.items()
 
     def failing(event):
@@ -28,7 +28,7 @@
             raise ZeroDivisionError("planted")
         handle(event)
 
-    desk.handlers[kind] = failing
+    dispatcher.handlers[kind] = failing
 
 
 def logged(net: Net, event: str) -> list[dict]:
@@ -37,7 +37,7 @@
 
 def test_an_arrival_that_the_module_fails_on_is_answered_long_before_its_deadline():
     async def check(net: Net):
-        fail_on(net, "arrive", lambda event: event.request == "bad")
+        fail_on(net, "on_request_arrived", lambda event: event.request == "bad")
         with anyio.fail_after(4):  # its deadline is 8 s away
             answer = await net.ask(wanted("bad", "issue", "8.0"))
         assert answer.status == 502
@@ -52,20 +52,22 @@
 def test_an_outcome_that_the_module_fails_on_ends_its_request_at_once(how):
     async def check(net: Net):
         fail_on(
-            net, "end", lambda event: event.request == "bad" and event.outcome is not t.Outcome.CALLED_OFF
+            net,
+            "on_attempt_ended",
+            lambda event: event.request == "bad" and event.outcome is not t.Outcome.CALLED_OFF,
         )
         with anyio.fail_after(4):
             assert (await net.ask(wanted("bad", "issue", "8.0"))).status == 502
         net.stands[0].act = fine
         assert (await net.ask(wanted("s1", "issue", "8.0"))).status == 200
-        await all_quiet(net)  # the module counts no launch at the endpoint any more
+        await all_quiet(net)  # the module counts no attempt at the endpoint any more
 
     net = on_network(check, always(how), workloads=PATIENT, limits=NO_PROBES)
     assert len(logged(net, "module_failed")) == 1
 
 
 def test_outcomes_that_cannot_be_told_end_neither_the_program_nor_another_request():
-    """Seen failing: the exception left the launch's task, and ended every other one of the program."""
+    """Guards against an exception that leaves the attempt's task and ends all other tasks of the program."""
 
     async def check(net: Net):
         ended = net.program.book.tell_ended
@@ -105,18 +107,18 @@
     on_network(check, fine, limits=NO_PROBES)
 
 
-# --- wake-ups -------------------------------------------------------------------------------------------
+# --- timers -------------------------------------------------------------------------------------------
 
 
 class Asleep:
-    """A module that asks once for a wake-up, as the real one does, and fails on one note."""
+    """A module that sets a timer once, as the real one does, and fails on one type of event."""
 
     def __init__(self, at: int) -> None:
         self.at, self.armed, self.woken = at, False, []
         self.message_queue = self
         self.commands: list = []
 
-    def step(self, now: int, events: list, ring: bool = True) -> list:
+    def step(self, now: int, events: list, fire_timers: bool = True) -> list:
         self.commands = []
         if isinstance(events[0], t.RequestCancelled):
             self.commands = [t.WriteLog("ordered before the failure")]
@@ -134,8 +136,8 @@
 
 
 def test_a_failure_loses_no_wake_up_that_the_module_counts_on():
-    """Seen failing: the wake-up after a failure took the place of the module's own, which was never asked for
-    again: what was due then waited for the next note from outside."""
+    """Guards against the timer after a failure replacing the module's own, which is not set again: what was
+    due then waited for the next event from outside."""
     logs: list = []
 
     async def main() -> None:
@@ -180,7 +182,7 @@
     anyio.run(main)
 
 
-# --- carriers -------------------------------------------------------------------------------------------
+# --- commands -------------------------------------------------------------------------------------------
 
 
 def test_an_order_that_cannot_be_carried_out_loses_none_behind_it_and_tells_from_within_wait():
@@ -196,7 +198,7 @@
             raise KeyError("planted")
 
         engine.carriers |= {t.StartAttempt: raising, t.RejectRequest: lambda command: done.append("denied")}
-        engine.sidecar.step = lambda now, events, ring: (
+        engine.sidecar.step = lambda now, events, fire_timers: (
             [t.StartAttempt("s1", "e0", 0), t.RejectRequest("s2")]
             if events[0].request == "outer"
             else done.append("inner") or []
@@ -209,15 +211,18 @@
 
 
 def test_a_launch_of_what_is_over_here_frees_its_place_in_the_module():
-    """The module failed on the end of a submission, and keeps it open. Seen failing: its launch raised in the
-    carrier and counted at the endpoint for good."""
+    """The module failed on the end of a request, and keeps it open. Guards against a command for it that
+    raises, so that the attempt counts at the endpoint for good."""
 
     async def check(net: Net):
-        engine, desk = net.program.engine, net.program.engine.sidecar.dispatcher
+        engine, dispatcher = net.program.engine, net.program.engine.sidecar.dispatcher
         due = engine.clock.now() + 8_000_000
-        engine.tell(t.RequestArrived("ghost", "issue", due))  # no client's: the book knows nothing of it
-        await until(lambda: not desk.open)
-        assert desk.in_flight == 0 and not any(seat.in_flight for seat in desk.endpoint_states.values())
+        # of no client: the request table does not know it
+        engine.tell(t.RequestArrived("ghost", "issue", due))
+        await until(lambda: not dispatcher.requests)
+        assert dispatcher.in_flight == 0 and not any(
+            state.in_flight for state in dispatcher.endpoint_states.values()
+        )
         assert (await net.ask(wanted("s1", "issue"))).status == 200
 
     net = on_network(check, fine, workloads=LONG, limits=NO_PROBES)
@@ -225,12 +230,18 @@
 
 
 def test_requests_around_failing_ones_each_get_one_answer_and_nothing_stays_behind():
-    """Seen failing: each outcome that the module failed on took a place at its endpoint for good."""
+    """Guards against outcomes that the module fails on and that count at their endpoint for good."""
 
     async def check(net: Net):
         chosen = {f"s{at}" for at in range(0, 60, 3)}
-        fail_on(net, "arrive", lambda event: event.request in chosen and int(event.request[1:]) % 2)
-        fail_on(net, "end", lambda event: event.request in chosen and event.outcome is t.Outcome.HANDLED)
+        fail_on(
+            net, "on_request_arrived", lambda event: event.request in chosen and int(event.request[1:]) % 2
+        )
+        fail_on(
+            net,
+            "on_attempt_ended",
+            lambda event: event.request in chosen and event.outcome is t.Outcome.HANDLED,
+        )
         got = {}
 
         async def ask(first: int) -> None:
@@ -250,19 +261,20 @@
 
 
 def test_a_failure_on_an_alarm_ends_the_request_that_it_was_about_and_not_the_one_just_told_of():
-    """Seen failing: whoever arrived in the step in which another's alarm failed was answered 502."""
+    """Guards against a 502 for the request that arrives in the step in which another request's timer
+    fails."""
 
     async def check(net: Net):
         engine = net.program.engine
         step, planted = engine.sidecar.step, []
 
-        def failing(now, events, ring):
-            commands = step(now, events, ring)
+        def failing(now, events, fire_timers):
+            commands = step(now, events, fire_timers)
             if not planted and isinstance(events[0], t.RequestArrived) and events[0].request == "innocent":
                 planted.append(1)
                 engine.sidecar.message_queue.commands = commands
                 error = ZeroDivisionError("planted")
-                error.about = RequestTimeout(engine.sidecar.dispatcher.open["waits"], True)
+                error.about = RequestTimeout(engine.sidecar.dispatcher.requests["waits"], True)
                 raise error
             return commands
 
@@ -276,7 +288,7 @@
             async with anyio.create_task_group() as group:
                 group.start_soon(ask, "first")
                 await until(lambda: "first" in net.program.book.journeys)
-                engine.sidecar.dispatcher.cap = 0.1  # one launch at a time: the next ones are held
+                engine.sidecar.dispatcher.cap = 0.1  # one attempt at a time: the next requests are held
                 group.start_soon(ask, "waits")
                 await until(lambda: "waits" in net.program.book.journeys)
                 group.start_soon(ask, "innocent")
