--- a/lupinmill/admin/admin_handler.py
+++ b/lupinmill/admin/admin_handler.py
@@ -11,7 +11,7 @@
 
 from lupinmill.admin.operator_overrides import CordonResult, OperatorOverrides
 from lupinmill.protocol import calls
-from lupinmill.routing.directory import Directory
+from lupinmill.routing.directory import EndpointDirectory
 from lupinmill.routing.engine import Engine, Log
 
 EXPIRY_CHECK_INTERVAL_S = 1.0
@@ -26,7 +26,9 @@
 class AdminHandler:
     """Routes each call of the admin API. The callbacks are set by the program."""
 
-    def __init__(self, overrides: OperatorOverrides, directory: Directory, engine: Engine, log: Log) -> None:
+    def __init__(
+        self, overrides: OperatorOverrides, directory: EndpointDirectory, engine: Engine, log: Log
+    ) -> None:
         self.overrides, self.directory, self.engine, self.log = overrides, directory, engine, log
         self.on_mode_change: Callable[[], None] = lambda: None
         self.accepting_clients = lambda: False
@@ -80,7 +82,7 @@
             args = (now, call.endpoint) if out else (call.endpoint,)
             result = change(*args, skip_list_check or call.endpoint in self.directory.states)
             if result is CordonResult.DONE:
-                self.directory.by_hand(call.endpoint, out)
+                self.directory.set_cordoned(call.endpoint, out)
             return CORDON_RESPONSES[result]
         changed = self.overrides.quiesce(now) if call.what == calls.QUIESCE else self.overrides.resume(now)
         if changed:
@@ -92,5 +94,5 @@
         while True:
             await anyio.sleep(EXPIRY_CHECK_INTERVAL_S)
             for name in self.overrides.expire_cordons(self.engine.clock.now(), self.directory.states):
-                self.directory.by_hand(name, False)
+                self.directory.set_cordoned(name, False)
                 self.log("mode", text=f"cordon of {name} expired: no endpoint list names it")
--- a/lupinmill/admin/admin_server.py
+++ b/lupinmill/admin/admin_server.py
@@ -14,7 +14,7 @@
 
 from lupinmill.protocol.calls import Call, CallSide
 from lupinmill.protocol.http import Malformed
-from lupinmill.routing.engine import Log, defect
+from lupinmill.routing.engine import Log, error_fields
 from lupinmill.transport.connection import listen_at
 
 MAX_CONNECTIONS = 16
@@ -74,7 +74,7 @@
         except OSError:
             pass  # the caller hung up
         except Exception as error:
-            self.log("task_failed", task="operator", **defect(error))
+            self.log("task_failed", task="operator", **error_fields(error))
         finally:
             self.connections.pop(connection, None)
             connection.sock.close()
@@ -95,7 +95,7 @@
             try:
                 status, text = await self.handler(call)
             except Exception as error:
-                self.log("task_failed", task="operator", **defect(error))
+                self.log("task_failed", task="operator", **error_fields(error))
                 status, text = 500, "internal error; see the log"
             self.log(
                 "operator", call=call.what, member=call.endpoint, status=status, text=text[:MAX_LOGGED_CHARS]
--- a/lupinmill/config/driver.py
+++ b/lupinmill/config/driver.py
@@ -33,9 +33,9 @@
 )
 from lupinmill.protocol.http import ClientSide, Garbled
 from lupinmill.routing.engine import Log as Logs
-from lupinmill.routing.engine import defect
+from lupinmill.routing.engine import error_fields
 from lupinmill.transport.connection import Connection, NoDescriptor, Unconnected, connect
-from lupinmill.transport.ring import Store
+from lupinmill.transport.buffers import BlockPool
 
 SECOND = 1_000_000
 DISK_AGAIN = 5.0  # seconds before a disk that failed is tried again
@@ -56,7 +56,7 @@
         self,
         follower: Follower,
         scopes: tuple[str, ...],
-        store: Store,
+        store: BlockPool,
         take: Take,
         log: Logs,
         keep: str | Path | None = None,
@@ -142,7 +142,7 @@
         try:
             why = self.take(order.version, order.entries)
         except Exception as error:  # a defect there must not end the watch
-            self.log("task_failed", task="take", **defect(error))
+            self.log("task_failed", task="take", **error_fields(error))
             why = f"a defect: {type(error).__name__}"
         if why is not None:
             self.inbox.append(Refused(order.version, why[:LONGEST_WHY]))
@@ -192,13 +192,13 @@
         except (OSError, Unconnected, NoDescriptor) as error:
             return Failed(ask.at, str(error) or type(error).__name__)
         except Exception as error:
-            self.log("task_failed", task="config", **defect(error))
+            self.log("task_failed", task="config", **error_fields(error))
             return Failed(ask.at, f"a defect: {type(error).__name__}", garbled=True)
 
     async def exchange(self, ask: Ask, margin: float) -> Reply:
         """`margin`: seconds for the connection to come up, and between two parts of an answer, beyond which
         TimeoutError is raised; it grows with the follower's own."""
-        if self.connection is None or self.at != ask.at or not self.connection.quiet():
+        if self.connection is None or self.at != ask.at or not self.connection.is_idle():
             self.hang_up()
             self.connection, self.at = await connect(ask.at, margin, self.store, lambda: None), ask.at
         side = ClientSide(LARGEST, LARGEST)
--- a/lupinmill/config/relay.py
+++ b/lupinmill/config/relay.py
@@ -28,8 +28,8 @@
 from lupinmill.config.relay_file import RelayFile
 from lupinmill.config.server import Calls, Watches
 from lupinmill.config.source import Source
-from lupinmill.routing.engine import Clock, Log, defect
-from lupinmill.transport.ring import Store
+from lupinmill.routing.engine import Clock, Log, error_fields
+from lupinmill.transport.buffers import BlockPool
 
 if TYPE_CHECKING:
     from lupinmill.config.driver import ConfigWatch
@@ -179,7 +179,7 @@
             self.history.entries,
         )
         follower.history = self.history
-        return ConfigWatch(follower, (), Store(), self.take, self.log)
+        return ConfigWatch(follower, (), BlockPool(), self.take, self.log)
 
     # What is new.
 
@@ -262,7 +262,7 @@
             try:
                 return await task()
             except Exception as error:
-                self.log("task_failed", task=task.__qualname__, **defect(error))
+                self.log("task_failed", task=task.__qualname__, **error_fields(error))
                 await anyio.sleep(AGAIN)
 
     def close(self) -> None:
--- a/lupinmill/config/server.py
+++ b/lupinmill/config/server.py
@@ -17,11 +17,11 @@
 from lupinmill.config import wire
 from lupinmill.config.fanout import Asked, Away, Fanout, Gone, Note, Say, Woke
 from lupinmill.protocol.http import Answer, Malformed, Request, ServerSide, plain
-from lupinmill.routing.engine import Clock, Log, defect
+from lupinmill.routing.engine import Clock, Log, error_fields
 from lupinmill.transport.client import Client
-from lupinmill.transport.descriptors import OWN, Descriptors
+from lupinmill.transport.descriptors import RESERVED_DESCRIPTORS, DescriptorBudget
 from lupinmill.transport.listener import Listener
-from lupinmill.transport.ring import Shelf, Store
+from lupinmill.transport.buffers import MemoryBudget, BlockPool
 
 WRITE = 10.0  # seconds for an answer to be read
 CALL = 2.5  # seconds from a call's first byte to its last
@@ -31,9 +31,9 @@
 JSON = [(b"Content-Type", b"application/json")]
 
 
-def descriptors_for(connections: int) -> Descriptors:
+def descriptors_for(connections: int) -> DescriptorBudget:
     """So that a quarter left for others and what is `OWN` leaves this many."""
-    return Descriptors(math.ceil(connections * 4 / 3) + OWN + 4)
+    return DescriptorBudget(math.ceil(connections * 4 / 3) + RESERVED_DESCRIPTORS + 4)
 
 
 class Served:
@@ -43,7 +43,7 @@
 
     def __init__(self, address: str, connections: int, log: Log) -> None:
         self.log = log
-        self.store, self.descriptors = Store(), descriptors_for(connections)
+        self.store, self.descriptors = BlockPool(), descriptors_for(connections)
         self.listener = Listener(address, self.descriptors, self.store)
         self.address = self.listener.address
         self.leaving = False  # each answer ends its connection
@@ -59,14 +59,14 @@
         except (OSError, TimeoutError):
             pass  # the other side broke or is stuck: all it held is given back above
         except Exception as error:
-            self.log("task_failed", task="caller", **defect(error))
+            self.log("task_failed", task="caller", **error_fields(error))
 
     async def converse(self, client: Client, welcome: bool) -> None:
         side = ServerSide(self.largest)
         try:
             while (request := await self.read(client, side, welcome)) is not None:
-                client.asked = True
-                going = welcome and not client.overrun
+                client.has_requested = True
+                going = welcome and not client.pipelined_dropped
                 if not await (self.answer(client, side, request) if going else self.no_room(client, side)):
                     return
         except Malformed as error:
@@ -104,7 +104,7 @@
 
     async def write(self, client: Client, side: ServerSide, answer: Answer, close: bool = False) -> bool:
         """Bytes of some size go out as they are, never copied whole."""
-        close = close or self.leaving or client.overrun
+        close = close or self.leaving or client.pipelined_dropped
         data = side.begin(answer, len(answer.body), close)
         body = side.part(answer.body) if answer.body else b""
         end = side.end()
@@ -140,7 +140,7 @@
         self.fanout, self.clock = fanout, clock
         self.tokens = itertools.count(1)
         self.watchers: dict[int, Watcher] = {}
-        self.shelf = Shelf(memory)
+        self.shelf = MemoryBudget(memory)
         self.sending: dict[int, int] = {}  # by identity of an answer's bytes: how many connections write it
         self.due: int | None = None
         self.rearmed = anyio.Event()
@@ -190,7 +190,7 @@
             self.step(Asked(token, watch.scopes, watch.since, until, watch.status))
             if watcher.said is None:
                 with watcher.scope:
-                    await client.gone()
+                    await client.wait_disconnected()
         finally:
             if self.watchers.pop(token, None) is not None:
                 self.step(Gone(token))
@@ -208,7 +208,7 @@
             self.sending[key] -= 1
             if not self.sending[key]:
                 del self.sending[key]
-                self.shelf.give_back(len(data))
+                self.shelf.release(len(data))
 
     async def no_room(self, client: Client, side: ServerSide) -> bool:
         self.refused += 1
@@ -233,7 +233,7 @@
                 watcher.said = Away(token)
                 watcher.scope.cancel()
             await anyio.sleep(within / len(tokens))
-        self.listener.dismiss_all()
+        self.listener.close_all_idle()
 
 
 class Calls(Served):
@@ -251,6 +251,6 @@
         except Malformed as error:
             answer = plain(error.status, f"{error}\n")
         except Exception as error:
-            self.log("task_failed", task="operator", **defect(error))
+            self.log("task_failed", task="operator", **error_fields(error))
             answer = plain(500, "a defect; see the log\n")
         return await self.write(client, side, answer)
--- a/lupinmill/discovery/driver.py
+++ b/lupinmill/discovery/driver.py
@@ -19,10 +19,10 @@
 )
 from lupinmill.protocol import lists
 from lupinmill.protocol.http import Answer, ClientSide, Garbled
-from lupinmill.routing.directory import Directory
-from lupinmill.routing.engine import Log, defect
+from lupinmill.routing.directory import EndpointDirectory
+from lupinmill.routing.engine import Log, error_fields
 from lupinmill.transport.connection import Connection, NoDescriptor, Unconnected, connect
-from lupinmill.transport.ring import Store
+from lupinmill.transport.buffers import BlockPool
 
 # Delay before a failed watch restarts where lists are pushed: the maximum, also as a fraction of the grace,
 # and the minimum. A change that the agent received when discovery returned counts as known at once.
@@ -59,7 +59,7 @@
     later call. `close_spare` and the end of `run` close them all."""
 
     def __init__(
-        self, address: str, deployment: t.Deployment, directory: Directory, store: Store, log: Log
+        self, address: str, deployment: t.Deployment, directory: EndpointDirectory, store: BlockPool, log: Log
     ) -> None:
         self.pushed = not deployment.poll_discovery
         self.directory, self.store, self.log = directory, store, log
@@ -161,7 +161,7 @@
         except EXPECTED_ERRORS as error:
             self.on_call_failed(call, f"{type(error).__name__}: {error}")
         except Exception as error:
-            self.log("task_failed", task="watch", **defect(error))
+            self.log("task_failed", task="watch", **error_fields(error))
             self.on_call_failed(call, type(error).__name__)
         finally:
             del self.scopes[call.id]
@@ -200,7 +200,7 @@
         if self.spare is None:
             return None
         (kept_address, connection), self.spare = self.spare, None
-        if kept_address == address and connection.quiet():
+        if kept_address == address and connection.is_idle():
             return connection
         connection.close()
         return None
@@ -247,7 +247,7 @@
         self.log("watch_failed", error=error, **self.log_fields_at_end(call))
         self.steady = False
         if self.watcher.call_failed(anyio.current_time(), call) and not self.pushed:
-            self.directory.failed()
+            self.directory.fetch_failed()
 
     # Logging.
 
--- a/lupinmill/handover/driver.py
+++ b/lupinmill/handover/driver.py
@@ -19,8 +19,8 @@
 from lupinmill.handover.upgrade_protocol import VERSION, Command, CommandKind, UpgradeProtocol
 from lupinmill.protocol.calls import Call
 from lupinmill.protocol.http import Malformed
-from lupinmill.routing.engine import Log, defect
-from lupinmill.transport.link import BrokenLink, Link
+from lupinmill.routing.engine import Log, error_fields
+from lupinmill.transport.link import LinkError, Link
 
 SOCKET_NAME = "lupinmill-%08x.sock"  # by a hash of name and address: sidecars may share the directory
 MAX_SOCKET_PATH = 100  # bytes; a margin below the system's limit for Unix addresses
@@ -96,10 +96,10 @@
         sock = socket.socket(fileno=descriptor)
     except OSError as error:
         os.close(descriptor)
-        raise BrokenLink(f"received a descriptor that is not a socket: {error.strerror}") from error
+        raise LinkError(f"received a descriptor that is not a socket: {error.strerror}") from error
     if not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
         sock.close()
-        raise BrokenLink("received a socket that does not listen")
+        raise LinkError("received a socket that does not listen")
     sock.setblocking(False)
     return sock
 
@@ -151,14 +151,14 @@
         link = Link(sock)
         try:
             if not same_user(sock):
-                raise BrokenLink("the process that listens there belongs to another user")
+                raise LinkError("the process that listens there belongs to another user")
             protocol = self.protocol
             hello = {"say": "hello", "version": VERSION, "name": protocol.name, "listen": protocol.listen}
             state = await link.ask(hello, STATE_TIMEOUT_S)
             if state.get("say") != "state":
-                raise BrokenLink(str(state.get("why", "the answer is not a state"))[:200])
+                raise LinkError(str(state.get("why", "the answer is not a state"))[:200])
             listening = listening_socket(link.take_descriptor())
-        except (OSError, BrokenLink, TimeoutError) as error:
+        except (OSError, LinkError, TimeoutError) as error:
             self.log("handover_refused", error=f"{type(error).__name__}: {error}")
             link.close()
             return None
@@ -187,7 +187,7 @@
         try:
             await task(*args)
         except Exception as error:
-            self.log("task_failed", task=name, **defect(error))
+            self.log("task_failed", task=name, **error_fields(error))
 
     # Link to the predecessor.
 
@@ -203,10 +203,10 @@
         """Runs the link until the other side ends, and closes it."""
         try:
             await link.run(on_message)
-        except* (OSError, BrokenLink):
+        except* (OSError, LinkError):
             pass
         except* Exception as errors:
-            self.log("task_failed", task="link", **defect(errors.exceptions[0]))
+            self.log("task_failed", task="link", **error_fields(errors.exceptions[0]))
         finally:
             link.close()
 
@@ -273,7 +273,7 @@
                 self.successor = None
                 self.execute(self.protocol.on_link_lost())
         except Exception as error:
-            self.log("task_failed", task="attend", **defect(error))
+            self.log("task_failed", task="attend", **error_fields(error))
         finally:
             link.close()
 
@@ -293,7 +293,7 @@
         try:
             try:
                 with anyio.fail_after(HELLO_TIMEOUT_S):
-                    hello = await link.hear_one()
+                    hello = await link.receive_message()
             finally:
                 self.pending_links -= 1
             command = self.protocol.on_hello(hello, same_user(link.sock))
@@ -301,7 +301,7 @@
                 self.log("handover", text=f"refused: {command.reason}")
                 await link.ask({"say": "no", "why": command.reason}, HELLO_TIMEOUT_S)
             return command.kind is CommandKind.SEND_STATE
-        except (OSError, BrokenLink, TimeoutError):
+        except (OSError, LinkError, TimeoutError):
             return False
 
     def on_successor_message(self, message: Message) -> None:
@@ -347,7 +347,7 @@
             self.sent_list_index = newer["list"]["index"]
 
     async def flush(self) -> None:
-        while self.successor is not None and self.successor.going:
+        while self.successor is not None and self.successor.outgoing:
             await anyio.sleep(0.005)
 
     # Operators' calls apply to both processes.
--- a/lupinmill/lab/scale/fanout_sockets.py
+++ b/lupinmill/lab/scale/fanout_sockets.py
@@ -31,7 +31,7 @@
 from lupinmill.lab.scale.fanout_shape import SECOND, Shape, change, scopes_of, state
 from lupinmill.lab.scale.load import percentile
 from lupinmill.transport.connection import Connection
-from lupinmill.transport.ring import Store
+from lupinmill.transport.buffers import BlockPool
 
 SETTLE = 3.0  # seconds after all watchers are there
 STARTS = 60.0  # seconds until all must be there
@@ -55,7 +55,7 @@
 
 class Watchers:
     def __init__(self, relay: str, count: int, wait_ms: int, shape: Shape) -> None:
-        self.seen, self.store = Seen(), Store()
+        self.seen, self.store = Seen(), BlockPool()
         self.versions = [0] * count
         self.held: list[Entries] = [{} for _ in range(count)]
         there = random.Random("watchers").sample(range(shape.sidecars), count)
--- a/lupinmill/lab/scale/loopback.py
+++ b/lupinmill/lab/scale/loopback.py
@@ -106,7 +106,7 @@
         told = operators_file.told(file, name)
         self.engine = Engine(deployment, Clock(), self.log)
         for kind in (t.StartWatch, t.SetTimer):
-            self.engine.carriers[kind] = lambda order: None
+            self.engine.command_handlers[kind] = lambda order: None
         self.driver = Driver(told, file.site, operators_file.bind(file, name), None, self.log)
         map_ = operators_file.zone_map(file.zones, {w.name: w.value for w in deployment.workloads})
         zone_driver = ZoneDriver(map_, told, self.driver, self.engine, self.log)
--- a/lupinmill/lab/scale/returns_stand.py
+++ b/lupinmill/lab/scale/returns_stand.py
@@ -120,7 +120,7 @@
         self.data: asyncio.Future[bytes] | None = None
         stand.open[self] = None
 
-    def quiet(self) -> bool:
+    def is_idle(self) -> bool:
         return not self.broken and not self.closed
 
     async def send(self, data: bytes) -> None:
@@ -169,7 +169,7 @@
         self.heard(self, known.index)
         self.tell(t.ListReceived(kind, []))
 
-    def failed(self) -> None:
+    def fetch_failed(self) -> None:
         self.tell(t.ListReceived(t.ListKind.FAILED, []))
 
     def tell(self, event: t.Event) -> None:
--- a/lupinmill/peers/driver.py
+++ b/lupinmill/peers/driver.py
@@ -42,7 +42,7 @@
     RosterChange,
     Send,
 )
-from lupinmill.routing.engine import Log, defect
+from lupinmill.routing.engine import Log, error_fields
 from lupinmill.transport.connection import split_address
 
 RECEIVE_BATCH = 64  # datagrams between two pauses
@@ -250,7 +250,7 @@
                     self.execute(command)
                 pending = bool(self.inbox)
         except Exception as error:  # a defect restarts this core, not the program
-            self.log("task_failed", task="peers", **defect(error))
+            self.log("task_failed", task="peers", **error_fields(error))
             if self.serve_scope is not None:
                 self.serve_scope.cancel()
         finally:
--- a/lupinmill/program/common.py
+++ b/lupinmill/program/common.py
@@ -48,7 +48,7 @@
             self.zone_driver.send_report()
             found = self.zone_driver.current_plan(now)
         found.sidecars = sidecars
-        self.engine.tell(found)
+        self.engine.handle_event(found)
 
     def change(self, told: int) -> None:
         """Another figure told of how many share the endpoints."""
--- a/lupinmill/program/in_force.py
+++ b/lupinmill/program/in_force.py
@@ -145,7 +145,7 @@
             kept.entries,
         )
         self.watch = ConfigWatch(
-            self.follower, scopes(base), program.store, self.take, log, config.keep or None
+            self.follower, scopes(base), program.block_pool, self.take, log, config.keep or None
         )
         self.watch.kept_index = kept.version.index
         self.run = self.watch.run
@@ -192,7 +192,7 @@
         if new.deployment != old.deployment:
             self.deploy(new.deployment)
         program.told = new
-        program.pool.limit(new.idle_limit, new.connect_limit)
+        program.connection_pool.set_limits(new.idle_limit, new.connect_limit)
         if new.operators != old.operators:
             program.change_peers(new)
         relays = self.relays(new)
@@ -206,13 +206,13 @@
     def deploy(self, d: t.Deployment) -> None:
         program, desk = self.program, self.program.engine.sidecar.dispatcher
         before = desk.settings
-        program.engine.tell(t.DeploymentChanged(d))
+        program.engine.handle_event(t.DeploymentChanged(d))
         if desk.settings is before:
             raise RuntimeError("the module did not take it")  # its own line is in the log
         advice = d.longest_advice // 2 if d.advice_allowed else 0
-        program.admit.deploy({w.name for w in d.workloads}, advice)
-        program.door.deploy(d)
-        program.take_in.advice = advice
+        program.request_factory.deploy({w.name for w in d.workloads}, advice)
+        program.admission.deploy(d)
+        program.client_handler.retry_after = advice
         program.discovery.set_instances(d.instances)
         if program.common is not None:
             program.common.change(d.instances)
--- a/lupinmill/program/sidecar.py
+++ b/lupinmill/program/sidecar.py
@@ -25,21 +25,21 @@
 from lupinmill.program.told import BadStart, Told, fixed
 from lupinmill.protocol import lists
 from lupinmill.protocol.submission import LONGEST
-from lupinmill.routing.admit import Admit
-from lupinmill.routing.book import Book
-from lupinmill.routing.directory import Directory
-from lupinmill.routing.door import Door
-from lupinmill.routing.engine import Clock, Engine, Log, defect
-from lupinmill.routing.relay import Relay
-from lupinmill.routing.route import Route
-from lupinmill.routing.send import Send
-from lupinmill.routing.take_in import TakeIn
+from lupinmill.routing.request_factory import RequestFactory
+from lupinmill.routing.request_table import RequestTable
+from lupinmill.routing.directory import EndpointDirectory
+from lupinmill.routing.admission import AdmissionController
+from lupinmill.routing.engine import Clock, Engine, Log, error_fields
+from lupinmill.routing.response_writer import ResponseWriter
+from lupinmill.routing.command_executor import CommandExecutor
+from lupinmill.routing.attempt_runner import AttemptRunner
+from lupinmill.routing.client_handler import ClientHandler
 from lupinmill.state import learned
 from lupinmill.transport import wall_clock
-from lupinmill.transport.descriptors import Descriptors, Side, shelf_of
+from lupinmill.transport.descriptors import DescriptorBudget, ConnectionKind, body_memory_limit
 from lupinmill.transport.listener import Listener
-from lupinmill.transport.pool import Pool
-from lupinmill.transport.ring import Shelf, Store
+from lupinmill.transport.connection_pool import ConnectionPool
+from lupinmill.transport.buffers import MemoryBudget, BlockPool
 
 if TYPE_CHECKING:
     from lupinmill.peers.driver import Driver
@@ -98,18 +98,25 @@
             PEERS_OWN if told.operators is not None else 0
         )
         own += CONFIG_OWN if watched else 0
-        self.store, self.descriptors = Store(), Descriptors(allowed(told.descriptors) - own, told.memory)
-        self.shelf = Shelf(shelf_of(told.memory))
-        self.pool = Pool(self.descriptors, self.store, told.idle_limit, told.connect_limit)
+        self.block_pool, self.descriptors = (
+            BlockPool(),
+            DescriptorBudget(allowed(told.descriptors) - own, told.memory),
+        )
+        self.body_memory = MemoryBudget(body_memory_limit(told.memory))
+        self.connection_pool = ConnectionPool(
+            self.descriptors, self.block_pool, told.idle_limit, told.connect_limit
+        )
         self.engine = Engine(told.deployment, Clock(), log)
         self.overrides = OperatorOverrides()
-        self.directory = Directory(self.engine, self.pool, self.overrides.cordoned)
-        self.book = Book(self.engine)
+        self.directory = EndpointDirectory(self.engine, self.connection_pool, self.overrides.cordoned)
+        self.request_table = RequestTable(self.engine)
         workloads = {w.name for w in told.deployment.workloads}
-        self.admit = Admit(self.book, self.directory, workloads, self.overrides)
+        self.request_factory = RequestFactory(self.request_table, self.directory, workloads, self.overrides)
         self.admin_handler = AdminHandler(self.overrides, self.directory, self.engine, log)
-        self.discovery = DiscoveryClient(told.discovery, told.deployment, self.directory, self.store, log)
-        self.engine.carriers[t.StartWatch] = self.discovery.watch
+        self.discovery = DiscoveryClient(
+            told.discovery, told.deployment, self.directory, self.block_pool, log
+        )
+        self.engine.command_handlers[t.StartWatch] = self.discovery.watch
         self.admin_handler.discovery = self.discovery.show
         self.handover = Handover(told.directory, told.name, told.listen, log)
         self.repeats_before = 0  # launches again of the process before this one, when it told what it knew
@@ -171,7 +178,7 @@
         try:
             tell()
         except Exception as error:
-            self.log("task_failed", task="mode_changed", **defect(error))
+            self.log("task_failed", task="mode_changed", **error_fields(error))
 
     async def bound(self, kind: Callable[..., Any], address: str, *more: Any) -> Any:
         """The process before this one may hold the address for a moment still. Guards also against a line at
@@ -250,24 +257,36 @@
                 AdminServer, self.told.operator, self.admin_handler.handle, self.log
             )
         if self.found is not None or self.told_to_end is None:
-            self.listener = await self.bound(Listener, self.told.listen, self.descriptors, self.store, sock)
+            self.listener = await self.bound(
+                Listener, self.told.listen, self.descriptors, self.block_pool, sock
+            )
 
     async def serve(self, signals: AsyncIterator[signal.Signals], task_status: TaskStatus[str]) -> None:
         deployment, listener = self.told.deployment, self.listener
         assert listener is not None
-        send = Send(self.pool, self.directory, self.book, deployment.reports_asked, self.log)
+        attempt_runner = AttemptRunner(
+            self.connection_pool, self.directory, self.request_table, deployment.reports_asked, self.log
+        )
         advice = deployment.longest_advice // 2 if deployment.advice_allowed else 0
-        self.admit.advice = advice
-        self.door = door = listener.door = Door(Gate(deployment), self.book, self.log)
-        self.take_in = take_in = TakeIn(
-            listener, self.admit, Relay(self.book, self.log), door, advice, self.log, self.shelf
+        self.request_factory.retry_after = advice
+        self.admission = admission = listener.admission = AdmissionController(
+            Gate(deployment), self.request_table, self.log
         )
-        take_in.closing = lambda: not listener.passing and self.overrides.closes_connections(
+        self.client_handler = client_handler = ClientHandler(
+            listener,
+            self.request_factory,
+            ResponseWriter(self.request_table, self.log),
+            admission,
+            advice,
+            self.log,
+            self.body_memory,
+        )
+        client_handler.closing = lambda: not listener.handing_over and self.overrides.closes_connections(
             self.engine.clock.now()
         )
         try:
             async with anyio.create_task_group() as group:
-                Route(self.engine, self.book, send, group)
+                CommandExecutor(self.engine, self.request_table, attempt_runner, group)
                 self.begin_list(self.predecessor_state)
                 self.start_tasks(group, listener)
                 self.log_start(listener)
@@ -277,27 +296,27 @@
                 task_status.started(listener.address)
                 self.look_again()
                 await self.obey(signals)
-                await self.leave(listener, take_in)
+                await self.leave(listener, client_handler)
                 group.cancel_scope.cancel()
         finally:
             listener.close()
             self.handover.close()
             if self.admin_server is not None:
                 self.admin_server.close()
-            self.pool.close()
+            self.connection_pool.close()
             self.discovery.close_spare()
 
     def start_tasks(self, group: TaskGroup, listener: Listener) -> None:
         for task in (
-            self.engine.keep_time,
+            self.engine.run_timer,
             self.discovery.run,
             self.sweep,
             self.measure_lag,
             self.admin_handler.sweep,
         ):
             group.start_soon(self.keep_up, task)
-        group.start_soon(self.keep_up, listener.run, group, self.take_in.serve)
-        self.hand_over(listener, self.take_in, group)
+        group.start_soon(self.keep_up, listener.run, group, self.client_handler.serve)
+        self.hand_over(listener, self.client_handler, group)
         group.start_soon(self.keep_up, self.close_idle, listener)
         if self.admin_server is not None:
             group.start_soon(self.keep_up, self.admin_server.run, group)
@@ -337,17 +356,17 @@
             try:
                 return await task(*args)
             except Exception as error:
-                self.log("task_failed", task=task.__name__, **defect(error))
+                self.log("task_failed", task=task.__name__, **error_fields(error))
                 await anyio.sleep(AGAIN)
 
     async def obey(self, signals: AsyncIterator[signal.Signals]) -> None:
         """Returns at the signal to end."""
         if self.told_to_end is not None:
-            self.log("leaving", signal=self.told_to_end.name, open=len(self.book.journeys))
+            self.log("leaving", signal=self.told_to_end.name, open=len(self.request_table.pending_requests))
             return
         async for signum in signals:
             if signum in ENDING:
-                self.log("leaving", signal=signum.name, open=len(self.book.journeys))
+                self.log("leaving", signal=signum.name, open=len(self.request_table.pending_requests))
                 return
             self.reload()
 
@@ -361,7 +380,7 @@
         except BadStart as error:
             self.log("reload_refused", error=str(error))
         except Exception as error:
-            self.log("reload_refused", **defect(error))
+            self.log("reload_refused", **error_fields(error))
 
     def differs(self, before: Told, told: Told) -> bool:
         alive = (before.discovery, before.operators) != (told.discovery, told.operators)
@@ -396,7 +415,7 @@
         if self.common is not None and self.common.zone_driver is not None:
             self.common.zone_driver.update_members(peers)
 
-    async def leave(self, listener: Listener, take_in: TakeIn) -> None:
+    async def leave(self, listener: Listener, client_handler: ClientHandler) -> None:
         """Clients go on using the connections that they have, and where this is their only sidecar they have
         no other: they are served until little time is left, and only then sent away."""
         longest = max(workload.hard_limit for workload in self.told.deployment.workloads) / 1_000_000
@@ -409,14 +428,22 @@
         self.mode_changed()
         began = anyio.current_time()
         # Answers under way count too: a submission is settled some passes before its client has the answer.
-        while (waited := anyio.current_time() - began) < stay or self.book.journeys or take_in.answering:
+        while (
+            (waited := anyio.current_time() - began) < stay
+            or self.request_table.pending_requests
+            or client_handler.answering
+        ):
             # Those just accepted count, whose tasks have not begun.
-            clients = self.descriptors.open[Side.CLIENT] + listener.turning_away
+            clients = self.descriptors.open[ConnectionKind.CLIENT] + listener.turning_away
             if not clients and (waited >= STILL_COMING or not self.handover.protocol.accepts_clients()):
                 break
             if waited >= last:
                 # Guards against an end that never comes, for a request that a defect has left open.
-                self.log("task_failed", task="leave", error=f"{len(self.book.journeys)} requests left open")
+                self.log(
+                    "task_failed",
+                    task="leave",
+                    error=f"{len(self.request_table.pending_requests)} requests left open",
+                )
                 break
             await anyio.sleep(CLOSE_EVERY)
         with anyio.move_on_after(SPARE):
@@ -427,21 +454,21 @@
         try:
             self.directory.update(self.told.known if taken is None else taken.known, t.ListKind.CACHED)
         except Exception as error:
-            self.log("known_refused", **defect(error))
+            self.log("known_refused", **error_fields(error))
             self.directory.update(lists.Known(0, True, [], {}), t.ListKind.CACHED)
         if taken is None:
             return
         for name in self.overrides.cordoned:
-            self.directory.by_hand(name, True)
+            self.directory.set_cordoned(name, True)
         try:
             learned.recall(self.engine.sidecar, taken.learned, self.engine.clock.now())
         except Exception as error:
-            self.log("handover_refused", **defect(error))
-        self.engine.tell(t.TimerFired(1))
-        self.descriptors.elsewhere, self.repeats_before = taken.open_descriptors, taken.retries
+            self.log("handover_refused", **error_fields(error))
+        self.engine.handle_event(t.TimerFired(1))
+        self.descriptors.held_by_predecessor, self.repeats_before = taken.open_descriptors, taken.retries
         self.discovery.watch(t.StartWatch())  # at once: what it tells from now on binds this process
 
-    def hand_over(self, listener: Listener, take_in: TakeIn, group: TaskGroup) -> None:
+    def hand_over(self, listener: Listener, client_handler: ClientHandler, group: TaskGroup) -> None:
         """What an upgrade does to the parts of this program, on either side of it."""
         handover, descriptors = self.handover, self.descriptors
 
@@ -451,7 +478,7 @@
         def state() -> dict[str, Any]:
             known = learned.learned(self.engine.sidecar)
             return handover_state.encode(listed(), self.overrides, known, held()) | {
-                "repeats": self.book.repeats
+                "repeats": self.request_table.repeats
             }
 
         def listed() -> dict[str, Any]:
@@ -475,18 +502,18 @@
 
         def yield_() -> None:
             listener.pause()
-            listener.passing = True
+            listener.handing_over = True
             self.to_close.set()
-            take_in.pass_on = lambda client: handover.send_client(client.sock)
-            self.pool.close()
-            listener.dismiss_all()
+            client_handler.hand_over_client = lambda client: handover.send_client(client.sock)
+            self.connection_pool.close()
+            listener.close_all_idle()
             if self.peers is not None:
                 self.peers.resign()
             if self.in_force is not None:
                 self.in_force.watch.keeping = False
 
         def take_up() -> None:
-            take_in.pass_on, listener.passing = None, False
+            client_handler.hand_over_client, listener.handing_over = None, False
             listener.resume()
             if self.peers is not None:
                 self.peers.resume()
@@ -494,26 +521,31 @@
                 self.in_force.watch.keeping = True
 
         def adopt(sock: socket.socket) -> None:
-            descriptors.elsewhere = max(0, descriptors.elsewhere - 1)
+            descriptors.held_by_predecessor = max(0, descriptors.held_by_predecessor - 1)
             try:
-                listener.adopt(sock, group, take_in.serve)
+                listener.adopt(sock, group, client_handler.serve)
             except OSError:
                 pass  # that one connection broke; it must not end the link that the others come by
 
         repeats = self.repeats_before
 
         def still() -> dict[str, Any]:
-            book = self.book
-            return {"held": held(), "flying": book.out(), "ids": list(book.journeys), "repeats": book.repeats}
+            request_table = self.request_table
+            return {
+                "held": held(),
+                "flying": request_table.in_flight_by_endpoint(),
+                "ids": list(request_table.pending_requests),
+                "repeats": request_table.repeats,
+            }
 
         def elsewhere(told: dict[str, Any]) -> None:
             """What the process before this one still has open; nothing once it has ended."""
             nonlocal repeats
             now_repeats = int(told.get("repeats", repeats))
-            descriptors.elsewhere = int(told.get("held", 0))
-            self.book.elsewhere = {str(name) for name in told.get("ids", ())}
+            descriptors.held_by_predecessor = int(told.get("held", 0))
+            self.request_table.open_in_predecessor = {str(name) for name in told.get("ids", ())}
             flying = {str(name): int(count) for name, count in dict(told.get("flying", {})).items()}
-            self.engine.tell(t.PredecessorLoad(flying, max(0, now_repeats - repeats)))
+            self.engine.handle_event(t.PredecessorLoad(flying, max(0, now_repeats - repeats)))
             repeats = now_repeats
 
         handover.collect_state, handover.collect_open_work, handover.client_listener = (
@@ -532,17 +564,17 @@
     async def close_idle(self, listener: Listener) -> None:
         """While this sidecar drains, leaves or passes its clients on; else it sleeps."""
         while True:
-            while not listener.passing and self.overrides.close_connections_at is None:
+            while not listener.handing_over and self.overrides.close_connections_at is None:
                 await self.to_close.wait()
                 self.to_close = anyio.Event()
             await anyio.sleep(CLOSE_EVERY)
-            if listener.passing or self.overrides.closes_connections(self.engine.clock.now()):
-                listener.dismiss_all()
+            if listener.handing_over or self.overrides.closes_connections(self.engine.clock.now()):
+                listener.close_all_idle()
 
     async def sweep(self) -> None:
         while True:
             await anyio.sleep(1.0)
-            self.pool.sweep()
+            self.connection_pool.close_expired()
 
     async def measure_lag(self) -> None:
         """A loop that lags makes every endpoint look slow: the log must tell the two apart."""
--- /dev/null
+++ b/lupinmill/routing/admission.py
@@ -0,0 +1,192 @@
+"""The door: the driver of `limits.Gate`. Owns the heartbeat that tells how late the loop is, which beats only
+while something is inside or waits, and the requests that wait before the program with their clients'
+tasks."""
+
+from __future__ import annotations
+
+import asyncio
+from time import perf_counter
+
+import anyio
+
+from lupinmill import terms as t
+from lupinmill.limits.gate import Fate, Gate, Offer
+from lupinmill.protocol import quick
+from lupinmill.routing.request_table import RequestTable
+from lupinmill.routing.engine import Log, error_fields
+from lupinmill.transport.client import Client
+
+HEARTBEAT_S = 0.010  # seconds
+MAX_DENIAL_TIME_PER_PASS_S = (
+    0.004  # seconds of one pass of the loop for denials; as much again goes to what is inside
+)
+HELD_TIMEOUT_FRACTION = (
+    0.6  # part of the time left after which a held request is denied whose turn was never called
+)
+READ_COST_S = 25e-6  # seconds that the loop and the kernel take to bring a request to the door
+
+
+class AdmissionTurn:
+    """Of a request that is held. `call` ends the wait of its client's task."""
+
+    def __init__(self) -> None:
+        self.granted, self.scope = False, None
+
+    def grant(self) -> None:
+        self.granted = True
+        if self.scope is not None:
+            self.scope.cancel()
+
+
+class AdmissionController:
+    """What a client's task asks before it takes up a request: `judge` at once, `wait` for one that is
+    held."""
+
+    def __init__(self, gate: Gate, request_table: RequestTable, log: Log) -> None:
+        self.gate, self.request_table, self.engine, self.log = gate, request_table, request_table.engine, log
+        self.workloads = set(gate.workloads)
+        self.next_beat_at: float | None = None  # of the heartbeat, while it beats
+        self.denial_time = 0.0  # seconds since the last beat that went into denials, ...
+        self.denial_time_this_pass = 0.0  # ... and since the loop's present pass began
+
+    def deploy(self, d: t.Deployment) -> None:
+        self.gate.deploy(d)
+        self.workloads = set(self.gate.workloads)
+
+    @property
+    def active(self) -> bool:
+        return self.gate.active
+
+    def evaluate(self, client: Client, data: bytes) -> bool:
+        """Of bytes just read while the core is short: False where they were one request, denied and answered
+        here. What a defect keeps from being judged goes the usual way."""
+        try:
+            return self.decide(client, data)
+        except Exception as error:
+            self.log("task_failed", task="door", **error_fields(error))
+            return True
+
+    def decide(self, client: Client, data: bytes) -> bool:
+        began = perf_counter()
+        metadata = quick.glance(data, self.workloads)
+        if metadata is None:
+            return True
+        left = max(0, metadata.left - client.max_elapsed_wait(metadata.left))
+        offer = Offer(metadata.workload, left, metadata.repeated, metadata.tenant, client=client)
+        fate = self.gate.offer(self.engine.clock.now(), offer)
+        if fate is Fate.DENIED:
+            denied = self.send_denial(client)
+            self.count_denial_time(perf_counter() - began + READ_COST_S)
+            return not denied
+        client.has_requested = client.response_due = True
+        if fate is Fate.HELD:
+            offer.token, client.waiter = AdmissionTurn(), offer
+        else:
+            client.admitted = True
+        self.schedule_heartbeat()
+        return True
+
+    def count_denial_time(self, spent: float) -> None:
+        if not self.denial_time_this_pass:
+            asyncio.get_running_loop().call_soon(self.start_pass)
+        self.denial_time += spent
+        self.denial_time_this_pass += spent
+
+    def start_pass(self) -> None:
+        self.denial_time_this_pass = 0.0
+
+    def busy(self) -> bool:
+        """So much of this pass went into denials that the next ones wait for another: guards what is inside,
+        which needs several passes, against a crowd that asks again as soon as it is denied."""
+        return self.denial_time_this_pass > MAX_DENIAL_TIME_PER_PASS_S
+
+    def send_denial(self, client: Client) -> bool:
+        """Written at once and whole; a client that takes no answers is not waited for."""
+        data = quick.denial(self.gate.come_back())
+        try:
+            whole = client.sock.send(data) == len(data)
+        except OSError:
+            whole = False
+        client.has_requested, client.response_due, client.unwritable = True, False, not whole
+        return whole
+
+    async def wait_for_turn(self, client: Client) -> bool:
+        """For the turn of a request that is held; False where it was denied in the end, or its client left:
+        taken up it would be launched for nobody. Guards by a time of its own against a turn that is never
+        called: the gate denies what it can't take up after half of the time left."""
+        offer = client.waiter
+        if offer is None:
+            return not client.unwritable
+        try:
+            with anyio.move_on_after(offer.left * HELD_TIMEOUT_FRACTION / 1_000_000) as offer.token.scope:
+                if not offer.token.granted:
+                    await client.wait_disconnected()
+        finally:
+            self.forget(client)  # its task was ended before its turn
+        if client.check_disconnected():  # also in the very pass in which its turn came
+            self.leave(client)
+            client.unwritable = True
+            return False
+        if not client.admitted:
+            self.send_denial(client)
+        return client.admitted
+
+    def enter(self, client: Client) -> None:
+        """Its request is read whole, by whatever way."""
+        if not client.admitted:
+            client.admitted = True
+            self.gate.entered()
+        self.schedule_heartbeat()
+
+    def forget(self, client: Client) -> None:
+        """The request that it may have in a line waits no longer."""
+        offer, client.waiter = client.waiter, None
+        if offer is not None:
+            self.gate.forget(offer)
+
+    def leave(self, client: Client) -> None:
+        """Nothing of its is inside or in a line from here on. Guards the program: this is called last of all
+        in a client's task, where nobody is behind it."""
+        try:
+            self.forget(client)
+            if client.admitted:
+                client.admitted = False
+                self.gate.left(self.engine.clock.now())
+                if self.gate.held:
+                    self.release()
+        except Exception as error:
+            self.log("task_failed", task="door", **error_fields(error))
+
+    def release(self) -> None:
+        for offer, fate in self.gate.release(self.engine.clock.now()):
+            offer.client.admitted = fate is Fate.TAKEN
+            offer.token.grant()
+
+    # The heartbeat.
+
+    def schedule_heartbeat(self) -> None:
+        if self.next_beat_at is None:
+            loop = asyncio.get_running_loop()
+            self.next_beat_at = loop.time() + HEARTBEAT_S
+            loop.call_at(self.next_beat_at, self.on_heartbeat)
+
+    def on_heartbeat(self) -> None:
+        loop = asyncio.get_running_loop()
+        late, self.next_beat_at = int(max(0.0, loop.time() - (self.next_beat_at or 0.0)) * 1_000_000), None
+        try:
+            self.update_gate(late)
+        except Exception as error:  # one defect must not end the heartbeat
+            self.log("task_failed", task="door", **error_fields(error))
+        if self.gate.inside or self.gate.held or self.gate.active:
+            self.schedule_heartbeat()
+
+    def update_gate(self, late: int) -> None:
+        gate = self.gate
+        gate.beat(
+            self.engine.clock.now(), late, int(self.denial_time * 1_000_000), self.request_table.unattempted
+        )
+        self.denial_time = 0.0
+        for text in gate.log:
+            self.log("mode", text=text)
+        gate.log.clear()
+        self.release()
--- /dev/null
+++ b/lupinmill/routing/attempt_runner.py
@@ -0,0 +1,308 @@
+"""Send: one launch, or one probe, on a connection to an endpoint, up to its outcome."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+import anyio
+
+from lupinmill import terms as t
+from lupinmill.protocol import submission
+from lupinmill.protocol.http import Answer, ClientSide, Garbled, Request
+from lupinmill.routing.request_body import RequestBody, BodyUnavailable
+from lupinmill.routing.request_table import RequestTable, PendingRequest, Attempt
+from lupinmill.routing.deadline import MAX_PAUSE_S, Deadline
+from lupinmill.routing.directory import EndpointDirectory
+from lupinmill.routing.engine import Log, error_fields
+from lupinmill.routing.response_stream import ResponseStream
+from lupinmill.transport.connection import Connection, NoDescriptor, Unconnected
+from lupinmill.transport.connection_pool import ConnectionPool
+
+
+# Microseconds after which a client may have left and nobody has seen it yet: since its request came, ...
+UNSEEN_AGE_US = 50_000
+UNSEEN_LATENESS_US = 25_000  # ... or by which wake-ups of this loop come late
+
+
+class PrematureResponse(Exception):
+    """A 200 came before the request's last byte was written. Endpoints begin with that byte: it answers
+    another request, the one before it on this connection."""
+
+
+class AttemptNotSent(Exception):
+    """It was over, or the endpoint had left the list, before the first byte."""
+
+
+@dataclass(slots=True)
+class Result:
+    """What a launch came to. `final`: the answer that goes to the client."""
+
+    outcome: t.Outcome | None = None
+    final_answer: Answer | None = None
+    load: t.LoadReport | None = None
+
+
+class AttemptRunner:
+    def __init__(
+        self,
+        pool: ConnectionPool,
+        directory: EndpointDirectory,
+        request_table: RequestTable,
+        load_reported: bool,
+        log: Log,
+    ) -> None:
+        self.pool, self.directory, self.request_table, self.log = pool, directory, request_table, log
+        self.load_reported = load_reported  # endpoints tell of their load when probed
+
+    async def run(self, pending: PendingRequest, attempt: Attempt) -> None:
+        """Whatever happens here, the module hears of one outcome for this launch, and no other request or
+        task is touched by a failure."""
+        result = Result()
+        try:
+            await self.execute(pending, attempt, result)
+        except Exception as error:
+            self.log("task_failed", task="launch", **error_fields(error))
+        finally:
+            if result.outcome is None:
+                result.outcome = t.Outcome.RESET if attempt.fully_sent else t.Outcome.UNSENT
+            self.finish(pending, attempt, result)
+
+    def finish(self, pending: PendingRequest, attempt: Attempt, result: Result) -> None:
+        """This task is one of the program's own group: an exception that left it would end the program."""
+        try:
+            self.request_table.attempt_ended(
+                pending, attempt, result.outcome, result.final_answer, result.load
+            )
+        except Exception as error:
+            self.log("task_failed", task="launch", **error_fields(error))
+            if not any(other.in_flight for other in pending.attempts):
+                self.request_table.abort_after_module_failure(pending)
+
+    async def execute(self, pending: PendingRequest, attempt: Attempt, result: Result) -> None:
+        try:
+            with attempt.deadline.scope:
+                answer = await self.send_request(pending, attempt)
+                result.load = submission.load_report(answer)
+                self.classify_response(pending, attempt, answer, result)
+            if result.outcome is None and attempt.fully_sent:
+                result.outcome = t.Outcome.CALLED_OFF if attempt.cancelled else t.Outcome.TIMED_OUT
+        except Unconnected:
+            result.outcome = t.Outcome.UNCONNECTED
+        except PrematureResponse:
+            result.outcome = t.Outcome.SPOILT  # an endpoint that speaks so may have run it
+        except Garbled:
+            result.outcome = t.Outcome.SPOILT if attempt.fully_sent else t.Outcome.UNSENT
+        except OSError:
+            result.outcome = t.Outcome.RESET if attempt.fully_sent else t.Outcome.UNCONNECTED
+        except (AttemptNotSent, NoDescriptor):
+            result.outcome = t.Outcome.UNSENT
+
+    def classify_response(
+        self, pending: PendingRequest, attempt: Attempt, answer: Answer, result: Result
+    ) -> None:
+        result.outcome = submission.outcome(answer)
+        if pending.stream is not None and pending.stream.attempt is attempt:
+            result.outcome = pending.stream.outcome
+        elif result.outcome is t.Outcome.ERROR and not attempt.fully_sent:
+            result.outcome = t.Outcome.REFUSED  # it came before the last byte did: nothing ran
+        # Launched anew, what is rejected would burn retries, and count against endpoints.
+        elif result.outcome in (t.Outcome.HANDLED, t.Outcome.REJECTED):
+            result.final_answer = submission.passed_on(answer)
+
+    async def send_request(self, pending: PendingRequest, attempt: Attempt) -> Answer:
+        endpoint = attempt.endpoint
+        while True:
+            address = self.address_of(endpoint)
+            kept = self.pool.reuse(endpoint)
+            connection: Connection | None = kept or await self.pool.open(address)
+            try:
+                self.withdraw_if_disconnected(pending)
+                # Told while it connected: nothing new to what drains, nothing for what has its answer.
+                if pending.settled or not self.directory.accepts_attempts(endpoint):
+                    self.return_to_pool(connection, endpoint, address)
+                    connection = None
+                    raise AttemptNotSent
+                if not self.directory.listens_at(endpoint, address):
+                    continue  # it moved while this connected: at its old address another may listen
+                if (left := self.request_table.time_left(pending)) <= 0 and pending.body is not None:
+                    self.return_to_pool(connection, endpoint, address)
+                    connection = None
+                    raise AttemptNotSent
+                side = ClientSide()
+                request = submission.launch(pending.request, left)
+                if pending.body is None:
+                    try:
+                        for piece in side.pieces(request):
+                            await connection.send(piece)
+                    except OSError:
+                        if kept:
+                            continue  # ended by the endpoint while idle: not a byte was handled
+                        raise
+                    attempt.fully_sent, attempt.sent_at = True, self.request_table.engine.clock.now()
+                    answer = await self.read_response(connection, side, attempt.deadline)
+                    attempt.unread_time = connection.unread_time()
+                else:
+                    answer = await self.exchange_streaming(connection, side, pending, attempt, request)
+                await self.stream_response(pending, attempt, answer, connection, side)
+                if side.reusable():
+                    self.return_to_pool(connection, endpoint, address)
+                    connection = None
+                return answer
+            finally:
+                if connection is not None:
+                    connection.close()
+
+    def withdraw_if_disconnected(self, pending: PendingRequest) -> None:
+        """Guards against launches for a client that has left, where its end lies unread still: in a loop
+        that lags, and of a connection just accepted, the launch may have its turn before the task that waits
+        for that end."""
+        engine = self.request_table.engine
+        unseen = (
+            pending.client.unanswered
+            or engine.lateness > UNSEEN_LATENESS_US
+            or engine.clock.now() - pending.received_at > UNSEEN_AGE_US
+        )
+        if unseen and not pending.settled:
+            incomplete = pending.body is not None and not pending.body.complete
+            # `look` reads no more than some bytes ahead; behind more of them the kernel alone knows the end.
+            if pending.client.has_disconnected() or not incomplete and pending.client.check_disconnected():
+                self.request_table.withdraw(pending)
+
+    async def stream_response(
+        self,
+        pending: PendingRequest,
+        attempt: Attempt,
+        answer: Answer,
+        connection: Connection,
+        side: ClientSide,
+    ) -> None:
+        """Lends the connection to the client's task, where this answer is large and the client's. Of any
+        other large one nothing is wanted."""
+        if not side.large or answer.status != 200 or pending.settled:
+            return
+        stream = ResponseStream(connection, side, attempt)
+        load = submission.load_report(answer)
+        self.request_table.start_response_stream(pending, attempt, submission.passed_on(answer), stream, load)
+        await stream.finished.wait()
+
+    async def exchange_streaming(
+        self,
+        connection: Connection,
+        side: ClientSide,
+        pending: PendingRequest,
+        attempt: Attempt,
+        request: Request,
+    ) -> Answer:
+        """Sends a body as it comes, and listens meanwhile: an answer ahead of its end ends the sending."""
+        failed: Exception | None = None
+        answer: Answer | None = None
+
+        async def send_all() -> None:
+            nonlocal failed
+            try:
+                self.withdraw_if_disconnected(pending)  # some passes of the loop after the last look
+                if pending.settled:
+                    raise BodyUnavailable
+                await self.send_body(connection, side, pending.body, request)
+                attempt.fully_sent, attempt.sent_at = True, self.request_table.engine.clock.now()
+            except BodyUnavailable:
+                failed = AttemptNotSent()
+                group.cancel_scope.cancel()
+            except OSError:
+                # What it said before it closed may lie here to be read; the end of that comes at once.
+                group.cancel_scope.deadline = anyio.current_time() + MAX_PAUSE_S
+
+        async with anyio.create_task_group() as group:
+            group.start_soon(send_all)
+            try:
+                answer = await self.read_response(connection, side, attempt.deadline)
+                attempt.unread_time = connection.unread_time()
+            except (OSError, Garbled) as error:
+                failed = failed or error
+            group.cancel_scope.cancel()
+        if answer is None:
+            raise failed or ConnectionResetError("broke while it was sent")
+        if answer.status == 200 and not attempt.fully_sent:
+            raise PrematureResponse
+        return answer
+
+    async def send_body(
+        self, connection: Connection, side: ClientSide, body: RequestBody, request: Request
+    ) -> None:
+        length = body.end if body.complete else body.length
+        if not body.can_restart():
+            raise BodyUnavailable
+        await connection.send(side.begin(request, length, chunked=length is None))
+        at = number = 0
+        while part := await body.read(at, number):
+            await connection.send(side.part(part))
+            at, number = at + len(part), number + 1
+        if rest := side.end():
+            await connection.send(rest)
+
+    def return_to_pool(self, connection: Connection, endpoint: str, address: str) -> None:
+        """Unless the endpoint has gone meanwhile: the next one at its address is another."""
+        if self.directory.listens_at(endpoint, address):
+            self.pool.keep(connection, endpoint)
+        else:
+            connection.close()
+
+    def address_of(self, endpoint: str) -> str:
+        address = self.directory.addresses.get(endpoint)
+        if address is None:
+            raise Unconnected(f"no address for {endpoint}")
+        return address
+
+    async def read_response(self, connection: Connection, side: ClientSide, deadline: Deadline) -> Answer:
+        """Guards against answers that begin and never end: waiting for more until the hard limit would leave
+        no time for another launch. Of a large one it is the head, with the body to be taken from `side`."""
+        while (answer := side.next_answer()) is None:
+            if side.large and side.got is not None:
+                return side.got
+            side.feed(await deadline.receive(connection, side.begun()))
+        return answer
+
+    async def probe(self, endpoint: str) -> None:
+        clock = self.request_table.engine.clock
+        began, outcome, load = clock.now(), t.Outcome.TIMED_OUT, None
+        deadline = Deadline(anyio.current_time() + 2 * self.pool.timeout_s)
+        try:
+            with deadline.scope:
+                answer = await self.exchange(endpoint, submission.probe(self.load_reported), deadline)
+                outcome, load = submission.probed(answer)
+        except Unconnected:
+            outcome = t.Outcome.UNCONNECTED
+        except (OSError, Garbled):
+            outcome = t.Outcome.RESET
+        except NoDescriptor:
+            outcome = t.Outcome.UNSENT
+        except Exception as error:
+            self.log("task_failed", task="probe", **error_fields(error))
+        try:
+            self.request_table.engine.handle_event(t.ProbeEnded(endpoint, outcome, clock.now() - began, load))
+        except Exception as error:
+            self.log("task_failed", task="probe", **error_fields(error))
+
+    async def exchange(self, endpoint: str, request: Request, deadline: Deadline) -> Answer:
+        """Of what is harmless to ask again: where a kept connection turns out ended a new one is opened."""
+        while True:
+            address = self.address_of(endpoint)
+            kept = self.pool.reuse(endpoint)
+            connection: Connection | None = kept or await self.pool.open(address)
+            try:
+                if self.directory.addresses.get(endpoint, address) != address:
+                    continue
+                side = ClientSide()
+                await connection.send(side.ask(request))
+                answer = await self.read_response(connection, side, deadline)
+                if side.reusable():
+                    self.return_to_pool(connection, endpoint, address)
+                    connection = None
+                return answer
+            except OSError:
+                if not kept:
+                    raise
+                deadline.reschedule(deadline.at)  # of the whole attempt again, no longer of the wait alone
+            finally:
+                if connection is not None:
+                    connection.close()
--- /dev/null
+++ b/lupinmill/routing/command_executor.py
@@ -0,0 +1,78 @@
+"""Route: the module's orders become launches, call-offs, probes and final answers."""
+
+from __future__ import annotations
+
+import anyio
+from anyio.abc import TaskGroup
+
+from lupinmill import terms as t
+from lupinmill.protocol import submission
+from lupinmill.routing.request_table import MIN_DURATION_US, RequestTable, Attempt
+from lupinmill.routing.deadline import Deadline
+from lupinmill.routing.engine import Engine
+from lupinmill.routing.attempt_runner import AttemptRunner
+
+
+class CommandExecutor:
+    def __init__(
+        self, engine: Engine, request_table: RequestTable, attempt_runner: AttemptRunner, group: TaskGroup
+    ) -> None:
+        self.engine, self.log = engine, engine.log
+        self.clock, self.request_table, self.attempt_runner, self.group = (
+            engine.clock,
+            request_table,
+            attempt_runner,
+            group,
+        )
+        engine.command_handlers |= {
+            t.StartAttempt: self.start_attempt,
+            t.CancelAttempt: self.cancel_attempt,
+            t.RejectRequest: self.reject_request,
+            t.AbortResponse: self.abort_response,
+            t.StartProbe: self.start_probe,
+        }
+
+    def start_attempt(self, command: t.StartAttempt) -> None:
+        pending = self.request_table.pending_requests.get(command.request)
+        if pending is None:
+            return self.report_unknown_request(command)
+        now = self.clock.now()
+        deadline = Deadline(anyio.current_time() + (command.until - now) / 1_000_000)
+        attempt = Attempt(command.endpoint, len(pending.attempts), now, deadline)
+        self.request_table.unattempted -= not pending.attempts
+        self.request_table.repeats += bool(pending.attempts)
+        pending.attempts.append(attempt)
+        try:
+            self.group.start_soon(self.attempt_runner.run, pending, attempt)
+        except BaseException:
+            self.request_table.attempt_ended(pending, attempt, t.Outcome.UNSENT, None, None)
+            raise
+
+    def report_unknown_request(self, command: t.StartAttempt) -> None:
+        """A submission that is over here, which the module still has open: only after a failure of its own.
+        Nothing is sent; told so, it frees the places that it counts at endpoints and forgets the submission.
+        None of its launches can be out, or it would be known."""
+        self.log("order_failed", order="Launch", error=f"{command.request} is not open")
+        for number in range(self.engine.sidecar.dispatcher.settings.max_attempts):
+            self.engine.handle_event(
+                t.AttemptEnded(command.request, number, t.Outcome.UNSENT, MIN_DURATION_US, True)
+            )
+
+    def cancel_attempt(self, command: t.CancelAttempt) -> None:
+        """Giving up closes the connection: the scope's end does."""
+        pending = self.request_table.pending_requests.get(command.request)
+        if pending is not None:
+            attempt = pending.attempts[command.attempt]
+            attempt.cancelled = True
+            attempt.deadline.scope.cancel()
+
+    def reject_request(self, command: t.RejectRequest) -> None:
+        if pending := self.request_table.pending_requests.get(command.request):
+            self.request_table.settle(pending, submission.denied(command.retry_after))
+
+    def abort_response(self, command: t.AbortResponse) -> None:
+        if pending := self.request_table.pending_requests.get(command.request):
+            self.request_table.settle(pending, submission.broken_off())
+
+    def start_probe(self, command: t.StartProbe) -> None:
+        self.group.start_soon(self.attempt_runner.probe, command.endpoint)
--- a/lupinmill/routing/deadline.py
+++ b/lupinmill/routing/deadline.py
@@ -10,7 +10,7 @@
 from lupinmill.protocol.http import Garbled
 from lupinmill.transport.connection import Connection
 
-PAUSE = 0.25  # seconds between two parts of an answer of up to 64 KiB
+MAX_PAUSE_S = 0.25  # seconds between two parts of an answer of up to 64 KiB
 
 
 class Deadline:
@@ -24,7 +24,7 @@
         self.scope = anyio.CancelScope(deadline=at)  # around all of the attempt
         self.waiting: anyio.CancelScope | None = None  # around the wait for an answer's next bytes
 
-    def move(self, at: float) -> None:
+    def reschedule(self, at: float) -> None:
         """To an earlier or a later moment."""
         self.at = at
         if self.waiting is None:
@@ -34,13 +34,13 @@
 
     async def receive(self, connection: Connection, begun: bool) -> bytes:
         """The next bytes of an answer that may have begun, none at its end. Garbled where an answer that has
-        begun stops for `PAUSE`; OSError where the connection broke. At the limit the scope is cancelled."""
+        begun stops for `MAX_PAUSE_S`; OSError where the connection broke. At the limit the scope is cancelled."""
         # Guards against answers of many reads after a standstill: with a pass of the loop for each, alarms
         # that are due ring between them.
         if begun and (data := connection.read()) is not None:
             return data
         self.scope.deadline = math.inf
-        pause_ends = anyio.current_time() + PAUSE if begun else math.inf
+        pause_ends = anyio.current_time() + MAX_PAUSE_S if begun else math.inf
         while True:
             try:
                 with anyio.CancelScope(deadline=min(pause_ends, self.at)) as self.waiting:
--- /dev/null
+++ b/lupinmill/routing/response_writer.py
@@ -0,0 +1,112 @@
+"""Relay: waits for a submission's final answer beside its client, and passes it back."""
+
+from __future__ import annotations
+
+import anyio
+import h11
+
+from lupinmill.protocol.http import Answer, ServerSide
+from lupinmill.protocol.submission import broken_off
+from lupinmill.routing.request_table import RequestTable, PendingRequest
+from lupinmill.routing.engine import Log
+from lupinmill.routing.response_stream import IncompleteResponse, ResponseStream
+from lupinmill.transport.client import Client
+
+DECISION_BACKSTOP_US = (
+    20_000  # after the hard limit, where no decision came: only a failure of the module leads here
+)
+LINGER_S = 1.0  # seconds for a client to read an answer before its connection is closed, ...
+MAX_LINGER_BYTES = 1024 * 1024  # ... and bytes of what it goes on sending that are read and dropped
+WRITE_TIMEOUT_S = 5.0  # seconds that a client may leave its answer unread, ...
+PART_WRITE_TIMEOUT_S = 10.0  # ... or a part of a large one
+
+
+class ResponseWriter:
+    def __init__(self, request_table: RequestTable, log: Log) -> None:
+        self.request_table, self.log = request_table, log
+
+    async def final_answer(self, client: Client, pending: PendingRequest) -> Answer | None:
+        """None where the client has gone away.
+
+        Settling the journey cancels the wait; a task that waited beside this one would cost a tenth of what a
+        submission costs in all."""
+        try:
+            with anyio.move_on_after(self.seconds_to_decision(pending)) as pending.client_wait:
+                if not pending.settled:
+                    await client.wait_disconnected()  # whatever it sends meanwhile has to wait
+                    self.request_table.withdraw(pending)
+        finally:
+            pending.client_wait = None
+            self.abort_if_undecided(pending)
+        return pending.answer
+
+    def seconds_to_decision(self, pending: PendingRequest) -> float:
+        """Seconds up to which the module has decided, if it does not fail."""
+        return (pending.due + DECISION_BACKSTOP_US - self.request_table.engine.clock.now()) / 1_000_000
+
+    def abort_if_undecided(self, pending: PendingRequest) -> None:
+        """Of what no decision came: an attempt may have run, so this is no denial."""
+        if not pending.settled:
+            self.request_table.withdraw(pending)
+            pending.answer = broken_off()
+            self.log("backstop", submission=pending.metadata.submission)
+
+    async def send_stream(
+        self, client: Client, side: ServerSide, answer: Answer, stream: ResponseStream, close: bool
+    ) -> bool:
+        """As `pass_back`, of a large answer, part by part; only then is the connection the launch's again.
+
+        A client that can't tell an early end from the true one is shown a reset."""
+        complete, began = False, False
+        try:
+            head = side.begin(answer, stream.side.length, close)
+            client.response_due = False
+            client.response_starts()
+            await self.write(client, head)
+            while data := await stream.next_part():
+                began = True
+                await self.write(client, side.part(data))
+            await self.write(client, side.end())
+            complete = True
+        except (IncompleteResponse, h11.LocalProtocolError) as error:
+            self.log("answer_broken", error=str(error), began=began)
+        finally:
+            if not complete and not client.response_due and not side.tells_its_end():
+                client.reset_on_close()
+            stream.finish()
+        if not complete:
+            return False
+        if side.goes_on():
+            return True
+        await self.linger(client)
+        return False
+
+    async def write(self, client: Client, data: bytes) -> None:
+        if data:
+            with anyio.fail_after(PART_WRITE_TIMEOUT_S):
+                await client.send(data)
+
+    async def send_answer(
+        self, client: Client, side: ServerSide, answer: Answer, close: bool, max_bytes: int = MAX_LINGER_BYTES
+    ) -> bool:
+        """True when the connection can serve another submission. Of what a client goes on sending so many
+        bytes are read and dropped."""
+        data = side.answer(answer, close)
+        client.response_due = False
+        client.response_starts()
+        with anyio.move_on_after(WRITE_TIMEOUT_S) as scope:
+            await client.send(data)
+        if scope.cancelled_caught:
+            return False
+        if side.goes_on():
+            return True
+        await self.linger(client, max_bytes)
+        return False
+
+    async def linger(self, client: Client, max_bytes: int = MAX_LINGER_BYTES) -> None:
+        """Closing over unread bytes would reset the connection, and the answer with it."""
+        client.shut_down_sending()
+        dropped = 0
+        with anyio.move_on_after(LINGER_S):
+            while dropped < max_bytes and (count := await client.discard()):
+                dropped += count
--- /dev/null
+++ b/lupinmill/routing/start_times.py
@@ -0,0 +1,42 @@
+"""When endpoints started, in this process's time, though the machine's wall clock was set meanwhile.
+
+Discovery tells a start as Unix time, by a clock that may have been set with this machine's, or not. Where
+both readings are possible the later start holds: an endpoint is rather taken for cold than pushed over."""
+
+from __future__ import annotations
+
+from collections.abc import Container
+from dataclasses import replace
+
+from lupinmill import terms as t
+from lupinmill.transport.wall_clock import WallClock
+
+MAX_CLOCK_SKEW_US = 1_000_000  # microseconds by which another machine's clock may be ahead
+
+
+class StartTimes:
+    """Keeps one start for each endpoint that is listed; `keep` gives the others back."""
+
+    def __init__(self, wall_clock: WallClock) -> None:
+        self.wall_clock = wall_clock
+        self.resolved: dict[
+            str, tuple[int, int]
+        ] = {}  # as listed and as understood, microseconds of Unix time
+
+    def resolve(self, entry: t.ListEntry, now: int) -> t.ListEntry:
+        """`now`: microseconds of this process's time, which is never set. A start that was listed before is
+        understood as it was then, or each step of the clock would look like a restart."""
+        listed, started = self.resolved.get(entry.endpoint, (-1, 0))
+        if listed != entry.started:
+            started = self.to_process_time(entry.started, now)
+            self.resolved[entry.endpoint] = entry.started, started
+        return entry if started == entry.started else replace(entry, started=started)
+
+    def to_process_time(self, listed: int, now: int) -> int:
+        if not listed:
+            return 0  # long ago
+        starts = [listed - step for step in self.wall_clock.steps]
+        return max((start for start in starts if start <= now + MAX_CLOCK_SKEW_US), default=listed)
+
+    def retain(self, names: Container[str]) -> None:
+        self.resolved = {name: read for name, read in self.resolved.items() if name in names}
--- a/lupinmill/transport/arrivals.py
+++ b/lupinmill/transport/arrivals.py
@@ -14,17 +14,23 @@
 from dataclasses import dataclass
 
 # All spans in microseconds, all sizes in bytes.
-WINDOW = 32 * 1024  # unread bytes from which the window may have been full; it opens with 64 KiB on Linux
-SILENCE = 50_000  # longer than a delayed acknowledgement (40 ms), for which a sender may hold its last piece
-SHORT_SILENCE = 8_000  # proves as much once more than such a piece has come after it
-LARGEST_PIECE = 64 * 1024  # held back by a sender: less than the largest TCP segment
-UNSTAMPED_SILENCE = 500_000  # where no kernel tells when bytes came: a loop that is late looks the same
-TURN = 1_000  # from the end of a request to its answer, in which what was sent behind it would have come
-MOST_PAUSES = 64  # short silences that are remembered
+WINDOW_BYTES = (
+    32 * 1024
+)  # unread bytes from which the window may have been full; it opens with 64 KiB on Linux
+SILENCE_US = (
+    50_000  # longer than a delayed acknowledgement (40 ms), for which a sender may hold its last piece
+)
+SHORT_SILENCE_US = 8_000  # proves as much once more than such a piece has come after it
+MAX_HELD_SEGMENT = 64 * 1024  # held back by a sender: less than the largest TCP segment
+UNSTAMPED_SILENCE_US = 500_000  # where no kernel tells when bytes came: a loop that is late looks the same
+TURNAROUND_US = (
+    1_000  # from the end of a request to its answer, in which what was sent behind it would have come
+)
+MAX_PAUSES = 64  # short silences that are remembered
 
 
 @dataclass(frozen=True, slots=True)
-class Waited:
+class ElapsedWait:
     """Microseconds for which a client has waited since it wrote its last byte.
 
     `at_most` is what endpoints are told by and what bounds new attempts; `at_least` is how long this side may
@@ -50,11 +56,11 @@
     """Bytes that may have been written together when the first of them came."""
 
     began: int
-    awaited: int = 0  # of the time since then, how long nothing lay unread
+    idle_time: int = 0  # of the time since then, how long nothing lay unread
 
-    def waited(self, now: int) -> Waited:
+    def waited(self, now: int) -> ElapsedWait:
         at_most = max(0, now - self.began)
-        return Waited(max(0, at_most - self.awaited), at_most)
+        return ElapsedWait(max(0, at_most - self.idle_time), at_most)
 
 
 @dataclass(frozen=True, slots=True)
@@ -63,7 +69,7 @@
 
     ended: int
     size: int  # bytes of the backlog before it
-    awaited: int
+    idle_time: int
 
 
 class Arrivals:
@@ -73,71 +79,73 @@
         """`round_trip`: microseconds to the client and back, asked for only within a backlog."""
         self.round_trip = round_trip
         self.backlog: Backlog | None = None
-        self.size = 0  # bytes of the backlog
+        self.backlog_size = 0  # bytes of the backlog
         self.pauses: deque[Pause] = deque()
-        self.run = 0  # bytes read since nothing lay unread
+        self.run_size = 0  # bytes read since nothing lay unread
         self.run_began = 0
-        self.last: Read | None = None
-        self.empty = False  # the last read is known to have left nothing unread
+        self.last_read: Read | None = None
+        self.known_empty = False  # the last read is known to have left nothing unread
 
     def read(self, read: Read) -> None:
-        if self.last is None or self.empty:
+        if self.last_read is None or self.known_empty:
             self.begin_run(read)
-        self.run += read.size
-        self.size += read.size
-        if self.backlog is None and self.run > WINDOW:
-            self.backlog, self.size = Backlog(self.run_began), self.run
+        self.run_size += read.size
+        self.backlog_size += read.size
+        if self.backlog is None and self.run_size > WINDOW_BYTES:
+            self.backlog, self.backlog_size = Backlog(self.run_began), self.run_size
         self.confirm_pauses()
-        self.last, self.empty = read, read.emptied
+        self.last_read, self.known_empty = read, read.emptied
 
-    def found_empty(self) -> None:
+    def mark_empty(self) -> None:
         """Nothing lies unread now, so nothing has since the last read."""
-        self.empty = True
+        self.known_empty = True
 
     def waited_at_most(self, now: int, unread: bool) -> int:
         """Of a request whose last byte is not read yet. Where bytes lie unread it may be among them."""
-        if self.last is None:
+        if self.last_read is None:
             return 0
         if not unread:
-            self.found_empty()
+            self.mark_empty()
             if self.backlog is None or self.silent(now):
                 return 0
         if self.backlog is not None:
             return self.backlog.waited(now).at_most
-        return max(0, now - (self.last.at if self.empty else self.last.arrived))
+        return max(0, now - (self.last_read.at if self.known_empty else self.last_read.arrived))
 
     def silent(self, now: int) -> bool:
-        return now - self.last.at > SILENCE + 2 * self.round_trip()
+        return now - self.last_read.at > SILENCE_US + 2 * self.round_trip()
 
-    def answered(self, now: int) -> None:
+    def response_starts(self, now: int) -> None:
         """A request was answered while nothing lay unread: what is sent from now on was not sent with it."""
-        if self.last is not None and self.backlog is not None and self.empty:
-            if now - self.last.at > TURN + 2 * self.round_trip():
+        if self.last_read is not None and self.backlog is not None and self.known_empty:
+            if now - self.last_read.at > TURNAROUND_US + 2 * self.round_trip():
                 self.forget_backlog()
 
     def begin_run(self, read: Read) -> None:
-        self.run, self.run_began = 0, read.arrived
-        if self.last is not None and self.backlog is not None:
-            silence = max(0, read.arrived - self.last.at)
-            self.backlog = Backlog(self.backlog.began, self.backlog.awaited + silence)
-            self.judge(silence, read)
-
-    def judge(self, silence: int, read: Read) -> None:
-        long, short = (SILENCE, SHORT_SILENCE) if read.stamped else (UNSTAMPED_SILENCE, UNSTAMPED_SILENCE)
+        self.run_size, self.run_began = 0, read.arrived
+        if self.last_read is not None and self.backlog is not None:
+            silence = max(0, read.arrived - self.last_read.at)
+            self.backlog = Backlog(self.backlog.began, self.backlog.idle_time + silence)
+            self.evaluate_silence(silence, read)
+
+    def evaluate_silence(self, silence: int, read: Read) -> None:
+        long, short = (
+            (SILENCE_US, SHORT_SILENCE_US) if read.stamped else (UNSTAMPED_SILENCE_US, UNSTAMPED_SILENCE_US)
+        )
         if silence <= short:
             return
         margin = 2 * self.round_trip()
         if silence > long + margin:
             self.forget_backlog()
-        elif silence > short + margin and len(self.pauses) < MOST_PAUSES:
-            self.pauses.append(Pause(read.arrived, self.size, self.backlog.awaited))
+        elif silence > short + margin and len(self.pauses) < MAX_PAUSES:
+            self.pauses.append(Pause(read.arrived, self.backlog_size, self.backlog.idle_time))
 
     def confirm_pauses(self) -> None:
-        while self.pauses and self.size - self.pauses[0].size > LARGEST_PIECE:
+        while self.pauses and self.backlog_size - self.pauses[0].size > MAX_HELD_SEGMENT:
             pause = self.pauses.popleft()
-            self.backlog = Backlog(pause.ended, max(0, self.backlog.awaited - pause.awaited))
+            self.backlog = Backlog(pause.ended, max(0, self.backlog.idle_time - pause.idle_time))
 
     def forget_backlog(self) -> None:
         self.backlog = None
-        self.size = 0
+        self.backlog_size = 0
         self.pauses.clear()
--- a/lupinmill/transport/connection.py
+++ b/lupinmill/transport/connection.py
@@ -12,17 +12,17 @@
 import anyio
 
 from lupinmill.transport import wall_clock
-from lupinmill.transport.ring import RingBuffer, Store
-from lupinmill.transport.wall_clock import KERNEL_ROUNDS
+from lupinmill.transport.buffers import RingBuffer, BlockPool
+from lupinmill.transport.wall_clock import KERNEL_ROUNDING_US
 
 
-STAMP = 35  # SO_TIMESTAMPNS: the kernel tells with each read when its last bytes came
-STAMP_ROOM = 64  # bytes
-LAST_DATA = 52  # where tcp_info says how many milliseconds ago the last data came
+SO_TIMESTAMPNS = 35  # SO_TIMESTAMPNS: the kernel tells with each read when its last bytes came
+ANCILLARY_SIZE = 64  # bytes
+LAST_DATA_OFFSET = 52  # where tcp_info says how many milliseconds ago the last data came
 
 # What a connect ends with where this machine, not the other side, has no more of something: local ports,
 # memory, descriptors.
-OURS = (errno.EADDRNOTAVAIL, errno.ENOBUFS, errno.ENOMEM, errno.EMFILE, errno.ENFILE, errno.EAGAIN)
+LOCAL_ERRORS = (errno.EADDRNOTAVAIL, errno.ENOBUFS, errno.ENOMEM, errno.EMFILE, errno.ENFILE, errno.EAGAIN)
 
 
 class Unconnected(Exception):
@@ -36,11 +36,11 @@
 class Connection:
     """`close` is the one place where the socket, the storage and the descriptor are given back."""
 
-    def __init__(self, sock: socket.socket, store: Store, give_back: Callable[[], None]) -> None:
-        self.sock, self.give_back = sock, give_back
-        self.incoming, self.outgoing = RingBuffer(store), RingBuffer(store)
+    def __init__(self, sock: socket.socket, block_pool: BlockPool, release: Callable[[], None]) -> None:
+        self.sock, self.release = sock, release
+        self.incoming, self.outgoing = RingBuffer(block_pool), RingBuffer(block_pool)
         self.closed = False
-        self.was_reset = False  # as a send was told: the kernel says so once, then shows a proper end
+        self.saw_reset = False  # as a send was told: the kernel says so once, then shows a proper end
         self.idle_since = 0.0
         # Microseconds of the monotonic clock at which the last bytes read had come; 0: no stamp tells.
         self.arrived = 0
@@ -52,7 +52,7 @@
             self.close()
             raise
         try:
-            sock.setsockopt(socket.SOL_SOCKET, STAMP, 1)
+            sock.setsockopt(socket.SOL_SOCKET, SO_TIMESTAMPNS, 1)
         except OSError:
             pass  # not on this system
 
@@ -68,7 +68,7 @@
             self.incoming.clear()
             self.outgoing.clear()
             self.sock.close()
-            self.give_back()
+            self.release()
 
     async def receive(self) -> bytes:
         """The next bytes, none at the end; OSError where the connection broke."""
@@ -80,30 +80,30 @@
     def read(self) -> bytes | None:
         """As `receive`, of what lies unread already; None where nothing does."""
         try:
-            room = self.incoming.space()
-            got, notes, _, _ = self.sock.recvmsg_into([room], STAMP_ROOM)
-            self.stamp(notes, got, len(room))
-            self.incoming.filled(got)
+            room = self.incoming.writable()
+            count, ancillary, _, _ = self.sock.recvmsg_into([room], ANCILLARY_SIZE)
+            self.record_arrival(ancillary, count, len(room))
+            self.incoming.commit(count)
         except BlockingIOError:
-            self.incoming.filled(0)
+            self.incoming.commit(0)
             return None
-        data = bytes(self.incoming.stretch())
-        self.incoming.took(len(data))
-        if not data and self.was_reset:
+        data = bytes(self.incoming.readable())
+        self.incoming.consume(len(data))
+        if not data and self.saw_reset:
             raise ConnectionResetError(errno.ECONNRESET, "reset, as a send was told")
         return data
 
-    def stamp(self, notes: list[tuple[int, int, bytes]], got: int, room: int) -> None:
+    def record_arrival(self, ancillary: list[tuple[int, int, bytes]], count: int, room: int) -> None:
         """Of a read of `got` bytes where there was room for so many. Guards against a machine whose clock is
         set: only here a stamp is read against it."""
         self.read_at = time.monotonic_ns()
-        for level, kind, data in notes:
-            if level == socket.SOL_SOCKET and kind == STAMP and len(data) >= 16:
+        for level, kind, data in ancillary:
+            if level == socket.SOL_SOCKET and kind == SO_TIMESTAMPNS and len(data) >= 16:
                 seconds, nanoseconds = struct.unpack_from("qq", data)
-                age = wall_clock.SHARED.age(seconds * 1_000_000 + nanoseconds // 1000, self.since_data)
+                age = wall_clock.SHARED.age(seconds * 1_000_000 + nanoseconds // 1000, self.time_since_data)
                 self.arrived = 0 if age is None else self.read_at // 1000 - age
 
-    def waited(self) -> int:
+    def unread_time(self) -> int:
         """Microseconds since the last bytes came, which lay in the kernel before they were read, and here
         behind what came with them; the latter alone where no kernel tells.
 
@@ -114,13 +114,13 @@
         if self.arrived:
             return max(0, now - self.arrived)
         here = now - self.read_at // 1000 if self.read_at else 0
-        return max(here, self.since_data() - KERNEL_ROUNDS)
+        return max(here, self.time_since_data() - KERNEL_ROUNDING_US)
 
-    def since_data(self) -> int:
+    def time_since_data(self) -> int:
         """Microseconds since data came last, as the kernel tells in whole milliseconds; 0 where none does."""
         try:
-            info = self.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, LAST_DATA + 4)
-            return struct.unpack_from("I", info, LAST_DATA)[0] * 1000
+            info = self.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, LAST_DATA_OFFSET + 4)
+            return struct.unpack_from("I", info, LAST_DATA_OFFSET)[0] * 1000
         except (AttributeError, OSError, struct.error):
             return 0  # not on this system
 
@@ -128,16 +128,16 @@
         """Returns once the last byte is written; whatever it raises, that has not happened."""
         rest = memoryview(data)
         while rest or self.outgoing.size:
-            rest = rest[self.outgoing.put(rest) :]
+            rest = rest[self.outgoing.write(rest) :]
             try:
-                self.outgoing.took(self.sock.send(self.outgoing.stretch()))
+                self.outgoing.consume(self.sock.send(self.outgoing.readable()))
             except BlockingIOError:
                 await anyio.wait_writable(self.sock)
             except ConnectionResetError:
-                self.was_reset = True
+                self.saw_reset = True
                 raise
 
-    def quiet(self) -> bool:
+    def is_idle(self) -> bool:
         """Open at both ends with nothing to read."""
         try:
             self.sock.recv(1, socket.MSG_PEEK)
@@ -160,7 +160,7 @@
         except OSError:
             pass
 
-    def end_sending(self) -> None:
+    def shut_down_sending(self) -> None:
         try:
             self.sock.shutdown(socket.SHUT_WR)
         except OSError:
@@ -202,9 +202,9 @@
 
 async def connect(
     address: str,
-    time_out: float,
-    store: Store,
-    give_back: Callable[[], None],
+    timeout_s: float,
+    block_pool: BlockPool,
+    release: Callable[[], None],
     keep_late: Callable[[Connection], bool] = lambda connection: False,
 ) -> Connection:
     """Guards against machines that say nothing: the time-out is ours, the kernel's takes minutes.
@@ -214,52 +214,52 @@
         host, port = split_address(address)
         sock = stream_socket(host)
     except ValueError as error:
-        give_back()
+        release()
         raise Unconnected(str(error)) from error
     except OSError as error:
-        give_back()
-        raise unmade(error) from error
-    made: Connection | None = None
+        release()
+        raise connect_error(error) from error
+    connection: Connection | None = None
     try:
-        made = Connection(sock, store, give_back)
-        with anyio.fail_after(time_out):
-            await come_up(sock, host, port)
-        done, made = made, None
-        return done
+        connection = Connection(sock, block_pool, release)
+        with anyio.fail_after(timeout_s):
+            await establish(sock, host, port)
+        established, connection = connection, None
+        return established
     except TimeoutError as error:
-        if keep_late(made):
-            made = None
-        raise unmade(error) from error
+        if keep_late(connection):
+            connection = None
+        raise connect_error(error) from error
     except OSError as error:
-        raise unmade(error) from error
+        raise connect_error(error) from error
     finally:
-        if made is not None:
-            made.close()
+        if connection is not None:
+            connection.close()
 
 
-async def come_up(sock: socket.socket, host: str, port: int) -> None:
+async def establish(sock: socket.socket, host: str, port: int) -> None:
     try:
         sock.connect((host, port))
     except BlockingIOError:
         await anyio.wait_writable(sock)
     if failed := sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
         raise OSError(failed, "connect failed")
-    refuse_own(sock)
+    reject_self_connection(sock)
 
 
-def refuse_own(sock: socket.socket) -> None:
+def reject_self_connection(sock: socket.socket) -> None:
     """Where nobody listens at a port of the range for outgoing connections of this machine, a connect from
     just that port meets itself, and would read its own request. Raises OSError."""
     if sock.getsockname()[:2] == sock.getpeername()[:2]:
         raise ConnectionRefusedError(errno.ECONNREFUSED, "connected to itself")
 
 
-def has_come_up(sock: socket.socket) -> bool:
+def is_established(sock: socket.socket) -> bool:
     """Of one that was still connecting. Raises OSError where it will never come up."""
     if failed := sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
         raise OSError(failed, "connect failed")
     try:
-        refuse_own(sock)
+        reject_self_connection(sock)
     except OSError as error:
         if error.errno == errno.ENOTCONN:
             return False
@@ -267,6 +267,6 @@
     return True
 
 
-def unmade(error: OSError) -> Unconnected | NoDescriptor:
+def connect_error(error: OSError) -> Unconnected | NoDescriptor:
     """What is short on this machine is no endpoint's fault."""
-    return NoDescriptor(str(error)) if error.errno in OURS else Unconnected(str(error))
+    return NoDescriptor(str(error)) if error.errno in LOCAL_ERRORS else Unconnected(str(error))
--- a/lupinmill/transport/link.py
+++ b/lupinmill/transport/link.py
@@ -16,59 +16,59 @@
 import anyio
 import orjson
 
-HEAD = struct.Struct("!I")
-LARGEST = 16 * 1024 * 1024
-AT_ONCE = 64 * 1024
-MOST_DESCRIPTORS = 8  # with one read
-MOST_WAITING = 4_096  # messages
+LENGTH_PREFIX = struct.Struct("!I")
+MAX_MESSAGE_SIZE = 16 * 1024 * 1024
+READ_SIZE = 64 * 1024
+MAX_DESCRIPTORS_PER_READ = 8  # with one read
+MAX_QUEUED_MESSAGES = 4_096  # messages
 
 
-class BrokenLink(Exception):
+class LinkError(Exception):
     """The other side said what is no message, or ended in the middle of one."""
 
 
 class Link:
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
-        self.came = bytearray()
+        self.received = bytearray()
         self.descriptors: deque[int] = deque()
-        self.going: deque[tuple[bytes, int | None]] = deque()
-        self.more = anyio.Event()
-        self.broken = False
+        self.outgoing: deque[tuple[bytes, int | None]] = deque()
+        self.queue_changed = anyio.Event()
+        self.closed = False
 
     # Messages, as bytes.
 
     def encode(self, message: dict[str, Any]) -> bytes:
         data = orjson.dumps(message)
-        return HEAD.pack(len(data)) + data
+        return LENGTH_PREFIX.pack(len(data)) + data
 
     def next_message(self) -> dict[str, Any] | None:
-        if len(self.came) < HEAD.size:
+        if len(self.received) < LENGTH_PREFIX.size:
             return None
-        (length,) = HEAD.unpack_from(self.came)
-        if length > LARGEST:
-            raise BrokenLink("a message without end")
-        if len(self.came) < HEAD.size + length:
+        (length,) = LENGTH_PREFIX.unpack_from(self.received)
+        if length > MAX_MESSAGE_SIZE:
+            raise LinkError("a message without end")
+        if len(self.received) < LENGTH_PREFIX.size + length:
             return None
         try:
-            message = orjson.loads(bytes(self.came[HEAD.size : HEAD.size + length]))
+            message = orjson.loads(bytes(self.received[LENGTH_PREFIX.size : LENGTH_PREFIX.size + length]))
         except orjson.JSONDecodeError as error:
-            raise BrokenLink(str(error)) from error
-        del self.came[: HEAD.size + length]
+            raise LinkError(str(error)) from error
+        del self.received[: LENGTH_PREFIX.size + length]
         if not isinstance(message, dict):
-            raise BrokenLink("no message")
+            raise LinkError("no message")
         return message
 
     def take_descriptor(self) -> int:
         if not self.descriptors:
-            raise BrokenLink("a message without its descriptor")
+            raise LinkError("a message without its descriptor")
         return self.descriptors.popleft()
 
     def read(self) -> None:
         """What is there; BlockingIOError where nothing is, BrokenLink at the end."""
-        room = socket.CMSG_SPACE(MOST_DESCRIPTORS * array.array("i").itemsize)
-        data, notes, _, _ = self.sock.recvmsg(AT_ONCE, room)
-        for level, kind, found in notes:
+        room = socket.CMSG_SPACE(MAX_DESCRIPTORS_PER_READ * array.array("i").itemsize)
+        data, ancillary, _, _ = self.sock.recvmsg(READ_SIZE, room)
+        for level, kind, found in ancillary:
             if level == socket.SOL_SOCKET and kind == socket.SCM_RIGHTS:
                 passed = array.array("i")
                 passed.frombytes(found[: len(found) - len(found) % passed.itemsize])
@@ -76,22 +76,22 @@
                     os.set_inheritable(number, False)
                     self.descriptors.append(number)
         if not data:
-            raise BrokenLink("the other process has gone")
-        self.came += data
+            raise LinkError("the other process has gone")
+        self.received += data
 
-    async def ask(self, message: dict[str, Any], time_out: float) -> dict[str, Any]:
+    async def ask(self, message: dict[str, Any], timeout_s: float) -> dict[str, Any]:
         """Sends the first one and waits for the next; TimeoutError, OSError or BrokenLink where none
         comes."""
-        with anyio.fail_after(time_out):
+        with anyio.fail_after(timeout_s):
             rest = memoryview(self.encode(message))
             while rest:
                 try:
                     rest = rest[self.sock.send(rest) :]
                 except BlockingIOError:
                     await anyio.wait_writable(self.sock)
-            return await self.hear_one()
+            return await self.receive_message()
 
-    async def hear_one(self) -> dict[str, Any]:
+    async def receive_message(self) -> dict[str, Any]:
         while (message := self.next_message()) is None:
             await anyio.wait_readable(self.sock)
             try:
@@ -106,31 +106,31 @@
         if not self.has_room():
             return False
         data = self.encode(message)  # what raises here takes nothing
-        self.going.append((data, descriptor))
-        self.more.set()
+        self.outgoing.append((data, descriptor))
+        self.queue_changed.set()
         return True
 
     def has_room(self) -> bool:
-        return not self.broken and len(self.going) < MOST_WAITING
+        return not self.closed and len(self.outgoing) < MAX_QUEUED_MESSAGES
 
     async def write(self) -> None:
-        while not self.broken:
-            if not self.going:
-                self.more = anyio.Event()
-                await self.more.wait()
+        while not self.closed:
+            if not self.outgoing:
+                self.queue_changed = anyio.Event()
+                await self.queue_changed.wait()
                 continue
-            data, descriptor = self.going[0]
+            data, descriptor = self.outgoing[0]
             rest = memoryview(data)
             while rest:
                 try:
                     rest = rest[self.put(rest, descriptor) :]
                     if descriptor is not None:
-                        self.going[0] = (data, None)
+                        self.outgoing[0] = (data, None)
                         os.close(descriptor)
                         descriptor = None
                 except BlockingIOError:
                     await anyio.wait_writable(self.sock)
-            self.going.popleft()
+            self.outgoing.popleft()
 
     def put(self, data: memoryview, descriptor: int | None) -> int:
         if descriptor is None:
@@ -138,20 +138,20 @@
         passed = array.array("i", [descriptor])
         return self.sock.sendmsg([data], [(socket.SOL_SOCKET, socket.SCM_RIGHTS, passed)])
 
-    async def run(self, hear: Callable[[dict[str, Any]], None]) -> None:
+    async def run(self, on_message: Callable[[dict[str, Any]], None]) -> None:
         """Until the other side ends; whatever is wrong with it raises OSError or BrokenLink."""
         async with anyio.create_task_group() as group:
             group.start_soon(self.write)
             while True:
-                hear(await self.hear_one())
+                on_message(await self.receive_message())
 
     def close(self) -> None:
-        if self.broken:
+        if self.closed:
             return
-        self.broken = True
-        self.more.set()
+        self.closed = True
+        self.queue_changed.set()
         self.sock.close()
-        for number in (*self.descriptors, *(one for _, one in self.going if one is not None)):
+        for number in (*self.descriptors, *(one for _, one in self.outgoing if one is not None)):
             os.close(number)
         self.descriptors.clear()
-        self.going.clear()
+        self.outgoing.clear()
--- a/lupinmill/transport/wall_clock.py
+++ b/lupinmill/transport/wall_clock.py
@@ -10,48 +10,52 @@
 from collections.abc import Callable
 
 # All in microseconds.
-STEP = 2_000  # by which the clock was set, and not merely adjusted, between two looks at it
-HELD_UP = 500  # between two readings of the monotonic clock: what was read between them is of no use
-OLDEST = 60_000_000  # no stamp is taken for older
-KERNEL_ROUNDS = 4_000  # by so much the kernel may tell a span too long
+MIN_STEP_US = 2_000  # by which the clock was set, and not merely adjusted, between two looks at it
+MAX_READING_GAP_US = (
+    500  # between two readings of the monotonic clock: what was read between them is of no use
+)
+MAX_STAMP_AGE_US = 60_000_000  # no stamp is taken for older
+KERNEL_ROUNDING_US = 4_000  # by so much the kernel may tell a span too long
 
-TRIES = 3  # to read two clocks together
-REMEMBERED = 4  # settings of the clock, so many steps back
+MAX_READ_TRIES = 3  # to read two clocks together
+MAX_REMEMBERED_STEPS = 4  # settings of the clock, so many steps back
 
 
 class WallClock:
     """Remembers by how much the wall clock was ahead of the monotonic one before it was set."""
 
     def __init__(self) -> None:
-        self.ahead: deque[int] = deque(maxlen=REMEMBERED)
-        self.steps: deque[int] = deque([0], maxlen=REMEMBERED)  # by each setting, all steps up to it
-        self.set_by = 0  # since `take_step` was asked last
-        self.look()
+        self.offsets: deque[int] = deque(maxlen=MAX_REMEMBERED_STEPS)
+        self.steps: deque[int] = deque(
+            [0], maxlen=MAX_REMEMBERED_STEPS
+        )  # by each setting, all steps up to it
+        self.unreported_step = 0  # since `take_step` was asked last
+        self.update()
 
-    def look(self) -> None:
+    def update(self) -> None:
         """Guards against a process that is held up between the two readings, which looks like a step."""
-        for _ in range(TRIES):
+        for _ in range(MAX_READ_TRIES):
             before = time.monotonic_ns()
             wall = time.time_ns()
-            if time.monotonic_ns() - before < HELD_UP * 1000:
+            if time.monotonic_ns() - before < MAX_READING_GAP_US * 1000:
                 break
         else:
-            if self.ahead:
+            if self.offsets:
                 return
-        ahead = (wall - before) // 1000
-        step = ahead - self.ahead[-1] if self.ahead else 0
-        if self.ahead and abs(step) < STEP:
-            self.ahead[-1] = ahead
+        offset = (wall - before) // 1000
+        step = offset - self.offsets[-1] if self.offsets else 0
+        if self.offsets and abs(step) < MIN_STEP_US:
+            self.offsets[-1] = offset
             return
-        if self.ahead:
+        if self.offsets:
             self.steps.append(self.steps[-1] + step)
-        self.set_by += step
-        self.ahead.append(ahead)
+        self.unreported_step += step
+        self.offsets.append(offset)
 
     def take_step(self) -> int:
         """Microseconds by which the clock was found set since this was asked last."""
-        self.look()
-        step, self.set_by = self.set_by, 0
+        self.update()
+        step, self.unreported_step = self.unreported_step, 0
         return step
 
     def age(self, stamp: int, at_least: Callable[[], int]) -> int | None:
@@ -60,14 +64,16 @@
         The stamp may be from before the clock was set. `at_least`: microseconds that have passed by a clock
         that is never set; asked only where the two can't be told apart otherwise."""
         now, wall = time.monotonic_ns() // 1000, time.time_ns() // 1000
-        if len(self.ahead) == 1 and abs(wall - now - self.ahead[0]) < STEP:  # never set: the usual case
-            self.ahead[0] = wall - now  # it may be adjusted all the time, by less
-            return wall - stamp if 0 <= wall - stamp < OLDEST else None
-        self.look()
+        if (
+            len(self.offsets) == 1 and abs(wall - now - self.offsets[0]) < MIN_STEP_US
+        ):  # never set: the usual case
+            self.offsets[0] = wall - now  # it may be adjusted all the time, by less
+            return wall - stamp if 0 <= wall - stamp < MAX_STAMP_AGE_US else None
+        self.update()
         now = time.monotonic_ns() // 1000
-        ages = [age for ahead in self.ahead if 0 <= (age := now + ahead - stamp) < OLDEST]
+        ages = [age for offset in self.offsets if 0 <= (age := now + offset - stamp) < MAX_STAMP_AGE_US]
         if len(ages) > 1:
-            least = at_least() - KERNEL_ROUNDS
+            least = at_least() - KERNEL_ROUNDING_US
             ages = [age for age in ages if age >= least]
         return min(ages, default=None)
 
--- a/tests/bed.py
+++ b/tests/bed.py
@@ -354,8 +354,8 @@
             self.table["operator"] = "127.0.0.1:0"
         told = understand(self.table, {})
         self.program = Program(told, lambda event, **f: self.logs.append((event, f)), lambda: told)
-        tell = self.program.engine.tell
-        self.program.engine.tell = lambda event: (self.events.append(event), tell(event))
+        tell = self.program.engine.handle_event
+        self.program.engine.handle_event = lambda event: (self.events.append(event), tell(event))
         self.address = await group.start(self.program.run)
 
     def ended(self) -> list[t.Outcome]:
@@ -413,6 +413,10 @@
 
     anyio.run(main)
     program = net.program
-    assert program.store.leased == 0 and not program.pool.idle and program.descriptors.leaving == 0
-    assert set(program.descriptors.open.values()) == {0} and not program.book.journeys
+    assert (
+        program.block_pool.leased == 0
+        and not program.connection_pool.idle
+        and program.descriptors.leaving == 0
+    )
+    assert set(program.descriptors.open.values()) == {0} and not program.request_table.pending_requests
     return net
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -128,7 +128,7 @@
         await many("a")
         assert found("a")
         assert await admin_status(net, "PUT", "/admin/cordon?member=e0") == 200
-        assert not net.program.pool.idle.get("e0")
+        assert not net.program.connection_pool.idle.get("e0")
         row, update = net.discovery.rows[0], net.program.directory.update
         for fields in (
             {},
@@ -153,14 +153,14 @@
 
 def test_a_launch_that_connects_while_its_endpoint_is_taken_out_sends_no_byte():
     async def check(net):
-        whole = net.program.pool.open
+        whole = net.program.connection_pool.open
 
         async def slow(address):
             connection = await whole(address)
             assert await admin_status(net, "PUT", "/admin/cordon?member=e0") == 200
             return connection
 
-        net.program.pool.open = slow
+        net.program.connection_pool.open = slow
         assert (await net.ask(wanted("s1", "issue", "0.3"))).status == 503
 
     net = on_network(check, fine, operator=True)
@@ -324,9 +324,9 @@
 
 
 def client_side():
-    from lupinmill.transport.descriptors import Side
+    from lupinmill.transport.descriptors import ConnectionKind
 
-    return Side.CLIENT
+    return ConnectionKind.CLIENT
 
 
 def test_what_a_drain_takes_in_late_is_answered_before_its_end(monkeypatch):
--- a/tests/test_arrivals.py
+++ b/tests/test_arrivals.py
@@ -129,8 +129,8 @@
         for _ in range(4):
             followed.read(Read(READ, 0, 0, False))
         if empty:
-            followed.found_empty()
-        followed.answered(10 * MS)
+            followed.mark_empty()
+        followed.response_starts(10 * MS)
         assert (followed.backlog is None) is ended
 
 
@@ -140,4 +140,4 @@
         followed.read(Read(READ, 0, 0, True) if _ == 3 else Read(READ, 0, 0, False))
     for at in range(1, 1_000):
         followed.read(Read(1, at * 20 * MS, at * 20 * MS, True))
-    assert len(followed.pauses) <= arrivals.MOST_PAUSES
+    assert len(followed.pauses) <= arrivals.MAX_PAUSES
--- a/tests/test_client_deadlines.py
+++ b/tests/test_client_deadlines.py
@@ -160,7 +160,7 @@
         answer = await anyio.to_thread.run_sync(writer.write, data)
         writer.sock.close()
         assert answer.startswith(b"HTTP/1.1 503")
-        assert not net.program.book.journeys
+        assert not net.program.request_table.pending_requests
 
     on_network(check, unused, endpoint=endpoint.serve, limits=NO_PROBES)
     assert not endpoint.told
--- a/tests/test_clients_accept.py
+++ b/tests/test_clients_accept.py
@@ -12,11 +12,16 @@
 import pytest
 
 from lupinmill.transport.client import Client
-from lupinmill.transport.descriptors import LEAST_ENDPOINT, OWN, Descriptors, Side
-from lupinmill.transport.listener import BATCH, Listener
-from lupinmill.transport.ring import Store
+from lupinmill.transport.descriptors import (
+    MIN_ENDPOINT_CONNECTIONS,
+    RESERVED_DESCRIPTORS,
+    DescriptorBudget,
+    ConnectionKind,
+)
+from lupinmill.transport.listener import ACCEPT_BATCH, Listener
+from lupinmill.transport.buffers import BlockPool
 
-LONGEST_RUN = BATCH + 1  # calls of `accept` in a row, the last of them the one that finds nothing
+LONGEST_RUN = ACCEPT_BATCH + 1  # calls of `accept` in a row, the last of them the one that finds nothing
 
 
 class Starved(Exception):
@@ -41,7 +46,7 @@
         self.in_a_row += 1
         self.calls += 1
         self.most = max(self.most, self.in_a_row)
-        if self.in_a_row > 50 * BATCH:
+        if self.in_a_row > 50 * ACCEPT_BATCH:
             raise Starved(f"{self.in_a_row} calls of accept, and no other task had its turn")
         return self.accepting()
 
@@ -63,7 +68,7 @@
     """Runs `check(listener, sock, group)` beside a listener; `serve` is its to give."""
 
     async def main() -> Listener:
-        listener = Listener("127.0.0.1:0", Descriptors(limit), Store())
+        listener = Listener("127.0.0.1:0", DescriptorBudget(limit), BlockPool())
         with listener.sock as sock:
             listener.sock = Counted(sock)
             with anyio.fail_after(20):
@@ -73,8 +78,8 @@
         return listener
 
     listener = anyio.run(main)
-    assert listener.descriptors.open[Side.CLIENT] == 0 and listener.turning_away == 0
-    assert listener.descriptors.leaving == 0 and not listener.idle and listener.store.leased == 0
+    assert listener.descriptors.open[ConnectionKind.CLIENT] == 0 and listener.turning_away == 0
+    assert listener.descriptors.leaving == 0 and not listener.idle and listener.block_pool.leased == 0
     return listener
 
 
@@ -129,7 +134,7 @@
             with client:
                 ended.append(client)
 
-        waiting = connections(listener, 10 * BATCH)
+        waiting = connections(listener, 10 * ACCEPT_BATCH)
         group.start_soon(sock.others)
         group.start_soon(listener.run, group, serve)
         while len(ended) < len(waiting):
@@ -185,7 +190,7 @@
         broken = Refusing(fileno=other.detach())
         with pytest.raises(OSError):
             listener.adopt(broken, group, serve)
-        assert broken.fileno() == -1 and listener.descriptors.open[Side.CLIENT] == 0
+        assert broken.fileno() == -1 and listener.descriptors.open[ConnectionKind.CLIENT] == 0
         one.close()
 
     on_listener(check)
@@ -202,7 +207,7 @@
             with client:
                 if not came:
                     came.extend(connections(listener, 1))  # in the very pass that follows the batch
-                queued.append(client.queued)
+                queued.append(client.backlog_wait)
 
         listener.waiting_since -= 100.0
         waiting = connections(listener, 2)
@@ -216,29 +221,29 @@
     on_listener(check)
 
 
-class OpenDoor:
+class DrawnAdmission:
     """A door that is active, takes all up, and is busy at times."""
 
-    def __init__(self, chance: random.Random) -> None:
-        self.active, self.chance = False, chance
+    def __init__(self, random_source: random.Random) -> None:
+        self.active, self.random_source = False, random_source
 
     def busy(self) -> bool:
-        return self.chance.random() < 0.5
+        return self.random_source.random() < 0.5
 
-    def judge(self, client: Client, data: bytes) -> bool:
-        return self.chance.random() < 0.7
+    def evaluate(self, client: Client, data: bytes) -> bool:
+        return self.random_source.random() < 0.7
 
-    async def wait(self, client: Client) -> bool:
-        return self.chance.random() < 0.9
+    async def wait_for_turn(self, client: Client) -> bool:
+        return self.random_source.random() < 0.9
 
 
 @pytest.mark.parametrize("seed", range(16))
 def test_drawn_ends_bytes_and_words_to_close_leave_all_counts_exact(seed, monkeypatch):
     """Bytes, ends, words to close and a door that turns active, in one pass and in several: `leaving`, idle
     clients and places are exact at each step."""
-    monkeypatch.setattr("lupinmill.transport.client.SILENT", 0.0)
-    monkeypatch.setattr("lupinmill.transport.client.IDLE", 0.0)
-    chance = random.Random(seed)
+    monkeypatch.setattr("lupinmill.transport.client.NEW_IDLE_S", 0.0)
+    monkeypatch.setattr("lupinmill.transport.client.USED_IDLE_S", 0.0)
+    random_source = random.Random(seed)
 
     async def check(listener: Listener, sock: Counted, group):
         live = set()
@@ -248,8 +253,8 @@
                 live.add(client)
                 try:
                     while welcome and await listener.next_bytes(client):
-                        client.asked = True
-                        for _ in range(chance.randrange(3)):
+                        client.has_requested = True
+                        for _ in range(random_source.randrange(3)):
                             await anyio.sleep(0)
                 except OSError:
                     pass
@@ -257,38 +262,43 @@
                     live.discard(client)
 
         group.start_soon(listener.run, group, serve)
-        listener.door = OpenDoor(chance)
+        listener.admission = DrawnAdmission(random_source)
         others: list[socket.socket] = []
         for _ in range(300):
-            for _ in range(chance.randrange(1, 4)):
-                draw = chance.random()
+            for _ in range(random_source.randrange(1, 4)):
+                draw = random_source.random()
                 if draw < 0.25 or not others:
                     others += connections(listener, 1)
                 elif draw < 0.5:
                     with suppress(OSError):  # told to close meanwhile
-                        others[chance.randrange(len(others))].send(b"some")
+                        others[random_source.randrange(len(others))].send(b"some")
                 elif draw < 0.65:
-                    one = others.pop(chance.randrange(len(others)))
-                    if chance.random() < 0.5:
+                    one = others.pop(random_source.randrange(len(others)))
+                    if random_source.random() < 0.5:
                         one.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
                     one.close()
                 elif draw < 0.8:
-                    listener.make_room()
+                    listener.evict_idle_client()
                 elif draw < 0.85:
-                    listener.dismiss_all()
+                    listener.close_all_idle()
                 elif draw < 0.9:
-                    listener.door.active = not listener.door.active
+                    listener.admission.active = not listener.admission.active
                 else:
                     others = [one for one in others if not ended(one)]
             descriptors = listener.descriptors
             # One told to close counts as gone, and stays after all if bytes come in that very pass.
-            assert 0 <= descriptors.leaving <= descriptors.open[Side.CLIENT] <= descriptors.client_limit + 2
+            assert (
+                0
+                <= descriptors.leaving
+                <= descriptors.open[ConnectionKind.CLIENT]
+                <= descriptors.client_limit + 2
+            )
             assert all(not client.closed for client in listener.idle)
-            for _ in range(chance.randrange(4)):
+            for _ in range(random_source.randrange(4)):
                 await anyio.sleep(0)
         for one in others:
             one.close()
-        while live or listener.descriptors.open[Side.CLIENT] or listener.turning_away:
+        while live or listener.descriptors.open[ConnectionKind.CLIENT] or listener.turning_away:
             await anyio.sleep(0.001)
 
     def ended(sock: socket.socket) -> bool:
@@ -304,7 +314,7 @@
             sock.close()
         return over
 
-    on_listener(check, limit=OWN + 16)
+    on_listener(check, limit=RESERVED_DESCRIPTORS + 16)
 
 
 # --- the budget of descriptors ---------------------------------------------------------------------------
@@ -316,37 +326,40 @@
 def test_an_attempt_has_a_descriptor_whatever_clients_and_another_process_hold(limit, elsewhere, seed):
     """Seen failing with the process before an upgrade holding all: no request could be sent on until it had
     ended, however few this one held."""
-    chance = random.Random(seed)
-    descriptors = Descriptors(limit)
+    random_source = random.Random(seed)
+    descriptors = DescriptorBudget(limit)
     idle, kept = [], []
 
     def close_client() -> bool:
         if not idle:
             return False
         idle.pop()
-        descriptors.give_back(Side.CLIENT)
+        descriptors.release(ConnectionKind.CLIENT)
         return True
 
     def close_endpoint() -> bool:
         if not kept:
             return False
         kept.pop()
-        descriptors.give_back(Side.ENDPOINT)
+        descriptors.release(ConnectionKind.ENDPOINT)
         return True
 
     descriptors.close_idle_client, descriptors.close_idle_endpoint = close_client, close_endpoint
-    descriptors.elsewhere = elsewhere
+    descriptors.held_by_predecessor = elsewhere
     for _ in range(300):
-        draw = chance.random()
-        if draw < 0.6 and descriptors.lease(Side.CLIENT):
-            if chance.random() < 0.5:
+        draw = random_source.random()
+        if draw < 0.6 and descriptors.lease(ConnectionKind.CLIENT):
+            if random_source.random() < 0.5:
                 idle.append(None)
         elif draw < 0.7 and kept:
             close_endpoint()
         elif draw < 0.9:
-            assert descriptors.lease(Side.ENDPOINT) or descriptors.open[Side.ENDPOINT] >= LEAST_ENDPOINT
+            assert (
+                descriptors.lease(ConnectionKind.ENDPOINT)
+                or descriptors.open[ConnectionKind.ENDPOINT] >= MIN_ENDPOINT_CONNECTIONS
+            )
             kept.append(None)
-        assert sum(descriptors.open.values()) <= descriptors.limit + LEAST_ENDPOINT
+        assert sum(descriptors.open.values()) <= descriptors.limit + MIN_ENDPOINT_CONNECTIONS
     while close_endpoint():
         pass
-    assert descriptors.lease(Side.ENDPOINT)
+    assert descriptors.lease(ConnectionKind.ENDPOINT)
--- a/tests/test_clients_answers.py
+++ b/tests/test_clients_answers.py
@@ -16,9 +16,9 @@
 from lupinmill import terms as t
 from lupinmill.protocol import submission
 from lupinmill.protocol.http import Answer, ClientSide, Request, ServerSide
-from lupinmill.routing import take_in
-from lupinmill.transport.client import AHEAD, Client
-from lupinmill.transport.descriptors import Side
+from lupinmill.routing import client_handler
+from lupinmill.transport.client import MAX_PIPELINED_BYTES, Client
+from lupinmill.transport.descriptors import ConnectionKind
 
 ENDED = (anyio.EndOfStream, anyio.BrokenResourceError)
 
@@ -75,15 +75,15 @@
         (submission, "read", defective),
         (OwnSide, "answer", lost_protocol),
         (OwnSide, "goes_on", defective),
-        (Client, "gone", broken_watch),
-        (Client, "waited_for", defective),
-        (take_in.TakeIn, "closes", defective),
+        (Client, "wait_disconnected", broken_watch),
+        (Client, "max_elapsed_wait", defective),
+        (client_handler.ClientHandler, "must_close", defective),
     ],
 )
 def test_a_defect_behind_a_requests_last_byte_costs_no_answer(place, name, what, monkeypatch):
     """Seen failing as a connection closed with no answer. The defect is logged and counted."""
 
-    monkeypatch.setattr(take_in, "ServerSide", OwnSide)
+    monkeypatch.setattr(client_handler, "ServerSide", OwnSide)
 
     async def check(net: Net):
         with monkeypatch.context() as defect:
@@ -93,7 +93,7 @@
                 with anyio.fail_after(5):
                     got = await statuses(stream, 1)
         assert got == [200] if name == "goes_on" else got in ([502], [500])
-        assert net.program.take_in.defects == (what is not broken_watch)
+        assert net.program.client_handler.internal_errors == (what is not broken_watch)
         assert (await net.ask(wanted("s2"))).status == 200
 
     net = on_network(check, fine)
@@ -104,7 +104,7 @@
 def test_a_large_answer_that_can_not_be_begun_is_told_as_failed(version, monkeypatch):
     """One that is passed on as it comes. Seen failing as a connection closed, or reset, with no answer."""
     monkeypatch.setattr(OwnSide, "begin", lost_protocol, raising=False)
-    monkeypatch.setattr(take_in, "ServerSide", OwnSide)
+    monkeypatch.setattr(client_handler, "ServerSide", OwnSide)
 
     async def check(net: Net):
         async with await connect(net) as stream:
@@ -121,17 +121,17 @@
     not end."""
 
     async def check(net: Net):
-        tell = net.program.engine.tell
+        tell = net.program.engine.handle_event
 
         def broken(event):
             if isinstance(event, t.RequestArrived) and event.request == "s1":
                 raise RuntimeError("a defect")
             tell(event)
 
-        net.program.engine.tell = broken
+        net.program.engine.handle_event = broken
         assert (await net.ask(wanted("s1"))).status == 502
-        assert not net.program.book.journeys and net.program.book.unlaunched == 0
-        net.program.engine.tell = tell
+        assert not net.program.request_table.pending_requests and net.program.request_table.unattempted == 0
+        net.program.engine.handle_event = tell
         assert (await net.ask(wanted("s1"))).status == 200
 
     assert failed(on_network(check, fine)) == ["client"]
@@ -159,11 +159,11 @@
 
 def test_a_body_that_no_attempt_takes_and_no_decision_ends_is_answered_in_its_time(monkeypatch):
     """The module fails at its coming, the shelf has no room. Seen failing as a wait with no end."""
-    monkeypatch.setattr(take_in, "WHOLE", 0.1)
+    monkeypatch.setattr(client_handler, "REQUEST_TIMEOUT_S", 0.1)
 
     async def check(net: Net):
         net.program.engine.sidecar.dispatcher.handlers[t.RequestArrived] = defective
-        net.program.shelf.limit = 0
+        net.program.body_memory.limit = 0
         async with await connect(net) as stream:
             await stream.send(wanted("s1", deadline="0.3", body=b"x" * 200_000)[:-1000])
             with anyio.fail_after(15):
@@ -192,8 +192,8 @@
 @pytest.mark.parametrize("before", [0, 1])
 def test_a_request_that_trickles_past_its_time_is_told_so(first, before, monkeypatch):
     """Seen failing as a connection closed with no answer."""
-    monkeypatch.setattr(take_in, "WHOLE", 0.3)
-    monkeypatch.setattr(take_in, "PACE", 10_000_000)
+    monkeypatch.setattr(client_handler, "REQUEST_TIMEOUT_S", 0.3)
+    monkeypatch.setattr(client_handler, "MIN_UPLOAD_RATE", 10_000_000)
 
     async def check(net: Net):
         async with await connect(net) as stream:
@@ -203,7 +203,7 @@
             await stream.send(first)
             with anyio.fail_after(10):
                 assert await statuses(stream) == [408]
-        await until(lambda: net.program.descriptors.open[Side.CLIENT] == 0)
+        await until(lambda: net.program.descriptors.open[ConnectionKind.CLIENT] == 0)
 
     net = on_network(check, fine, workloads=PATIENT)
     assert not seen(net, "s1") and not failed(net)
@@ -212,7 +212,7 @@
 def test_a_request_whose_rest_lies_unread_when_its_time_is_over_is_served(monkeypatch):
     """It is the loop that was late. Seen failing as a connection closed with no answer."""
     began = anyio.Event()
-    whole_send = take_in.TakeIn.more
+    whole_send = client_handler.ClientHandler.read_more
 
     async def check(net: Net):
         async with await connect(net) as stream:
@@ -223,11 +223,11 @@
                     began.set()
                     await stream.send(whole[100:])
                     await until(client.has_unread)
-                    monkeypatch.setattr(take_in, "WHOLE", -1.0)
+                    monkeypatch.setattr(client_handler, "REQUEST_TIMEOUT_S", -1.0)
                 return await whole_send(self, client, *rest)
 
-            monkeypatch.setattr(take_in.TakeIn, "more", more)
-            monkeypatch.setattr(take_in, "WHOLE", 0.0)
+            monkeypatch.setattr(client_handler.ClientHandler, "read_more", more)
+            monkeypatch.setattr(client_handler, "REQUEST_TIMEOUT_S", 0.0)
             await stream.send(whole[:100])
             assert await statuses(stream, 1) == [200]
 
@@ -238,7 +238,7 @@
 def test_an_answer_behind_one_to_head_has_its_body(size, monkeypatch):
     """Of a request that is refused by its head, or never had one whole. Seen failing with no
     answer: it went by the method of the request before."""
-    monkeypatch.setattr(take_in, "WHOLE", 0.3)
+    monkeypatch.setattr(client_handler, "REQUEST_TIMEOUT_S", 0.3)
 
     async def check(net: Net):
         async with await connect(net) as stream:
@@ -264,7 +264,7 @@
         async with await connect(net) as stream:
             await stream.send(wanted("s1", deadline="8", body=b"x" * 3_000_000)[:2_000_000])
             await arrived(net, "s1")
-            assert program.book.journeys["s1"].due <= now + 3_500_000
+            assert program.request_table.pending_requests["s1"].due <= now + 3_500_000
 
     on_network(check, fine, net_of=Unhurried)
 
@@ -293,7 +293,7 @@
 
 def test_a_request_that_lies_whole_is_denied_however_late_the_loop_looks(monkeypatch):
     """Seen failing as a connection closed with no answer: its time was over before it was looked at."""
-    monkeypatch.setattr(take_in, "CROWDED_OUT", 0.0)
+    monkeypatch.setattr(client_handler, "TURN_AWAY_TIMEOUT_S", 0.0)
 
     async def check(net: Net):
         async def then(stream):
@@ -321,7 +321,7 @@
 
 
 def test_half_a_request_that_there_is_no_place_for_is_told_that_its_time_is_over(monkeypatch):
-    monkeypatch.setattr(take_in, "CROWDED_OUT", 0.1)
+    monkeypatch.setattr(client_handler, "TURN_AWAY_TIMEOUT_S", 0.1)
 
     async def check(net: Net):
         async def then(stream):
@@ -342,10 +342,10 @@
         async with await connect(net) as stream:
             await stream.send(wanted("s1", deadline="8") + wanted("s2", deadline="8"))
             await arrived(net, "s1")
-            (journey,) = net.program.book.journeys.values()
+            (pending,) = net.program.request_table.pending_requests.values()
             await stream.send(wanted("s3", deadline="8"))
-            await until(lambda: journey.client.ahead)
-            net.program.take_in.closing = lambda: True
+            await until(lambda: pending.client.pipelined)
+            net.program.client_handler.closing = lambda: True
             list_all(net)
             with anyio.fail_after(10):
                 assert await statuses(stream) == [200, 200, 200]
@@ -358,7 +358,7 @@
         async with await connect(net) as stream:
             await stream.send(wanted("s1", deadline="8") + wanted("s2", deadline="8"))
             await arrived(net, "s1")
-            net.program.take_in.closing = lambda: True
+            net.program.client_handler.closing = lambda: True
             net.program.overrides.drain_deadline = net.program.engine.clock.now()
             list_all(net)
             with anyio.fail_after(10):
@@ -425,11 +425,11 @@
         async with await connect(net) as stream:
             await stream.send(wanted("s1", deadline="8"))
             await arrived(net, "s1")
-            (journey,) = net.program.book.journeys.values()
+            (pending,) = net.program.request_table.pending_requests.values()
             await stream.send(wanted("s2", deadline="8") + wanted("s3", deadline="8", body=b"x" * 1000))
-            await until(lambda: journey.client.ahead)
-            await stream.send(wanted("s4", deadline="8", body=b"x" * (4 * AHEAD)))
-            await until(lambda: journey.client.overrun)
+            await until(lambda: pending.client.pipelined)
+            await stream.send(wanted("s4", deadline="8", body=b"x" * (4 * MAX_PIPELINED_BYTES)))
+            await until(lambda: pending.client.pipelined_dropped)
             list_all(net)
             with anyio.fail_after(10):
                 assert await statuses(stream) == [200, 200, 200]
@@ -450,10 +450,10 @@
                 sock.send(
                     wanted("s1") + b"POST /view HTTP/1.1\r\nContent-Length: 30000\r\n\r\n" + b"x" * 20_000
                 )
-                await until(lambda: net.program.take_in.defects)
+                await until(lambda: net.program.client_handler.internal_errors)
                 sock.send(b"x" * 10_000)
                 sock.shutdown(socket.SHUT_WR)
-                await until(lambda: net.program.descriptors.open[Side.CLIENT] == 0)
+                await until(lambda: net.program.descriptors.open[ConnectionKind.CLIENT] == 0)
             assert sock.recv(4096).startswith(b"HTTP/1.1 502 ")
 
     on_network(check, fine)
@@ -468,12 +468,12 @@
             await stream.send(wanted("s1"))
             assert await statuses(stream, 1) == [200]
             await until(lambda: listener.idle)
-            net.program.take_in.pass_on = lambda client: False
-            listener.passing = True
+            net.program.client_handler.hand_over_client = lambda client: False
+            listener.handing_over = True
             await stream.send(wanted("s2"))
-            listener.dismiss_all()
+            listener.close_all_idle()
             with anyio.fail_after(5):
                 assert await statuses(stream, 1) == [200]
-        listener.passing = False
+        listener.handing_over = False
 
     on_network(check, fine, net_of=Unhurried)
--- a/tests/test_clients_door.py
+++ b/tests/test_clients_door.py
@@ -13,10 +13,10 @@
 from lupinmill import terms as t
 from lupinmill.limits.gate import Gate
 from lupinmill.protocol import quick
-from lupinmill.routing.book import Book
-from lupinmill.routing.door import Door
+from lupinmill.routing.request_table import RequestTable
+from lupinmill.routing.admission import AdmissionController
 from lupinmill.routing.engine import Clock, Engine
-from lupinmill.transport.descriptors import Side
+from lupinmill.transport.descriptors import ConnectionKind
 
 
 def defective(*_):
@@ -25,7 +25,7 @@
 
 def hold_all(net: Net):
     """A door behind which every request waits, and that is released by hand alone."""
-    gate = net.program.door.gate
+    gate = net.program.admission.gate
     gate.active, gate.window = True, 0.0
     gate.in_time, gate.beat = (lambda *_: True), (lambda *_: None)
     release, gate.release = gate.release, lambda now: []
@@ -41,7 +41,7 @@
     """Seen failing with no answer: bytes were read in the loop's call, which raised, and nobody was woken."""
 
     async def check(net: Net):
-        gate = net.program.door.gate
+        gate = net.program.admission.gate
         gate.beat = lambda *_: None
         gate.active = judged_by == "the loop's call"
         async with await connect(net) as stream:
@@ -63,7 +63,7 @@
     """`leave` is called last of all in a client's task: what it raised ended the program's task group."""
 
     async def check(net: Net):
-        gate = net.program.door.gate
+        gate = net.program.admission.gate
         gate.beat = lambda *_: None
         if part == "release":
             gate.held = 1  # somebody waits, so that a release is due
@@ -105,7 +105,7 @@
     """A client that takes no answers. Seen failing as a request served behind a part of its denial."""
 
     async def check(net: Net):
-        gate = net.program.door.gate
+        gate = net.program.admission.gate
         async with await connect(net) as stream:
             listener = net.program.descriptors.close_idle_client.__self__
             await until(lambda: listener.idle)
@@ -151,7 +151,7 @@
     offers = []
 
     async def check(net: Net):
-        gate = net.program.door.gate
+        gate = net.program.admission.gate
         gate.beat = lambda *_: None
         offer = gate.offer
         gate.offer = lambda now, one: (offers.append(one), offer(now, one))[1]
@@ -172,13 +172,13 @@
 # --- the gate's count, whatever order things come in ------------------------------------------------------
 
 
-class StandIn:
+class FakeClient:
     """What the door needs of a client."""
 
     def __init__(self, chance: random.Random) -> None:
         self.chance, self.sock = chance, self
-        self.inside = self.asked = self.broken = self.left = self.owed = False
-        self.offer = None
+        self.admitted = self.has_requested = self.unwritable = self.disconnected = self.response_due = False
+        self.waiter = None
         self.end = anyio.Event()
 
     def send(self, data: bytes) -> int:
@@ -186,14 +186,14 @@
             raise ConnectionResetError
         return len(data) - (self.chance.random() < 0.1)
 
-    def waited_for(self, left: int) -> int:
+    def max_elapsed_wait(self, left: int) -> int:
         return 0
 
-    def look(self) -> bool:
-        self.left = self.left or self.end.is_set()
-        return self.left
+    def check_disconnected(self) -> bool:
+        self.disconnected = self.disconnected or self.end.is_set()
+        return self.disconnected
 
-    async def gone(self) -> None:
+    async def wait_disconnected(self) -> None:
         await self.end.wait()
 
 
@@ -205,33 +205,33 @@
     async def main() -> Gate:
         gate = Gate(d)
         engine = Engine(d, Clock(), lambda *_, **__: None)
-        door = Door(gate, Book(engine), lambda *_, **__: None)
+        admission = AdmissionController(gate, RequestTable(engine), lambda *_, **__: None)
         gate.beat = lambda *_: None
         gate.active, gate.window, gate.carries = True, 2.0, 1000.0
-        clients: list[StandIn] = []
+        clients: list[FakeClient] = []
 
-        async def serve(client: StandIn) -> None:
+        async def serve(client: FakeClient) -> None:
             try:
                 while chance.random() < 0.8:
                     data = wanted(
                         "s", chance.choice(["view", "bid"]), "0.3" if chance.random() < 0.3 else "8"
                     )
-                    if not door.judge(client, data):
+                    if not admission.evaluate(client, data):
                         continue
                     await pause()  # its task is woken in a later pass, or is cancelled before
-                    if not await door.wait(client):
-                        if client.broken:
+                    if not await admission.wait_for_turn(client):
+                        if client.unwritable:
                             return
                         continue
-                    door.enter(client)
+                    admission.enter(client)
                     await pause()
                     if chance.random() < 0.1:
                         raise RuntimeError("a defect")
-                    door.leave(client)
+                    admission.leave(client)
             except RuntimeError:
                 pass
             finally:
-                door.leave(client)
+                admission.leave(client)
 
         async def pause() -> None:
             for _ in range(chance.randrange(4)):
@@ -240,7 +240,7 @@
         with anyio.fail_after(20):
             async with anyio.create_task_group() as group:
                 for _ in range(60):
-                    client = StandIn(chance)
+                    client = FakeClient(chance)
                     clients.append(client)
                     scope = anyio.CancelScope()
 
@@ -256,12 +256,12 @@
                     elif draw < 0.4:
                         scope.cancel()
                     elif draw < 0.6:
-                        door.release()
-                    inside = sum(one.inside for one in clients)
+                        admission.release()
+                    inside = sum(one.admitted for one in clients)
                     assert gate.inside == inside and gate.held == sum(line.length for line in gate.order)
                 gate.window = 1000.0
                 for _ in range(50):
-                    door.release()
+                    admission.release()
                     await anyio.sleep(0)
                 for one in clients:
                     one.end.set()
@@ -276,14 +276,14 @@
     """Bytes or an end lie unread while it is busy, so that the loop calls in each of its passes."""
 
     async def check(net: Net):
-        door = net.program.door
-        door.gate.beat = lambda *_: None
-        door.gate.active, door.gate.window = True, 10.0
+        admission = net.program.admission
+        admission.gate.beat = lambda *_: None
+        admission.gate.active, admission.gate.window = True, 10.0
         listener = net.program.descriptors.close_idle_client.__self__
         stream = await connect(net)
         await until(lambda: listener.idle)
-        calls, busy = [], door.busy
-        door.busy = lambda: (calls.append(None), True)[1]
+        calls, busy = [], admission.busy
+        admission.busy = lambda: (calls.append(None), True)[1]
         if end == "bytes":
             await stream.send(wanted("s1"))
         else:
@@ -294,12 +294,12 @@
             await anyio.sleep(0)
         assert passes >= 25  # one call in a pass of the loop, beside which others ran
         assert listener.idle
-        door.busy = busy
+        admission.busy = busy
         if end == "bytes":
             assert (await stream.receive()).startswith(b"HTTP/1.1 200")
             await stream.aclose()
-        await until(lambda: net.program.descriptors.open[Side.CLIENT] == 0)
-        door.gate.active = False
+        await until(lambda: net.program.descriptors.open[ConnectionKind.CLIENT] == 0)
+        admission.gate.active = False
 
     net = on_network(check, fine)
     assert not failed(net)
--- a/tests/test_clients_drawn.py
+++ b/tests/test_clients_drawn.py
@@ -11,7 +11,7 @@
 from test_sidecar import DECLINED, fine, until
 
 from lupinmill.protocol.http import ClientSide, Garbled, Request
-from lupinmill.transport.descriptors import Side
+from lupinmill.transport.descriptors import ConnectionKind
 
 CLIENTS, REQUESTS = 30, 6
 KINDS = ("view", "bid", "issue")
@@ -77,7 +77,7 @@
 
 async def troubles(net: Net, chance: random.Random) -> None:
     """Of the loop, the door and the mode, until it is cancelled."""
-    take_in, gate, listener = net.program.take_in, net.program.door.gate, listener_of(net)
+    client_handler, gate, listener = net.program.client_handler, net.program.admission.gate, listener_of(net)
     while True:
         draw = chance.random()
         if draw < 0.3:
@@ -87,11 +87,11 @@
             gate.turned = gate.pressed = net.program.engine.clock.now()
         elif draw < 0.6:
             closing = chance.random() < 0.5
-            take_in.closing = lambda closing=closing: closing
+            client_handler.closing = lambda closing=closing: closing
         elif draw < 0.7:
-            listener.dismiss_all()
+            listener.close_all_idle()
         elif draw < 0.8:
-            listener.make_room()
+            listener.evict_idle_client()
         await anyio.sleep(chance.random() * 0.03)
 
 
@@ -122,13 +122,13 @@
                 for one in patrons:
                     group.start_soon(one.run)
             around.cancel_scope.cancel()
-        net.program.take_in.closing = lambda: False
+        net.program.client_handler.closing = lambda: False
         assert all(len(one.got) == REQUESTS for one in patrons)
         assert {status for one in patrons for status in one.got} <= {200, 500, 502, 503}
-        gate = net.program.door.gate
-        await until(lambda: net.program.descriptors.open[Side.CLIENT] == 0)
-        assert gate.inside == 0 and gate.held == 0 and net.program.take_in.answering == 0
-        assert net.program.take_in.defects == 0
+        gate = net.program.admission.gate
+        await until(lambda: net.program.descriptors.open[ConnectionKind.CLIENT] == 0)
+        assert gate.inside == 0 and gate.held == 0 and net.program.client_handler.answering == 0
+        assert net.program.client_handler.internal_errors == 0
 
     net = on_network(check, act, act, sockets=chance.choice([56, 64, 1024]))
     assert not [log for log in net.logs if log[0] in ("task_failed", "module_failed", "order_failed")]
--- a/tests/test_clients_end.py
+++ b/tests/test_clients_end.py
@@ -11,8 +11,8 @@
 from test_sidecar import fine, seen, until
 
 from lupinmill import terms as t
-from lupinmill.transport.client import AHEAD, Client
-from lupinmill.transport.ring import Store
+from lupinmill.transport.client import MAX_PIPELINED_BYTES, Client
+from lupinmill.transport.buffers import BlockPool
 
 LARGE_WINDOW = 1 << 20  # bytes that a kernel takes of a connection that nobody reads
 
@@ -38,7 +38,7 @@
         server.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, LARGE_WINDOW)
         other = socket.create_connection(server.getsockname())
         sock, _ = server.accept()
-    return Client(sock, Store(), lambda: None), other
+    return Client(sock, BlockPool(), lambda: None), other
 
 
 @pytest.mark.parametrize("told", [True, False])
@@ -50,15 +50,15 @@
         monkeypatch.setattr(socket, "TCP_INFO", 10_000)  # as a kernel that doesn't know it
 
     async def check(net: Net):
-        monkeypatch.setattr("lupinmill.routing.send.WAITED", 0, raising=False)
-        monkeypatch.setattr(Client, "gone", never)  # the watch has not had its turn
+        monkeypatch.setattr("lupinmill.routing.attempt_runner.UNSEEN_AGE_US", 0, raising=False)
+        monkeypatch.setattr(Client, "wait_disconnected", never)  # the watch has not had its turn
         listener_of(net).sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, LARGE_WINDOW)
         async with await connect(net) as stream:
             await stream.send(wanted("s1", deadline="8"))
             await arrived(net, "s1")
-            await stream.send(b"x" * (4 * AHEAD))
-        (journey,) = net.program.book.journeys.values()
-        await until(lambda: has_ended(journey.client.sock))
+            await stream.send(b"x" * (4 * MAX_PIPELINED_BYTES))
+        (pending,) = net.program.request_table.pending_requests.values()
+        await until(lambda: has_ended(pending.client.sock))
         list_all(net)
         await until(lambda: net.ended())
         await all_quiet(net)
@@ -74,14 +74,14 @@
     with client, other:
         if not told:
             monkeypatch.setattr(socket, "TCP_INFO", 10_000)
-        assert not client.look() and not client.ended()
+        assert not client.check_disconnected() and not client.has_disconnected()
         if end == "reset":
             other.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
         if end == "half-close":
             other.shutdown(socket.SHUT_WR)
         else:
             other.close()
-        assert client.ended() and client.look()
+        assert client.has_disconnected() and client.check_disconnected()
 
 
 def test_the_kernels_word_sees_an_end_behind_unread_bytes_also_where_no_state_is_told(monkeypatch):
@@ -90,20 +90,20 @@
     client, other = pair()
     with client:
         other.sendall(b"x" * 1000)
-        assert not client.ended()
+        assert not client.has_disconnected()
         other.close()
-        assert client.ended()
+        assert client.has_disconnected()
 
 
 def test_what_this_side_ended_is_no_end_of_the_client():
     """Seen failing: states of a connection whose own end alone was sent counted as the client's."""
     client, other = pair()
     with client, other:
-        client.end_sending()
+        client.shut_down_sending()
         assert other.recv(1) == b""  # it has come, so the connection waits for the client's end alone
-        assert not client.ended() and not client.look()
+        assert not client.has_disconnected() and not client.check_disconnected()
         other.send(b"x")
-        assert not client.look() and not client.ended()
+        assert not client.check_disconnected() and not client.has_disconnected()
 
 
 @pytest.mark.parametrize("in_one", [True, False])
@@ -129,14 +129,14 @@
                 await there.wait()
                 await stream.send(second)
             began = anyio.current_time()
-            (journey,) = net.program.book.journeys.values()
+            (pending,) = net.program.request_table.pending_requests.values()
             if not in_one:
-                await until(lambda: journey.client.ahead)
+                await until(lambda: pending.client.pipelined)
             await anyio.sleep(0.4)
             waited = anyio.current_time() - began
-            before = sum(map(len, pieces(journey.client)))
+            before = sum(map(len, pieces(pending.client)))
             await stream.send(wanted("s3", deadline="8"))
-            await until(lambda: sum(map(len, pieces(journey.client))) > before)
+            await until(lambda: sum(map(len, pieces(pending.client))) > before)
             late = anyio.current_time()
             go_on.set()
             await until(lambda: len(told) == 3)
@@ -145,7 +145,7 @@
         await all_quiet(net)
 
     def pieces(client: Client) -> list[bytes]:
-        return [getattr(one, "data", b"x") for one in client.ahead]
+        return [getattr(one, "data", b"x") for one in client.pipelined]
 
     on_network(check, act, net_of=Unhurried)
 
@@ -156,7 +156,7 @@
     Seen failing as a request at the endpoint whose body had a hole in it."""
 
     async def check(net: Net):
-        door, gate = net.program.door, net.program.door.gate
+        admission, gate = net.program.admission, net.program.admission.gate
         gate.active, gate.window = True, 0.0
         gate.in_time, gate.beat = (lambda *_: True), (lambda *_: None)
         release, gate.release = gate.release, lambda now: []
@@ -166,16 +166,16 @@
             await until(lambda: [one for line in gate.order for one in line.waiting if one.token.scope])
             (offer,) = [one for line in gate.order for one in line.waiting]
             client = offer.client
-            await stream.send(wanted("s2", deadline="8", body=b"a" * (3 * AHEAD)))
-            await until(lambda: client.overrun and client.quiet())
+            await stream.send(wanted("s2", deadline="8", body=b"a" * (3 * MAX_PIPELINED_BYTES)))
+            await until(lambda: client.pipelined_dropped and client.quiet())
             offer.left = 0  # its turn can't come in time any more
             gate.release = release
-            door.release()
+            admission.release()
             assert (await stream.receive()).startswith(b"HTTP/1.1 503")
             gate.active, gate.window = active, 50.0
             with anyio.move_on_after(5):
                 try:
-                    await stream.send(wanted("s3", deadline="8", body=b"b" * (3 * AHEAD)))
+                    await stream.send(wanted("s3", deadline="8", body=b"b" * (3 * MAX_PIPELINED_BYTES)))
                     while True:
                         await stream.receive()
                 except (anyio.EndOfStream, anyio.BrokenResourceError):
@@ -192,7 +192,7 @@
     for the third's. Seen failing as a connection that was read on."""
 
     async def check(net: Net):
-        door, gate = net.program.door, net.program.door.gate
+        admission, gate = net.program.admission, net.program.admission.gate
         gate.active, gate.window = True, 0.0
         gate.in_time, gate.beat = (lambda *_: True), (lambda *_: None)
         release, gate.release = gate.release, lambda now: []
@@ -203,12 +203,15 @@
             (offer,) = [one for line in gate.order for one in line.waiting]
             client = offer.client
             await stream.send(wanted("s2", deadline="8"))
-            await until(lambda: client.ahead)
-            await stream.send(b"x" * (3 * AHEAD))
-            await until(lambda: client.overrun and client.quiet())
-            client.ahead, client.ahead_size = type(client.ahead)([client.ahead[0]]), 0  # s2 alone was kept
+            await until(lambda: client.pipelined)
+            await stream.send(b"x" * (3 * MAX_PIPELINED_BYTES))
+            await until(lambda: client.pipelined_dropped and client.quiet())
+            client.pipelined, client.pipelined_size = (
+                type(client.pipelined)([client.pipelined[0]]),
+                0,
+            )  # s2 alone was kept
             offer.left, gate.in_time, gate.release = 0, (lambda *_: False), release
-            door.release()
+            admission.release()
             got = b""
             with anyio.fail_after(5):
                 try:
--- a/tests/test_clients_upload_left.py
+++ b/tests/test_clients_upload_left.py
@@ -12,8 +12,10 @@
         host, port = net.address.split(":")
         async with await anyio.connect_tcp(host, int(port)) as stream:
             await stream.send(wanted("s1", body=b"x" * 6_000_000)[:2_500_000])
-            await until(lambda: any(one.launches for one in net.program.book.journeys.values()))
-        await until(lambda: not net.program.book.journeys)
-        assert net.program.shelf.leased == 0
+            await until(
+                lambda: any(one.attempts for one in net.program.request_table.pending_requests.values())
+            )
+        await until(lambda: not net.program.request_table.pending_requests)
+        assert net.program.body_memory.leased == 0
 
     on_network(check, fine, fine, limits=limits)
--- a/tests/test_config_relay.py
+++ b/tests/test_config_relay.py
@@ -22,7 +22,7 @@
 from lupinmill.config.relay_file import RelayFile
 from lupinmill.config.standing import Times
 from lupinmill.protocol.http import Answer, ClientSide, Request
-from lupinmill.transport.ring import Store
+from lupinmill.transport.buffers import BlockPool
 
 from config_bed import FLEET, NOTHING, SECOND, of_service
 
@@ -692,7 +692,7 @@
                     seen.append((version, entries))
 
                 follower = Follower("x", (dying,), 5, 20 * SECOND, 1, *first)
-                driver = ConfigWatch(follower, (), Store(), take, lambda *a, **k: None)
+                driver = ConfigWatch(follower, (), BlockPool(), take, lambda *a, **k: None)
                 group.start_soon(driver.run)
                 while cuts:
                     follower.due = 0  # at once, however often it was cut
--- a/tests/test_config_sidecar.py
+++ b/tests/test_config_sidecar.py
@@ -24,7 +24,7 @@
 from lupinmill.program.sidecar import Program
 from lupinmill.program.told import understand
 from lupinmill.protocol.http import Answer
-from lupinmill.transport.ring import Store
+from lupinmill.transport.buffers import BlockPool
 
 FLEET, MINE = Key("fleet", "settings"), Key("sidecar/n1", "settings")
 
@@ -102,8 +102,8 @@
         self.before(self.relay)
         self.table["operator"] = "127.0.0.1:0"
         self.program = Program(self.told(), lambda event, **f: self.logs.append((event, f)), self.told)
-        tell = self.program.engine.tell
-        self.program.engine.tell = lambda event: (self.events.append(event), tell(event))
+        tell = self.program.engine.handle_event
+        self.program.engine.handle_event = lambda event: (self.events.append(event), tell(event))
         self.address = await group.start(self.program.run)
 
     def version(self) -> int:
@@ -159,9 +159,9 @@
         assert not any(
             isinstance(event, t.RequestArrived) and event.workload == "bid" for event in net.events
         )
-        assert program.pool.time_out == 0.7 and program.pool.fresh == 11.0 * 0.8
-        assert program.take_in.advice == 250_000
-        assert program.door.workloads == {"view", "issue", "quick"} == program.admit.workloads
+        assert program.connection_pool.timeout_s == 0.7 and program.connection_pool.fresh == 11.0 * 0.8
+        assert program.client_handler.retry_after == 250_000
+        assert program.admission.workloads == {"view", "issue", "quick"} == program.request_factory.workloads
         assert program.engine.sidecar.dispatcher.settings.sharers == 2
         await net.in_force({FLEET: {"workloads": {"quick": None}}})
         assert (await net.ask(wanted("s4", "quick"))).status == 503
@@ -432,7 +432,7 @@
                 follower = Follower("n1", (bad.address, good.address), 1, 2_000_000, 100_000, Version(), {})
                 follower.relays = [bad.address, good.address]
                 follower.standings[bad.address].margin = 200_000
-                store = Store()
+                store = BlockPool()
                 watch = ConfigWatch(
                     follower,
                     ("fleet",),
@@ -472,7 +472,7 @@
             async with anyio.create_task_group() as group:
                 await group.start(relay.run)
                 follower = Follower("n1", (relay.address,), 1, 0, 100_000, Version(), {})
-                store = Store()
+                store = BlockPool()
                 watch = ConfigWatch(
                     follower, (), store, lambda v, e: None, lambda event, **f: lines.append(f)
                 )
@@ -499,7 +499,9 @@
                 await group.start(relay.run)
                 relay.push({FLEET: {"instances": 4}})
                 follower = Follower("n1", (relay.address,), 1, 2_000_000, 100_000, Version(), {})
-                watch = ConfigWatch(follower, (), Store(), take, lambda event, **f: lines.append((event, f)))
+                watch = ConfigWatch(
+                    follower, (), BlockPool(), take, lambda event, **f: lines.append((event, f))
+                )
                 group.start_soon(watch.run)
                 await until(lambda: follower.refused == 1)
                 assert "RuntimeError" in follower.why and any(event == "task_failed" for event, _ in lines)
--- a/tests/test_config_terms.py
+++ b/tests/test_config_terms.py
@@ -13,7 +13,7 @@
 from lupinmill.config.model import Key
 from lupinmill.limits.gate import Fate, Gate, Offer
 from lupinmill.program import in_force
-from lupinmill.routing.admit import Admit
+from lupinmill.routing.request_factory import RequestFactory
 from lupinmill.rules import Sidecar
 
 FLEET, MINE = Key("fleet", "settings"), Key("sidecar/n1", "settings")
@@ -307,7 +307,7 @@
     bed, rng, names = Live(deployment(workloads=[IDEM])), random.Random(11), iter(range(10**6))
     gate, desk = Gate(deployment(workloads=[IDEM])), bed.sidecar.dispatcher
     gate.active, gate.window, gate.carries = True, 0.0, 1_000.0
-    admit = Admit(None, None, {"view"}, None)
+    factory = RequestFactory(None, None, {"view"}, None)
     row = in_force.replace(IDEM)
     sizes = []
     for at in range(2_000):
@@ -316,7 +316,7 @@
         d = deployment(workloads=workloads, tenants=tenants, instances=rng.randrange(1, 5))
         bed.step(t.DeploymentChanged(d), after=1_000)
         gate.deploy(d)
-        admit.deploy({w.name for w in workloads}, 0)
+        factory.deploy({w.name for w in workloads}, 0)
         for w in workloads:
             name = bed.arrive(w, tenant=tenants[0].name)
             offer = Offer(w.name, w.hard_limit)
@@ -337,6 +337,6 @@
             sizes.append(len(pickle.dumps(bed.sidecar)))
         assert len(desk.queues) <= 5 + len(desk.open) and len(desk.gauges) <= 5 + len(desk.open)
         assert len(desk.sent_by) == 1 and len(gate.lines) <= 5
-        assert len(admit.gone) <= 1_000 and len(admit.known) <= 1_005
+        assert len(factory.removed_workloads) <= 1_000 and len(factory.known_workloads) <= 1_005
     assert not desk.open and len(desk.queues) == 0
     assert max(sizes[1:]) < 1.2 * sizes[0], sizes
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -12,10 +12,10 @@
 
 from lupinmill import terms as t
 from lupinmill.protocol.http import Answer
-from lupinmill.routing import take_in
-from lupinmill.transport.descriptors import OWN, Side
+from lupinmill.routing import client_handler
+from lupinmill.transport.descriptors import RESERVED_DESCRIPTORS, ConnectionKind
 from lupinmill.transport.listener import Client
-from lupinmill.transport.pool import REST
+from lupinmill.transport.connection_pool import MIN_IDLE_S
 
 
 async def connect(net: Net) -> anyio.abc.SocketStream:
@@ -65,7 +65,7 @@
 async def all_quiet(net: Net) -> None:
     """Nothing is left in the module either."""
     desk = net.program.engine.sidecar.dispatcher
-    await until(lambda: not net.program.book.journeys and not desk.open)
+    await until(lambda: not net.program.request_table.pending_requests and not desk.open)
     assert (
         desk.waiting == 0
         and desk.in_flight == 0
@@ -103,7 +103,7 @@
             await arrived(net, "s1")
             second = wanted("s2", body=b"x" * 30_000)
             await stream.send(second[:20_000])
-            await until(lambda: any(client.ahead for client in clients(net)))
+            await until(lambda: any(client.pipelined for client in clients(net)))
             list_all(net)
             got = await stream.receive()
             assert got.startswith(b"HTTP/1.1 200") and got.endswith(b"done-s1")
@@ -112,7 +112,7 @@
             assert got.startswith(b"HTTP/1.1 200") and got.endswith(b"done-s2")
 
     def clients(net: Net) -> list[Client]:
-        return [one.client for one in net.program.book.journeys.values()]
+        return [one.client for one in net.program.request_table.pending_requests.values()]
 
     net = on_network(check, fine, net_of=Unlisted)
     (second,) = [one for one in net.stands[0].seen if one.header(b"req-id") == "s2"]
@@ -142,7 +142,7 @@
     """Seen failing as a launch: nobody looked at a connection while its request was held at the door."""
 
     async def check(net: Net):
-        gate = net.program.door.gate
+        gate = net.program.admission.gate
         gate.active, gate.window = True, 0.0
         gate.in_time, gate.beat = (lambda *_: True), (lambda *_: None)
         release, gate.release = gate.release, lambda now: []
@@ -152,7 +152,7 @@
             await until(lambda: gate.held)
         await until(lambda: not gate.held)  # its place in the line is given back at once
         gate.window, gate.release = 8.0, release
-        net.program.door.release()
+        net.program.admission.release()
         assert (await net.ask(wanted("s2"))).status == 200
         assert gate.inside == 0 and gate.held == 0
 
@@ -165,7 +165,7 @@
     """The end lies unread in the very pass of the loop in which the request's turn comes."""
 
     async def check(net: Net):
-        door, gate = net.program.door, net.program.door.gate
+        door, gate = net.program.admission, net.program.admission.gate
         gate.active, gate.window = True, 0.0
         gate.in_time, gate.beat = (lambda *_: True), (lambda *_: None)
         release, gate.release = gate.release, lambda now: []
@@ -177,7 +177,7 @@
         assert offer.client.sock.recv(1, socket.MSG_PEEK) == b""  # it is there, and nobody has looked
         gate.window, gate.release = 8.0, release
         door.release()
-        assert offer.client.inside
+        assert offer.client.admitted
         await until(lambda: offer.client.closed)
         assert gate.inside == 0
 
@@ -193,8 +193,8 @@
         await anyio.sleep_forever()
 
     async def check(net: Net):
-        monkeypatch.setattr("lupinmill.routing.send.WAITED", 0, raising=False)
-        monkeypatch.setattr(Client, "gone", never)  # the watch has not had its turn
+        monkeypatch.setattr("lupinmill.routing.attempt_runner.UNSEEN_AGE_US", 0, raising=False)
+        monkeypatch.setattr(Client, "wait_disconnected", never)  # the watch has not had its turn
         async with await connect(net) as stream:
             await stream.send(wanted("s1", deadline="8"))
             await arrived(net, "s1")
@@ -209,8 +209,8 @@
 
 def by_age_or_lag_alone_never(monkeypatch):
     """So that what is looked for is judged by the connection itself, however long this run takes."""
-    for name in ("WAITED", "LAGS"):
-        monkeypatch.setattr(f"lupinmill.routing.send.{name}", 10**12, raising=False)
+    for name in ("UNSEEN_AGE_US", "UNSEEN_LATENESS_US"):
+        monkeypatch.setattr(f"lupinmill.routing.attempt_runner.{name}", 10**12, raising=False)
 
 
 def test_a_client_that_left_in_the_kernels_queue_while_no_place_was_free_is_launched_nowhere(monkeypatch):
@@ -218,7 +218,9 @@
     read in one pass, and by the stamps it came just now. Seen failing as a request at the endpoint, on the
     kept connection that wants no pass of its own."""
     by_age_or_lag_alone_never(monkeypatch)
-    monkeypatch.setattr(take_in, "CROWDED_OUT", 60.0)  # those that are turned away keep their places
+    monkeypatch.setattr(
+        client_handler, "TURN_AWAY_TIMEOUT_S", 60.0
+    )  # those that are turned away keep their places
     there, go_on = anyio.Event(), anyio.Event()
 
     async def act(request):
@@ -229,24 +231,24 @@
 
     async def check(net: Net):
         assert (await net.ask(wanted("s0"))).status == 200
-        (kept,) = net.program.pool.idle["e0"]
-        kept.idle_since -= REST
-        await until(lambda: net.program.descriptors.open[Side.CLIENT] == 0)
+        (kept,) = net.program.connection_pool.idle["e0"]
+        kept.idle_since -= MIN_IDLE_S
+        await until(lambda: net.program.descriptors.open[ConnectionKind.CLIENT] == 0)
         listener = net.program.descriptors.close_idle_client.__self__
         net.program.descriptors.client_limit = 1
         async with AsyncExitStack() as crowd:
             hog = await connect(net)
             await hog.send(wanted("hog", deadline="8"))
             await there.wait()
-            for _ in range(OWN // 2):
+            for _ in range(RESERVED_DESCRIPTORS // 2):
                 await crowd.enter_async_context(await connect(net))
-            await until(lambda: listener.turning_away == OWN // 2)
+            await until(lambda: listener.turning_away == RESERVED_DESCRIPTORS // 2)
             async with await connect(net) as stream:
                 await stream.send(wanted("s1", deadline="8"))
             go_on.set()
             await hog.receive()
-            (kept,) = net.program.pool.idle["e0"]
-            kept.idle_since -= REST
+            (kept,) = net.program.connection_pool.idle["e0"]
+            kept.idle_since -= MIN_IDLE_S
             await hog.aclose()
             await arrived(net, "s1")
             await all_quiet(net)
@@ -279,9 +281,9 @@
             for at in range(before):
                 await stream.send(wanted(f"b{at}"))
                 await stream.receive()
-            monkeypatch.setattr(Client, "gone", never)
+            monkeypatch.setattr(Client, "wait_disconnected", never)
             if before:
-                monkeypatch.setattr("lupinmill.routing.send.LAGS", -1)
+                monkeypatch.setattr("lupinmill.routing.attempt_runner.UNSEEN_LATENESS_US", -1)
             await stream.send(wanted("s1", deadline="8"))
             await turned.wait()
         left.set()
@@ -295,9 +297,9 @@
 def test_the_time_of_a_request_runs_while_the_one_that_came_with_it_is_served(monkeypatch):
     """Where no kernel tells when bytes came. Seen failing as a launch told all 8 s: its time was counted from
     when its turn came, and its answer could come after its hard limit."""
-    monkeypatch.setattr("lupinmill.transport.connection.STAMP_ROOM", 0)
-    monkeypatch.setattr("lupinmill.transport.client.STAMP_ROOM", 0)
-    monkeypatch.setattr("lupinmill.transport.connection.LAST_DATA", 10_000)
+    monkeypatch.setattr("lupinmill.transport.connection.ANCILLARY_SIZE", 0)
+    monkeypatch.setattr("lupinmill.transport.client.ANCILLARY_SIZE", 0)
+    monkeypatch.setattr("lupinmill.transport.connection.LAST_DATA_OFFSET", 10_000)
     there, go_on, told = anyio.Event(), anyio.Event(), []
 
     async def act(request):
@@ -328,8 +330,8 @@
     """Nothing is accepted while two clients send. Seen failing where no kernel tells when bytes came:
     launches told all 8 s. What comes to an empty queue has all of its time."""
     if not stamped:
-        monkeypatch.setattr("lupinmill.transport.connection.STAMP_ROOM", 0)
-        monkeypatch.setattr("lupinmill.transport.connection.LAST_DATA", 10_000)
+        monkeypatch.setattr("lupinmill.transport.connection.ANCILLARY_SIZE", 0)
+        monkeypatch.setattr("lupinmill.transport.connection.LAST_DATA_OFFSET", 10_000)
     told = {}
 
     async def act(request):
@@ -358,7 +360,7 @@
             await until(lambda: len(told) == 2)
             assert max(told.values()) <= 8.0 - waited
             listener.accept_all = accept_all
-        await until(lambda: net.program.descriptors.open[Side.CLIENT] == 0)
+        await until(lambda: net.program.descriptors.open[ConnectionKind.CLIENT] == 0)
         async with await connect(net) as third:
             await third.send(wanted("s3", deadline="8"))
             await until(lambda: len(told) == 3)
@@ -370,14 +372,14 @@
 
 def test_a_client_that_left_while_its_body_waited_for_room_is_noticed_at_the_launch(monkeypatch):
     """Nothing is read of a body that there is no room for, so its end lies behind unread bytes."""
-    monkeypatch.setattr("lupinmill.routing.send.WAITED", 0, raising=False)
+    monkeypatch.setattr("lupinmill.routing.attempt_runner.UNSEEN_AGE_US", 0, raising=False)
 
     async def check(net: Net):
-        net.program.shelf.limit = 0
+        net.program.body_memory.limit = 0
         async with await connect(net) as stream:
             await stream.send(wanted("s1", deadline="5", body=b"x" * 900_000)[:-400_000])
             await arrived(net, "s1")
-            await until(lambda: net.program.book.journeys["s1"].body.end > 65_536)
+            await until(lambda: net.program.request_table.pending_requests["s1"].body.end > 65_536)
         list_all(net)
         await until(lambda: net.ended())
         await all_quiet(net)
@@ -408,7 +410,7 @@
             desk.taken.add(desk.message_queue.now, 1000.0)  # the budget allows one
             desk.random_source.upto = lambda ceiling: ceiling  # the longest delay
         if held_by == "a connection that comes up late":
-            opens = net.program.pool.open
+            opens = net.program.connection_pool.open
 
             async def late(address):
                 turned.set()
@@ -416,7 +418,7 @@
                     await gone.wait()
                 return await opens(address)
 
-            net.program.pool.open = late
+            net.program.connection_pool.open = late
         async with anyio.create_task_group() as group:
             if held_by == "a full endpoint":
                 desk.cap, desk.settings.cap_growth = 1.0, 0.0
--- a/tests/test_crossings_end.py
+++ b/tests/test_crossings_end.py
@@ -12,8 +12,8 @@
 from test_sidecar import always, fine, seen, start, until
 
 from lupinmill.protocol.http import Answer
-from lupinmill.routing.relay import Relay
-from lupinmill.routing.take_in import TakeIn
+from lupinmill.routing.response_writer import ResponseWriter
+from lupinmill.routing.client_handler import ClientHandler
 
 
 def ends_here(net: Net) -> None:
@@ -27,13 +27,13 @@
 
 def test_a_client_accepted_whose_task_has_not_begun_is_served_before_the_end(monkeypatch):
     """Seen failing with no answer: clients counted from when their task ran, not from their acceptance."""
-    turn, serves, answers = anyio.Event(), TakeIn.serve, []
+    turn, serves, answers = anyio.Event(), ClientHandler.serve, []
 
     async def held(self, client, welcome):
         await turn.wait()
         await serves(self, client, welcome)
 
-    monkeypatch.setattr(TakeIn, "serve", held)
+    monkeypatch.setattr(ClientHandler, "serve", held)
 
     async def check(net: Net):
         ends_here(net)
@@ -55,7 +55,7 @@
 
 def test_an_answer_that_is_on_its_way_when_the_stay_is_over_still_reaches_its_client(monkeypatch):
     """Seen failing as a connection that ended with nothing on it: settled counted as answered."""
-    passes, held = Relay.pass_back, anyio.Event()
+    passes, held = ResponseWriter.send_answer, anyio.Event()
 
     async def late(self, *args):
         await held.wait()
@@ -67,7 +67,7 @@
         async def ask():
             answers.append(await net.ask(wanted("s1", deadline="0.9")))
 
-        monkeypatch.setattr(Relay, "pass_back", late)
+        monkeypatch.setattr(ResponseWriter, "send_answer", late)
         async with anyio.create_task_group() as group:
             group.start_soon(ask)
             await until(lambda: seen(net, "s1"))
--- a/tests/test_crossings_endpoints.py
+++ b/tests/test_crossings_endpoints.py
@@ -18,10 +18,10 @@
 from lupinmill.program.told import understand
 from lupinmill.protocol import submission
 from lupinmill.protocol.http import Answer, Request
-from lupinmill.routing.book import Book, Journey, Launch
+from lupinmill.routing.request_table import RequestTable, PendingRequest, Attempt
 from lupinmill.routing.deadline import Deadline
 from lupinmill.routing.engine import Clock, Engine
-from lupinmill.routing.route import Route
+from lupinmill.routing.command_executor import CommandExecutor
 from lupinmill.transport import connection as transport
 
 NO_PROBES = settings()["limits"] | {"probes": False}
@@ -56,7 +56,7 @@
     async def check(net: Net):
         if kept:
             assert (await net.ask(wanted("s0"))).status == 200
-            (one,) = net.program.pool.idle["e0"]
+            (one,) = net.program.connection_pool.idle["e0"]
             one.idle_since -= 1.0  # it has rested
         assert (await net.ask(wanted("s1", "issue", "0.9"))).status == 502
         await all_quiet(net)
@@ -96,7 +96,7 @@
         net.program.engine.sidecar.dispatcher.taken.add(net.program.engine.clock.now(), 1000.0)
         if kept:
             assert (await net.ask(wanted("s0"))).status == 200
-            (one,) = net.program.pool.idle["e0"]
+            (one,) = net.program.connection_pool.idle["e0"]
             one.idle_since -= 1.0
         body = b"x" * (60_000 if kept else 3_000_000) + b"xyz"  # more than the kernels hold at once
         answer = await net.ask(wanted("s1", "issue", "5", body=body))
@@ -163,43 +163,47 @@
         told = []
         table = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "settings": settings()}
         engine = Engine(understand(table, {}).deployment, Clock(), lambda *_, **__: None)
-        engine.tell = told.append
-        book = Book(engine)
+        engine.handle_event = told.append
+        request_table = RequestTable(engine)
         async with anyio.create_task_group() as group:
-            route = Route(engine, book, None, group)
+            executor = CommandExecutor(engine, request_table, None, group)
             request = Request(b"GET", b"/view", [(b"Req-Id", b"s1"), (b"Req-Deadline", b"1")])
-            asked = submission.read(request, {"view"})
-            journey = Journey(asked, request, engine.clock.now() + 1_000_000, None, engine.clock.now())
-            book.begin(journey)
-            launch = Launch("e0", 0, engine.clock.now(), Deadline(math.inf), written=True)
-            journey.launches.append(launch)
+            metadata = submission.read(request, {"view"})
+            pending = PendingRequest(
+                metadata, request, engine.clock.now() + 1_000_000, None, engine.clock.now()
+            )
+            request_table.add(pending)
+            attempt = Attempt("e0", 0, engine.clock.now(), Deadline(math.inf), fully_sent=True)
+            pending.attempts.append(attempt)
             answers = []
 
             def settled():
-                if journey.settled and not answers:
-                    answers.append(journey.answer)
+                if pending.settled and not answers:
+                    answers.append(pending.answer)
 
             for move in moves:
                 if move == "answered":
-                    book.ended(journey, launch, t.Outcome.HANDLED, Answer(200), None)
+                    request_table.attempt_ended(pending, attempt, t.Outcome.HANDLED, Answer(200), None)
                 elif move == "called off":
-                    route.call_off(t.CancelAttempt("s1", 0))
+                    executor.cancel_attempt(t.CancelAttempt("s1", 0))
                 elif move == "timed out":
-                    book.ended(journey, launch, t.Outcome.TIMED_OUT, None, None)
+                    request_table.attempt_ended(pending, attempt, t.Outcome.TIMED_OUT, None, None)
                 elif move == "denied":
-                    route.deny(t.RejectRequest("s1", 0))
+                    executor.reject_request(t.RejectRequest("s1", 0))
                 else:
-                    book.withdraw(journey)
+                    request_table.withdraw(pending)
                 settled()
-            if launch.out:
-                book.ended(journey, launch, t.Outcome.CALLED_OFF, None, None)
-            if not journey.settled:
-                route.break_off(t.AbortResponse("s1"))
+            if attempt.in_flight:
+                request_table.attempt_ended(pending, attempt, t.Outcome.CALLED_OFF, None, None)
+            if not pending.settled:
+                executor.abort_response(t.AbortResponse("s1"))
                 settled()
-            assert journey.answer is answers[0]  # what was given stands
+            assert pending.answer is answers[0]  # what was given stands
             assert sum(isinstance(event, t.AttemptEnded) for event in told) == 1
             assert sum(isinstance(event, t.RequestCancelled) for event in told) <= 1
-            assert not book.journeys and book.unlaunched == 1  # the launch was put there by hand
+            assert (
+                not request_table.pending_requests and request_table.unattempted == 1
+            )  # the launch was put there by hand
 
     anyio.run(main)
 
@@ -301,7 +305,7 @@
             await stream.aclose()
         await until(
             lambda: net.program.descriptors.open == dict.fromkeys(net.program.descriptors.open, 0)
-            or not net.program.book.journeys
+            or not net.program.request_table.pending_requests
         )
         await all_quiet(net)
 
--- a/tests/test_crossings_lists.py
+++ b/tests/test_crossings_lists.py
@@ -18,7 +18,7 @@
 from lupinmill.discovery.driver import watch_timing
 from lupinmill.protocol import lists
 from lupinmill.protocol.http import Answer
-from lupinmill.transport.pool import REST
+from lupinmill.transport.connection_pool import MIN_IDLE_S
 
 
 def test_a_move_that_crosses_the_last_byte_of_a_call_asks_the_new_service_for_its_whole_list(monkeypatch):
@@ -43,7 +43,7 @@
             await until(lambda: other.seen)
             assert other.seen[0].target == b"/v1/endpoints"
             await until(lambda: "e0" not in net.program.directory.states)
-            assert net.program.directory.takes("e1")
+            assert net.program.directory.accepts_attempts("e1")
             group.cancel_scope.cancel()
 
     on_network(check, fine, fine, discovery="push")
@@ -135,7 +135,7 @@
             return net.program.engine.sidecar.registry.listed.get("e0")
 
         assert await both(["SERVING", "DELETED"]) is None and "e0" not in net.program.directory.states
-        assert await both(["DELETED", "SERVING"]) is not None and net.program.directory.takes("e0")
+        assert await both(["DELETED", "SERVING"]) is not None and net.program.directory.accepts_attempts("e0")
         assert (await net.ask(wanted("s1"))).status == 200
 
     on_network(check, fine, discovery="push")
@@ -148,7 +148,7 @@
     async def check(net: Net):
         async with anyio.create_task_group() as group:
             await group.start(strange.run)
-            opens, old = net.program.pool.open, net.discovery.rows[0]
+            opens, old = net.program.connection_pool.open, net.discovery.rows[0]
 
             async def crossed(address):
                 connection = await opens(address)
@@ -158,7 +158,7 @@
                     )
                 return connection
 
-            net.program.pool.open = crossed
+            net.program.connection_pool.open = crossed
             moved = lists.known({"index": 8, "endpoints": [old | {"address": strange.address}]})
             net.program.directory.update(moved, t.ListKind.CHANGES)
             assert (await net.ask(wanted("s1", "issue", "0.8"))).status == 200
@@ -172,7 +172,7 @@
 
 def test_an_endpoint_that_vanished_while_its_connection_came_up_gets_nothing():
     async def check(net: Net):
-        opens = net.program.pool.open
+        opens = net.program.connection_pool.open
 
         async def crossed(address):
             connection = await opens(address)
@@ -181,7 +181,7 @@
             )
             return connection
 
-        net.program.pool.open = crossed
+        net.program.connection_pool.open = crossed
         assert (await net.ask(wanted("s1", "issue", "0.3"))).status == 503
         await all_quiet(net)
 
@@ -194,8 +194,8 @@
 
     async def check(net: Net):
         assert (await net.ask(wanted("s0"))).status == 200
-        (kept,) = net.program.pool.idle["e0"]
-        kept.idle_since -= REST
+        (kept,) = net.program.connection_pool.idle["e0"]
+        kept.idle_since -= MIN_IDLE_S
         sends = kept.send
 
         async def broken(data):
@@ -226,7 +226,7 @@
 
 def test_a_client_that_leaves_while_the_list_moves_its_endpoint_leaves_nothing_behind():
     async def check(net: Net):
-        opens = net.program.pool.open
+        opens = net.program.connection_pool.open
         there, gone = anyio.Event(), anyio.Event()
 
         async def crossed(address):
@@ -235,14 +235,14 @@
                 await gone.wait()
             return await opens(address)
 
-        net.program.pool.open = crossed
+        net.program.connection_pool.open = crossed
         host, port = net.address.split(":")
         async with await anyio.connect_tcp(host, int(port)) as stream:
             await stream.send(wanted("s1"))
             await arrived(net, "s1")
             await there.wait()
         await until(lambda: any(isinstance(event, t.RequestCancelled) for event in net.events))
-        net.program.directory.by_hand("e0", True)
+        net.program.directory.set_cordoned("e0", True)
         gone.set()
         await all_quiet(net)
 
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -14,10 +14,10 @@
 
 from lupinmill import terms as t
 from lupinmill.protocol.http import Answer, ClientSide, Request
-from lupinmill.routing import take_in
+from lupinmill.routing import client_handler
 from lupinmill.transport import connection
-from lupinmill.transport.client import SILENT
-from lupinmill.transport.descriptors import Side
+from lupinmill.transport.client import NEW_IDLE_S
+from lupinmill.transport.descriptors import ConnectionKind
 
 READY = b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n"
 
@@ -54,7 +54,9 @@
 
 def test_where_no_place_is_free_readiness_is_told_as_it_is_and_all_else_denied(monkeypatch):
     """A front that asked for /ready while every place was taken was told 503 by a ready sidecar."""
-    monkeypatch.setattr(take_in, "WHOLE", 60)  # seconds that a place is held by half a request
+    monkeypatch.setattr(
+        client_handler, "REQUEST_TIMEOUT_S", 60
+    )  # seconds that a place is held by half a request
 
     async def check(net: Net):
         host, port = net.address.split(":")
@@ -63,13 +65,13 @@
             for _ in range(descriptors.client_limit):
                 stuck = await stack.enter_async_context(await anyio.connect_tcp(host, int(port)))
                 await stuck.send(b"POST /view HTTP/1.1\r\n")
-            await until(lambda: descriptors.open[Side.CLIENT] == descriptors.client_limit)
+            await until(lambda: descriptors.open[ConnectionKind.CLIENT] == descriptors.client_limit)
             await until(lambda: not descriptors.close_idle_client.__self__.idle)
             assert (await net.ask(READY)).status == 200
             assert (await net.ask(wanted("late"))).status == 503
             net.program.overrides.quiesce(0)
             assert (await net.ask(READY)).status == 503
-        assert not net.program.book.journeys
+        assert not net.program.request_table.pending_requests
 
     net = on_network(check, fine, sockets=48)
     assert not net.ended()
@@ -82,10 +84,10 @@
         async with crowd(net.address, 60, 40):
             assert (await net.ask(READY)).status == 503
             net.discovery.fault = None
-            await until(lambda: not net.program.directory.empty())
+            await until(lambda: not net.program.directory.has_no_ready_endpoint())
             assert (await net.ask(READY)).status == 200
-            idle = net.program.take_in.listener.idle
-            await until(lambda: any(client.spare(time.monotonic()) for client in idle))
+            idle = net.program.client_handler.listener.idle
+            await until(lambda: any(client.evictable(time.monotonic()) for client in idle))
             for at in range(5):
                 assert (await net.ask(wanted(f"s{at}"))).body == b"done-s%d" % at
 
@@ -114,7 +116,7 @@
     monkeypatch.setattr(connection, "stream_socket", short)
 
     async def check(net: Net):
-        await until(lambda: not net.program.directory.empty())
+        await until(lambda: not net.program.directory.has_no_ready_endpoint())
         assert (await net.ask(READY)).status == 200
 
     net = on_network(check, fine, known=False, discovery="push")
@@ -151,7 +153,7 @@
                 async with crowd(net.address, 50, 100):
                     assert (await net.ask(READY)).status == 200 and held(pid) <= sockets
                     # All of the crowd was accepted before /ready was; the silent are spared that long.
-                    await anyio.sleep(2 * SILENT)
+                    await anyio.sleep(2 * NEW_IDLE_S)
                     assert (await net.ask(wanted(f"s{serial}"))).status == 200 and held(pid) <= sockets
                     began[serial].kill()
                     began[serial].wait()
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -16,7 +16,7 @@
 from lupinmill.protocol import lists
 from lupinmill.protocol.http import Answer, Garbled
 from lupinmill.transport.connection import Unconnected
-from lupinmill.transport.ring import Store
+from lupinmill.transport.buffers import BlockPool
 
 ROWS = [
     {
@@ -49,7 +49,7 @@
     def update(self, known, kind) -> None:
         self.updates.append((known.index, kind, [entry.endpoint for entry in known.entries]))
 
-    def failed(self) -> None:
+    def fetch_failed(self) -> None:
         self.failures += 1
 
 
@@ -71,7 +71,9 @@
                 address = "127.0.0.1:%d" % listener.extra(anyio.abc.SocketAttribute.local_port)
                 async with anyio.create_task_group() as group:
                     group.start_soon(listener.serve, serve)
-                    client = DiscoveryClient(address, deployment(), directory, Store(), lambda *_, **__: None)
+                    client = DiscoveryClient(
+                        address, deployment(), directory, BlockPool(), lambda *_, **__: None
+                    )
                     watch_call = Call(1, CallKind.WATCH, address, 0, 0.0, 1.0, 7, 1.0)
                     for _ in range(len(data)):
                         with pytest.raises((OSError, Garbled, Unconnected)):
@@ -116,7 +118,7 @@
     async def check(net: Net):
         await until(lambda: net.discovery.seen)
         net.discovery.change(net.discovery.rows[0], status="DRAINING")
-        await until(lambda: not net.program.directory.takes("e0"))
+        await until(lambda: not net.program.directory.accepts_attempts("e0"))
         before, rows = net.program.directory.index, [dict(row) for row in net.discovery.rows]
         rows[0]["status"] = "SERVING"
 
@@ -129,7 +131,7 @@
             )
 
         net.discovery.act = older
-        await until(lambda: net.program.directory.takes("e0"))
+        await until(lambda: net.program.directory.accepts_attempts("e0"))
         assert net.program.directory.index == before - 1
         assert [event for event, _ in net.logs if event == "watch_older"] == ["watch_older"]
 
--- a/tests/test_discovery_directory.py
+++ b/tests/test_discovery_directory.py
@@ -77,7 +77,7 @@
 
 def test_what_a_whole_list_leaves_out_is_forgotten_with_its_connections_and_what_stays_keeps_them():
     async def check(net: Net):
-        directory, pool = net.program.directory, net.program.pool
+        directory, pool = net.program.directory, net.program.connection_pool
         while len(pool.idle) < 2:
             assert (await net.ask(wanted(f"s{len(net.events)}"))).status == 200
         whole = lists.known({"index": 99, "snapshot": True, "endpoints": [changed_row(net, 1)]})
--- a/tests/test_discovery_fleet.py
+++ b/tests/test_discovery_fleet.py
@@ -50,7 +50,7 @@
         self.target = b""
         self.since: int | None = None
 
-    def quiet(self) -> bool:
+    def is_idle(self) -> bool:
         return True
 
     def close(self) -> None:
--- a/tests/test_discovery_six_seconds.py
+++ b/tests/test_discovery_six_seconds.py
@@ -15,7 +15,7 @@
 from lupinmill.discovery import watcher
 from lupinmill.discovery.driver import DiscoveryClient
 from lupinmill.transport.connection import NoDescriptor, Unconnected
-from lupinmill.transport.ring import Store
+from lupinmill.transport.buffers import BlockPool
 
 PROPAGATION_LIMIT_S = 6.0  # required by the operators
 ANSWER_DELAY_S = 1.5
@@ -79,7 +79,7 @@
     def __init__(self, service: TroubledService) -> None:
         self.service, self.sent, self.bytes_sent, self.target = service, 0.0, 0, b""
 
-    def quiet(self) -> bool:
+    def is_idle(self) -> bool:
         return True
 
     def close(self) -> None:
@@ -131,7 +131,7 @@
             self.updated = anyio.current_time()
             self.new_version_received.set()
 
-    def failed(self) -> None:
+    def fetch_failed(self) -> None:
         if self.asks:
             asyncio.get_running_loop().call_later(MODULE_RETRY_DELAY_S, self.ask)
 
@@ -156,7 +156,7 @@
     service = TroubledService(trouble, anyio.current_time() + offset)
     directory = FakeDirectory(index, asks)
     terms = deployment(instances=instances, poll_discovery=not pushed, poll_interval=10_000_000)
-    client = DiscoveryClient("127.0.0.1:1", terms, directory, Store(), lambda *_, **__: None)
+    client = DiscoveryClient("127.0.0.1:1", terms, directory, BlockPool(), lambda *_, **__: None)
     discovery.connect = service.connect  # put back by the fixture
     directory.ask = lambda: client.watch(t.StartWatch())
     client.watch(t.StartWatch())
@@ -218,7 +218,7 @@
     old, new = TroubledService(trouble, float("inf")), TroubledService("none", 0.0)
     directory = FakeDirectory(index, True)
     terms = deployment(instances=200, poll_discovery=not pushed, poll_interval=10_000_000)
-    client = DiscoveryClient("127.0.0.1:1", terms, directory, Store(), lambda *_, **__: None)
+    client = DiscoveryClient("127.0.0.1:1", terms, directory, BlockPool(), lambda *_, **__: None)
 
     async def connect(address, *more):
         return await (old if address == "127.0.0.1:1" else new).connect(address, *more)
@@ -295,7 +295,7 @@
     async def main() -> None:
         terms = deployment(poll_discovery=not pushed, poll_interval=10_000_000)
         client = DiscoveryClient(
-            "127.0.0.1:1", terms, FakeDirectory(OLD_VERSION, True), Store(), lambda *_, **__: None
+            "127.0.0.1:1", terms, FakeDirectory(OLD_VERSION, True), BlockPool(), lambda *_, **__: None
         )
         client.watch(t.StartWatch())
         with anyio.move_on_after(10):
@@ -325,7 +325,7 @@
             "127.0.0.1:1",
             terms,
             FakeDirectory(OLD_VERSION, True),
-            Store(),
+            BlockPool(),
             lambda event, **f: logs.append((event, f)),
         )
         with anyio.move_on_after(2):
@@ -362,7 +362,7 @@
     async def main() -> None:
         terms = deployment(poll_discovery=False)
         client = DiscoveryClient(
-            "127.0.0.1:1", terms, FakeDirectory(OLD_VERSION, True), Store(), lambda *_, **__: None
+            "127.0.0.1:1", terms, FakeDirectory(OLD_VERSION, True), BlockPool(), lambda *_, **__: None
         )
         with anyio.move_on_after(1):
             await client.run()
--- a/tests/test_endpoints_connections.py
+++ b/tests/test_endpoints_connections.py
@@ -18,13 +18,13 @@
 
 from lupinmill import terms as t
 from lupinmill.protocol.http import Request
-from lupinmill.routing.book import Journey
-from lupinmill.routing.send import Send
+from lupinmill.routing.request_table import PendingRequest
+from lupinmill.routing.attempt_runner import AttemptRunner
 from lupinmill.transport import connection as transport
-from lupinmill.transport import pool
+from lupinmill.transport import connection_pool
 from lupinmill.transport.client import Client
 from lupinmill.transport.connection import Connection, NoDescriptor, Unconnected
-from lupinmill.transport.ring import Store
+from lupinmill.transport.buffers import BlockPool
 
 NO_PROBES = settings()["limits"] | {"probes": False}
 LARGE = 3 * 1024 * 1024  # bytes, far more than is waited for before a body is launched
@@ -65,7 +65,9 @@
         monkeypatch.setattr(transport, "stream_socket", from_that_port)
         given_back = []
         with pytest.raises(Unconnected):
-            await transport.connect(f"127.0.0.1:{bound[0]}", TO_ITSELF, Store(), lambda: given_back.append(1))
+            await transport.connect(
+                f"127.0.0.1:{bound[0]}", TO_ITSELF, BlockPool(), lambda: given_back.append(1)
+            )
         assert given_back == [1]
 
     anyio.run(main)
@@ -94,7 +96,7 @@
     async def main() -> None:
         given_back = []
         with pytest.raises(NoDescriptor):
-            await transport.connect("127.0.0.1:9", TO_ITSELF, Store(), lambda: given_back.append(1))
+            await transport.connect("127.0.0.1:9", TO_ITSELF, BlockPool(), lambda: given_back.append(1))
         assert given_back == [1]
 
     monkeypatch.setattr(transport, "stream_socket", make)
@@ -120,7 +122,7 @@
     async def main() -> None:
         given_back = []
         with pytest.raises(Unconnected):
-            await transport.connect(address, TO_ITSELF, Store(), lambda: given_back.append(1))
+            await transport.connect(address, TO_ITSELF, BlockPool(), lambda: given_back.append(1))
         assert given_back == [1]
 
     anyio.run(main)
@@ -135,7 +137,7 @@
 
     async def main() -> None:
         here, there = pair()
-        store = Store()
+        store = BlockPool()
         with Connection(here, store, lambda: None) as connection:
             there.sendall(b"half")
             reset(there)
@@ -175,7 +177,7 @@
     async def check(net: Net):
         if kept:
             assert (await net.ask(wanted("s0"))).status == 200
-            (one,) = net.program.pool.idle["e0"]
+            (one,) = net.program.connection_pool.idle["e0"]
             one.idle_since -= 1.0  # it has rested
         data = wanted("s1", "issue", "5", body=b"x" * LARGE)
         async with await connect(net) as stream:
@@ -259,9 +261,9 @@
     """Seen failing from 60,000 bytes on: a look reads four pieces, and the end comes as a fifth."""
     withdrawn = []
 
-    class Book:
+    class FakeRequestTable:
         class engine:
-            late = 0
+            lateness = 0
 
             class clock:
                 @staticmethod
@@ -269,8 +271,8 @@
                     return 0
 
         @staticmethod
-        def withdraw(journey) -> None:
-            withdrawn.append(journey)
+        def withdraw(pending) -> None:
+            withdrawn.append(pending)
 
     async def main() -> None:
         here, there = pair()
@@ -279,12 +281,12 @@
         there.shutdown(socket.SHUT_WR)
         if end == "close":
             there.close()
-        with Client(here, Store(), lambda: None) as client:
-            await until(client.ended)
-            journey = Journey(None, Request(b"GET", b"/", []), 0, client, 0)
-            Send(None, None, Book, False, print).look_back(journey)
+        with Client(here, BlockPool(), lambda: None) as client:
+            await until(client.has_disconnected)
+            pending = PendingRequest(None, Request(b"GET", b"/", []), 0, client, 0)
+            AttemptRunner(None, None, FakeRequestTable, False, print).withdraw_if_disconnected(pending)
         there.close()
-        assert withdrawn == [journey]
+        assert withdrawn == [pending]
 
     anyio.run(main)
 
@@ -325,7 +327,7 @@
 def test_the_time_that_connecting_takes_is_not_told_as_left(kept, monkeypatch):
     """Also where a kept connection was ended and another has to come up."""
     told: list[float] = []
-    connects = pool.connect
+    connects = connection_pool.connect
 
     async def late(*more):
         began = time.monotonic()
@@ -347,11 +349,11 @@
     async def check(net: Net):
         if kept:
             assert (await net.ask(wanted("s0", "issue", "5"))).status == 200
-            (one,) = net.program.pool.idle["e0"]
+            (one,) = net.program.connection_pool.idle["e0"]
             one.idle_since -= 1.0
-            monkeypatch.setattr(one, "quiet", lambda: True)  # it ends between the look and the write
+            monkeypatch.setattr(one, "is_idle", lambda: True)  # it ends between the look and the write
             one.sock.shutdown(socket.SHUT_RDWR)
-        monkeypatch.setattr(pool, "connect", late)
+        monkeypatch.setattr(connection_pool, "connect", late)
         assert (await net.ask(wanted("s1", "issue", "5"))).status == 200
 
     on_network(check, fine, endpoint=endpoint, limits=NO_PROBES)
