--- a/tests/test_endpoints_late.py
+++ b/tests/test_endpoints_late.py
@@ -9,11 +9,11 @@
 import anyio
 import pytest
 
-from lupinmill.transport import pool as pools
+from lupinmill.transport import connection_pool as pools
 from lupinmill.transport.connection import Connection, Unconnected
-from lupinmill.transport.descriptors import Descriptors, Side
-from lupinmill.transport.pool import Pool
-from lupinmill.transport.ring import Store
+from lupinmill.transport.descriptors import DescriptorBudget, ConnectionKind
+from lupinmill.transport.connection_pool import ConnectionPool
+from lupinmill.transport.buffers import BlockPool
 
 TIME_OUT = 0.1  # seconds, of one attempt; the kernel tries again a second after the first try
 BACKLOG = 0  # the system takes one more than this
@@ -51,12 +51,12 @@
             one.close()
 
 
-def made() -> tuple[Pool, Descriptors]:
-    descriptors = Descriptors(200)
-    return Pool(descriptors, Store(), 30.0, TIME_OUT), descriptors
+def made() -> tuple[ConnectionPool, DescriptorBudget]:
+    descriptors = DescriptorBudget(200)
+    return ConnectionPool(descriptors, BlockPool(), 30.0, TIME_OUT), descriptors
 
 
-async def given_up(pool: Pool, address: str) -> None:
+async def given_up(pool: ConnectionPool, address: str) -> None:
     with pytest.raises(Unconnected):
         await pool.open(address)
 
@@ -73,7 +73,7 @@
             connection = await pool.open(crowded.address)
             assert isinstance(connection, Connection) and connection.sock.getsockname() == own
             connection.close()
-            assert descriptors.open[Side.ENDPOINT] == 0
+            assert descriptors.open[ConnectionKind.ENDPOINT] == 0
         finally:
             crowded.close()
 
@@ -85,7 +85,7 @@
         crowded, (pool, _) = Crowded(), made()
         try:
             await given_up(pool, crowded.address)
-            pool.time_out = 3.0
+            pool.timeout_s = 3.0
             found: list[Connection] = []
 
             async def attempt() -> None:
@@ -96,7 +96,7 @@
                 await anyio.sleep(0)
                 await crowded.let_in()
                 crowded.fill()
-            assert found[0].quiet()
+            assert found[0].is_idle()
             found[0].close()
             pool.close()
         finally:
@@ -107,18 +107,21 @@
 
 def test_what_comes_up_late_is_bounded_and_given_back(monkeypatch):
     async def main() -> None:
-        listeners = [Crowded() for _ in range(pools.MOST_RISING + 2)]
+        listeners = [Crowded() for _ in range(pools.MAX_LATE_CONNECTIONS + 2)]
         pool, descriptors = made()
         try:
             for one in listeners:
                 await given_up(pool, one.address)
                 await given_up(pool, one.address)  # one for each address
-            assert descriptors.open[Side.ENDPOINT] == pools.MOST_RISING
-            assert pool.close_oldest() and descriptors.open[Side.ENDPOINT] == pools.MOST_RISING - 1
-            later = time.monotonic() + pools.RISES + 1
+            assert descriptors.open[ConnectionKind.ENDPOINT] == pools.MAX_LATE_CONNECTIONS
+            assert (
+                pool.close_oldest()
+                and descriptors.open[ConnectionKind.ENDPOINT] == pools.MAX_LATE_CONNECTIONS - 1
+            )
+            later = time.monotonic() + pools.LATE_CONNECT_S + 1
             monkeypatch.setattr(pools.time, "monotonic", lambda: later)
-            pool.sweep()
-            assert descriptors.open[Side.ENDPOINT] == 0
+            pool.close_expired()
+            assert descriptors.open[ConnectionKind.ENDPOINT] == 0
         finally:
             for one in listeners:
                 one.close()
@@ -132,7 +135,7 @@
         await given_up(pool, crowded.address)
         crowded.close()
         with anyio.fail_after(10):
-            while descriptors.open[Side.ENDPOINT]:
+            while descriptors.open[ConnectionKind.ENDPOINT]:
                 await given_up(pool, crowded.address)
                 await anyio.sleep(0.05)
 
--- a/tests/test_engine_defects.py
+++ b/tests/test_engine_defects.py
@@ -68,19 +68,19 @@
     """Seen failing: the exception left the launch's task, and ended every other one of the program."""
 
     async def check(net: Net):
-        ended = net.program.book.tell_ended
+        ended = net.program.request_table.report_attempt_ended
 
-        def broken(journey, *more):
-            if journey.asked.submission == "bad":
+        def broken(pending, *more):
+            if pending.metadata.submission == "bad":
                 raise KeyError("planted")
-            ended(journey, *more)
+            ended(pending, *more)
 
-        net.program.book.tell_ended = broken
+        net.program.request_table.report_attempt_ended = broken
         with anyio.fail_after(4):
             assert (await net.ask(wanted("bad", "issue", "8.0"))).status == 502
         net.stands[0].act = fine
         assert (await net.ask(wanted("s1", "issue", "8.0"))).status == 200
-        assert not net.program.book.journeys
+        assert not net.program.request_table.pending_requests
 
     net = on_network(check, always(Answer(500)), workloads=PATIENT, limits=NO_PROBES)
     assert logged(net, "task_failed")
@@ -89,17 +89,17 @@
 def test_a_probe_whose_outcome_cannot_be_told_does_not_end_the_program():
     async def check(net: Net):
         engine = net.program.engine
-        tell = engine.tell
+        tell = engine.handle_event
 
         def broken(event):
             if isinstance(event, t.ProbeEnded):
                 raise KeyError("planted")
             tell(event)
 
-        engine.tell = broken
-        engine.carriers[t.StartProbe](t.StartProbe("e0"))
+        engine.handle_event = broken
+        engine.command_handlers[t.StartProbe](t.StartProbe("e0"))
         await until(lambda: logged(net, "task_failed"))
-        engine.tell = tell
+        engine.handle_event = tell
         assert (await net.ask(wanted("s1"))).status == 200
 
     on_network(check, fine, limits=NO_PROBES)
@@ -142,11 +142,11 @@
         engine = engine_of(logs)
         now = engine.clock.now()
         engine.sidecar = module = Asleep(now + 300_000)
-        engine.tell(t.RequestBodyReceived("s0", now))
-        engine.tell(t.RequestCancelled("s1"))
+        engine.handle_event(t.RequestBodyReceived("s0", now))
+        engine.handle_event(t.RequestCancelled("s1"))
         with anyio.move_on_after(10):
             async with anyio.create_task_group() as group:
-                group.start_soon(engine.keep_time)
+                group.start_soon(engine.run_timer)
                 await until(lambda: [at for at in module.woken if at >= module.at])
                 group.cancel_scope.cancel()
         assert [at for at in module.woken if at >= module.at], "never woken when it had asked to be"
@@ -160,9 +160,9 @@
         engine = engine_of([])
         now = engine.clock.now()
         engine.sidecar = Asleep(now + 3_600_000_000)
-        engine.tell(t.RequestBodyReceived("s0", now))
-        engine.tell(t.RequestCancelled("s1"))
-        assert engine.next_wake() - engine.clock.now() <= engines.GO_ON
+        engine.handle_event(t.RequestBodyReceived("s0", now))
+        engine.handle_event(t.RequestCancelled("s1"))
+        assert engine.next_wake() - engine.clock.now() <= engines.RESUME_DELAY_US
 
     anyio.run(main)
 
@@ -172,10 +172,10 @@
         engine = engine_of([])
         engine.sidecar = Asleep(engine.clock.now() + 3_600_000_000)
         for _ in range(50):
-            engine.tell(t.RequestCancelled("s1"))
-        assert engine.go_on == engines.GO_ON_MOST
-        engine.tell(t.RequestBodyReceived("s0", 0))
-        assert engine.go_on == engines.GO_ON
+            engine.handle_event(t.RequestCancelled("s1"))
+        assert engine.resume_delay == engines.MAX_RESUME_DELAY_US
+        engine.handle_event(t.RequestBodyReceived("s0", 0))
+        assert engine.resume_delay == engines.RESUME_DELAY_US
 
     anyio.run(main)
 
@@ -191,17 +191,20 @@
         engine.sidecar = Asleep(engine.clock.now() + 1_000_000)
 
         def raising(command):
-            engine.tell(t.RequestBodyReceived("inner", 0))
+            engine.handle_event(t.RequestBodyReceived("inner", 0))
             done.append("told")
             raise KeyError("planted")
 
-        engine.carriers |= {t.StartAttempt: raising, t.RejectRequest: lambda command: done.append("denied")}
+        engine.command_handlers |= {
+            t.StartAttempt: raising,
+            t.RejectRequest: lambda command: done.append("denied"),
+        }
         engine.sidecar.step = lambda now, events, ring: (
             [t.StartAttempt("s1", "e0", 0), t.RejectRequest("s2")]
             if events[0].request == "outer"
             else done.append("inner") or []
         )
-        engine.tell(t.RequestBodyReceived("outer", 0))
+        engine.handle_event(t.RequestBodyReceived("outer", 0))
         assert done == ["told", "denied", "inner"] and not engine.events and not engine.stepping
 
     anyio.run(main)
@@ -215,7 +218,9 @@
     async def check(net: Net):
         engine, desk = net.program.engine, net.program.engine.sidecar.dispatcher
         due = engine.clock.now() + 8_000_000
-        engine.tell(t.RequestArrived("ghost", "issue", due))  # no client's: the book knows nothing of it
+        engine.handle_event(
+            t.RequestArrived("ghost", "issue", due)
+        )  # no client's: the book knows nothing of it
         await until(lambda: not desk.open)
         assert desk.in_flight == 0 and not any(seat.in_flight for seat in desk.endpoint_states.values())
         assert (await net.ask(wanted("s1", "issue"))).status == 200
@@ -275,10 +280,10 @@
         with anyio.fail_after(6):
             async with anyio.create_task_group() as group:
                 group.start_soon(ask, "first")
-                await until(lambda: "first" in net.program.book.journeys)
+                await until(lambda: "first" in net.program.request_table.pending_requests)
                 engine.sidecar.dispatcher.cap = 0.1  # one launch at a time: the next ones are held
                 group.start_soon(ask, "waits")
-                await until(lambda: "waits" in net.program.book.journeys)
+                await until(lambda: "waits" in net.program.request_table.pending_requests)
                 group.start_soon(ask, "innocent")
                 await until(lambda: "waits" in got)
                 assert got == {"waits": 502}
--- a/tests/test_fault_campaign.py
+++ b/tests/test_fault_campaign.py
@@ -29,14 +29,14 @@
 """
 END = "\nsys.exit(main())\n"
 AFTER_SOME = """
-from lupinmill.routing.book import Book
-ended, seen = Book.ended, []
+from lupinmill.routing.request_table import RequestTable
+ended, seen = RequestTable.attempt_ended, []
 def planted(self, *more):
     seen.append(None)
     if len(seen) > 20:
         fault()
     return ended(self, *more)
-Book.ended = planted
+RequestTable.attempt_ended = planted
 """
 LAUNCH = """
 from lupinmill.protocol import submission
@@ -57,7 +57,8 @@
         "ended unasked",
     ),
     "never ready": (
-        "from lupinmill.routing.admit import Admit\nAdmit.readiness = lambda self, request: None",
+        "from lupinmill.routing.request_factory import RequestFactory\n"
+        "RequestFactory.readiness = lambda self, request: None",
         Fault.NOT_STARTED,
         "not ready",
     ),
@@ -107,15 +108,15 @@
         "told more time than is left",
     ),
     "read and closed": (
-        "from lupinmill.routing.relay import Relay\n"
-        "passed, seen = Relay.pass_back, []\n"
+        "from lupinmill.routing.response_writer import ResponseWriter\n"
+        "passed, seen = ResponseWriter.send_answer, []\n"
         "async def planted(self, client, *more):\n"
         "    seen.append(None)\n"
         "    if len(seen) % 7:\n"
         "        return await passed(self, client, *more)\n"
         "    client.close()\n"
         "    return False\n"
-        "Relay.pass_back = planted",
+        "ResponseWriter.send_answer = planted",
         Fault.UNANSWERED,
         "no answer",
     ),
--- a/tests/test_forwarded_body.py
+++ b/tests/test_forwarded_body.py
@@ -13,9 +13,9 @@
 from test_size import chunked, noise
 
 from lupinmill.protocol.http import END, Request, ServerSide
-from lupinmill.routing import body as bodies
-from lupinmill.routing.body import Body, Gone
-from lupinmill.transport.ring import Shelf
+from lupinmill.routing import request_body as bodies
+from lupinmill.routing.request_body import RequestBody, BodyUnavailable
+from lupinmill.transport.buffers import MemoryBudget
 
 SEARCH = hypothesis_settings(derandomize=True, deadline=None, max_examples=400)
 OTHER = 1_000  # bytes that other bodies hold of the shelf
@@ -26,7 +26,7 @@
 class Attempt:
     """Reads part after part, as `Send.send_large` does, and each step is told to it."""
 
-    def __init__(self, body: Body) -> None:
+    def __init__(self, body: RequestBody) -> None:
         self.body, self.got, self.number = body, b"", 0
         self.end = ""  # "whole", "gone" or "cancelled"
         self.scope = anyio.CancelScope()
@@ -35,7 +35,7 @@
 
     async def run(self) -> None:
         with self.scope:
-            if not self.body.anew():
+            if not self.body.can_restart():
                 self.end = "gone"
                 return
             while not self.end:
@@ -52,7 +52,7 @@
     async def read_part(self) -> None:
         try:
             part = await self.body.read(len(self.got), self.number)
-        except Gone:
+        except BodyUnavailable:
             self.end = "gone"
             return
         if not part:
@@ -74,9 +74,9 @@
     """A body, its source and its attempts, driven step by step."""
 
     def __init__(self, room: int, sizes: list[int], launched: bool) -> None:
-        self.shelf = Shelf(OTHER + room)
+        self.shelf = MemoryBudget(OTHER + room)
         assert self.shelf.lease(OTHER)
-        self.body = Body(self.shelf, None)
+        self.body = RequestBody(self.shelf, None)
         self.sizes, self.launched = sizes, launched
         self.written, self.put = b"", 0
         self.attempts: list[Attempt] = []
@@ -87,13 +87,13 @@
         self.busy = True
         before = self.body.end
         await self.body.put(bytearray(data), self.launched)
-        assert self.body.end == before + (0 if self.body.broken else size)
-        if not self.body.broken:
+        assert self.body.end == before + (0 if self.body.dropped else size)
+        if not self.body.dropped:
             self.written += data
         self.busy = False
 
     async def act(self, group, action: str, which: int) -> None:
-        if action == "put" and not self.busy and not self.body.whole and self.sizes:
+        if action == "put" and not self.busy and not self.body.complete and self.sizes:
             group.start_soon(self.put_part, self.sizes.pop())
         elif action == "finish" and not self.busy:
             self.body.finish()
@@ -103,7 +103,7 @@
         elif self.attempts and action in ("step", "cancel"):
             attempt = self.attempts[which % len(self.attempts)]
             attempt.step() if action == "step" else attempt.scope.cancel()
-        elif action == "drop" and self.body.whole:
+        elif action == "drop" and self.body.complete:
             self.body.drop()
         await settle()
         self.check()
@@ -113,7 +113,7 @@
         kept = b"".join(bytes(part) for part in body.parts)
         assert self.shelf.leased == OTHER + body.leased <= self.shelf.limit
         assert 0 <= body.leased <= len(kept)
-        if not body.broken:
+        if not body.dropped:
             assert kept == self.written[body.start :] and body.end == len(self.written)
         assert len(kept) <= body.leased + AHEAD + LARGEST_PART or not self.launched
         furthest = max((len(attempt.got) for attempt in self.attempts), default=0)
@@ -121,9 +121,9 @@
         for attempt in self.attempts:
             assert self.written.startswith(attempt.got)
             if attempt.end == "whole":
-                assert attempt.got == self.written and body.whole
+                assert attempt.got == self.written and body.complete
             if attempt.end == "gone":
-                assert body.broken or body.start > 0
+                assert body.dropped or body.start > 0
 
 
 ACTIONS = st.lists(
@@ -168,11 +168,11 @@
         await settle()
         assert not made.busy, "the source waits on a body that nobody wants"
 
-    before, bodies.AHEAD = bodies.AHEAD, AHEAD
+    before, bodies.MAX_UNSENT_BYTES = bodies.MAX_UNSENT_BYTES, AHEAD
     try:
         anyio.run(main)
     finally:
-        bodies.AHEAD = before
+        bodies.MAX_UNSENT_BYTES = before
     assert made.shelf.leased == OTHER and made.body.leased == 0 and not made.body.parts
 
 
@@ -227,7 +227,7 @@
                 assert (answer.status, f"s{at}" in resetting.reset) == (503, True)
             if len(again) >= 2:
                 break
-        await until(lambda: net.program.shelf.leased == 0)
+        await until(lambda: net.program.body_memory.leased == 0)
 
     net = on_network(check, fine, fine, endpoint=resetting.attend)
     assert again, "no request was repeated"
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -29,8 +29,8 @@
 from lupinmill.protocol.http import Answer
 from lupinmill.rules import Sidecar
 from lupinmill.state import learned
-from lupinmill.transport.descriptors import Side
-from lupinmill.transport.link import BrokenLink, Link
+from lupinmill.transport.descriptors import ConnectionKind
+from lupinmill.transport.link import LinkError, Link
 
 HELLO = {"say": "hello", "version": VERSION, "name": "n1", "listen": "a:1"}
 
@@ -91,8 +91,8 @@
         here, there = link_pair()
         here.sock.send(data)
         here.sock.close()
-        with pytest.raises(BrokenLink):
-            await there.hear_one()
+        with pytest.raises(LinkError):
+            await there.receive_message()
         there.close()
 
     anyio.run(main)
@@ -284,7 +284,7 @@
 
 
 def clients(program: Program) -> int:
-    return program.descriptors.open[Side.CLIENT]
+    return program.descriptors.open[ConnectionKind.CLIENT]
 
 
 def test_idle_clients_pass_with_what_lies_unread_and_busy_ones_after_their_answer():
@@ -297,11 +297,11 @@
         ):
             assert b"done-a1" in await exchange(idle, "a1")
             await busy.send(wanted("slow"))
-            await until(lambda: "slow" in old.book.journeys)
+            await until(lambda: "slow" in old.request_table.pending_requests)
             new = await pair.start()
             await until(lambda: clients(new) == 1)
             assert clients(old) == 1
-            await until(lambda: "slow" in new.book.elsewhere)
+            await until(lambda: "slow" in new.request_table.open_in_predecessor)
             assert sum(seat.elsewhere for seat in new.engine.sidecar.dispatcher.endpoint_states.values()) == 1
             assert (await net.ask(wanted("slow"))).status == 400  # a request with this id is open
             await busy.send(wanted("next"))  # pipelined behind the open one
@@ -309,10 +309,10 @@
             assert b"done-next" in await busy.receive()
             assert b"done-a2" in await exchange(idle, "a2")
             await until(lambda: clients(new) == 2 and clients(old) == 0)
-            await until(lambda: not new.book.elsewhere)
+            await until(lambda: not new.request_table.open_in_predecessor)
             assert all(seat.elsewhere == 0 for seat in new.engine.sidecar.dispatcher.endpoint_states.values())
             assert (await net.ask(wanted("fresh"))).body == b"done-fresh"
-            assert not old.book.journeys
+            assert not old.request_table.pending_requests
 
     async def act(request):
         if request.header(b"req-id") == "slow":
@@ -356,7 +356,7 @@
         await until(
             lambda: old.handover.successor is None and old.handover.protocol.phase is Phase.NO_SUCCESSOR
         )
-        assert old.handover.protocol.accepts_clients() and not old.descriptors.elsewhere
+        assert old.handover.protocol.accepts_clients() and not old.descriptors.held_by_predecessor
         for at in range(10):
             assert (await pair.net.ask(wanted(f"s{at}"))).status == 200
 
@@ -380,8 +380,8 @@
             link = Link(old.handover.upgrade_socket.connect())
             assert (await link.ask(message, 2))["say"] == "no"
             link.sock.send(link.encode({"say": "and now?"}))
-            with anyio.fail_after(3), pytest.raises((BrokenLink, OSError)):
-                await link.hear_one()
+            with anyio.fail_after(3), pytest.raises((LinkError, OSError)):
+                await link.receive_message()
             link.close()
 
     run_upgrade(check, fine)
@@ -411,7 +411,7 @@
             pair.ends[1].cancel()
             await until(lambda: old.handover.successor is None and old.handover.protocol.accepts_clients())
             monkeypatch.undo()
-            assert link.broken and not link.going
+            assert link.closed and not link.outgoing
             with pytest.raises((anyio.EndOfStream, anyio.BrokenResourceError)):
                 await idle.receive()
         assert (await net.ask(wanted("a2"))).body == b"done-a2"
@@ -803,12 +803,12 @@
         net.discovery.change(net.discovery.rows[0], status="DRAINING")
         new = await pair.start()
         await until(lambda: not old.handover.protocol.accepts_clients())
-        assert new.directory.takes("e0")
+        assert new.directory.accepts_attempts("e0")
         held.set()
-        await until(lambda: not old.directory.takes("e0"))
+        await until(lambda: not old.directory.accepts_attempts("e0"))
         with anyio.move_on_after(3):
-            await until(lambda: not new.directory.takes("e0"))
-        assert not new.directory.takes("e0")
+            await until(lambda: not new.directory.accepts_attempts("e0"))
+        assert not new.directory.accepts_attempts("e0")
 
     run_upgrade(check, fine, fine)
 
@@ -825,10 +825,10 @@
             {"address": address, "list": {"index": index, "snapshot": True, "endpoints": rows}},
         ):
             new.handover.on_list(told)
-            assert new.directory.takes("e0") and new.directory.index == index
+            assert new.directory.accepts_attempts("e0") and new.directory.index == index
         new.handover.on_list(
             {"address": address, "list": {"index": index + 1, "snapshot": True, "endpoints": rows}}
         )
-        assert not new.directory.takes("e0") and new.directory.index == index + 1
+        assert not new.directory.accepts_attempts("e0") and new.directory.index == index + 1
 
     run_upgrade(check, fine, fine)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -13,7 +13,7 @@
 from lupinmill.limits.gate import BEAT as GATE_BEAT
 from lupinmill.protocol import quick
 from lupinmill.protocol.http import Answer
-from lupinmill.routing.door import Door
+from lupinmill.routing.admission import AdmissionController
 
 MS, SECOND = 1_000, 1_000_000
 VIEW = t.Workload("view", 600 * MS, 1500 * MS, 2.0)
@@ -259,12 +259,12 @@
 
 def shut(net: Net) -> Gate:
     """A door that takes nothing up, as when the core is far behind."""
-    door = net.program.door
-    assert isinstance(door, Door)
-    door.gate.beat(0, 10 * ENTER)
-    door.gate.window, door.gate.carries = 0.0, 1.0
-    door.gate.beat = lambda *_: None
-    return door.gate
+    admission = net.program.admission
+    assert isinstance(admission, AdmissionController)
+    admission.gate.beat(0, 10 * ENTER)
+    admission.gate.window, admission.gate.carries = 0.0, 1.0
+    admission.gate.beat = lambda *_: None
+    return admission.gate
 
 
 def test_what_the_door_denies_reaches_no_module_and_no_endpoint() -> None:
@@ -301,7 +301,7 @@
             broken = await net.ask(b"GET /view HTTP/1.1\r\nHost: x\r\nReq-Id: z\r\n\r\n")
             assert broken is not None and broken.status == 400
             gate.window = 5.0
-            net.program.door.release()
+            net.program.admission.release()
         assert [event.request for event in net.events if isinstance(event, t.RequestArrived)] == ["held"]
         assert gate.inside == gate.held == 0
 
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -22,11 +22,11 @@
 from lupinmill.program.logs import Logs
 from lupinmill.protocol import lists
 from lupinmill.protocol.http import Answer
-from lupinmill.routing import send, take_in
+from lupinmill.routing import attempt_runner, client_handler
 from lupinmill.transport import listener, wall_clock
 from lupinmill.transport.connection import Connection
-from lupinmill.transport.descriptors import CLIENT_MEMORY, OWN_MEMORY, Side
-from lupinmill.transport.pool import REST
+from lupinmill.transport.descriptors import MEMORY_PER_CLIENT, BASE_MEMORY, ConnectionKind
+from lupinmill.transport.connection_pool import MIN_IDLE_S
 
 DECLINED = Answer(503, [(b"Srv-Declined", b"1")])
 
@@ -114,7 +114,7 @@
 @pytest.mark.parametrize("row", [{"status": "DRAINING"}, {"status": "DELETED"}])
 def test_what_drains_while_the_connection_is_made_gets_no_byte(row):
     async def check(net: Net):
-        whole = net.program.pool.open
+        whole = net.program.connection_pool.open
 
         async def slow(address):
             connection = await whole(address)
@@ -122,7 +122,7 @@
             net.program.directory.update(entry, t.ListKind.CHANGES)
             return connection
 
-        net.program.pool.open = slow
+        net.program.connection_pool.open = slow
         assert (await net.ask(wanted("s1", "issue", "0.3"))).status == 503
 
     net = on_network(check, fine, limits=settings()["limits"] | {"probes": False})
@@ -131,14 +131,14 @@
 
 def test_nothing_is_written_for_a_client_that_left_while_the_connection_was_made():
     async def check(net: Net):
-        whole = net.program.pool.open
+        whole = net.program.connection_pool.open
 
         async def slow(address):
             with anyio.CancelScope(shield=True):
                 await anyio.sleep(0.2)
             return await whole(address)
 
-        net.program.pool.open = slow
+        net.program.connection_pool.open = slow
         assert await net.ask(wanted("s1"), gone_after=0.05) is None
         await anyio.sleep(0.3)
 
@@ -164,8 +164,8 @@
 
     async def check(net: Net):
         assert (await net.ask(wanted("s1"))).status == 200
-        (kept,) = [one for some in net.program.pool.idle.values() for one in some]
-        kept.idle_since -= REST  # it has rested
+        (kept,) = [one for some in net.program.connection_pool.idle.values() for one in some]
+        kept.idle_since -= MIN_IDLE_S  # it has rested
 
         async def broken(data):
             broke.append(data)
@@ -217,7 +217,7 @@
 
 
 def test_what_lay_unread_is_taken_off_answer_times_and_hard_limits(monkeypatch):
-    monkeypatch.setattr(Connection, "waited", lambda self: 50_000)
+    monkeypatch.setattr(Connection, "unread_time", lambda self: 50_000)
 
     async def check(net: Net):
         assert (await net.ask(wanted("s1", deadline="0.8"))).status == 200
@@ -246,7 +246,7 @@
 
 
 def test_a_request_cut_off_in_the_middle_frees_all_it_held(monkeypatch):
-    monkeypatch.setattr(take_in, "WHOLE", 0.1)
+    monkeypatch.setattr(client_handler, "REQUEST_TIMEOUT_S", 0.1)
 
     async def check(net: Net):
         host, port = net.address.split(":")
@@ -255,20 +255,20 @@
             assert (await stuck.receive()).startswith(b"HTTP/1.1 408 ")
             with pytest.raises(anyio.EndOfStream):
                 await stuck.receive()
-            while net.program.descriptors.open[Side.CLIENT]:  # though its client stays
+            while net.program.descriptors.open[ConnectionKind.CLIENT]:  # though its client stays
                 await anyio.sleep(0.01)
         async with await anyio.connect_tcp(host, int(port)) as leaving:
             await leaving.send(wanted("s2")[:50])
         await anyio.sleep(0.05)
-        assert net.program.descriptors.open[Side.CLIENT] == 0
+        assert net.program.descriptors.open[ConnectionKind.CLIENT] == 0
 
     assert not [event for event in on_network(check, fine).events if isinstance(event, t.RequestArrived)]
 
 
 def test_what_trickles_or_says_nothing_is_closed_in_time_and_drives_out_no_client_in_use(monkeypatch):
     """Seen failing with 10 s between two parts of a request, none for a first, and room made by age alone."""
-    for module in (take_in, listener):
-        monkeypatch.setattr(module, "WHOLE", 0.4)
+    for module in (client_handler, listener):
+        monkeypatch.setattr(module, "REQUEST_TIMEOUT_S", 0.4)
 
     async def closed_after(net: Net, trickle: bytes) -> float:
         host, port = net.address.split(":")
@@ -437,14 +437,16 @@
         def arrive(event):
             whole(event)
             if event.request == "s1":  # told while its orders are carried out, as a failing launch would
-                engine.carriers[t.StartAttempt] = lambda command: [engine.tell(one) for one in (bad, emptied)]
+                engine.command_handlers[t.StartAttempt] = lambda command: [
+                    engine.handle_event(one) for one in (bad, emptied)
+                ]
 
         def broken(event):
             raise RuntimeError("a defect")
 
         bad, emptied = t.RequestCancelled("none"), t.ListReceived(t.ListKind.FULL, [])
         desk.handlers |= {t.RequestArrived: arrive, t.RequestCancelled: broken}
-        engine.tell(t.RequestArrived("s1", "view", engine.clock.now() + 300_000))
+        engine.handle_event(t.RequestArrived("s1", "view", engine.clock.now() + 300_000))
         await anyio.sleep(0)
         assert not engine.sidecar.registry.listed
 
@@ -455,7 +457,7 @@
     def broken(answer):
         raise RuntimeError("a defect")
 
-    monkeypatch.setattr(send.submission, "outcome", broken)
+    monkeypatch.setattr(attempt_runner.submission, "outcome", broken)
 
     async def check(net: Net):
         assert (await net.ask(wanted("s1", "issue", "0.3"))).status == 502
@@ -498,7 +500,7 @@
             await until(lambda: t.ListReceived(t.ListKind.FAILED, []) in net.events)
             net.discovery.fault = None
             net.discovery.change(net.discovery.rows[0], status="DRAINING")
-            await until(lambda: not net.program.directory.takes("e0"))
+            await until(lambda: not net.program.directory.accepts_attempts("e0"))
 
     on_network(check, fine, fine)
 
@@ -515,7 +517,7 @@
         await until(lambda: len(net.program.discovery.watcher.calls) > 1)
         net.discovery.fault = None
         net.discovery.change(net.discovery.rows[0], status="DRAINING")
-        await until(lambda: not net.program.directory.takes("e0"))
+        await until(lambda: not net.program.directory.accepts_attempts("e0"))
 
     on_network(check, fine, discovery="push")
 
@@ -525,12 +527,12 @@
     that one left the list."""
 
     async def check(net: Net):
-        directory, pool, row = net.program.directory, net.program.pool, net.discovery.rows[0]
+        directory, pool, row = net.program.directory, net.program.connection_pool, net.discovery.rows[0]
         assert (await net.ask(wanted("s1"))).status == 200
         (old,) = pool.idle["e0"]
         net.discovery.change(row, status="DRAINING")
         net.discovery.change(dict(row), name="n0", status="SERVING")
-        await until(lambda: directory.takes("n0") and not directory.takes("e0"))
+        await until(lambda: directory.accepts_attempts("n0") and not directory.accepts_attempts("e0"))
         assert (await net.ask(wanted("s2"))).status == 200
         (new,) = pool.idle["n0"]
         assert new is not old
@@ -548,14 +550,14 @@
     async def check(net: Net):
         if mode == "ask":
             assert (await net.ask(b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n")).status == 503
-        await until(lambda: net.program.directory.takes("e0"))
+        await until(lambda: net.program.directory.accepts_attempts("e0"))
         assert (await net.ask(b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n")).status == 200
         await anyio.sleep(0.05)
         began = time.monotonic()
         net.discovery.change(net.discovery.rows[0], status="DRAINING")
-        await until(lambda: not net.program.directory.takes("e0"))
+        await until(lambda: not net.program.directory.accepts_attempts("e0"))
         net.discovery.change(net.discovery.rows[0], status="SERVING", since_ms=int(time.time() * 1000))
-        await until(lambda: net.program.directory.takes("e0"))
+        await until(lambda: net.program.directory.accepts_attempts("e0"))
         assert time.monotonic() - began < 0.2
         (entry,) = net.events[-1].entries
         assert abs(net.program.engine.clock.now() - entry.started) < 1_000_000
@@ -806,7 +808,7 @@
                     await anyio.sleep(1.0)
                     status = Path(f"/proc/{process.pid}/status").read_text()
                     used = int(re.search(r"VmRSS:\s+(\d+) kB", status)[1])
-                    assert 16_000 < used < (OWN_MEMORY + 250 * CLIENT_MEMORY) // 1024
+                    assert 16_000 < used < (BASE_MEMORY + 250 * MEMORY_PER_CLIENT) // 1024
                 process.kill()
                 process.communicate()
                 group.cancel_scope.cancel()
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -14,10 +14,10 @@
 
 from lupinmill import terms as t
 from lupinmill.protocol.http import SMALL, Answer, ClientSide, Garbled, Request, ServerSide
-from lupinmill.routing import body as bodies
-from lupinmill.routing import take_in
-from lupinmill.routing.body import Body, Gone
-from lupinmill.transport.ring import Shelf
+from lupinmill.routing import request_body as bodies
+from lupinmill.routing import client_handler
+from lupinmill.routing.request_body import RequestBody, BodyUnavailable
+from lupinmill.transport.buffers import MemoryBudget
 from lupinmill.workings import RequestTimeout
 
 MIB = 2**20
@@ -141,9 +141,9 @@
 @pytest.mark.parametrize("seed", range(20))
 def test_a_body_reaches_its_launches_whole_and_within_its_bounds(seed):
     rng = random.Random(seed)
-    shelf = Shelf(rng.choice([0, 40_000, 10**9]))
+    shelf = MemoryBudget(rng.choice([0, 40_000, 10**9]))
     data = noise(300_000, seed)
-    body = Body(shelf, None)
+    body = RequestBody(shelf, None)
 
     async def put() -> None:
         at = 0
@@ -152,7 +152,7 @@
             await body.put(data[at : at + size])
             at += size
             held = sum(len(part) for part in body.parts)
-            assert shelf.leased <= shelf.limit and held <= shelf.leased + bodies.AHEAD + 16_000
+            assert shelf.leased <= shelf.limit and held <= shelf.leased + bodies.MAX_UNSENT_BYTES + 16_000
             await anyio.sleep(0)
         body.finish()
 
@@ -171,15 +171,15 @@
                 first = await launch(20_000)
                 assert data.startswith(first)
                 try:
-                    assert body.anew()
+                    assert body.can_restart()
                     assert await launch(10**9) == data
-                except Gone:
-                    assert not body.anew() and shelf.limit < len(data)
+                except BodyUnavailable:
+                    assert not body.can_restart() and shelf.limit < len(data)
                     group.cancel_scope.cancel()
-        assert (shelf.limit < len(data)) == (not body.anew())
+        assert (shelf.limit < len(data)) == (not body.can_restart())
         body.drop()
         assert shelf.leased == 0
-        with pytest.raises(Gone):
+        with pytest.raises(BodyUnavailable):
             await body.read(0, 0)
 
     anyio.run(main)
@@ -241,12 +241,12 @@
     sizes = [SMALL, SMALL + 1, 300_000, MIB + 5, 6 * MIB]
 
     async def check(net: Net):
-        net.program.shelf.limit = shelf
+        net.program.body_memory.limit = shelf
         for at, size in enumerate(sizes):
             body = noise(size, at)
             data = wanted(f"s{at}", body=body) if form == "length" else chunked(f"s{at}", body, at)
             assert (await net.ask(data)).body == b"done-s%d" % at
-        await until(lambda: net.program.shelf.leased == 0)
+        await until(lambda: net.program.body_memory.leased == 0)
 
     net = on_network(check, fine)
     got = {one.header(b"req-id"): one.body for one in net.stands[0].seen if one.header(b"req-id")}
@@ -311,9 +311,9 @@
 
 def test_a_launch_that_breaks_before_the_last_byte_is_followed_by_another_while_all_is_kept():
     async def broken(net: Net, shelf: int, status: int, launches: int):
-        net.program.shelf.limit = shelf
+        net.program.body_memory.limit = shelf
         tries = []
-        whole = net.program.pool.open
+        whole = net.program.connection_pool.open
 
         async def opens(address):
             connection = await whole(address)
@@ -330,7 +330,7 @@
                 connection.send = breaks
             return connection
 
-        net.program.pool.open = opens
+        net.program.connection_pool.open = opens
         data = chunked("s1", noise(4 * MIB), 1)
         data = data.replace(b"/view", b"/issue").replace(b"Kind: view", b"Kind: issue")
         assert (await net.ask(data)).status == status
@@ -342,7 +342,7 @@
     async def kept(net: Net):
         for data in warm:
             await net.ask(data)
-        net.program.pool.close()
+        net.program.connection_pool.close()
         await broken(net, 64 * MIB, 200, 2)
 
     net = on_network(kept, fine, limits=limits)
@@ -351,7 +351,7 @@
     async def gone(net: Net):
         for data in warm:
             await net.ask(data)
-        net.program.pool.close()
+        net.program.connection_pool.close()
         await broken(net, 0, 503, 1)
 
     net = on_network(gone, fine, limits=limits)
@@ -398,7 +398,7 @@
 
 
 def test_a_slow_body_is_waited_for_and_a_stuck_one_is_not(monkeypatch):
-    monkeypatch.setattr(take_in, "WHOLE", 0.4)
+    monkeypatch.setattr(client_handler, "REQUEST_TIMEOUT_S", 0.4)
 
     async def check(net: Net):
         host, port = net.address.split(":")
@@ -416,7 +416,7 @@
                 except (anyio.BrokenResourceError, anyio.EndOfStream):
                     pass
                 assert got.startswith(b"HTTP/1.1 200 ") == whole
-        assert not net.program.book.journeys and net.program.shelf.leased == 0
+        assert not net.program.request_table.pending_requests and net.program.body_memory.leased == 0
 
     on_network(check, fine)
 
@@ -429,7 +429,9 @@
                 data = wanted(f"s{at}", body=body)
                 await stream.send(data[: len(data) - 100_000])
                 await anyio.sleep(0.1)
-        await until(lambda: not net.program.book.journeys and net.program.shelf.leased == 0)
+        await until(
+            lambda: not net.program.request_table.pending_requests and net.program.body_memory.leased == 0
+        )
         assert (await net.ask(wanted("s2"))).status == 200
 
     net = on_network(check, fine)
@@ -533,10 +535,10 @@
 
 def test_what_comes_after_a_body_was_dropped_leases_nothing():
     """Seen failing: the lease of a part put after the drop was given back by nobody."""
-    shelf = Shelf(100)
+    shelf = MemoryBudget(100)
 
     async def main() -> None:
-        body = Body(shelf, None)
+        body = RequestBody(shelf, None)
         await body.put(b"x" * 30)
         body.drop()
         await body.put(b"x" * 30)
--- a/tests/test_standstill.py
+++ b/tests/test_standstill.py
@@ -14,9 +14,9 @@
 
 from lupinmill.protocol.http import Answer, ClientSide, Request
 from lupinmill.routing.deadline import Deadline
-from lupinmill.routing.engine import BEHIND, HELD_MOST, Engine
+from lupinmill.routing.engine import LATE_WAKEUP_US, MAX_TIMER_HOLD_US, Engine
 from lupinmill.transport.connection import Connection
-from lupinmill.transport.ring import Store
+from lupinmill.transport.buffers import BlockPool
 
 ANSWERS_AFTER = 0.015  # seconds, of each endpoint
 STILL = 0.4  # seconds, many times what is usual, and less than an attempt has
@@ -129,7 +129,7 @@
     async def move_soon(deadline: Deadline, began: float) -> None:
         await anyio.lowlevel.checkpoint()
         if moved_to is not None:
-            deadline.move(began + moved_to)
+            deadline.reschedule(began + moved_to)
 
     between_sockets(check)
 
@@ -156,7 +156,7 @@
         with deadline.scope:
             with pytest.raises(OSError):
                 await deadline.receive(ours, False)
-            deadline.move(deadline.at)
+            deadline.reschedule(deadline.at)
             await anyio.sleep_forever()
         assert deadline.scope.cancelled_caught
 
@@ -168,7 +168,7 @@
         with socket.create_server(("127.0.0.1", 0)) as listening:
             sock = socket.create_connection(listening.getsockname())
             theirs, _ = listening.accept()
-        with Connection(sock, Store(), lambda: None) as ours, theirs, anyio.fail_after(10):
+        with Connection(sock, BlockPool(), lambda: None) as ours, theirs, anyio.fail_after(10):
             await check(ours, theirs)
 
     anyio.run(main)
@@ -189,13 +189,13 @@
     clock = Hand()
     engine = Engine(deployment(), clock, lambda event, **fields: None)
     engine.wake_at = clock.moment
-    clock.moment += BEHIND
-    assert engine.may_ring(clock.now())
+    clock.moment += LATE_WAKEUP_US
+    assert engine.may_fire_timers(clock.now())
     clock.moment += 1
-    assert not engine.may_ring(clock.now())
-    clock.moment += HELD_MOST
-    assert not engine.may_ring(clock.now())
+    assert not engine.may_fire_timers(clock.now())
+    clock.moment += MAX_TIMER_HOLD_US
+    assert not engine.may_fire_timers(clock.now())
     clock.moment += 1
-    assert engine.may_ring(clock.now())
-    engine.wake_up()
-    assert engine.may_ring(clock.now()) and engine.held_since is None
+    assert engine.may_fire_timers(clock.now())
+    engine.fire_timer()
+    assert engine.may_fire_timers(clock.now()) and engine.timers_held_since is None
--- a/tests/test_start_faults.py
+++ b/tests/test_start_faults.py
@@ -22,7 +22,7 @@
 from lupinmill.program import sidecar
 from lupinmill.program.logs import Logs
 from lupinmill.program.sidecar import Program
-from lupinmill.transport.descriptors import Side
+from lupinmill.transport.descriptors import ConnectionKind
 from lupinmill.transport.link import Link
 from lupinmill.transport.listener import Listener
 
@@ -205,7 +205,7 @@
         sock, _ = door.accept()
         sock.setblocking(False)
         link = Link(sock)
-        await link.hear_one()
+        await link.receive_message()
         if isinstance(said, bytes):
             sock.send(said)
         elif said is not None:
@@ -358,9 +358,9 @@
 
 
 def test_a_defect_of_the_known_list_at_the_start_costs_that_list(monkeypatch):
-    from lupinmill.routing.directory import Directory
+    from lupinmill.routing.directory import EndpointDirectory
 
-    update, calls = Directory.update, []
+    update, calls = EndpointDirectory.update, []
 
     def fails_once(self, *args) -> None:
         calls.append(args)
@@ -368,7 +368,7 @@
             raise RuntimeError("a defect")
         update(self, *args)
 
-    monkeypatch.setattr(Directory, "update", fails_once)
+    monkeypatch.setattr(EndpointDirectory, "update", fails_once)
 
     async def check(net: Net):
         await until(lambda: net.program.directory.states)
@@ -400,11 +400,11 @@
 
     async def check(net: Net):
         program = net.program
-        program.take_in.taken += 1  # what a defect would leave
-        program.descriptors.open[Side.CLIENT] += 1
+        program.client_handler.in_progress += 1  # what a defect would leave
+        program.descriptors.open[ConnectionKind.CLIENT] += 1
         os.kill(os.getpid(), signal.SIGTERM)
         await until(lambda: any(event == "stopped" for event, _ in net.logs))
-        program.descriptors.open[Side.CLIENT] -= 1
+        program.descriptors.open[ConnectionKind.CLIENT] -= 1
 
     workloads = [one | {"contract-time-s": 0.05, "hard-limit-s": 0.1} for one in settings()["workloads"]]
     net = on_network(check, fine, workloads=workloads)
--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -8,76 +8,76 @@
 import pytest
 
 from lupinmill.transport import connection as c
-from lupinmill.transport.descriptors import Descriptors, Side
+from lupinmill.transport.descriptors import DescriptorBudget, ConnectionKind
 from lupinmill.transport.listener import Listener
-from lupinmill.transport.pool import REST, Pool
-from lupinmill.transport.ring import RingBuffer, Store
+from lupinmill.transport.connection_pool import MIN_IDLE_S, ConnectionPool
+from lupinmill.transport.buffers import RingBuffer, BlockPool
 
 
 @pytest.mark.parametrize("seed", range(5))
 def test_a_ring_keeps_every_byte_in_order_and_its_block_only_while_it_holds_some(seed):
-    chance, store = random.Random(seed), Store(block=37)
+    chance, store = random.Random(seed), BlockPool(block=37)
     ring, model, serial = RingBuffer(store), b"", 0
     for _ in range(3000):
         if chance.random() < 0.5:
             data = bytes((serial + i) % 251 for i in range(chance.randrange(60)))
-            done = ring.put(memoryview(data))
+            done = ring.write(memoryview(data))
             assert done == min(len(data), 37 - len(model))
             model, serial = model + data[:done], serial + done
         else:
-            stretch = bytes(ring.stretch())
+            stretch = bytes(ring.readable())
             assert model.startswith(stretch) and (stretch or not model)
             count = chance.randint(0, len(stretch))
-            ring.took(count)
+            ring.consume(count)
             model = model[count:]
         assert ring.size == len(model) and store.leased == (1 if model else 0)
 
 
 def test_short_of_descriptors_idle_endpoint_connections_go_first_then_idle_clients():
-    budget, gone = Descriptors(40 + 16), []
+    budget, gone = DescriptorBudget(40 + 16), []
     idle = {"endpoint": 1, "client": 2}
 
-    def close(kind: str, side: Side) -> bool:
+    def close(kind: str, side: ConnectionKind) -> bool:
         if not idle[kind]:
             return False
         idle[kind] -= 1
         gone.append(kind)
-        budget.give_back(side)
+        budget.release(side)
         return True
 
-    budget.close_idle_endpoint = lambda: close("endpoint", Side.ENDPOINT)
-    budget.close_idle_client = lambda: close("client", Side.CLIENT)
-    assert all(budget.lease(Side.CLIENT) for _ in range(12))
-    assert all(budget.lease(Side.ENDPOINT) for _ in range(4))
-    assert budget.lease(Side.ENDPOINT) and gone == ["endpoint"]
-    assert budget.lease(Side.ENDPOINT) and gone == ["endpoint", "client"]
-    assert budget.lease(Side.CLIENT) and gone == ["endpoint", "client", "client"]
-    assert not budget.lease(Side.CLIENT)
+    budget.close_idle_endpoint = lambda: close("endpoint", ConnectionKind.ENDPOINT)
+    budget.close_idle_client = lambda: close("client", ConnectionKind.CLIENT)
+    assert all(budget.lease(ConnectionKind.CLIENT) for _ in range(12))
+    assert all(budget.lease(ConnectionKind.ENDPOINT) for _ in range(4))
+    assert budget.lease(ConnectionKind.ENDPOINT) and gone == ["endpoint"]
+    assert budget.lease(ConnectionKind.ENDPOINT) and gone == ["endpoint", "client"]
+    assert budget.lease(ConnectionKind.CLIENT) and gone == ["endpoint", "client", "client"]
+    assert not budget.lease(ConnectionKind.CLIENT)
     assert sum(budget.open.values()) <= budget.limit
 
 
 def test_clients_leave_a_quarter_of_the_descriptors_to_endpoints():
-    budget = Descriptors(40 + 100)
-    assert sum(budget.lease(Side.CLIENT) for _ in range(200)) == 75
-    assert sum(budget.lease(Side.ENDPOINT) for _ in range(200)) == 25
+    budget = DescriptorBudget(40 + 100)
+    assert sum(budget.lease(ConnectionKind.CLIENT) for _ in range(200)) == 75
+    assert sum(budget.lease(ConnectionKind.ENDPOINT) for _ in range(200)) == 25
 
 
 def test_there_are_no_more_clients_than_memory_holds_with_the_largest_bodies():
-    budget = Descriptors(40 + 400, memory=32 << 20)
-    assert 60 < sum(budget.lease(Side.CLIENT) for _ in range(400)) < 80
-    assert 210 < Descriptors(40 + 400, memory=64 << 20).client_limit < 230
-    assert Descriptors(40 + 400, memory=128 << 20).client_limit == 300
-    assert Descriptors(40 + 400, memory=1 << 20).client_limit == 4
+    budget = DescriptorBudget(40 + 400, memory=32 << 20)
+    assert 60 < sum(budget.lease(ConnectionKind.CLIENT) for _ in range(400)) < 80
+    assert 210 < DescriptorBudget(40 + 400, memory=64 << 20).client_limit < 230
+    assert DescriptorBudget(40 + 400, memory=128 << 20).client_limit == 300
+    assert DescriptorBudget(40 + 400, memory=1 << 20).client_limit == 4
 
 
-def pair(store: Store, given: list) -> tuple[c.Connection, socket.socket]:
+def pair(store: BlockPool, given: list) -> tuple[c.Connection, socket.socket]:
     with socket.create_server(("127.0.0.1", 0)) as server:
         ours = socket.create_connection(server.getsockname())
         return c.Connection(ours, store, lambda: given.append(1)), server.accept()[0]
 
 
 def test_a_send_that_is_cancelled_gives_back_storage_and_descriptor():
-    store, given = Store(), []
+    store, given = BlockPool(), []
 
     async def main():
         ours, theirs = pair(store, given)
@@ -93,7 +93,7 @@
     data = random.Random(3).randbytes(700_000)
 
     async def main():
-        ours, theirs = pair(Store(), [])
+        ours, theirs = pair(BlockPool(), [])
         theirs.setblocking(False)
         got = bytearray()
 
@@ -125,7 +125,7 @@
         async def main():
             began = time.monotonic()
             with pytest.raises(c.Unconnected):
-                await c.connect(address, 0.1, Store(), lambda: given.append(1))
+                await c.connect(address, 0.1, BlockPool(), lambda: given.append(1))
             assert 0.09 < time.monotonic() - began < 0.5
 
         anyio.run(main)
@@ -140,7 +140,7 @@
 
     async def main():
         with pytest.raises(c.Unconnected):
-            await c.connect(address, 0.1, Store(), lambda: given.append(1))
+            await c.connect(address, 0.1, BlockPool(), lambda: given.append(1))
 
     anyio.run(main)
     assert given == [1]
@@ -148,8 +148,8 @@
 
 def pooled(check, idle_limit: float = 30.0) -> None:
     """`check(pool, address, server)` with one connection in the pool."""
-    budget = Descriptors(100)
-    pool = Pool(budget, Store(), idle_limit, 0.5)
+    budget = DescriptorBudget(100)
+    pool = ConnectionPool(budget, BlockPool(), idle_limit, 0.5)
 
     async def main():
         with socket.create_server(("127.0.0.1", 0)) as server:
@@ -160,7 +160,7 @@
             with theirs:
                 await check(pool, address, theirs)
         pool.close()
-        assert budget.open[Side.ENDPOINT] == 0
+        assert budget.open[ConnectionKind.ENDPOINT] == 0
 
     anyio.run(main)
 
@@ -168,7 +168,7 @@
 def rest(pool, address):
     """As if it had rested as long as a kept one has to."""
     for kept in pool.idle[address]:
-        kept.idle_since -= REST
+        kept.idle_since -= MIN_IDLE_S
 
 
 def test_a_second_answer_that_comes_after_the_first_never_passes_for_the_next_ones():
@@ -198,7 +198,7 @@
         newer, newest = await pool.open(address), await pool.open(address)
         for one in (newer, newest):
             pool.keep(one, address)
-        newer.idle_since -= REST
+        newer.idle_since -= MIN_IDLE_S
         assert pool.reuse(address) is newer and pool.idle[address] == [old, newest]
         newer.close()
 
@@ -227,7 +227,7 @@
 def test_a_kept_connection_is_left_alone_near_its_idle_limit():
     async def check(pool, address, theirs):
         (kept,) = pool.idle[address]
-        kept.idle_since -= 3.99 - REST
+        kept.idle_since -= 3.99 - MIN_IDLE_S
         assert pool.reuse(address) is kept
         pool.keep(kept, address)
         kept.idle_since -= 4.0  # of 5 s: the endpoint's clock may be ahead
@@ -238,12 +238,12 @@
 
 def test_the_sweep_closes_what_was_ended():
     async def check(pool, address, theirs):
-        pool.sweep()
+        pool.close_expired()
         assert pool.idle
         theirs.close()
         await anyio.sleep(0.01)
-        pool.sweep()
-        assert not pool.idle and pool.descriptors.open[Side.ENDPOINT] == 0
+        pool.close_expired()
+        assert not pool.idle and pool.descriptors.open[ConnectionKind.ENDPOINT] == 0
 
     pooled(check)
 
@@ -251,19 +251,21 @@
 def test_bytes_that_lay_unread_are_told_by_how_long():
     async def main():
         with socket.create_server(("127.0.0.1", 0)) as server:
-            with await c.connect("127.0.0.1:%d" % server.getsockname()[1], 1, Store(), lambda: None) as ours:
+            with await c.connect(
+                "127.0.0.1:%d" % server.getsockname()[1], 1, BlockPool(), lambda: None
+            ) as ours:
                 theirs, _ = server.accept()
                 with theirs:
                     theirs.send(b"x")
                     time.sleep(0.1)  # the loop lags
                     assert await ours.receive() == b"x"
-                    assert 85_000 < ours.waited() < 130_000
+                    assert 85_000 < ours.unread_time() < 130_000
 
     anyio.run(main)
 
 
 def test_an_idle_client_told_to_close_is_still_served_when_its_bytes_have_come():
-    budget, store = Descriptors(100), Store()
+    budget, store = DescriptorBudget(100), BlockPool()
 
     async def main():
         listener, got = Listener("127.0.0.1:0", budget, store), []
@@ -280,7 +282,7 @@
                 await anyio.sleep(0.05)
                 assert len(listener.idle) == 2
                 for client in list(listener.idle):
-                    listener.dismiss(client)
+                    listener.close_idle(client)
                 busy.send(b"GET")
                 await anyio.sleep(0.05)
                 assert sorted(got) == [b"", b"GET"]
@@ -290,4 +292,4 @@
         listener.close()
 
     anyio.run(main)
-    assert budget.leaving == 0 and budget.open[Side.CLIENT] == 0 and store.leased == 0
+    assert budget.leaving == 0 and budget.open[ConnectionKind.CLIENT] == 0 and store.leased == 0
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -8,9 +8,9 @@
 from test_sidecar import fine, until
 
 from lupinmill import terms as t
-from lupinmill.routing.starts import Starts
+from lupinmill.routing.start_times import StartTimes
 from lupinmill.transport import wall_clock
-from lupinmill.transport.wall_clock import KERNEL_ROUNDS, OLDEST, STEP, WallClock
+from lupinmill.transport.wall_clock import KERNEL_ROUNDING_US, MAX_STAMP_AGE_US, MIN_STEP_US, WallClock
 
 SECOND = 1_000_000  # microseconds
 
@@ -36,7 +36,7 @@
     return lambda: (age // 1000 + 3) * 1000
 
 
-@pytest.mark.parametrize("step", [STEP, SECOND, 11 * SECOND, 3600 * SECOND])
+@pytest.mark.parametrize("step", [MIN_STEP_US, SECOND, 11 * SECOND, 3600 * SECOND])
 @pytest.mark.parametrize("back", [False, True])
 @pytest.mark.parametrize("seed", range(20))
 def test_an_age_is_real_time_wherever_the_step_falls(step, back, seed, monkeypatch):
@@ -51,7 +51,7 @@
             machine.wall_ahead += -step if back else step
         machine.steady += after
         age = clock.age(stamp, rounded_up(before + after))
-        assert abs(age - before - after) <= max(STEP, KERNEL_ROUNDS)
+        assert abs(age - before - after) <= max(MIN_STEP_US, KERNEL_ROUNDING_US)
 
 
 @pytest.mark.parametrize("step", [-3600 * SECOND, -2 * SECOND, 5 * SECOND, 20 * SECOND, 3600 * SECOND])
@@ -63,7 +63,7 @@
     for _ in range(100):
         stamp = machine.steady + kernel_ahead
         machine.steady += 30_000
-        assert abs(clock.age(stamp, rounded_up(30_000)) - 30_000) <= STEP
+        assert abs(clock.age(stamp, rounded_up(30_000)) - 30_000) <= MIN_STEP_US
 
 
 def test_a_process_that_is_held_up_between_two_readings_sees_no_step(monkeypatch):
@@ -71,14 +71,14 @@
     clock = WallClock()
     for machine.held_up in (0, 150_000, 0):
         assert clock.age(machine.wall() - 1000, rounded_up(1000)) is not None
-    assert len(clock.ahead) == 1
+    assert len(clock.offsets) == 1
 
 
 def test_a_stamp_of_no_known_setting_tells_nothing(monkeypatch):
     machine = Machine(monkeypatch)
     clock = WallClock()
     assert clock.age(machine.wall() + SECOND, rounded_up(0)) is None
-    assert clock.age(machine.wall() - OLDEST - SECOND, rounded_up(0)) is None
+    assert clock.age(machine.wall() - MAX_STAMP_AGE_US - SECOND, rounded_up(0)) is None
 
 
 HOUR = 3600 * SECOND
@@ -94,15 +94,15 @@
     """Guards slow start: by a clock that was set back an hour, a start of now is one of an hour ago."""
     machine = Machine(monkeypatch)
     clock = WallClock()
-    starts, ours = Starts(clock), machine.wall_ahead
+    starts, ours = StartTimes(clock), machine.wall_ahead
     machine.wall_ahead += step
-    clock.look()
+    clock.update()
     now = machine.steady + ours
     told = machine.wall() if of_all else now
-    understood = starts.understand(listed(told), now).started
-    assert now - 2 * STEP <= understood <= now or understood > now
+    understood = starts.resolve(listed(told), now).started
+    assert now - 2 * MIN_STEP_US <= understood <= now or understood > now
     machine.steady += SECOND
-    assert starts.understand(listed(told), now + SECOND).started == understood
+    assert starts.resolve(listed(told), now + SECOND).started == understood
 
 
 @pytest.mark.parametrize("step", [-HOUR, HOUR])
@@ -112,7 +112,7 @@
     read_wall = time.time_ns
 
     async def check(net: Net):
-        await until(lambda: net.program.directory.takes("e0"))
+        await until(lambda: net.program.directory.accepts_attempts("e0"))
         monkeypatch.setattr(time, "time_ns", lambda: read_wall() + step * 1000)
         await until(lambda: "clock_set" in [event for event, _ in net.logs])
         net.discovery.change(net.discovery.rows[0], since_ms=(read_wall() // 1000 + step) // 1000)
@@ -127,19 +127,19 @@
     """Guards against a whole fleet that looks restarted, or cold, with the next whole list."""
     machine = Machine(monkeypatch)
     clock = WallClock()
-    starts, started = Starts(clock), machine.wall() - HOUR - SECOND
-    assert starts.understand(listed(started), machine.wall()).started == started
+    starts, started = StartTimes(clock), machine.wall() - HOUR - SECOND
+    assert starts.resolve(listed(started), machine.wall()).started == started
     now = machine.wall()
     machine.wall_ahead -= HOUR
-    clock.look()
-    assert starts.understand(listed(started), now).started == started
-    starts.keep([])
-    assert not starts.read
+    clock.update()
+    assert starts.resolve(listed(started), now).started == started
+    starts.retain([])
+    assert not starts.resolved
 
 
 def test_while_no_clock_is_set_a_start_is_taken_as_it_is_told(monkeypatch):
     machine = Machine(monkeypatch)
-    starts = Starts(WallClock())
+    starts = StartTimes(WallClock())
     for started in (0, 1, machine.wall(), machine.wall() + HOUR):
         entry = listed(started)
-        assert starts.understand(entry, machine.wall()) is entry
+        assert starts.resolve(entry, machine.wall()) is entry
