--- a/lupinmill/routing/__init__.py
+++ b/lupinmill/routing/__init__.py
@@ -1,1 +1,1 @@
-"""The engine that drives the decision module, and the chain that a submission passes."""
+"""The engine that drives the decision module, and the path of a request through the sidecar."""
--- a/lupinmill/routing/admission.py
+++ b/lupinmill/routing/admission.py
@@ -1,6 +1,5 @@
-"""The door: the driver of `limits.Gate`. Owns the heartbeat that tells how late the loop is, which beats only
-while something is inside or waits, and the requests that wait before the program with their clients'
-tasks."""
+"""Admission control: drives `limits.Gate`. Owns the heartbeat that measures event loop lag, which runs only
+while requests are admitted or held, and the held requests with their clients' tasks."""
 
 from __future__ import annotations
 
@@ -16,18 +15,16 @@
 from lupinmill.routing.engine import Log, error_fields
 from lupinmill.transport.client import Client
 
-HEARTBEAT_S = 0.010  # seconds
-MAX_DENIAL_TIME_PER_PASS_S = (
-    0.004  # seconds of one pass of the loop for denials; as much again goes to what is inside
-)
-HELD_TIMEOUT_FRACTION = (
-    0.6  # part of the time left after which a held request is denied whose turn was never called
-)
-READ_COST_S = 25e-6  # seconds that the loop and the kernel take to bring a request to the door
+HEARTBEAT_S = 0.010
+# seconds per event loop pass for rejections; as much again goes to admitted requests
+MAX_DENIAL_TIME_PER_PASS_S = 0.004
+# fraction of the remaining time after which a held request is rejected if it was never granted
+HELD_TIMEOUT_FRACTION = 0.6
+READ_COST_S = 25e-6  # seconds that the event loop and the kernel take to deliver a request
 
 
 class AdmissionTurn:
-    """Of a request that is held. `call` ends the wait of its client's task."""
+    """Turn of a held request. `grant` ends the wait of its client's task."""
 
     def __init__(self) -> None:
         self.granted, self.scope = False, None
@@ -39,15 +36,14 @@
 
 
 class AdmissionController:
-    """What a client's task asks before it takes up a request: `judge` at once, `wait` for one that is
-    held."""
+    """Decides on requests before they are handled: `evaluate` at once, `wait_for_turn` for a held one."""
 
     def __init__(self, gate: Gate, request_table: RequestTable, log: Log) -> None:
         self.gate, self.request_table, self.engine, self.log = gate, request_table, request_table.engine, log
         self.workloads = set(gate.workloads)
-        self.next_beat_at: float | None = None  # of the heartbeat, while it beats
-        self.denial_time = 0.0  # seconds since the last beat that went into denials, ...
-        self.denial_time_this_pass = 0.0  # ... and since the loop's present pass began
+        self.next_beat_at: float | None = None  # time of the next heartbeat, if one is scheduled
+        self.denial_time = 0.0  # seconds spent on rejections since the last heartbeat, ...
+        self.denial_time_this_pass = 0.0  # ... and since the current event loop pass began
 
     def deploy(self, d: t.Deployment) -> None:
         self.gate.deploy(d)
@@ -58,8 +54,8 @@
         return self.gate.active
 
     def evaluate(self, client: Client, data: bytes) -> bool:
-        """Of bytes just read while the core is short: False where they were one request, denied and answered
-        here. What a defect keeps from being judged goes the usual way."""
+        """Evaluates bytes that were read while the CPU is short. Returns False if they were one request that
+        was rejected and answered here. After an unexpected exception the request is handled as usual."""
         try:
             return self.decide(client, data)
         except Exception as error:
@@ -96,12 +92,12 @@
         self.denial_time_this_pass = 0.0
 
     def busy(self) -> bool:
-        """So much of this pass went into denials that the next ones wait for another: guards what is inside,
-        which needs several passes, against a crowd that asks again as soon as it is denied."""
+        """Whether rejections took so much of this pass that the next ones wait for another. Guards admitted
+        requests, which need several passes, against a crowd that retries as soon as it is rejected."""
         return self.denial_time_this_pass > MAX_DENIAL_TIME_PER_PASS_S
 
     def send_denial(self, client: Client) -> bool:
-        """Written at once and whole; a client that takes no answers is not waited for."""
+        """Writes the response at once and in full; a client that does not read is not waited for."""
         data = quick.denial(self.gate.come_back())
         try:
             whole = client.sock.send(data) == len(data)
@@ -111,9 +107,9 @@
         return whole
 
     async def wait_for_turn(self, client: Client) -> bool:
-        """For the turn of a request that is held; False where it was denied in the end, or its client left:
-        taken up it would be launched for nobody. Guards by a time of its own against a turn that is never
-        called: the gate denies what it can't take up after half of the time left."""
+        """Waits for the turn of a held request. Returns False if it was rejected in the end, or if its client
+        disconnected, as nobody would receive the response. Has a time-out of its own in case the turn is
+        never granted: the gate rejects what it cannot admit after half of the remaining time."""
         offer = client.waiter
         if offer is None:
             return not client.unwritable
@@ -122,8 +118,8 @@
                 if not offer.token.granted:
                     await client.wait_disconnected()
         finally:
-            self.forget(client)  # its task was ended before its turn
-        if client.check_disconnected():  # also in the very pass in which its turn came
+            self.forget(client)  # its task was cancelled before its turn
+        if client.check_disconnected():  # also in the pass in which its turn was granted
             self.leave(client)
             client.unwritable = True
             return False
@@ -132,21 +128,21 @@
         return client.admitted
 
     def enter(self, client: Client) -> None:
-        """Its request is read whole, by whatever way."""
+        """Marks the client as admitted. Its request was read in full, by whichever path."""
         if not client.admitted:
             client.admitted = True
             self.gate.entered()
         self.schedule_heartbeat()
 
     def forget(self, client: Client) -> None:
-        """The request that it may have in a line waits no longer."""
+        """Removes the client's held request, if it has one."""
         offer, client.waiter = client.waiter, None
         if offer is not None:
             self.gate.forget(offer)
 
     def leave(self, client: Client) -> None:
-        """Nothing of its is inside or in a line from here on. Guards the program: this is called last of all
-        in a client's task, where nobody is behind it."""
+        """Releases everything that the client holds here. Never raises: this is the last call of a client's
+        task, where nothing would catch an exception."""
         try:
             self.forget(client)
             if client.admitted:
@@ -162,7 +158,7 @@
             offer.client.admitted = fate is Fate.TAKEN
             offer.token.grant()
 
-    # The heartbeat.
+    # Heartbeat.
 
     def schedule_heartbeat(self) -> None:
         if self.next_beat_at is None:
@@ -175,7 +171,7 @@
         late, self.next_beat_at = int(max(0.0, loop.time() - (self.next_beat_at or 0.0)) * 1_000_000), None
         try:
             self.update_gate(late)
-        except Exception as error:  # one defect must not end the heartbeat
+        except Exception as error:  # one exception must not end the heartbeat
             self.log("task_failed", task="door", **error_fields(error))
         if self.gate.inside or self.gate.held or self.gate.active:
             self.schedule_heartbeat()
--- a/lupinmill/routing/attempt_runner.py
+++ b/lupinmill/routing/attempt_runner.py
@@ -1,4 +1,4 @@
-"""Send: one launch, or one probe, on a connection to an endpoint, up to its outcome."""
+"""Runs one attempt, or one probe, on a connection to an endpoint until its outcome is known."""
 
 from __future__ import annotations
 
@@ -19,23 +19,23 @@
 from lupinmill.transport.connection_pool import ConnectionPool
 
 
-# Microseconds after which a client may have left and nobody has seen it yet: since its request came, ...
+# Microseconds after which a client may have disconnected unnoticed: since its request arrived, ...
 UNSEEN_AGE_US = 50_000
-UNSEEN_LATENESS_US = 25_000  # ... or by which wake-ups of this loop come late
+UNSEEN_LATENESS_US = 25_000  # ... or of event loop lag
 
 
 class PrematureResponse(Exception):
-    """A 200 came before the request's last byte was written. Endpoints begin with that byte: it answers
-    another request, the one before it on this connection."""
+    """A 200 arrived before the last byte of the request was written. Endpoints start work at that byte, so
+    this is the response to an earlier request on the connection."""
 
 
 class AttemptNotSent(Exception):
-    """It was over, or the endpoint had left the list, before the first byte."""
+    """The request was settled, or the endpoint left the list, before the first byte was sent."""
 
 
 @dataclass(slots=True)
 class Result:
-    """What a launch came to. `final`: the answer that goes to the client."""
+    """Result of an attempt. `final_answer` is the response that goes to the client."""
 
     outcome: t.Outcome | None = None
     final_answer: Answer | None = None
@@ -52,11 +52,11 @@
         log: Log,
     ) -> None:
         self.pool, self.directory, self.request_table, self.log = pool, directory, request_table, log
-        self.load_reported = load_reported  # endpoints tell of their load when probed
+        self.load_reported = load_reported  # endpoints report their load in probe responses
 
     async def run(self, pending: PendingRequest, attempt: Attempt) -> None:
-        """Whatever happens here, the module hears of one outcome for this launch, and no other request or
-        task is touched by a failure."""
+        """Runs an attempt. Whatever fails, the decision module receives exactly one outcome, and no other
+        request or task is affected."""
         result = Result()
         try:
             await self.execute(pending, attempt, result)
@@ -68,7 +68,7 @@
             self.finish(pending, attempt, result)
 
     def finish(self, pending: PendingRequest, attempt: Attempt, result: Result) -> None:
-        """This task is one of the program's own group: an exception that left it would end the program."""
+        """This task runs in the program's own task group: an exception that escaped would end the program."""
         try:
             self.request_table.attempt_ended(
                 pending, attempt, result.outcome, result.final_answer, result.load
@@ -89,7 +89,7 @@
         except Unconnected:
             result.outcome = t.Outcome.UNCONNECTED
         except PrematureResponse:
-            result.outcome = t.Outcome.SPOILT  # an endpoint that speaks so may have run it
+            result.outcome = t.Outcome.SPOILT  # an endpoint that does not follow the protocol may have run it
         except Garbled:
             result.outcome = t.Outcome.SPOILT if attempt.fully_sent else t.Outcome.UNSENT
         except OSError:
@@ -104,8 +104,8 @@
         if pending.stream is not None and pending.stream.attempt is attempt:
             result.outcome = pending.stream.outcome
         elif result.outcome is t.Outcome.ERROR and not attempt.fully_sent:
-            result.outcome = t.Outcome.REFUSED  # it came before the last byte did: nothing ran
-        # Launched anew, what is rejected would burn retries, and count against endpoints.
+            result.outcome = t.Outcome.REFUSED  # it arrived before the last byte was written, so nothing ran
+        # Retrying a rejected request would use up retries and count against endpoints.
         elif result.outcome in (t.Outcome.HANDLED, t.Outcome.REJECTED):
             result.final_answer = submission.passed_on(answer)
 
@@ -117,13 +117,14 @@
             connection: Connection | None = kept or await self.pool.open(address)
             try:
                 self.withdraw_if_disconnected(pending)
-                # Told while it connected: nothing new to what drains, nothing for what has its answer.
+                # Both can change while connecting: a draining endpoint gets no new requests, a settled
+                # request no attempt.
                 if pending.settled or not self.directory.accepts_attempts(endpoint):
                     self.return_to_pool(connection, endpoint, address)
                     connection = None
                     raise AttemptNotSent
                 if not self.directory.listens_at(endpoint, address):
-                    continue  # it moved while this connected: at its old address another may listen
+                    continue  # the endpoint moved while connecting; another one may listen at its old address
                 if (left := self.request_table.time_left(pending)) <= 0 and pending.body is not None:
                     self.return_to_pool(connection, endpoint, address)
                     connection = None
@@ -136,7 +137,7 @@
                             await connection.send(piece)
                     except OSError:
                         if kept:
-                            continue  # ended by the endpoint while idle: not a byte was handled
+                            continue  # the endpoint closed the idle connection before it handled a byte
                         raise
                     attempt.fully_sent, attempt.sent_at = True, self.request_table.engine.clock.now()
                     answer = await self.read_response(connection, side, attempt.deadline)
@@ -153,9 +154,9 @@
                     connection.close()
 
     def withdraw_if_disconnected(self, pending: PendingRequest) -> None:
-        """Guards against launches for a client that has left, where its end lies unread still: in a loop
-        that lags, and of a connection just accepted, the launch may have its turn before the task that waits
-        for that end."""
+        """Guards against attempts for a client that has disconnected but whose end of stream is still unread.
+        If the loop lags, or the connection was only just accepted, the attempt may run before the task that
+        waits for that end."""
         engine = self.request_table.engine
         unseen = (
             pending.client.unanswered
@@ -164,7 +165,8 @@
         )
         if unseen and not pending.settled:
             incomplete = pending.body is not None and not pending.body.complete
-            # `look` reads no more than some bytes ahead; behind more of them the kernel alone knows the end.
+            # `check_disconnected` reads only a bounded number of bytes; past them only the kernel knows the
+            # end.
             if pending.client.has_disconnected() or not incomplete and pending.client.check_disconnected():
                 self.request_table.withdraw(pending)
 
@@ -176,8 +178,8 @@
         connection: Connection,
         side: ClientSide,
     ) -> None:
-        """Lends the connection to the client's task, where this answer is large and the client's. Of any
-        other large one nothing is wanted."""
+        """Lends the connection to the client's task if the response is large and goes to the client. Any
+        other large response is discarded."""
         if not side.large or answer.status != 200 or pending.settled:
             return
         stream = ResponseStream(connection, side, attempt)
@@ -193,14 +195,14 @@
         attempt: Attempt,
         request: Request,
     ) -> Answer:
-        """Sends a body as it comes, and listens meanwhile: an answer ahead of its end ends the sending."""
+        """Sends a body while it arrives, and listens meanwhile: an early response stops the sending."""
         failed: Exception | None = None
         answer: Answer | None = None
 
         async def send_all() -> None:
             nonlocal failed
             try:
-                self.withdraw_if_disconnected(pending)  # some passes of the loop after the last look
+                self.withdraw_if_disconnected(pending)  # the loop has run several times since the last check
                 if pending.settled:
                     raise BodyUnavailable
                 await self.send_body(connection, side, pending.body, request)
@@ -209,7 +211,8 @@
                 failed = AttemptNotSent()
                 group.cancel_scope.cancel()
             except OSError:
-                # What it said before it closed may lie here to be read; the end of that comes at once.
+                # A response sent before the endpoint closed may still be unread; the end of the stream
+                # follows at once.
                 group.cancel_scope.deadline = anyio.current_time() + MAX_PAUSE_S
 
         async with anyio.create_task_group() as group:
@@ -221,7 +224,7 @@
                 failed = failed or error
             group.cancel_scope.cancel()
         if answer is None:
-            raise failed or ConnectionResetError("broke while it was sent")
+            raise failed or ConnectionResetError("connection broke while the request was sent")
         if answer.status == 200 and not attempt.fully_sent:
             raise PrematureResponse
         return answer
@@ -241,7 +244,7 @@
             await connection.send(rest)
 
     def return_to_pool(self, connection: Connection, endpoint: str, address: str) -> None:
-        """Unless the endpoint has gone meanwhile: the next one at its address is another."""
+        """Keeps the connection unless the endpoint has gone, as another one may listen at its address now."""
         if self.directory.listens_at(endpoint, address):
             self.pool.keep(connection, endpoint)
         else:
@@ -254,8 +257,9 @@
         return address
 
     async def read_response(self, connection: Connection, side: ClientSide, deadline: Deadline) -> Answer:
-        """Guards against answers that begin and never end: waiting for more until the hard limit would leave
-        no time for another launch. Of a large one it is the head, with the body to be taken from `side`."""
+        """Reads the response. Guards against responses that start and never end: waiting until the hard limit
+        would leave no time for another attempt. For a large response this returns the head, and the body is
+        taken from `side`."""
         while (answer := side.next_answer()) is None:
             if side.large and side.got is not None:
                 return side.got
@@ -284,7 +288,8 @@
             self.log("task_failed", task="probe", **error_fields(error))
 
     async def exchange(self, endpoint: str, request: Request, deadline: Deadline) -> Answer:
-        """Of what is harmless to ask again: where a kept connection turns out ended a new one is opened."""
+        """Sends a request that is safe to repeat: if a kept connection turns out to be closed, a new one is
+        opened."""
         while True:
             address = self.address_of(endpoint)
             kept = self.pool.reuse(endpoint)
@@ -302,7 +307,8 @@
             except OSError:
                 if not kept:
                     raise
-                deadline.reschedule(deadline.at)  # of the whole attempt again, no longer of the wait alone
+                # back to the limit of the whole attempt, not only of the wait
+                deadline.reschedule(deadline.at)
             finally:
                 if connection is not None:
                     connection.close()
--- a/lupinmill/routing/client_handler.py
+++ b/lupinmill/routing/client_handler.py
@@ -1,4 +1,4 @@
-"""Take in: one client connection, submission after submission."""
+"""Serves one client connection, request after request."""
 
 from __future__ import annotations
 
@@ -30,21 +30,21 @@
 from lupinmill.transport.listener import REQUEST_TIMEOUT_S, Listener
 from lupinmill.transport.buffers import MemoryBudget
 
-MAX_BUFFERED_BODY = (
-    1024 * 1024
-)  # bytes of a body that are waited for before it is launched, where the shelf has room
-MIN_UPLOAD_RATE = 48_000  # bytes a second; what comes slower than that is not waited for
-TURN_AWAY_TIMEOUT_S = 0.5  # seconds for a request on a connection that there is no descriptor for
-# To a request that was read and has no answer when its task ends. No denial: an attempt may have run.
+# bytes of a body that are buffered before its first attempt, if the memory budget allows
+MAX_BUFFERED_BODY = 1024 * 1024
+MIN_UPLOAD_RATE = 48_000  # bytes per second; a slower upload times out
+TURN_AWAY_TIMEOUT_S = 0.5  # seconds for a request on a connection for which no descriptor is free
+# Sent if a request was read in full and its task ends without a response. It is not the response of a
+# rejection, because an attempt may have run.
 FALLBACK_ANSWER = b"HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
 
 
 @dataclass(slots=True)
 class ReadDeadline:
-    """Until when a request has to be whole, by the loop's clock."""
+    """Time by which a request must be complete, by the event loop's clock."""
 
     until: float
-    expired: bool = False  # it has passed, and what lay unread then was read
+    expired: bool = False  # the deadline passed, and the bytes that were unread then have been read
 
 
 class ClientHandler:
@@ -66,23 +66,20 @@
             log,
         )
         self.body_memory = body_memory
-        self.retry_after = (
-            retry_after  # microseconds after which those may come back that there is no place for
-        )
-        self.closing = lambda: False  # answers close their connections
-        self.hand_over_client: Callable[[Client], bool] | None = (
-            None  # to the next process, with what lies unread
-        )
-        self.in_progress = 0  # clients whose request was taken up and whose answer isn't written
-        self.internal_errors = 0  # clients' tasks that ended by one
+        self.retry_after = retry_after  # microseconds to advise in Retry-After when a client is turned away
+        self.closing = lambda: False  # whether responses close their connections
+        # passes an idle connection, with its unread bytes, to the next process
+        self.hand_over_client: Callable[[Client], bool] | None = None
+        self.in_progress = 0  # clients whose request is being handled and whose response is not written
+        self.internal_errors = 0  # client tasks that ended with an unexpected exception
 
     @property
     def answering(self) -> int:
-        """Clients whose request is whole and whose answer isn't written."""
+        """Number of clients whose request is complete and whose response is not written."""
         return self.in_progress + self.admission.gate.held
 
     async def serve(self, client: Client, welcome: bool) -> None:
-        """However the work on its requests ends, none that was read is left without an answer."""
+        """Serves the connection. A request that was read in full gets a response, however its task ends."""
         try:
             with client:
                 try:
@@ -93,7 +90,7 @@
                 if answered:
                     await self.response_writer.linger(client)
         except OSError:
-            pass  # the client's side broke or is stuck: all it held is given back above
+            pass  # the client disconnected or does not read; everything it held is released above
 
     async def handle(self, client: Client, welcome: bool) -> None:
         try:
@@ -102,13 +99,13 @@
             else:
                 await self.turn_away(client)
         except OSError:
-            pass  # as above; also a time that is over
+            pass  # as above; also a time-out
         except Exception as error:
             self.internal_errors += 1
             self.log("task_failed", task="client", **error_fields(error))
 
     def send_fallback_answer(self, client: Client) -> bool:
-        """Written at once: the task may have been cancelled, and can wait for nothing."""
+        """Writes without waiting, because the task may have been cancelled."""
         if not client.response_due or client.has_disconnected():
             return False
         client.response_due = False
@@ -133,14 +130,14 @@
             self.admission.leave(client)
 
     async def send_rejection(self, client: Client, side: ServerSide, answer: Answer) -> None:
-        """Of what was no whole request."""
+        """Answers a request that is malformed or incomplete."""
         client.response_due = True
         await self.response_writer.send_answer(client, side, answer, True, LARGEST_BODY)
 
     async def handle_request(
         self, client: Client, side: ServerSide, request: Request, body: RequestBody | None
     ) -> bool:
-        """True when the connection can serve another one."""
+        """Returns True if the connection can serve another request."""
         client.has_requested = client.response_due = True
         self.in_progress += 1
         try:
@@ -151,10 +148,10 @@
         return goes_on
 
     async def has_next_request(self, client: Client, side: ServerSide) -> bool:
-        """Where no request came: True if one lies unread still that this process has to serve, since it could
-        not be passed on."""
+        """Called when no request was read. Returns True if one is still unread that this process must serve,
+        because the connection could not be handed over."""
         if client.pipelined_dropped:
-            await self.response_writer.linger(client)  # an answer that was just written must not be lost
+            await self.response_writer.linger(client)  # the response that was just written must not be lost
             return False
         return (
             not self.hand_over(client, side)
@@ -166,10 +163,10 @@
     async def serve_request(
         self, client: Client, side: ServerSide, request: Request, body: RequestBody | None
     ) -> bool:
-        """True when the connection can serve another one."""
+        """Returns True if the connection can serve another request."""
         incomplete = body is not None and not body.complete
         if not incomplete:
-            self.admission.enter(client)  # what comes slowly takes none of the core until it is whole
+            self.admission.enter(client)  # a slow upload is admitted only when it is complete
         admitted = self.open_request(client, request, body)
         if isinstance(admitted, Answer):
             return await self.response_writer.send_answer(
@@ -189,7 +186,8 @@
             if answer is None:
                 return False
             if pending.stream is not None:
-                self.admission.leave(client)  # what passes now takes as long as its reader does
+                # from here on the duration depends on the client's reading speed
+                self.admission.leave(client)
                 return await self.response_writer.send_stream(
                     client, side, answer, pending.stream, self.must_close(client, side)
                 )
@@ -203,15 +201,15 @@
                 self.response_writer.request_table.withdraw(pending)
 
     def must_close(self, client: Client, side: ServerSide) -> bool:
-        """Its answer ends the connection: this sidecar sends its clients away, or bytes of a next request
-        were dropped, which can't be made up for. Not while more was read that has to be answered, as long as
-        that can be: a client that always sends ahead must not hold up the end of the program."""
+        """Whether the response must end the connection: this sidecar is closing its connections, or pipelined
+        bytes were dropped and cannot be recovered. Not while another request has been read that must be
+        answered, until the drain deadline: a client that always pipelines must not delay the shutdown."""
         if not client.pipelined_dropped and not self.closing():
             return False
         return self.request_factory.past_drain_deadline() or not self.has_pipelined_request(client, side)
 
     def has_pipelined_request(self, client: Client, side: ServerSide) -> bool:
-        """A further request was read, whole; or a part of one whose rest can still come."""
+        """Whether another request was read in full, or in part if the rest can still arrive."""
         pipelined = side.incoming.rest() + b"".join(piece.data for piece in client.pipelined)
         if not pipelined or side.http.their_state is not h11.DONE:
             return False
@@ -239,8 +237,8 @@
     async def receive_body(
         self, client: Client, side: ServerSide, pending: PendingRequest, body: RequestBody
     ) -> bool:
-        """The rest of a body to the launch that sends it on, until it is whole or its submission settled.
-        False where nobody waits for an answer any more."""
+        """Passes the rest of a body to the attempt that sends it, until the body is complete or the request
+        is settled. Returns False if nobody waits for a response any more."""
         complete = False
         try:
             with anyio.move_on_after(self.response_writer.seconds_to_decision(pending)) as scope:
@@ -272,8 +270,8 @@
     async def read_request(
         self, client: Client, side: ServerSide
     ) -> tuple[Request, RequestBody | None] | None:
-        """The next request, whole or with a body that still comes; None where there is none. Malformed also
-        where it does not come in its time."""
+        """Reads the next request, in full or with a body that is still arriving. Returns None if there is
+        none. Raises Malformed also if the request times out."""
         part = side.next_part()
         while part is None and not side.begun():
             if not (data := await self.listener.next_bytes(client)):
@@ -281,7 +279,8 @@
             side.feed(data)
             part = side.next_part()
         if part is None:
-            deadline = ReadDeadline(anyio.current_time() + REQUEST_TIMEOUT_S)  # however it trickles
+            # however slowly the bytes arrive
+            deadline = ReadDeadline(anyio.current_time() + REQUEST_TIMEOUT_S)
             while part is None:
                 if not await self.read_more(client, side, deadline):
                     return None
@@ -293,9 +292,9 @@
     async def read_body(
         self, client: Client, side: ServerSide, request: Request
     ) -> tuple[Request, RequestBody | None] | None:
-        """Whole up to 64 KiB, and up to 1 MiB while the shelf has room."""
+        """Reads up to 64 KiB, or up to 1 MiB if the memory budget allows."""
         received, began = bytearray(), 0.0
-        deadline: ReadDeadline | None = None  # most have come whole with their head, and need none
+        deadline: ReadDeadline | None = None  # most bodies arrive together with their head and need none
         while (part := side.next_part()) is not END and len(received) <= SMALL:
             if isinstance(part, (bytes, bytearray)):
                 received += part
@@ -324,8 +323,9 @@
         return request, body
 
     async def collect_body(self, client: Client, side: ServerSide, body: RequestBody, max_bytes: int) -> bool:
-        """Up to the end, or until so much is there or the shelf is full. It may come slowly: time in which
-        nobody takes what is there already doesn't count. False where the client left."""
+        """Reads until the end of the body, or until `max_bytes` are buffered or the memory budget is
+        exhausted. Time during which no attempt takes the buffered bytes does not count against a slow upload.
+        Returns False if the client disconnected."""
         began, before = anyio.current_time(), side.size
         deadline = ReadDeadline(began + REQUEST_TIMEOUT_S)
         while body.end < max_bytes or max_bytes == LARGEST_BODY:
@@ -346,8 +346,8 @@
         return True
 
     async def read_more(self, client: Client, side: ServerSide, deadline: ReadDeadline) -> bool:
-        """Reads on; False at the client's end. Once the time is over what lies unread is read once more: for
-        that it was this loop that came late."""
+        """Reads more bytes. Returns False at the end of the stream. After the deadline the bytes that are
+        already unread are read once more, because it may be this event loop that was late."""
         data = b""
         with anyio.CancelScope(deadline=deadline.until) as scope:
             if ahead := side.go_ahead():
@@ -363,14 +363,16 @@
         return bool(data)
 
     def hand_over(self, client: Client, side: ServerSide) -> bool:
-        """Between two requests alone, with not a byte read of the next."""
+        """Hands the connection to the next process. Only between two requests, before a byte of the next is
+        read."""
         if self.hand_over_client is None or client.unwritable or client.pipelined or side.begun():
             return False
         return self.hand_over_client(client)
 
     async def turn_away(self, client: Client) -> None:
-        """No descriptor to serve it with: what it asks is denied at once, and nothing was launched. Whether
-        this sidecar is ready is told as it is: by a front that hears 503 it would not be taken in."""
+        """Rejects requests on a connection for which no descriptor is free; no attempt is made for them. A
+        readiness check still gets the true answer: a load balancer that receives 503 would not add this
+        sidecar."""
         side, deadline = ServerSide(SMALL), ReadDeadline(anyio.current_time() + TURN_AWAY_TIMEOUT_S)
         goes_on = True
         while goes_on:
@@ -387,7 +389,7 @@
 
     async def turn_away_malformed(self, client: Client, side: ServerSide, error: Malformed) -> None:
         if error.status == 408 and not side.begun():
-            return  # it never said a word
-        # What is too large for this way alone is denied as all else is.
+            return  # it never sent a byte
+        # A request that is too large only for this path is rejected like any other.
         answer = denied(self.retry_after) if error.status == 413 else plain(error.status, f"{error}\n")
         await self.send_rejection(client, side, answer)
--- a/lupinmill/routing/command_executor.py
+++ b/lupinmill/routing/command_executor.py
@@ -1,4 +1,4 @@
-"""Route: the module's orders become launches, call-offs, probes and final answers."""
+"""Executes the decision module's commands: attempts, cancellations, probes and final responses."""
 
 from __future__ import annotations
 
@@ -49,9 +49,9 @@
             raise
 
     def report_unknown_request(self, command: t.StartAttempt) -> None:
-        """A submission that is over here, which the module still has open: only after a failure of its own.
-        Nothing is sent; told so, it frees the places that it counts at endpoints and forgets the submission.
-        None of its launches can be out, or it would be known."""
+        """Handles a request that is closed here but still open in the decision module, which happens only
+        after a failure of the module. Nothing is sent; the events make it free the places that it counts at
+        endpoints and forget the request. None of its attempts can be in flight, or it would be known here."""
         self.log("order_failed", order="Launch", error=f"{command.request} is not open")
         for number in range(self.engine.sidecar.dispatcher.settings.max_attempts):
             self.engine.handle_event(
@@ -59,7 +59,7 @@
             )
 
     def cancel_attempt(self, command: t.CancelAttempt) -> None:
-        """Giving up closes the connection: the scope's end does."""
+        """Cancels an attempt. The end of its scope closes the connection."""
         pending = self.request_table.pending_requests.get(command.request)
         if pending is not None:
             attempt = pending.attempts[command.attempt]
--- a/lupinmill/routing/deadline.py
+++ b/lupinmill/routing/deadline.py
@@ -1,4 +1,4 @@
-"""Deadline: when an attempt at an endpoint ends, whatever this process was doing at that moment."""
+"""When an attempt at an endpoint ends, even if this process was blocked at that moment."""
 
 from __future__ import annotations
 
@@ -10,33 +10,35 @@
 from lupinmill.protocol.http import Garbled
 from lupinmill.transport.connection import Connection
 
-MAX_PAUSE_S = 0.25  # seconds between two parts of an answer of up to 64 KiB
+MAX_PAUSE_S = 0.25  # seconds between two parts of a response of up to 64 KiB
 
 
 class Deadline:
-    """The limit of one attempt, in seconds of the loop's clock, as from `anyio.current_time`.
+    """The time limit of one attempt, in seconds of the event loop's clock (`anyio.current_time`).
 
-    Up to the wait for an answer its scope enforces it. From then on `receive` does, which guards against a
-    loop that stood still past the limit: an answer that came meanwhile lies unread, and is the answer."""
+    Until the wait for a response the scope enforces it. From then on `receive` does, which guards against an
+    event loop that was blocked past the limit: a response that arrived meanwhile lies unread and is still
+    valid."""
 
     def __init__(self, at: float) -> None:
         self.at = at
-        self.scope = anyio.CancelScope(deadline=at)  # around all of the attempt
-        self.waiting: anyio.CancelScope | None = None  # around the wait for an answer's next bytes
+        self.scope = anyio.CancelScope(deadline=at)  # around the whole attempt
+        self.waiting: anyio.CancelScope | None = None  # around the wait for the next bytes of a response
 
     def reschedule(self, at: float) -> None:
-        """To an earlier or a later moment."""
+        """Moves the limit to an earlier or a later time."""
         self.at = at
         if self.waiting is None:
             self.scope.deadline = at
         else:
-            self.waiting.deadline = min(self.waiting.deadline, at)  # a later one holds after this wait
+            # a later limit takes effect after this wait
+            self.waiting.deadline = min(self.waiting.deadline, at)
 
     async def receive(self, connection: Connection, begun: bool) -> bytes:
-        """The next bytes of an answer that may have begun, none at its end. Garbled where an answer that has
-        begun stops for `MAX_PAUSE_S`; OSError where the connection broke. At the limit the scope is cancelled."""
-        # Guards against answers of many reads after a standstill: with a pass of the loop for each, alarms
-        # that are due ring between them.
+        """Returns the next bytes of a response, empty at its end. Raises Garbled if a response that has begun
+        pauses for `MAX_PAUSE_S`, and OSError if the connection broke. At the limit the scope is cancelled."""
+        # Guards against responses of many reads after the loop was blocked: with one pass of the loop for
+        # each read, due timers would fire between them.
         if begun and (data := connection.read()) is not None:
             return data
         self.scope.deadline = math.inf
@@ -54,4 +56,4 @@
                 self.scope.cancel()
                 await anyio.lowlevel.checkpoint()
             elif now >= pause_ends:
-                raise Garbled("the answer stopped in the middle")
+                raise Garbled("the response stalled before its end")
--- a/lupinmill/routing/directory.py
+++ b/lupinmill/routing/directory.py
@@ -1,4 +1,4 @@
-"""What the list of endpoints says now: where each listens, and whether it still takes launches."""
+"""The current list of endpoints: their addresses, and whether they accept attempts."""
 
 from __future__ import annotations
 
@@ -13,13 +13,15 @@
 
 
 class EndpointDirectory:
-    """Hears of every list first, so that a launch on its way can look at it, then tells the module."""
+    """Receives each list first, so that attempts in progress can check it, then passes it to the decision
+    module."""
 
     def __init__(
         self, engine: Engine, connection_pool: ConnectionPool, cordoned: Container[str] = ()
     ) -> None:
         self.engine, self.connection_pool = engine, connection_pool
-        self.cordoned = cordoned  # by hand; whose set it is changes it before `by_hand` is called
+        # cordoned by operators; the owner of the set changes it before calling `set_cordoned`
+        self.cordoned = cordoned
         self.states: dict[str, t.EndpointStatus] = {}
         self.addresses: dict[str, str] = {}
         self.index: int | None = None
@@ -27,10 +29,10 @@
         engine.failure_listeners.append(self.on_module_failure)
 
     def update(self, known: Known, kind: t.ListKind) -> None:
-        """Whole or not at all: nothing is touched before the whole new state is there. Should the module fail
-        on it, `index` turns None, and the whole list is to be asked for again."""
-        # The last word on a name holds, here as in the module: an answer may hold a name's end and its new
-        # start, or the other way round.
+        """Applies a list as a whole: nothing is changed before the new state is complete. If the decision
+        module fails on it, `index` becomes None and the whole list must be requested again."""
+        # The last entry for a name applies, here as in the decision module: a response may hold a name's end
+        # and its new start, or the other way round.
         now = self.engine.clock.now()
         last = {entry.endpoint: entry for entry in known.entries}
         entries = [self.start_times.resolve(entry, now) for entry in last.values()]
@@ -49,12 +51,12 @@
         self.engine.handle_event(t.ListReceived(kind, entries))
 
     def on_module_failure(self, event: object) -> None:
-        """The module may hold a part of a list: changes since then would never make up for the rest."""
+        """The decision module may hold only part of a list, which later changes would never complete."""
         if isinstance(event, t.ListReceived):
             self.index = None
 
     def set_cordoned(self, name: str, out: bool) -> None:
-        """Launches on their way look at the set itself; connections that are kept would outlast a restart."""
+        """Attempts in progress check the set itself; kept connections would outlast a restart."""
         self.connection_pool.drop(name)
         self.engine.handle_event(t.OperatorOverride(name, out))
 
@@ -68,6 +70,6 @@
         return self.states.get(name) is t.EndpointStatus.READY and name not in self.cordoned
 
     def has_no_ready_endpoint(self) -> bool:
-        """No endpoint is there; those out by hand are, for this: it is by operators' will that none
+        """Whether no endpoint is ready. Cordoned ones count as ready here, as operators chose that none
         serves."""
         return not any(state is t.EndpointStatus.READY for state in self.states.values())
--- a/lupinmill/routing/engine.py
+++ b/lupinmill/routing/engine.py
@@ -1,4 +1,4 @@
-"""Drives the decision module: notes in, orders out, one clock and one timer."""
+"""Drives the decision module: events in, commands out, one clock and one timer."""
 
 from __future__ import annotations
 
@@ -16,18 +16,16 @@
 
 Log = Callable[..., None]
 
-LATE_WAKEUP_US = (
-    20_000  # microseconds by which a wake-up comes late before what lies unread is read first, ...
-)
-IO_PASSES = 3  # ... in so many passes of the loop: the bytes, the task that reads them, what it tells
-MAX_TIMER_HOLD_US = 50_000  # microseconds for which alarms that are due wait for what lies unread
-# Microseconds after a failure of the module until it goes on with what that step left; twice as long after
-# each further failure in a row.
+LATE_WAKEUP_US = 20_000  # microseconds of lag above which unread bytes are read before a timer fires, ...
+IO_PASSES = 3  # ... in this many passes of the loop: the bytes, the task that reads them, the event it sends
+MAX_TIMER_HOLD_US = 50_000  # microseconds for which due timers wait for unread bytes
+# Microseconds after a failure of the decision module until it resumes what that step left undone; doubled
+# after each further failure in a row.
 RESUME_DELAY_US, MAX_RESUME_DELAY_US = 1_000, 100_000
 
 
 def error_fields(error: Exception) -> dict[str, str]:
-    """What the log tells of an exception that should not have been: the last line of ours that it passed."""
+    """Log fields for an unexpected exception, with the innermost line of this project that it passed."""
     where = traceback.extract_tb(error.__traceback__)
     ours = [frame for frame in where if "lupinmill" in frame.filename] or where
     place = f"{os.path.basename(ours[-1].filename)}:{ours[-1].lineno}" if ours else ""
@@ -35,7 +33,7 @@
 
 
 class Clock:
-    """Unix time in whole microseconds that only moves forward, whatever is done to the machine's clock."""
+    """Unix time in whole microseconds that never goes back, even if the machine's clock is set."""
 
     def __init__(self) -> None:
         self.offset_ns = time.time_ns() - time.monotonic_ns()
@@ -45,21 +43,22 @@
 
 
 class Engine:
-    """Owns the `Sidecar`. Each type of order is carried out by whoever registered for it."""
+    """Owns the `Sidecar`. Each type of command is executed by the handler registered for it."""
 
     def __init__(self, deployment: t.Deployment, clock: Clock, log: Log) -> None:
         self.sidecar, self.clock, self.log = Sidecar(deployment), clock, log
         self.events: deque[t.Event] = deque()
         self.stepping = False
-        self.wake_at: int | None = None  # as the module asked
-        # After a failure. Apart from `wake_at`: the module counts on that one and would not ask for it again.
+        self.wake_at: int | None = None  # as the decision module asked
+        # Set after a failure. Separate from `wake_at`, which the decision module relies on and would not ask
+        # for again.
         self.resume_at: int | None = None
         self.resume_delay = RESUME_DELAY_US
         self.failure_listeners: list[
             Callable[[Any], None]
-        ] = []  # hear of each note that the module failed on
-        self.lateness = 0  # microseconds by which wake-ups came late of late
-        self.timers_held_since: int | None = None  # alarms that are due wait for what lies unread
+        ] = []  # called with each event that the decision module failed on
+        self.lateness = 0  # microseconds of recent event loop lag
+        self.timers_held_since: int | None = None  # since when due timers wait for unread bytes
         self.timer_changed = anyio.Event()
         self.command_handlers: dict[type, Callable[[Any], None]] = {
             t.SetTimer: self.set_timer,
@@ -67,7 +66,8 @@
         }
 
     def handle_event(self, event: t.Event) -> None:
-        """Notes that arise while orders are carried out wait for the next step."""
+        """Passes an event to the decision module. Events that arise while commands are executed wait for the
+        next step."""
         self.events.append(event)
         if self.stepping:
             return
@@ -79,14 +79,16 @@
             self.stepping = False
 
     def step(self, event: t.Event) -> None:
-        """One failure must cost one note's submission at most, never the program. Hence one note a step: of a
-        batch, those behind the one that fails would be lost. What was ordered before the failure holds."""
+        """Runs one step. A failure must cost one event's request at most, never the program. Hence one event
+        per step: if a batch failed, the events behind the failing one would be lost. Commands issued before
+        the failure are executed."""
         failed: Any = None
         now = self.clock.now()
         try:
             commands = self.sidecar.step(now, [event], self.may_fire_timers(now))
         except Exception as error:
-            # The module may say which note it was: of an alarm that came due in this step, another's.
+            # The decision module may name the event; if a timer fired in this step, it is that of another
+            # request.
             about = getattr(error, "about", event)
             failed = about if hasattr(about, "request") else event
             self.log(
@@ -103,8 +105,8 @@
             self.resume_delay = RESUME_DELAY_US
 
     def may_fire_timers(self, now: int) -> bool:
-        """Guards against endpoints that seem silent: after a time in which the loop stood still, the first
-        note would ring all that is due by then, while answers lie unread."""
+        """Guards against endpoints that seem silent: after the loop was blocked, the first event would fire
+        all timers due by then, while responses lie unread."""
         if self.wake_at is None or now - self.wake_at <= LATE_WAKEUP_US:
             self.timers_held_since = None
             return True
@@ -123,8 +125,8 @@
             )
 
     def on_module_failure(self, event: Any) -> None:
-        """The step may have left notes undelivered and alarms due: it goes on soon. Whoever owns what the
-        note was about brings that to its end."""
+        """The step may have left events undelivered and timers due, so it resumes soon. Listeners finish what
+        the event was about."""
         self.resume_at = self.clock.now() + self.resume_delay
         self.resume_delay = min(MAX_RESUME_DELAY_US, 2 * self.resume_delay)
         self.timer_changed.set()
@@ -148,7 +150,7 @@
             if at is not None and at <= now:
                 self.lateness = max(now - at, self.lateness * 9 // 10)
                 if now - at > LATE_WAKEUP_US:
-                    # Guards against endpoints that seem silent: answers that lie unread are heard first.
+                    # Guards against endpoints that seem silent: unread responses are read first.
                     for _ in range(IO_PASSES):
                         await anyio.sleep(0)
                 self.fire_timer()
@@ -159,7 +161,7 @@
                     await self.timer_changed.wait()
 
     def fire_timer(self) -> None:
-        """Of the two only what is due is over: the module would not ask for the other again."""
+        """Clears only the wake-up that is due: the decision module would not ask for the other one again."""
         now = self.clock.now()
         if self.resume_at is not None and self.resume_at <= now:
             self.resume_at = None
--- a/lupinmill/routing/request_body.py
+++ b/lupinmill/routing/request_body.py
@@ -1,7 +1,7 @@
-"""The body of a submission that is launched while it comes: what came lately waits here for the launch to
-send it, and what of its beginning the shelf has room for stays, so that another launch can start anew.
+"""The body of a request that is sent while it arrives: recent bytes wait here for the attempt to send them,
+and its beginning stays as long as the memory budget allows, so that another attempt can restart.
 
-Owns its part of the shelf, which `drop` gives back."""
+Owns its part of the memory budget, which `drop` releases."""
 
 from __future__ import annotations
 
@@ -12,23 +12,23 @@
 from lupinmill.protocol.http import SMALL
 from lupinmill.transport.buffers import MemoryBudget
 
-MAX_UNSENT_BYTES = SMALL  # bytes that may wait for a launch beyond what the shelf has room for
+MAX_UNSENT_BYTES = SMALL  # bytes beyond the memory budget that may wait for an attempt
 
 
 class BodyUnavailable(Exception):
-    """The part that is asked for is not kept any more, or never comes."""
+    """The requested part is no longer kept, or will never arrive."""
 
 
 class RequestBody:
-    """`length` is None where the client's chunks don't tell."""
+    """`length` is None if the client's chunked encoding does not tell it."""
 
     def __init__(self, body_memory: MemoryBudget, length: int | None) -> None:
         self.body_memory, self.length = body_memory, length
         self.parts: deque[bytes | bytearray] = deque()
-        self.discarded_parts = 0  # parts let go of; those that are kept begin at `start`
-        self.start = self.end = 0  # in bytes; `end`: so many have come
+        self.discarded_parts = 0  # parts no longer kept; the kept ones begin at offset `start`
+        self.start = self.end = 0  # byte offsets; `end`: bytes that have arrived
         self.leased = 0
-        self.read_up_to = 0  # up to where the launch that came furthest has read
+        self.read_up_to = 0  # offset up to which the furthest attempt has read
         self.complete = self.dropped = False
         self.changed = anyio.Event()
 
@@ -37,10 +37,10 @@
         self.changed = anyio.Event()
 
     async def put(self, data: bytes | bytearray, has_reader: bool = True) -> None:
-        """Waits while no launch takes what is here and the shelf has no room; one part more than that has
-        room is taken where there is no launch yet that could."""
+        """Appends a part. Waits while no attempt reads the buffered bytes and the memory budget is exhausted;
+        before there is an attempt that could, one part beyond the budget is accepted."""
         if self.dropped:
-            return  # settled meanwhile: a lease taken now would be given back by nobody
+            return  # settled meanwhile; nobody would release a lease taken now
         if not self.body_memory.lease(len(data)):
             while has_reader and self.end - self.start > MAX_UNSENT_BYTES and not self.dropped:
                 if not self.discard_sent_part():
@@ -53,7 +53,7 @@
             self.notify()
 
     def discard_sent_part(self) -> bool:
-        """Lets go of a part that was sent: from now on no other launch can start anew."""
+        """Discards a part that was sent. From then on no other attempt can restart."""
         if not self.parts or self.start + len(self.parts[0]) > self.read_up_to:
             return False
         size = len(self.parts.popleft())
@@ -69,15 +69,16 @@
         self.notify()
 
     def fully_buffered(self) -> bool:
-        """The shelf had room for all of it so far."""
+        """Whether the memory budget had room for all of it so far."""
         return self.leased == self.end
 
     def can_restart(self) -> bool:
-        """Could a launch start from the beginning?"""
+        """Whether an attempt can start from the beginning."""
         return not self.start and not self.dropped
 
     async def read(self, at: int, number: int) -> bytes | bytearray:
-        """Part `number`, which begins at `at`; none at the end. Gone where it is not kept or never comes."""
+        """Returns part `number`, which begins at offset `at`; empty at the end. Raises BodyUnavailable if it
+        is no longer kept or will never arrive."""
         while True:
             if self.dropped or at < self.start:
                 raise BodyUnavailable
@@ -91,7 +92,7 @@
             await self.changed.wait()
 
     def drop(self) -> None:
-        """Nobody wants it any more."""
+        """Discards the body; nobody needs it any more."""
         self.dropped = True
         self.parts.clear()
         self.body_memory.release(self.leased)
--- a/lupinmill/routing/request_factory.py
+++ b/lupinmill/routing/request_factory.py
@@ -1,4 +1,5 @@
-"""Admit: a request that came whole becomes a submission, or gets the answer that says why not."""
+"""Turns a complete HTTP request into a pending request, or into the response that says why it was not
+accepted."""
 
 from __future__ import annotations
 
@@ -11,9 +12,7 @@
 from lupinmill.transport.client import Client
 
 
-MAX_REMOVED_WORKLOADS = (
-    1_000  # names of workloads that were taken away; the oldest is forgotten, and unknown again
-)
+MAX_REMOVED_WORKLOADS = 1_000  # removed workloads that are remembered; older ones count as unknown
 
 
 class RequestFactory:
@@ -30,12 +29,13 @@
             workloads,
             overrides,
         )
-        self.removed_workloads: dict[str, None] = {}  # taken away while this process ran, the last one last
-        self.known_workloads = workloads  # with those that are gone
-        self.retry_after = 0  # microseconds after which those may come back that the module never hears of
+        self.removed_workloads: dict[str, None] = {}  # removed while this process runs, most recent last
+        self.known_workloads = workloads  # including removed ones
+        # microseconds to advise in Retry-After for requests that never reach the decision module
+        self.retry_after = 0
 
     def deploy(self, workloads: set[str], retry_after: int) -> None:
-        """Of a workload that was taken away what comes from now on is denied: it was launched nowhere, and
+        """Sets the known workloads. Requests for a removed workload are rejected: they were sent nowhere, and
         the workload may come back."""
         self.removed_workloads |= dict.fromkeys(sorted(self.workloads - workloads))
         self.removed_workloads = {name: None for name in self.removed_workloads if name not in workloads}
@@ -50,13 +50,14 @@
     def create(
         self, request: Request, client: Client, body: RequestBody | None = None, to_come: float = 0.0
     ) -> PendingRequest | Answer:
-        """`to_come`: seconds that the rest of a body may take which isn't whole yet."""
+        """Opens a pending request. `to_come`: seconds that the rest of an incomplete body may take."""
         if (answer := self.readiness(request)) is not None:
             return answer
         try:
             metadata = submission.read(request, self.known_workloads)
             if self.request_table.is_open(metadata.submission):
-                # Under one name the module would take both for one, and one client would get no answer.
+                # The decision module would take both for the same request, and one client would get no
+                # response.
                 raise Malformed(400, "this Req-Id is still open", True)
         except Malformed as error:
             return plain(error.status, f"{error}\n")
@@ -65,8 +66,8 @@
         incomplete = body is not None and not body.complete
         waited = client.max_elapsed_wait(metadata.left, incomplete)
         if incomplete and waited >= metadata.left:
-            return submission.denied(self.retry_after)  # all its client's time may be over already
-        # While it comes its client may be writing still, which goes on to nobody's harm.
+            return submission.denied(self.retry_after)  # the client's whole deadline may have passed
+        # The client may still be writing while the body arrives, and waits for no response yet.
         due = (
             self.due(metadata.left, 0, int(to_come * 1_000_000))
             if incomplete
@@ -78,30 +79,32 @@
         try:
             self.request_table.add(pending)
         except Exception:
-            self.request_table.withdraw(pending)  # or it would be open for good, and so would the program
+            # an entry left in the table would keep the program from ending
+            self.request_table.withdraw(pending)
             raise
         return pending
 
     def readiness(self, request: Request) -> Answer | None:
-        """None where it asks for something else."""
+        """Returns None if the request is not a readiness check."""
         if request.target.split(b"?", 1)[0] != submission.READY or request.method not in (b"GET", b"HEAD"):
             return None
         return plain(200, "ready\n") if self.is_ready() else plain(503, "not ready\n")
 
     def due(self, left: int, waited: int, to_come: int = 0) -> int:
-        """The hard limit of what came whole so long ago, or may take so long to come."""
+        """Returns the hard limit of a request that was complete `waited` microseconds ago, or may take
+        `to_come` to complete."""
         engine = self.request_table.engine
-        # Guards against answers after the hard limit while the loop lags: they come out as late as wake-ups
-        # do, once from the module and once to the client.
+        # Guards against responses after the hard limit while the event loop lags: they are late by the lag
+        # twice, once from the decision module and once on the way to the client.
         left -= min(2 * engine.lateness, left // 3)
         now = engine.clock.now()
         due = now - waited + left + to_come
         if (latest := self.overrides.latest_hard_limit(now)) is not None:
-            due = min(due, latest)  # nothing may be open when the program is killed, or the drain is over
+            due = min(due, latest)  # nothing may be open when the process is killed or the drain ends
         return due
 
     def past_drain_deadline(self) -> bool:
-        """Nothing may be open any more."""
+        """Whether the drain deadline has passed, after which no request may be open."""
         ends = self.overrides.drain_deadline
         return ends is not None and self.request_table.engine.clock.now() >= ends
 
--- a/lupinmill/routing/request_table.py
+++ b/lupinmill/routing/request_table.py
@@ -1,4 +1,4 @@
-"""Book: every open submission, its launches and its one final answer."""
+"""Every open request, its attempts and its one final response."""
 
 from __future__ import annotations
 
@@ -18,9 +18,8 @@
 from lupinmill.transport.client import Client
 
 
-MIN_DURATION_US = (
-    5_000  # microseconds: below it answers differ by what this loop and the kernel do, not endpoints
-)
+# microseconds; below this, durations differ by event loop and kernel rather than by endpoint
+MIN_DURATION_US = 5_000
 
 
 @dataclass(slots=True)
@@ -29,43 +28,42 @@
     number: int
     started_at: int
     deadline: Deadline
-    fully_sent: bool = False  # its last byte has left: from here on it may have run
-    sent_at: int = 0  # when that was
+    fully_sent: bool = False  # the last byte was sent; from here on it may have run
+    sent_at: int = 0  # when the last byte was sent
     cancelled: bool = False
-    unread_time: int = 0  # microseconds that its answer lay unread
-    end_reported: bool = False  # the module knows its end: a large answer had begun
+    unread_time: int = 0  # microseconds that its response lay unread
+    end_reported: bool = False  # the decision module knows its end, because a large response had begun
     in_flight: bool = True
 
 
 @dataclass(slots=True)
 class PendingRequest:
-    """One submission from its taking in until its last launch has ended."""
+    """One request from its arrival until its last attempt has ended."""
 
     metadata: Asked
     request: Request
     due: int
     client: Client
-    received_at: int  # its last byte, as far as the kernel tells
-    latest_start: int | None = (
-        None  # no attempt begins later; None while the body comes, or where `due` says it
-    )
+    received_at: int  # when its last byte arrived, as far as the kernel tells
+    # no attempt starts later; None while the body arrives, or if `due` covers it
+    latest_start: int | None = None
     settled: bool = False
-    answer: Answer | None = None  # stays None where the client has gone away
-    client_wait: anyio.CancelScope | None = None  # its client's task, until it is settled
+    answer: Answer | None = None  # stays None if the client has disconnected
+    client_wait: anyio.CancelScope | None = None  # scope of its client's task, until the request is settled
     attempts: list[Attempt] = field(default_factory=list)
-    body: RequestBody | None = None  # over 64 KiB: what is kept of it, or still comes
-    stream: ResponseStream | None = None  # of the answer, where that is large: its client's task takes it
+    body: RequestBody | None = None  # over 64 KiB: what is buffered of it or still arriving
+    stream: ResponseStream | None = None  # of a large response, which the client's task reads
 
 
 class RequestTable:
-    """Owns the open journeys. `close` is the one place where they are given back."""
+    """Owns the open requests. `remove_if_finished` is the only place where they are removed."""
 
     def __init__(self, engine: Engine) -> None:
         self.engine = engine
         self.pending_requests: dict[str, PendingRequest] = {}
-        self.repeats = 0  # launches beyond a submission's first, so far
-        self.open_in_predecessor: set[str] = set()  # ids open in an older process of this sidecar
-        self.unattempted = 0  # of them, those that the module has launched nowhere yet
+        self.repeats = 0  # attempts beyond a request's first, so far
+        self.open_in_predecessor: set[str] = set()  # ids that are open in the process before this one
+        self.unattempted = 0  # open requests for which the decision module has started no attempt yet
         engine.failure_listeners.append(self.on_module_failure)
 
     def add(self, pending: PendingRequest) -> None:
@@ -88,7 +86,7 @@
         )
 
     def body_received(self, pending: PendingRequest, due: int, latest_start: int) -> None:
-        """Its last byte has come; the hard limit is known from here on."""
+        """The last byte of the body has arrived, and the hard limit is known from here on."""
         pending.due, pending.latest_start = due, latest_start
         now, clock = self.engine.clock.now(), anyio.current_time()
         for attempt in pending.attempts:
@@ -104,12 +102,12 @@
         stream: ResponseStream,
         load: t.LoadReport | None,
     ) -> None:
-        """A large answer passes on as it comes: nothing of ours ends it any more."""
+        """A large response is passed on as it arrives; from here on no deadline of this sidecar ends it."""
         attempt.deadline.reschedule(math.inf)
         pending.stream = stream
         self.settle(pending, answer)
-        # To the module it is over: the endpoint has done its work, what it still writes takes none of its
-        # places.
+        # For the decision module the attempt is over: the endpoint has done its work, and writing the
+        # response takes no capacity there.
         self.report_attempt_ended(pending, attempt, t.Outcome.HANDLED, load)
         attempt.end_reported = True
 
@@ -117,7 +115,7 @@
         return name in self.pending_requests or name in self.open_in_predecessor
 
     def in_flight_by_endpoint(self) -> dict[str, int]:
-        """Launches that are out and written, by endpoint."""
+        """Attempts in flight whose request was sent in full, by endpoint."""
         counts: dict[str, int] = {}
         for pending in self.pending_requests.values():
             for attempt in pending.attempts:
@@ -126,35 +124,36 @@
         return counts
 
     def settle(self, pending: PendingRequest, answer: Answer | None) -> bool:
-        """The first final answer stands; what comes later is dropped."""
+        """Sets the final response. Only the first one counts; later ones are dropped."""
         if pending.settled:
             return False
         pending.answer, pending.settled = answer, True
         if pending.client_wait is not None:
             pending.client_wait.cancel()
         if pending.body is not None and not pending.body.complete:
-            pending.body.drop()  # no more of it is read: a launch would wait for the rest, and can't run
+            pending.body.drop()  # no more of it is read, so an attempt would wait for the rest forever
         self.remove_if_finished(pending)
         return True
 
     def withdraw(self, pending: PendingRequest) -> None:
-        """Its client has gone away, or its answer came from no decision."""
+        """Settles a request whose client has disconnected, or whose response came from no decision."""
         if self.settle(pending, None):
             self.engine.handle_event(t.RequestCancelled(pending.metadata.submission))
 
     def on_module_failure(self, event: Any) -> None:
-        """The module failed on this note, and may never decide about its submission: where no launch is out
-        that may still bring an answer, it gets its final one now."""
-        about = getattr(event, "request", "")  # its name; in the module's own notes what it knows of it
+        """The decision module failed on this event and may never decide on its request. If no attempt is in
+        flight that may still bring a response, the request gets its final one now."""
+        about = getattr(event, "request", "")  # the request's id; in the module's internal events its state
         pending = self.pending_requests.get(getattr(about, "name", about))
         if pending is not None and not any(attempt.in_flight for attempt in pending.attempts):
             self.abort_after_module_failure(pending)
         if isinstance(event, t.AttemptEnded) and event.outcome is not t.Outcome.CALLED_OFF:
-            # Once more, as what tells nothing of the endpoint: or its place there would be taken for good.
+            # Sent again with an outcome that says nothing about the endpoint; otherwise its place there would
+            # never be freed.
             self.engine.handle_event(replace(event, outcome=t.Outcome.CALLED_OFF, load=None))
 
     def abort_after_module_failure(self, pending: PendingRequest) -> None:
-        """A final answer that comes from no decision."""
+        """Gives a final response that comes from no decision."""
         if self.settle(pending, broken_off()):
             self.engine.log("backstop", submission=pending.metadata.submission)
             self.engine.handle_event(t.RequestCancelled(pending.metadata.submission))
@@ -182,7 +181,7 @@
     def report_attempt_ended(
         self, pending: PendingRequest, attempt: Attempt, outcome: t.Outcome, load: t.LoadReport | None
     ) -> None:
-        # From its last byte on: until then it was this loop and the connection that took their time.
+        # Counted from the last byte sent: before that, event loop and connection took the time.
         began = attempt.sent_at or attempt.started_at
         name, took = pending.metadata.submission, self.engine.clock.now() - began - attempt.unread_time
         took = max(took, MIN_DURATION_US)
@@ -192,7 +191,8 @@
         )
 
     def time_left(self, pending: PendingRequest) -> int:
-        """Microseconds that its client still waits, at the least: what an attempt that begins now is told."""
+        """Microseconds that the client still waits, at least: the deadline that an attempt starting now is
+        given."""
         now = self.engine.clock.now()
         left = pending.due - now
         if pending.latest_start is not None:
--- a/lupinmill/routing/response_stream.py
+++ b/lupinmill/routing/response_stream.py
@@ -1,6 +1,6 @@
-"""A large answer on its way: the launch that got it lends its connection to the client's task, which takes
-part after part, and waits until that is done. One part is in memory at a time: a slow reader holds up its own
-stream alone."""
+"""A large response in transit. The attempt that received it lends its connection to the client's task, which
+reads part after part, and waits until that is finished. One part is in memory at a time, so a slow client
+delays only its own stream."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 from lupinmill.protocol.http import ClientSide, Garbled
 from lupinmill.transport.connection import Connection
 
-MAX_PAUSE_S = 10.0  # seconds without a byte after which an endpoint gives no more
+MAX_PAUSE_S = 10.0  # seconds without a byte after which an endpoint is considered stalled
 
 
 class IncompleteResponse(Exception):
-    """The rest does not come, or not as it was told."""
+    """The rest of the response does not arrive, or not as announced."""
 
 
 class ResponseStream:
     def __init__(self, connection: Connection, side: ClientSide, attempt: object) -> None:
         self.connection, self.side, self.attempt = connection, side, attempt
         self.finished = anyio.Event()
-        self.outcome = t.Outcome.CALLED_OFF  # unless told otherwise: its client's task was ended
+        self.outcome = t.Outcome.CALLED_OFF  # default: the client's task was cancelled
 
     async def next_part(self) -> bytes:
-        """The next part, none at the end."""
+        """Returns the next part, empty at the end."""
         try:
             while not (data := self.side.take()):
                 if self.side.over:
@@ -38,11 +38,11 @@
             raise IncompleteResponse(str(error)) from error
         except TimeoutError as error:
             self.outcome = t.Outcome.SPOILT
-            raise IncompleteResponse("it stopped in the middle") from error
+            raise IncompleteResponse("the endpoint stopped sending before the end of the response") from error
         except OSError as error:
             self.outcome = t.Outcome.RESET
             raise IncompleteResponse(str(error)) from error
 
     def finish(self) -> None:
-        """The connection is the launch's again."""
+        """Returns the connection to the attempt."""
         self.finished.set()
--- a/lupinmill/routing/response_writer.py
+++ b/lupinmill/routing/response_writer.py
@@ -1,4 +1,4 @@
-"""Relay: waits for a submission's final answer beside its client, and passes it back."""
+"""Waits for a request's final response while watching its client, and writes the response."""
 
 from __future__ import annotations
 
@@ -12,12 +12,11 @@
 from lupinmill.routing.response_stream import IncompleteResponse, ResponseStream
 from lupinmill.transport.client import Client
 
-DECISION_BACKSTOP_US = (
-    20_000  # after the hard limit, where no decision came: only a failure of the module leads here
-)
-LINGER_S = 1.0  # seconds for a client to read an answer before its connection is closed, ...
-MAX_LINGER_BYTES = 1024 * 1024  # ... and bytes of what it goes on sending that are read and dropped
-WRITE_TIMEOUT_S = 5.0  # seconds that a client may leave its answer unread, ...
+# microseconds after the hard limit without a decision; reached only if the decision module fails
+DECISION_BACKSTOP_US = 20_000
+LINGER_S = 1.0  # seconds for a client to read a response before its connection is closed, ...
+MAX_LINGER_BYTES = 1024 * 1024  # ... and bytes of its further input that are read and dropped
+WRITE_TIMEOUT_S = 5.0  # seconds that a client may leave its response unread, ...
 PART_WRITE_TIMEOUT_S = 10.0  # ... or a part of a large one
 
 
@@ -26,14 +25,14 @@
         self.request_table, self.log = request_table, log
 
     async def final_answer(self, client: Client, pending: PendingRequest) -> Answer | None:
-        """None where the client has gone away.
+        """Returns None if the client has disconnected.
 
-        Settling the journey cancels the wait; a task that waited beside this one would cost a tenth of what a
-        submission costs in all."""
+        Settling the request cancels the wait. A second waiting task would cost a tenth of all the work for a
+        request."""
         try:
             with anyio.move_on_after(self.seconds_to_decision(pending)) as pending.client_wait:
                 if not pending.settled:
-                    await client.wait_disconnected()  # whatever it sends meanwhile has to wait
+                    await client.wait_disconnected()  # anything it sends meanwhile has to wait
                     self.request_table.withdraw(pending)
         finally:
             pending.client_wait = None
@@ -41,11 +40,11 @@
         return pending.answer
 
     def seconds_to_decision(self, pending: PendingRequest) -> float:
-        """Seconds up to which the module has decided, if it does not fail."""
+        """Seconds until the decision module has decided, unless it fails."""
         return (pending.due + DECISION_BACKSTOP_US - self.request_table.engine.clock.now()) / 1_000_000
 
     def abort_if_undecided(self, pending: PendingRequest) -> None:
-        """Of what no decision came: an attempt may have run, so this is no denial."""
+        """Aborts a request without a decision. An attempt may have run, so this is no rejection."""
         if not pending.settled:
             self.request_table.withdraw(pending)
             pending.answer = broken_off()
@@ -54,9 +53,10 @@
     async def send_stream(
         self, client: Client, side: ServerSide, answer: Answer, stream: ResponseStream, close: bool
     ) -> bool:
-        """As `pass_back`, of a large answer, part by part; only then is the connection the launch's again.
+        """Like `send_answer`, for a large response, part by part; afterwards the connection is the attempt's
+        again.
 
-        A client that can't tell an early end from the true one is shown a reset."""
+        A client that cannot tell a truncated response from a complete one gets a reset."""
         complete, began = False, False
         try:
             head = side.begin(answer, stream.side.length, close)
@@ -89,8 +89,8 @@
     async def send_answer(
         self, client: Client, side: ServerSide, answer: Answer, close: bool, max_bytes: int = MAX_LINGER_BYTES
     ) -> bool:
-        """True when the connection can serve another submission. Of what a client goes on sending so many
-        bytes are read and dropped."""
+        """Returns True if the connection can serve another request. Up to `max_bytes` of the client's further
+        input are read and dropped."""
         data = side.answer(answer, close)
         client.response_due = False
         client.response_starts()
@@ -104,7 +104,7 @@
         return False
 
     async def linger(self, client: Client, max_bytes: int = MAX_LINGER_BYTES) -> None:
-        """Closing over unread bytes would reset the connection, and the answer with it."""
+        """Closing with bytes unread would reset the connection and lose the response."""
         client.shut_down_sending()
         dropped = 0
         with anyio.move_on_after(LINGER_S):
--- a/lupinmill/routing/start_times.py
+++ b/lupinmill/routing/start_times.py
@@ -1,7 +1,8 @@
-"""When endpoints started, in this process's time, though the machine's wall clock was set meanwhile.
+"""Start times of endpoints in this process's time, even if the machine's wall clock was set meanwhile.
 
-Discovery tells a start as Unix time, by a clock that may have been set with this machine's, or not. Where
-both readings are possible the later start holds: an endpoint is rather taken for cold than pushed over."""
+Discovery gives a start as Unix time of a clock that may or may not have been set together with this
+machine's. If both readings are possible the later start is used: it is safer to treat an endpoint as cold
+than to overload it."""
 
 from __future__ import annotations
 
@@ -15,17 +16,17 @@
 
 
 class StartTimes:
-    """Keeps one start for each endpoint that is listed; `keep` gives the others back."""
+    """Keeps one start for each listed endpoint; `retain` drops the others."""
 
     def __init__(self, wall_clock: WallClock) -> None:
         self.wall_clock = wall_clock
         self.resolved: dict[
             str, tuple[int, int]
-        ] = {}  # as listed and as understood, microseconds of Unix time
+        ] = {}  # as listed and as converted, microseconds of Unix time
 
     def resolve(self, entry: t.ListEntry, now: int) -> t.ListEntry:
         """`now`: microseconds of this process's time, which is never set. A start that was listed before is
-        understood as it was then, or each step of the clock would look like a restart."""
+        converted as it was then, or each step of the clock would look like a restart."""
         listed, started = self.resolved.get(entry.endpoint, (-1, 0))
         if listed != entry.started:
             started = self.to_process_time(entry.started, now)
--- a/lupinmill/transport/__init__.py
+++ b/lupinmill/transport/__init__.py
@@ -1,1 +1,2 @@
-"""Sockets and their storage: who may open what, and where each is given back. No decisions live here."""
+"""Sockets, buffers and descriptors: who may open what, and where it is released. No routing decisions are
+made here."""
--- a/lupinmill/transport/arrivals.py
+++ b/lupinmill/transport/arrivals.py
@@ -1,11 +1,11 @@
-"""When a client wrote what was read from it, as far as a receiver can tell. Pure: fed with each read, it does
-no I/O and reads no clock.
+"""Estimates when a client wrote the bytes that were read from it. Pure: it is given each read, does no I/O
+and reads no clock.
 
-The kernel's stamp of a read says when bytes arrived here. While the receive window is open that is when they
-were written, but for their way through the network. Once it has been full it is not: bytes wait in the
-sender's buffer, which no kernel tells of, and arrive when this side reads. From then on only silence proves
-that the client has not yet written its last byte: nothing unread, and nothing coming for longer than a round
-trip and than TCP holds a piece back."""
+The kernel's timestamp of a read says when bytes arrived here. While the receive window is open that is when
+they were written, apart from network latency. Once the window has been full it is not: bytes wait in the
+sender's buffer, invisible to any kernel here, and arrive when this side reads. From then on only silence
+proves that the client had not yet written its last byte: nothing unread, and nothing arriving for longer than
+a round trip and the time for which TCP may hold back a segment."""
 
 from __future__ import annotations
 
@@ -13,19 +13,15 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-# All spans in microseconds, all sizes in bytes.
-WINDOW_BYTES = (
-    32 * 1024
-)  # unread bytes from which the window may have been full; it opens with 64 KiB on Linux
-SILENCE_US = (
-    50_000  # longer than a delayed acknowledgement (40 ms), for which a sender may hold its last piece
-)
-SHORT_SILENCE_US = 8_000  # proves as much once more than such a piece has come after it
+# All times in microseconds, all sizes in bytes.
+WINDOW_BYTES = 32 * 1024  # unread bytes from which the window may have been full; Linux opens it with 64 KiB
+# longer than a delayed acknowledgement (40 ms), for which a sender may hold its last segment
+SILENCE_US = 50_000
+SHORT_SILENCE_US = 8_000  # enough if more than such a segment has arrived after it
 MAX_HELD_SEGMENT = 64 * 1024  # held back by a sender: less than the largest TCP segment
-UNSTAMPED_SILENCE_US = 500_000  # where no kernel tells when bytes came: a loop that is late looks the same
-TURNAROUND_US = (
-    1_000  # from the end of a request to its answer, in which what was sent behind it would have come
-)
+UNSTAMPED_SILENCE_US = 500_000  # without kernel timestamps, as a lagging event loop looks like silence
+# from the end of a request to its response, in which bytes sent right behind it would have arrived
+TURNAROUND_US = 1_000
 MAX_PAUSES = 64  # short silences that are remembered
 
 
@@ -33,8 +29,8 @@
 class ElapsedWait:
     """Microseconds for which a client has waited since it wrote its last byte.
 
-    `at_most` is what endpoints are told by and what bounds new attempts; `at_least` is how long this side may
-    go on with attempts that are under way."""
+    `at_most` sets the deadline that endpoints are given and bounds new attempts; `at_least` bounds how long
+    attempts in flight may continue."""
 
     at_least: int
     at_most: int
@@ -45,18 +41,18 @@
     """One read from the connection, by the monotonic clock."""
 
     size: int
-    arrived: int  # when its last byte came to this machine
+    arrived: int  # when its last byte arrived at this machine
     at: int  # when it was read
     emptied: bool  # it left nothing unread
-    stamped: bool = True  # the kernel told when it came
+    stamped: bool = True  # the kernel gave a timestamp
 
 
 @dataclass(frozen=True, slots=True)
 class Backlog:
-    """Bytes that may have been written together when the first of them came."""
+    """Bytes that may have been written together when the first of them arrived."""
 
     began: int
-    idle_time: int = 0  # of the time since then, how long nothing lay unread
+    idle_time: int = 0  # how much of the time since then nothing was unread
 
     def waited(self, now: int) -> ElapsedWait:
         at_most = max(0, now - self.began)
@@ -76,12 +72,12 @@
     """Follows one connection over all its requests. `backlog` is None while arrival times can be trusted."""
 
     def __init__(self, round_trip: Callable[[], int]) -> None:
-        """`round_trip`: microseconds to the client and back, asked for only within a backlog."""
+        """`round_trip`: microseconds to the client and back, called only within a backlog."""
         self.round_trip = round_trip
         self.backlog: Backlog | None = None
-        self.backlog_size = 0  # bytes of the backlog
+        self.backlog_size = 0
         self.pauses: deque[Pause] = deque()
-        self.run_size = 0  # bytes read since nothing lay unread
+        self.run_size = 0  # bytes read since nothing was unread
         self.run_began = 0
         self.last_read: Read | None = None
         self.known_empty = False  # the last read is known to have left nothing unread
@@ -97,11 +93,11 @@
         self.last_read, self.known_empty = read, read.emptied
 
     def mark_empty(self) -> None:
-        """Nothing lies unread now, so nothing has since the last read."""
+        """Nothing is unread now, so nothing has been since the last read."""
         self.known_empty = True
 
     def waited_at_most(self, now: int, unread: bool) -> int:
-        """Of a request whose last byte is not read yet. Where bytes lie unread it may be among them."""
+        """Upper bound for a request whose last byte is not read yet. Unread bytes may include it."""
         if self.last_read is None:
             return 0
         if not unread:
@@ -116,7 +112,8 @@
         return now - self.last_read.at > SILENCE_US + 2 * self.round_trip()
 
     def response_starts(self, now: int) -> None:
-        """A request was answered while nothing lay unread: what is sent from now on was not sent with it."""
+        """A response starts while nothing is unread: bytes sent from now on were not sent with the
+        request."""
         if self.last_read is not None and self.backlog is not None and self.known_empty:
             if now - self.last_read.at > TURNAROUND_US + 2 * self.round_trip():
                 self.forget_backlog()
--- a/lupinmill/transport/buffers.py
+++ b/lupinmill/transport/buffers.py
@@ -1,4 +1,5 @@
-"""Storage for bytes on their way: blocks from one store, and a ring buffer that leases one while in use."""
+"""Buffers for bytes in transit: a pool of blocks, and a ring buffer that leases a block while it holds
+bytes."""
 
 from __future__ import annotations
 
@@ -6,7 +7,7 @@
 
 
 class BlockPool:
-    """Owns all blocks. What is leased is given back here; a few free ones are kept for the next lease."""
+    """Owns all blocks. Leased blocks are released here; a few free ones are kept for reuse."""
 
     def __init__(self, block: int = BLOCK_SIZE, max_free: int = 64) -> None:
         self.block, self.max_free = block, max_free
@@ -24,7 +25,7 @@
 
 
 class MemoryBudget:
-    """What large bodies may hold of memory, all together. Who leases gives back, to the byte."""
+    """Memory that large bodies may hold together. Each lease is released by its holder, to the byte."""
 
     def __init__(self, limit: int) -> None:
         self.limit, self.leased = limit, 0
@@ -40,7 +41,7 @@
 
 
 class RingBuffer:
-    """A bounded queue of bytes in one block, which it holds only while there are bytes in it."""
+    """A bounded queue of bytes in one block, which it leases only while it holds bytes."""
 
     __slots__ = ("block_pool", "block", "start", "size")
 
@@ -50,7 +51,7 @@
         self.start = self.size = 0
 
     def writable(self) -> memoryview:
-        """The next free stretch; `filled` says how much of it was used."""
+        """Returns the next contiguous free space; `commit` says how much of it was filled."""
         if self.block is None:
             self.block, self.start = self.block_pool.lease(), 0
         whole = len(self.block)
@@ -65,7 +66,7 @@
             self.clear()
 
     def readable(self) -> memoryview:
-        """The next stretch of bytes that lie side by side; `took` says how many were used."""
+        """Returns the next contiguous bytes; `consume` says how many were used."""
         if self.block is None:
             return memoryview(b"")
         return self.block[self.start : min(self.start + self.size, len(self.block))]
@@ -78,7 +79,7 @@
             self.start = (self.start + count) % len(self.block)
 
     def write(self, data: memoryview) -> int:
-        """Copies as much as there is room for."""
+        """Copies as much as there is room for, and returns the count."""
         done = 0
         while done < len(data) and len(writable := self.writable()):
             count = min(len(writable), len(data) - done)
--- a/lupinmill/transport/client.py
+++ b/lupinmill/transport/client.py
@@ -1,6 +1,6 @@
-"""A client's connection: as any other, and it is watched for its client's end while a submission waits.
+"""A client's connection, which is also watched for the client disconnecting while a request waits.
 
-Owns what its client sent ahead of its turn, which `receive` hands out first and `close` gives back."""
+Owns the bytes that the client pipelined, which `receive` returns first and `close` discards."""
 
 from __future__ import annotations
 
@@ -20,30 +20,26 @@
 from lupinmill.transport.connection import ANCILLARY_SIZE, Connection
 from lupinmill.transport.buffers import BlockPool
 
-NEW_IDLE_S = 0.1  # seconds without a byte after which a new connection makes room for others, ...
-USED_IDLE_S = 2.0  # ... and seconds between two submissions after which one that was used does
-MAX_PIPELINED_BYTES = 64 * 1024  # bytes kept of what a client sends ahead of its turn, ...
-MAX_PIPELINED_PIECES = 64  # ... in so many pieces, each with the time at which it came
-READ_SIZE, READS_PER_TURN = (
-    16 * 1024,
-    4,
-)  # bytes read at once; reads in a row before others get their turn, ...
-READS_WITHOUT_TCP_INFO = 512  # ... and where no kernel tells of an end behind unread bytes
-# States of a TCP connection (`tcp_states.h`) that its other side has ended or reset: TIME_WAIT, CLOSE,
-# CLOSE_WAIT, LAST_ACK, CLOSING. FIN_WAIT1 and FIN_WAIT2 are not among them: there this side alone has.
+NEW_IDLE_S = 0.1  # seconds without a byte after which a new connection may be evicted, ...
+USED_IDLE_S = 2.0  # ... and seconds between two requests after which a used one may
+MAX_PIPELINED_BYTES = 64 * 1024  # pipelined bytes that are kept, ...
+MAX_PIPELINED_PIECES = 64  # ... in at most this many pieces, each with its arrival time
+# bytes per read; reads in a row before other tasks run, ...
+READ_SIZE, READS_PER_TURN = 16 * 1024, 4
+READS_WITHOUT_TCP_INFO = 512  # ... and where the kernel reports no end of stream behind unread bytes
+# TCP states (`tcp_states.h`) in which the other side has closed or reset the connection: TIME_WAIT, CLOSE,
+# CLOSE_WAIT, LAST_ACK, CLOSING. Not FIN_WAIT1 and FIN_WAIT2, where only this side has closed it.
 ENDED_STATES = (6, 7, 8, 9, 11)
 TCP_STATES = range(1, 13)  # all there are
-MAX_LATE_BYTES = 256 * 1024  # bytes of what lay unread when a time was over that are read still
-MIN_RTT_OFFSET = 148  # where tcp_info tells the least round-trip time of late, in microseconds
-MEMORY_ERRORS = (
-    errno.ENOMEM,
-    errno.ENOBUFS,
-)  # the kernel is short of memory: nothing is known of the other side
+MAX_LATE_BYTES = 256 * 1024  # unread bytes that are still read after a deadline
+MIN_RTT_OFFSET = 148  # offset in tcp_info of the recent minimum round-trip time, in microseconds
+# the kernel is short of memory, which says nothing about the other side
+MEMORY_ERRORS = errno.ENOMEM, errno.ENOBUFS
 
 
 @dataclass(slots=True)
 class PipelinedData:
-    """Of what a client sent ahead of its turn, with the marks of its coming as in `Connection`."""
+    """Pipelined bytes, with their arrival times as in `Connection`."""
 
     data: bytearray
     arrived: int
@@ -52,31 +48,29 @@
 
 
 class Client(Connection):
-    """While idle it can be told to close; its own task then does so."""
+    """While idle it can be told to close; its own task then closes it."""
 
     def __init__(self, sock: socket.socket, block_pool: BlockPool, release: Callable[[], None]) -> None:
-        self.pipelined: deque[PipelinedData] = (
-            deque()
-        )  # before all else: a socket that is broken already is closed at once
+        # set before anything else: the constructor closes a socket that is already broken
+        self.pipelined: deque[PipelinedData] = deque()
         self.pipelined_size = 0
         self.arrivals = Arrivals(self.round_trip)
-        self.backlog: Backlog | None = None  # in which the last bytes came that were handed out
+        self.backlog: Backlog | None = None  # the backlog in which the bytes returned last arrived
         super().__init__(sock, block_pool, release)
         self.waiting: anyio.CancelScope | None = None
-        self.has_requested = False  # a whole request has come on it
-        # None of its requests was answered by this process: it may have waited in the kernel's queue, where
-        # nobody saw it leave, and no stamp tells for how long.
+        self.has_requested = False  # a complete request has arrived on it
+        # This process has answered none of its requests yet. The connection may have waited in the kernel's
+        # accept queue, where nobody saw the client leave and no timestamp says for how long.
         self.unanswered = True
-        self.backlog_wait = 0  # microseconds that it may have waited there at the most
-        self.admitted = False  # a request of its is being worked on
-        self.unwritable = False  # it takes no answers
-        self.waiter: Any = None  # a request of its that waits before the program
-        self.prefetched = b""  # read at the door, before its task was woken
-        self.pipelined_dropped = (
-            False  # it sent more ahead than is kept: this connection serves no other request
-        )
-        self.disconnected = False  # its client has ended it
-        self.response_due = False  # a request of its was read whole, and no byte of its answer is written
+        self.backlog_wait = 0  # microseconds that it may have waited there, at most
+        self.admitted = False  # one of its requests is being handled
+        self.unwritable = False  # it takes no responses
+        self.waiter: Any = None  # its request that is held by admission control
+        self.prefetched = b""  # read by admission control before its task was woken
+        # more was pipelined than is kept: this connection serves no other request
+        self.pipelined_dropped = False
+        self.disconnected = False  # the client has closed or reset it
+        self.response_due = False  # a request was read in full, and no byte of its response is written
 
     def evictable(self, now: float) -> bool:
         return now - self.idle_since >= (USED_IDLE_S if self.has_requested else NEW_IDLE_S)
@@ -87,8 +81,8 @@
         self.pipelined_size = 0
 
     async def receive(self) -> bytes:
-        """What came ahead of its turn first, piece by piece, each with the time at which it came. Nothing
-        behind bytes that were dropped: what follows would be taken for the rest of a request."""
+        """Returns pipelined bytes first, piece by piece, each with its arrival time. Returns nothing behind
+        bytes that were dropped, as what follows would be taken for the rest of a request."""
         if self.pipelined:
             piece = self.pipelined.popleft()
             self.pipelined_size -= len(piece.data)
@@ -110,13 +104,13 @@
         self.backlog = self.arrivals.backlog
 
     def check_unread(self) -> bool:
-        """As `has_unread`, asked only where the last read doesn't tell, for the arrivals."""
+        """Like `has_unread`, but checks only if the last read does not tell, and updates the arrivals."""
         if not self.arrivals.known_empty and not self.has_unread():
             self.arrivals.mark_empty()
         return not self.arrivals.known_empty
 
     def round_trip(self) -> int:
-        """Microseconds to the client and back; none where no kernel tells."""
+        """Microseconds to the client and back; 0 if the kernel does not tell."""
         try:
             info = self.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, MIN_RTT_OFFSET + 4)
             return struct.unpack_from("I", info, MIN_RTT_OFFSET)[0]
@@ -124,28 +118,28 @@
             return 0
 
     def response_starts(self) -> None:
-        """Its answer is about to be written. What was read already keeps its backlog."""
+        """Call before a response is written. Bytes that were already read keep their backlog."""
         if self.arrivals.backlog is not None and not self.pipelined and not self.has_unread():
             self.arrivals.mark_empty()
             self.arrivals.response_starts(time.monotonic_ns() // 1000)
 
     async def receive_unread(self) -> bytes:
-        """What lies here at this moment, without waiting for more."""
+        """Reads what is unread at this moment, without waiting for more."""
         data = b""
         while len(data) < MAX_LATE_BYTES and self.has_unread():
             data += await self.receive()
         return data
 
     async def discard(self) -> int:
-        """Reads what comes next to drop it: so many bytes, none at the end."""
+        """Reads and drops the next bytes; returns their count, 0 at the end."""
         self.pipelined.clear()
         self.pipelined_size = 0
         return len(await super().receive())
 
     def check_disconnected(self) -> bool:
-        """Has its client left? Reads what lies ahead of the end, which nothing could be seen behind: guards
-        against launches for a client that sent more than one request and went. Only while nobody else
-        reads."""
+        """Checks whether the client has disconnected. Reads the bytes before the end of the stream, which
+        would hide it: guards against attempts for a client that pipelined requests and left. Only while no
+        other task reads."""
         for reads in range(READS_WITHOUT_TCP_INFO):
             if self.disconnected or self.closed:
                 return True
@@ -156,7 +150,7 @@
         return self.disconnected
 
     def read_pipelined(self) -> bool:
-        """One read of what came ahead of its turn; False where nothing lies unread."""
+        """Reads pipelined bytes once. Returns False if nothing is unread."""
         before = self.arrived, self.read_at, self.backlog
         try:
             data, ancillary, _, _ = self.sock.recvmsg(READ_SIZE, ANCILLARY_SIZE)
@@ -170,7 +164,7 @@
         elif not self.pipelined_dropped and self.pipelined_size + len(data) <= MAX_PIPELINED_BYTES:
             self.record_arrival(ancillary, len(data), READ_SIZE)
             self.keep_pipelined(PipelinedData(bytearray(data), self.arrived, self.read_at, self.backlog))
-            # What was read before keeps its own time: a request of it may wait for its turn still.
+            # Bytes read before keep their own times: a request among them may still wait for its turn.
             self.arrived, self.read_at, self.backlog = before
         else:
             self.pipelined_dropped = True
@@ -184,18 +178,19 @@
             self.pipelined[-1].data += piece.data
 
     def elapsed_wait(self) -> ElapsedWait:
-        """Since it wrote the last byte of the request that was read last."""
+        """Time since the client wrote the last byte of the request that was read last."""
         since_last = self.unread_time()
         if self.backlog is None:
             return ElapsedWait(since_last, since_last)
         return self.backlog.waited(time.monotonic_ns() // 1000)
 
     def max_elapsed_wait(self, left: int, incomplete: bool = False) -> int:
-        """Microseconds that it has waited at the most for a request with so much time left; `comes`: its last
-        byte is not read yet. Where no kernel tells, the first one of a connection may have lain in the
-        kernel's queue for as long as that was not seen empty: guards against launches that are ended more time
-        than their client has, and answers after its hard limit. An eighth of the time is left in any case, or
-        a queue that never empties would have all of it denied."""
+        """Microseconds that the client has waited at most for a request with `left` microseconds to its
+        deadline; `incomplete`: its last byte is not read yet. If the kernel gives no timestamp, the first
+        request of a connection may have waited in the accept queue for as long as that was not seen empty:
+        guards against attempts with a later deadline than the client's, and responses after its hard limit.
+        An eighth of the time is left in any case, or a queue that never empties would have all requests
+        rejected."""
         if incomplete:
             waited = self.arrivals.waited_at_most(time.monotonic_ns() // 1000, self.has_unread())
         else:
@@ -205,7 +200,7 @@
         return max(waited, min(self.backlog_wait, left - left // 8))
 
     async def wait_disconnected(self) -> None:
-        """Waits until its client has left."""
+        """Waits until the client has disconnected."""
         while True:
             self.check_unread()
             await anyio.wait_readable(self.sock)
@@ -213,13 +208,13 @@
                 return
 
     def has_disconnected(self) -> bool:
-        """As `look`, by the kernel's word alone, while somebody else reads: there bytes may lie unread that
-        there is no room for."""
+        """Like `check_disconnected`, but asks only the kernel, for use while another task reads: bytes may be
+        unread that there is no room for."""
         return self.disconnected or self.closed or bool(self.ended_by_kernel())
 
     def ended_by_kernel(self) -> bool | None:
-        """The kernel's word on its other side's end, whatever lies unread before it; None where it has
-        none."""
+        """Whether the kernel says that the other side has closed, whatever is unread before that; None if it
+        does not say."""
         try:
             (state,) = self.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)
         except (AttributeError, OSError, ValueError):
@@ -229,7 +224,7 @@
         return True if self.hung_up_by_poll() else None
 
     def hung_up_by_poll(self) -> bool:
-        """By `poll`. That it says nothing may be for want of knowing."""
+        """Asks `poll`. False may also mean that it does not know."""
         hung_up = getattr(select, "POLLRDHUP", 0)
         if not hung_up:
             return False
--- a/lupinmill/transport/connection.py
+++ b/lupinmill/transport/connection.py
@@ -1,4 +1,4 @@
-"""One TCP connection: a non-blocking socket with a ring buffer a direction."""
+"""One TCP connection: a non-blocking socket with a ring buffer for each direction."""
 
 from __future__ import annotations
 
@@ -16,35 +16,36 @@
 from lupinmill.transport.wall_clock import KERNEL_ROUNDING_US
 
 
-SO_TIMESTAMPNS = 35  # SO_TIMESTAMPNS: the kernel tells with each read when its last bytes came
+SO_TIMESTAMPNS = 35  # socket option: the kernel returns with each read the time when its last bytes arrived
 ANCILLARY_SIZE = 64  # bytes
-LAST_DATA_OFFSET = 52  # where tcp_info says how many milliseconds ago the last data came
+LAST_DATA_OFFSET = 52  # offset in tcp_info of the milliseconds since the last data arrived
 
-# What a connect ends with where this machine, not the other side, has no more of something: local ports,
-# memory, descriptors.
+# Errors of a connect for which this machine, not the other side, is short of something: local ports, memory,
+# descriptors.
 LOCAL_ERRORS = (errno.EADDRNOTAVAIL, errno.ENOBUFS, errno.ENOMEM, errno.EMFILE, errno.ENFILE, errno.EAGAIN)
 
 
 class Unconnected(Exception):
-    """The connection never came up."""
+    """The connection was never established."""
 
 
 class NoDescriptor(Exception):
-    """There is none left for a connection: no fault of the other side's."""
+    """No descriptor is left for a connection, which is not the other side's fault."""
 
 
 class Connection:
-    """`close` is the one place where the socket, the storage and the descriptor are given back."""
+    """`close` is the only place where the socket, the buffers and the descriptor are released."""
 
     def __init__(self, sock: socket.socket, block_pool: BlockPool, release: Callable[[], None]) -> None:
         self.sock, self.release = sock, release
         self.incoming, self.outgoing = RingBuffer(block_pool), RingBuffer(block_pool)
         self.closed = False
-        self.saw_reset = False  # as a send was told: the kernel says so once, then shows a proper end
+        # a send failed with a reset, which the kernel reports once and then shows as a regular end
+        self.saw_reset = False
         self.idle_since = 0.0
-        # Microseconds of the monotonic clock at which the last bytes read had come; 0: no stamp tells.
+        # Microseconds of the monotonic clock at which the last bytes read had arrived; 0: no timestamp.
         self.arrived = 0
-        self.read_at = 0  # nanoseconds of the monotonic clock at which they were read; 0: nothing was
+        self.read_at = 0  # nanoseconds of the monotonic clock at which they were read; 0: nothing was read
         try:
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -71,14 +72,14 @@
             self.release()
 
     async def receive(self) -> bytes:
-        """The next bytes, none at the end; OSError where the connection broke."""
+        """Returns the next bytes, empty at the end. Raises OSError if the connection broke."""
         while True:
             await anyio.wait_readable(self.sock)
             if (data := self.read()) is not None:
                 return data
 
     def read(self) -> bytes | None:
-        """As `receive`, of what lies unread already; None where nothing does."""
+        """Like `receive`, for bytes that are already unread; returns None if there are none."""
         try:
             room = self.incoming.writable()
             count, ancillary, _, _ = self.sock.recvmsg_into([room], ANCILLARY_SIZE)
@@ -90,12 +91,12 @@
         data = bytes(self.incoming.readable())
         self.incoming.consume(len(data))
         if not data and self.saw_reset:
-            raise ConnectionResetError(errno.ECONNRESET, "reset, as a send was told")
+            raise ConnectionResetError(errno.ECONNRESET, "connection reset, as an earlier send reported")
         return data
 
     def record_arrival(self, ancillary: list[tuple[int, int, bytes]], count: int, room: int) -> None:
-        """Of a read of `got` bytes where there was room for so many. Guards against a machine whose clock is
-        set: only here a stamp is read against it."""
+        """Records the arrival time of a read of `count` bytes into a buffer of `room` bytes. The timestamp is
+        compared with the wall clock only here, which guards against that clock being set."""
         self.read_at = time.monotonic_ns()
         for level, kind, data in ancillary:
             if level == socket.SOL_SOCKET and kind == SO_TIMESTAMPNS and len(data) >= 16:
@@ -104,12 +105,12 @@
                 self.arrived = 0 if age is None else self.read_at // 1000 - age
 
     def unread_time(self) -> int:
-        """Microseconds since the last bytes came, which lay in the kernel before they were read, and here
-        behind what came with them; the latter alone where no kernel tells.
+        """Microseconds since the last bytes arrived: the time that they waited in the kernel before they were
+        read, and here behind bytes read together with them. Only the latter if the kernel gives no time.
 
-        Guards against a loop that lags: what it reads late would count as late sent, by a client whose hard
-        limit runs already, or by an endpoint that was quick. Guards against clients that send several
-        requests at once: the time of those behind the first runs while it is served."""
+        Guards against a lagging event loop: bytes that it reads late would count as sent late, by a client
+        whose hard limit is already running or by an endpoint that was quick. Also guards clients that
+        pipeline requests: the time of the later ones runs while the first is served."""
         now = time.monotonic_ns() // 1000
         if self.arrived:
             return max(0, now - self.arrived)
@@ -117,7 +118,8 @@
         return max(here, self.time_since_data() - KERNEL_ROUNDING_US)
 
     def time_since_data(self) -> int:
-        """Microseconds since data came last, as the kernel tells in whole milliseconds; 0 where none does."""
+        """Microseconds since data last arrived, which the kernel tells in whole milliseconds; 0 if it does
+        not."""
         try:
             info = self.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, LAST_DATA_OFFSET + 4)
             return struct.unpack_from("I", info, LAST_DATA_OFFSET)[0] * 1000
@@ -125,7 +127,7 @@
             return 0  # not on this system
 
     async def send(self, data: bytes) -> None:
-        """Returns once the last byte is written; whatever it raises, that has not happened."""
+        """Returns once the last byte is written. If it raises, the last byte was not written."""
         rest = memoryview(data)
         while rest or self.outgoing.size:
             rest = rest[self.outgoing.write(rest) :]
@@ -138,7 +140,7 @@
                 raise
 
     def is_idle(self) -> bool:
-        """Open at both ends with nothing to read."""
+        """Whether both ends are open and nothing is unread."""
         try:
             self.sock.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
@@ -154,7 +156,7 @@
             return False
 
     def reset_on_close(self) -> None:
-        """The other side is to see that this is no proper end."""
+        """Makes `close` reset the connection, so that the other side does not take it for a regular end."""
         try:
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         except OSError:
@@ -168,7 +170,7 @@
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Guards against names too: looking one up would hold the whole loop, and there is no DNS."""
+    """Accepts IP addresses only: a name lookup would block the event loop, and there is no DNS."""
     host, _, port = address.rpartition(":")
     try:
         ipaddress.ip_address(host.strip("[]"))
@@ -184,7 +186,7 @@
 
 
 def listen_at(address: str, backlog: int) -> socket.socket:
-    """A listening socket. The next process of an upgrade may listen there beside this one."""
+    """Returns a listening socket. The next process of an upgrade may listen at the same address."""
     host, port = split_address(address)
     sock = stream_socket(host)
     try:
@@ -207,9 +209,9 @@
     release: Callable[[], None],
     keep_late: Callable[[Connection], bool] = lambda connection: False,
 ) -> Connection:
-    """Guards against machines that say nothing: the time-out is ours, the kernel's takes minutes.
+    """Connects with a time-out of its own, as the kernel's takes minutes if a machine does not answer.
 
-    `keep_late` may take over a connection that has not come up in time and may still do so."""
+    `keep_late` may take over a connection that was not established in time and still may be."""
     try:
         host, port = split_address(address)
         sock = stream_socket(host)
@@ -248,14 +250,14 @@
 
 
 def reject_self_connection(sock: socket.socket) -> None:
-    """Where nobody listens at a port of the range for outgoing connections of this machine, a connect from
-    just that port meets itself, and would read its own request. Raises OSError."""
+    """Rejects a connection to itself: if nobody listens at a port of this machine's ephemeral range, a
+    connect from just that port reaches itself and would read its own request. Raises OSError."""
     if sock.getsockname()[:2] == sock.getpeername()[:2]:
         raise ConnectionRefusedError(errno.ECONNREFUSED, "connected to itself")
 
 
 def is_established(sock: socket.socket) -> bool:
-    """Of one that was still connecting. Raises OSError where it will never come up."""
+    """Whether a pending connect has finished. Raises OSError if it failed."""
     if failed := sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
         raise OSError(failed, "connect failed")
     try:
@@ -268,5 +270,5 @@
 
 
 def connect_error(error: OSError) -> Unconnected | NoDescriptor:
-    """What is short on this machine is no endpoint's fault."""
+    """A shortage on this machine is not the endpoint's fault."""
     return NoDescriptor(str(error)) if error.errno in LOCAL_ERRORS else Unconnected(str(error))
--- a/lupinmill/transport/connection_pool.py
+++ b/lupinmill/transport/connection_pool.py
@@ -1,4 +1,4 @@
-"""Connections to endpoints, kept for the next launch while they are fresh."""
+"""Connections to endpoints, kept for reuse while they are fresh."""
 
 from __future__ import annotations
 
@@ -8,37 +8,40 @@
 from lupinmill.transport.descriptors import DescriptorBudget, ConnectionKind
 from lupinmill.transport.buffers import BlockPool
 
-# Seconds for which a connection rests after an answer. Guards against a second answer that comes some
-# milliseconds after the first, on a connection that was quiet when it was kept and when it was taken: it
-# would pass for the answer to the next request.
+# Seconds before a connection is reused after a response. Guards against a second response some milliseconds
+# after the first, on a connection that was idle both when it was kept and when it was taken: it would pass
+# for the response to the next request.
 MIN_IDLE_S = 0.02
-# Connections that did not come up in time, at most, and seconds for which they may still do so. Guards
-# against a limit below the time that connecting takes: each attempt would begin anew and none would arrive.
+# Connections that were not established in time, at most, and seconds for which they still may be. Guards
+# against a time-out below the time that connecting takes: each attempt would start anew and none would ever
+# connect.
 MAX_LATE_CONNECTIONS, LATE_CONNECT_S = 8, 3.0
 
 
 class ConnectionPool:
-    """Owns idle connections to endpoints, and opens new ones. One out on a launch is the launch's."""
+    """Owns idle connections to endpoints, and opens new ones. A connection in use belongs to its attempt."""
 
     def __init__(
         self, descriptors: DescriptorBudget, block_pool: BlockPool, idle_limit: float, timeout_s: float
     ) -> None:
         self.descriptors, self.block_pool = descriptors, block_pool
         self.set_limits(idle_limit, timeout_s)
-        # By endpoint, not by address: at an address just freed another may listen. The last used at the end.
+        # By endpoint, not by address: another endpoint may listen at an address just freed. Last used at the
+        # end.
         self.idle: dict[str, list[Connection]] = {}
-        # By address: whoever listens there takes it up. `idle_since` is when it was given up.
+        # By address: whichever endpoint listens there uses it. `idle_since` is when its attempt gave up.
         self.connecting: dict[str, Connection] = {}
         descriptors.close_idle_endpoint = self.close_oldest
 
     def set_limits(self, idle_limit: float, timeout_s: float) -> None:
-        """Seconds; from now on."""
+        """Sets the limits, in seconds, from now on."""
         self.timeout_s = timeout_s
-        # What is written to a connection from its idle limit on ends as a reset: stay well clear of it.
+        # Bytes written once the endpoint's idle limit has passed end in a reset, so stay well below it.
         self.max_idle_s = max(0.0, min(idle_limit * 0.8, idle_limit - 1.0))
 
     def reuse(self, endpoint: str) -> Connection | None:
-        """The last used of the idle connections that are still open at both ends and have rested."""
+        """Returns the most recently used idle connection that is open at both ends and was idle long
+        enough."""
         kept, now = self.idle.get(endpoint, []), time.monotonic()
         for at in reversed(range(len(kept))):
             connection = kept[at]
@@ -54,7 +57,7 @@
         return None
 
     async def open(self, address: str) -> Connection:
-        """A new connection, or one that an attempt before this one gave up and that has come up since."""
+        """Returns a new connection, or one that an earlier attempt gave up and that was established since."""
         if (connection := self.take_established(address)) is not None:
             return connection
         if not self.descriptors.lease(ConnectionKind.ENDPOINT):
@@ -80,7 +83,7 @@
         return True
 
     def take_established(self, address: str) -> Connection | None:
-        """The connection to this address that came up late, if there is one."""
+        """Returns the connection to this address that was established late, if there is one."""
         connection = self.connecting.get(address)
         if connection is None:
             return None
@@ -117,7 +120,7 @@
         return True
 
     def close_expired(self) -> None:
-        """Closes what has stood too long or was ended by its endpoint."""
+        """Closes connections that were idle too long or that the endpoint closed."""
         now = time.monotonic()
         for address, connection in list(self.connecting.items()):
             if now - connection.idle_since > LATE_CONNECT_S:
--- a/lupinmill/transport/descriptors.py
+++ b/lupinmill/transport/descriptors.py
@@ -1,21 +1,17 @@
-"""The one owner of the budget of file descriptors."""
+"""The budget of file descriptors."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from enum import Enum
 
-RESERVED_DESCRIPTORS = (
-    40  # standard streams, the event loop's own, listener, discovery, and some to turn clients away with
-)
-MIN_ENDPOINT_CONNECTIONS = (
-    2  # connections to endpoints that may be open whatever another process holds: out of `OWN`
-)
-BASE_MEMORY, MEMORY_PER_CLIENT = 16 << 20, 144 << 10  # bytes: the program's, and a client's at most
-BODY_MEMORY_FRACTION, DEFAULT_BODY_MEMORY = (
-    0.25,
-    64 << 20,
-)  # of the rest, for bodies that are kept; so much where no memory is told
+# standard streams, event loop, listener, discovery, and some to turn clients away with
+RESERVED_DESCRIPTORS = 40
+# out of the reserved ones: connections to endpoints that may be open whatever another process holds
+MIN_ENDPOINT_CONNECTIONS = 2
+BASE_MEMORY, MEMORY_PER_CLIENT = 16 << 20, 144 << 10  # bytes: of the program, and of a client at most
+# fraction of the rest for buffered bodies; bytes if the memory is not known
+BODY_MEMORY_FRACTION, DEFAULT_BODY_MEMORY = 0.25, 64 << 20
 
 
 class ConnectionKind(Enum):
@@ -24,7 +20,7 @@
 
 
 def body_memory_limit(memory: int | None) -> int:
-    """Bytes that bodies over 64 KiB may hold together, of the memory told."""
+    """Bytes that bodies over 64 KiB may hold together, given the memory limit."""
     return (
         DEFAULT_BODY_MEMORY
         if memory is None
@@ -33,12 +29,11 @@
 
 
 class DescriptorBudget:
-    """Counts what is open. When short it closes an idle endpoint connection, then an idle client's.
+    """Counts open descriptors. When short it closes an idle endpoint connection, then an idle client's.
 
-    A quarter stays for endpoints: clients that hold connections open must not keep launches from going out.
-    Nor must the process before this one, which may hold all until it has passed its clients on.
-    There are no more clients than would fit into memory if each held the largest body.
-    """
+    A quarter is reserved for endpoints: clients that hold connections open must not block attempts, nor must
+    the process before this one, which may hold all until it has handed over its clients. The number of
+    clients is limited to what fits into memory if each holds the largest body."""
 
     def __init__(self, limit: int, memory: int | None = None) -> None:
         self.limit = max(8, limit - RESERVED_DESCRIPTORS)
@@ -48,7 +43,7 @@
             self.client_limit = max(4, min(self.client_limit, room // MEMORY_PER_CLIENT))
         self.open = {ConnectionKind.CLIENT: 0, ConnectionKind.ENDPOINT: 0}
         self.held_by_predecessor = 0  # held by the process before this one, within the same limit
-        self.leaving = 0  # idle clients told to close, whose tasks have not done so yet
+        self.leaving = 0  # idle clients that were told to close and whose tasks have not done so yet
         self.close_idle_endpoint: Callable[[], bool] = lambda: False
         self.close_idle_client: Callable[[], bool] = lambda: False
 
--- a/lupinmill/transport/link.py
+++ b/lupinmill/transport/link.py
@@ -1,7 +1,7 @@
 """A link between two processes of one sidecar: messages, some with descriptors, over a Unix stream socket.
 
-Owns its socket and the descriptors that wait to be sent, which are given back by `close` or once they are
-sent. A message is four bytes of length and JSON; its descriptors come with its first byte at the latest."""
+Owns its socket and the descriptors that wait to be sent, which are closed by `close` or once they are sent. A
+message is four bytes of length and JSON; its descriptors arrive with its first byte at the latest."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 LENGTH_PREFIX = struct.Struct("!I")
 MAX_MESSAGE_SIZE = 16 * 1024 * 1024
 READ_SIZE = 64 * 1024
-MAX_DESCRIPTORS_PER_READ = 8  # with one read
-MAX_QUEUED_MESSAGES = 4_096  # messages
+MAX_DESCRIPTORS_PER_READ = 8
+MAX_QUEUED_MESSAGES = 4_096
 
 
 class LinkError(Exception):
-    """The other side said what is no message, or ended in the middle of one."""
+    """The other side sent an invalid message, or closed in the middle of one."""
 
 
 class Link:
@@ -36,7 +36,7 @@
         self.queue_changed = anyio.Event()
         self.closed = False
 
-    # Messages, as bytes.
+    # Message encoding.
 
     def encode(self, message: dict[str, Any]) -> bytes:
         data = orjson.dumps(message)
@@ -47,7 +47,7 @@
             return None
         (length,) = LENGTH_PREFIX.unpack_from(self.received)
         if length > MAX_MESSAGE_SIZE:
-            raise LinkError("a message without end")
+            raise LinkError("a message exceeds the size limit")
         if len(self.received) < LENGTH_PREFIX.size + length:
             return None
         try:
@@ -56,16 +56,16 @@
             raise LinkError(str(error)) from error
         del self.received[: LENGTH_PREFIX.size + length]
         if not isinstance(message, dict):
-            raise LinkError("no message")
+            raise LinkError("a message is not a JSON object")
         return message
 
     def take_descriptor(self) -> int:
         if not self.descriptors:
-            raise LinkError("a message without its descriptor")
+            raise LinkError("a message lacks its descriptor")
         return self.descriptors.popleft()
 
     def read(self) -> None:
-        """What is there; BlockingIOError where nothing is, BrokenLink at the end."""
+        """Reads what is available. Raises BlockingIOError if nothing is, LinkError at the end."""
         room = socket.CMSG_SPACE(MAX_DESCRIPTORS_PER_READ * array.array("i").itemsize)
         data, ancillary, _, _ = self.sock.recvmsg(READ_SIZE, room)
         for level, kind, found in ancillary:
@@ -76,12 +76,12 @@
                     os.set_inheritable(number, False)
                     self.descriptors.append(number)
         if not data:
-            raise LinkError("the other process has gone")
+            raise LinkError("the other process closed the link")
         self.received += data
 
     async def ask(self, message: dict[str, Any], timeout_s: float) -> dict[str, Any]:
-        """Sends the first one and waits for the next; TimeoutError, OSError or BrokenLink where none
-        comes."""
+        """Sends the first message and waits for the next. Raises TimeoutError, OSError or LinkError if none
+        arrives."""
         with anyio.fail_after(timeout_s):
             rest = memoryview(self.encode(message))
             while rest:
@@ -101,11 +101,11 @@
         return message
 
     def send(self, message: dict[str, Any], descriptor: int | None = None) -> bool:
-        """Queues it; the descriptor is the link's from now on. False, and nothing taken, where it is
-        broken."""
+        """Queues a message; the descriptor then belongs to the link. Returns False, and takes nothing, if the
+        link is closed or its queue is full."""
         if not self.has_room():
             return False
-        data = self.encode(message)  # what raises here takes nothing
+        data = self.encode(message)  # an exception raised here leaves the descriptor with the caller
         self.outgoing.append((data, descriptor))
         self.queue_changed.set()
         return True
@@ -139,7 +139,7 @@
         return self.sock.sendmsg([data], [(socket.SOL_SOCKET, socket.SCM_RIGHTS, passed)])
 
     async def run(self, on_message: Callable[[dict[str, Any]], None]) -> None:
-        """Until the other side ends; whatever is wrong with it raises OSError or BrokenLink."""
+        """Runs until the other side closes. Any fault of the link raises OSError or LinkError."""
         async with anyio.create_task_group() as group:
             group.start_soon(self.write)
             while True:
--- a/lupinmill/transport/listener.py
+++ b/lupinmill/transport/listener.py
@@ -1,4 +1,4 @@
-"""The listening socket and the connections that clients keep."""
+"""The listening socket and the connections that clients keep open."""
 
 from __future__ import annotations
 
@@ -19,27 +19,21 @@
 from lupinmill.transport.buffers import BlockPool
 
 BACKLOG = 4096
-ACCEPT_BATCH = 16  # connections accepted in a row before others get their turn
-RESOURCE_ERRORS = (
-    errno.EMFILE,
-    errno.ENFILE,
-    errno.ENOBUFS,
-    errno.ENOMEM,
-)  # of `accept`: the system lacks something
-ACCEPT_RETRY_S = 0.01  # seconds before it is tried again then, or where it failed so often in a row that ...
-MAX_ACCEPT_FAILURES = 16  # ... it can't have been connections that broke before they were taken
-REQUEST_TIMEOUT_S = (
-    2.5  # seconds for a new connection's first byte, and from a request's first byte to its last
-)
-ADMISSION_READ_SIZE = (
-    64 * 1024
-)  # bytes read at once while the core is short; what is longer goes the usual way
+ACCEPT_BATCH = 16  # connections accepted in a row before other tasks run
+# errors of `accept` for which the system is short of something
+RESOURCE_ERRORS = errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM
+# seconds before a retry after such an error, or after so many failures in a row that ...
+ACCEPT_RETRY_S = 0.01
+MAX_ACCEPT_FAILURES = 16  # ... they cannot all be connections that broke before they were accepted
+# seconds for a new connection's first byte, and from a request's first byte to its last
+REQUEST_TIMEOUT_S = 2.5
+ADMISSION_READ_SIZE = 64 * 1024  # bytes per read while the CPU is short; longer input takes the usual path
 
 Serve = Callable[["Client", bool], Awaitable[None]]
 
 
 class AdmissionCheck(Protocol):
-    """What judges requests before the program while its core is short."""
+    """Admission control, which evaluates requests while the CPU is short."""
 
     @property
     def active(self) -> bool: ...
@@ -59,24 +53,23 @@
         sock: socket.socket | None = None,
     ) -> None:
         self.descriptors, self.block_pool = descriptors, block_pool
-        self.idle: dict[Client, None] = {}  # the one idle for longest first
+        self.idle: dict[Client, None] = {}  # longest idle first
         self.turning_away = 0
         self.admission: AdmissionCheck | None = None
-        self.handing_over = (
-            False  # clients that fall idle go to the next process: not a byte more is read of them
-        )
-        self.accept_scope: anyio.CancelScope | None = None  # of accepting
-        self.resume_event: anyio.Event | None = None  # while it does not accept
+        # idle clients are handed to the next process, and no more is read from them
+        self.handing_over = False
+        self.accept_scope: anyio.CancelScope | None = None  # of the accept loop
+        self.resume_event: anyio.Event | None = None  # set while accepting is paused
         self.sock = listen_at(address, BACKLOG) if sock is None else sock
         self.poll = select.poll()
         self.poll.register(self.sock, select.POLLIN)
-        self.waiting_since = time.monotonic()  # since when the kernel's queue has not been seen empty
+        self.waiting_since = time.monotonic()  # since when the kernel's accept queue has not been seen empty
         self.address = "%s:%d" % self.sock.getsockname()[:2]
         descriptors.close_idle_client = self.evict_idle_client
 
     async def run(self, group: TaskGroup, serve: Serve) -> None:
-        """Keeps accepting under pressure: what is left in the kernel's queue counts as taken already. Others
-        have their turn after each batch: a queue that is never empty is never waited for."""
+        """Accepts connections, also under pressure, as those in the kernel's accept queue count as accepted
+        already. Other tasks run after each batch, since a queue that is never empty is never waited for."""
         failures = 0  # in a row
         while True:
             if self.resume_event is not None:
@@ -84,7 +77,7 @@
             with anyio.CancelScope() as self.accept_scope:
                 if not self.poll.poll(0):
                     await anyio.wait_readable(self.sock)
-                    self.waiting_since = time.monotonic()  # it came in this pass
+                    self.waiting_since = time.monotonic()  # it arrived in this pass
                 try:
                     await self.accept_all(group, serve)
                     failures = 0
@@ -97,7 +90,7 @@
                 await anyio.sleep(0)
 
     def pause(self) -> None:
-        """Accepts nothing more; the socket stays open, for another process or until `resume`."""
+        """Accepts nothing more. The socket stays open, for another process or until `resume`."""
         if self.resume_event is None:
             self.resume_event = anyio.Event()
             if self.accept_scope is not None:
@@ -109,7 +102,7 @@
             self.resume_event = None
 
     def adopt(self, sock: socket.socket, group: TaskGroup, serve: Serve) -> None:
-        """A connection that another process of this sidecar accepted, between two requests."""
+        """Takes over a connection that another process of this sidecar accepted, between two requests."""
         self.start_client(sock, self.descriptors.lease(ConnectionKind.CLIENT), group, serve, True)
 
     def start_client(
@@ -126,8 +119,8 @@
             group.start_soon(serve, Client(sock, self.block_pool, self.release_turned_away), False)
 
     async def accept_all(self, group: TaskGroup, serve: Serve) -> None:
-        """A batch at most, then those that are served get their turn; one only where there is no place free:
-        making one would close a client for nobody."""
+        """Accepts at most a batch, then lets the clients run. Accepts only one if no descriptor is free:
+        freeing one would close a client for a connection that may not come."""
         for accepted in range(ACCEPT_BATCH):
             if accepted and not self.descriptors.free(ConnectionKind.CLIENT):
                 return
@@ -142,7 +135,8 @@
                 if leased:
                     self.descriptors.release(ConnectionKind.CLIENT)
                 if isinstance(error, BlockingIOError):
-                    self.waiting_since = time.monotonic()  # what comes from now on has all of its time
+                    # connections that arrive from now on have waited for no time
+                    self.waiting_since = time.monotonic()
                     return
                 raise
             self.start_client(sock, leased, group, serve, False)
@@ -151,7 +145,8 @@
         self.turning_away -= 1
 
     def evict_idle_client(self) -> bool:
-        """Those that never asked go first: a crowd that says nothing must not drive out clients in use."""
+        """Evicts clients that never sent a request first, so that a crowd of silent ones does not drive out
+        clients in use."""
         now = time.monotonic()
         for has_requested in (False, True):
             for client in self.idle:
@@ -166,33 +161,33 @@
         return False
 
     def close_all_idle(self) -> None:
-        """But those just come: their first request is on its way. All, with what lies unread, while they are
-        passed on."""
+        """Closes all idle clients, except new ones whose first request is on its way. During a handover all
+        of them, with what is unread."""
         now = time.monotonic()
         for client in list(self.idle):
             if self.handing_over or (client.has_requested or client.evictable(now)) and client.is_idle():
                 self.close_idle(client)
 
     def close_idle(self, client: Client) -> None:
-        """Its own task closes it: a socket closed under a waiting task could be opened anew before the task
-        has noticed, and the newcomer would lose its wake-up."""
+        """Lets the client's own task close it: if a socket were closed under a waiting task, its descriptor
+        could be reused before the task notices, and the new connection would lose its wake-up."""
         del self.idle[client]
         self.descriptors.leaving += 1
         if client.waiting is not None:
             client.waiting.cancel()
 
     async def next_bytes(self, client: Client) -> bytes:
-        """As `receive`, between submissions: none also when it was told to close and nothing has come, or
-        when it never asked for anything. What the door denies is answered there, and the next is waited
-        for."""
+        """Like `receive`, between requests. Returns nothing also if the client was told to close and nothing
+        has arrived, or if it never sent a request. Requests that admission control rejects are answered
+        there, and the next one is waited for."""
         while True:
             client.prefetched = b""
             if client.pipelined_dropped and not client.pipelined:
-                return b""  # what lies unread follows on bytes that were dropped
-            # What came ahead of its turn is here already: the loop would not call for it.
+                return b""  # unread bytes follow bytes that were dropped
+            # Pipelined bytes are already read, so the event loop would not report them.
             evaluated = self.admission is not None and self.admission.active and not client.pipelined
             data = await (self.read_through_admission(client) if evaluated else self.read_when_ready(client))
-            client.prefetched = b""  # or it is held until the next one
+            client.prefetched = b""  # otherwise it is held until the next one
             if self.admission is None or not data:
                 return data
             if not evaluated and self.admission.active and not self.admission.evaluate(client, data):
@@ -203,14 +198,15 @@
                 return b""
 
     async def read_through_admission(self, client: Client) -> bytes:
-        """While the core is short: bytes are read and judged in the loop's own call, and a client's task is
-        woken for what is taken up alone. Waking one costs more than a denial does."""
+        """Reads while the CPU is short: bytes are read and evaluated in the event loop's callback, and a
+        client's task is woken only for admitted or held requests. Waking a task costs more than a rejection
+        does."""
         client.check_unread()
         loop, ready, admission = asyncio.get_running_loop(), anyio.Event(), self.admission
 
         def readable() -> None:
             if admission is not None and admission.busy():
-                return  # the loop calls again in its next pass
+                return  # the event loop calls again in its next pass
             try:
                 data, ancillary, _, _ = client.sock.recvmsg(ADMISSION_READ_SIZE, ANCILLARY_SIZE)
                 client.record_arrival(ancillary, len(data), ADMISSION_READ_SIZE)
@@ -220,7 +216,7 @@
                 data = b""
             if data and admission is not None and not admission.evaluate(client, data):
                 client.idle_since = time.monotonic()
-                if client in self.idle:  # told to close meanwhile otherwise
+                if client in self.idle:  # otherwise it was told to close meanwhile
                     del self.idle[client]
                     self.idle[client] = None
                 return
@@ -250,7 +246,7 @@
         return await client.receive() if not self.handing_over and client.has_unread() else b""
 
     def mark_busy(self, client: Client) -> None:
-        """No longer idle, by bytes, its end, or the word to close."""
+        """No longer idle, because of bytes, the end of the stream, or being told to close."""
         client.waiting = None
         if client in self.idle:
             del self.idle[client]
--- a/lupinmill/transport/wall_clock.py
+++ b/lupinmill/transport/wall_clock.py
@@ -1,7 +1,7 @@
 """The machine's wall clock, which may be set at any moment, by seconds or by an hour.
 
-Only what the kernel stamps by that clock is read against it: how long ago that was is told as a span of real
-time. All else that serves lives by the monotonic clock."""
+Only kernel timestamps, which are taken by that clock, are compared with it, and converted to an age in real
+time. All other code of the request path uses the monotonic clock."""
 
 from __future__ import annotations
 
@@ -10,30 +10,29 @@
 from collections.abc import Callable
 
 # All in microseconds.
-MIN_STEP_US = 2_000  # by which the clock was set, and not merely adjusted, between two looks at it
-MAX_READING_GAP_US = (
-    500  # between two readings of the monotonic clock: what was read between them is of no use
-)
-MAX_STAMP_AGE_US = 60_000_000  # no stamp is taken for older
-KERNEL_ROUNDING_US = 4_000  # by so much the kernel may tell a span too long
+# the smallest difference between two updates that means the clock was set and not merely adjusted
+MIN_STEP_US = 2_000
+# between two readings of the monotonic clock; a reading between them is discarded above this
+MAX_READING_GAP_US = 500
+MAX_STAMP_AGE_US = 60_000_000  # older timestamps are ignored
+KERNEL_ROUNDING_US = 4_000  # by which the kernel may overstate a time
 
-MAX_READ_TRIES = 3  # to read two clocks together
-MAX_REMEMBERED_STEPS = 4  # settings of the clock, so many steps back
+MAX_READ_TRIES = 3  # to read both clocks together
+MAX_REMEMBERED_STEPS = 4  # settings of the clock that are remembered
 
 
 class WallClock:
-    """Remembers by how much the wall clock was ahead of the monotonic one before it was set."""
+    """Remembers the offsets of the wall clock from the monotonic one before it was set."""
 
     def __init__(self) -> None:
         self.offsets: deque[int] = deque(maxlen=MAX_REMEMBERED_STEPS)
-        self.steps: deque[int] = deque(
-            [0], maxlen=MAX_REMEMBERED_STEPS
-        )  # by each setting, all steps up to it
-        self.unreported_step = 0  # since `take_step` was asked last
+        # for each setting, the sum of all steps up to it
+        self.steps: deque[int] = deque([0], maxlen=MAX_REMEMBERED_STEPS)
+        self.unreported_step = 0  # since the last call of `take_step`
         self.update()
 
     def update(self) -> None:
-        """Guards against a process that is held up between the two readings, which looks like a step."""
+        """Guards against the process being held up between the two readings, which looks like a step."""
         for _ in range(MAX_READ_TRIES):
             before = time.monotonic_ns()
             wall = time.time_ns()
@@ -53,21 +52,21 @@
         self.offsets.append(offset)
 
     def take_step(self) -> int:
-        """Microseconds by which the clock was found set since this was asked last."""
+        """Microseconds by which the clock was set since the last call."""
         self.update()
         step, self.unreported_step = self.unreported_step, 0
         return step
 
     def age(self, stamp: int, at_least: Callable[[], int]) -> int | None:
-        """Microseconds of real time since `stamp`, microseconds of Unix time; None where that can't be told.
+        """Microseconds of real time since `stamp`, in microseconds of Unix time; None if that cannot be told.
 
         The stamp may be from before the clock was set. `at_least`: microseconds that have passed by a clock
-        that is never set; asked only where the two can't be told apart otherwise."""
+        that is never set; called only if the offsets alone are ambiguous."""
         now, wall = time.monotonic_ns() // 1000, time.time_ns() // 1000
         if (
             len(self.offsets) == 1 and abs(wall - now - self.offsets[0]) < MIN_STEP_US
         ):  # never set: the usual case
-            self.offsets[0] = wall - now  # it may be adjusted all the time, by less
+            self.offsets[0] = wall - now  # it may be adjusted continuously, by less
             return wall - stamp if 0 <= wall - stamp < MAX_STAMP_AGE_US else None
         self.update()
         now = time.monotonic_ns() // 1000
@@ -78,4 +77,4 @@
         return min(ages, default=None)
 
 
-SHARED = WallClock()  # by all connections of the process
+SHARED = WallClock()  # shared by all connections of the process
--- a/tests/bed.py
+++ b/tests/bed.py
@@ -1,5 +1,5 @@
-"""Test beds. `Bed` drives `rules.Sidecar` without any bench and checks the rules after every step; `Net` puts
-a whole program among stand-ins on loopback."""
+"""Test fixtures. `Bed` drives `rules.Sidecar` without the simulator and checks the rules after every step;
+`Net` runs a whole program against stand-ins on loopback."""
 
 from __future__ import annotations
 
@@ -50,17 +50,17 @@
 
 
 class Bed:
-    """Keeps the rules' books beside the module and fails on the first break."""
+    """Records what the decision module does and fails on the first broken rule."""
 
     def __init__(self, d: t.Deployment, endpoints: int = 4) -> None:
         self.d, self.now, self.serial = d, 100 * SECOND, 0
         self.sidecar = Sidecar(d)
         self.workloads = {w.name: w for w in d.workloads}
         self.owed: dict[str, t.RequestArrived] = {}
-        self.flights: dict[str, list[dict]] = {}  # of submissions, also after their end
+        self.flights: dict[str, list[dict]] = {}  # of requests, also after their end
         self.answers: dict[str, t.Command] = {}
         self.closed: dict[str, str] = {}
-        self.coming: set[str] = set()  # submissions whose last byte has not come
+        self.coming: set[str] = set()  # requests whose last byte has not arrived
         self.state: dict[str, t.EndpointStatus] = {}
         self.cells: dict[str, str] = {}
         self.wakes: list[int] = []
@@ -189,11 +189,11 @@
     "no end of the head": b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nX-Pad: 1",
     "huge": b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nabc",
 }
-STAYS = ("unfinished", "no end of the head", "huge")  # the connection stays open behind these
+STAYS = ("unfinished", "no end of the head", "huge")  # the connection stays open after these
 
 
 class Stand:
-    """A server on loopback. `act(request)` gives an Answer, or the name of a fault."""
+    """A server on loopback. `act(request)` returns an Answer, or the name of a fault."""
 
     def __init__(self, act) -> None:
         self.act, self.seen, self.address, self.open = act, [], "", 0
@@ -223,7 +223,7 @@
             if isinstance(what, Answer):
                 await stream.send(side.answer(what, False))
                 side.goes_on()
-            elif isinstance(what, list):  # pieces as they are, then the end of the connection
+            elif isinstance(what, list):  # the pieces as they are, then the end of the connection
                 for piece in what:
                     await stream.send(piece)
                     await anyio.sleep(0)
@@ -250,7 +250,7 @@
 
 
 class DiscoveryStand(Stand):
-    """Answers watches as the protocol says; `fault` names what it does instead."""
+    """Answers watches as the protocol requires; `fault` names what it does instead."""
 
     def __init__(self) -> None:
         super().__init__(self.answer)
@@ -314,7 +314,8 @@
 
 
 class Net:
-    """A whole program among stand-ins. `notes` are what its module was told, `logs` what it logged."""
+    """A whole program among stand-ins. `notes` are the events its decision module received, `logs` what it
+    logged."""
 
     def __init__(self, acts, sockets: int = 1024, known: bool = True, **more) -> None:
         self.stands, self.discovery = [Stand(act) for act in acts], DiscoveryStand()
@@ -362,7 +363,7 @@
         return [event.outcome for event in self.events if isinstance(event, t.AttemptEnded)]
 
     async def ask(self, data: bytes, gone_after: float | None = None) -> Answer | None:
-        """One exchange on a connection of its own; None where it ended without a whole answer."""
+        """One exchange on a connection of its own; None if it ended without a complete response."""
         self.began = time.time_ns() // 1000
         host, port = self.address.split(":")
         async with await anyio.connect_tcp(host, int(port)) as stream:
@@ -392,7 +393,7 @@
 
 def on_network(check, *acts, endpoint=None, net_of=Net, **more) -> Net:
     """Runs `check(net)` beside a whole program; afterwards nothing may be left that was leased. `endpoint`:
-    what serves a connection in the place of the first stand-in."""
+    serves connections in place of the first stand-in."""
     net = net_of(acts, **more)
 
     async def main() -> None:
--- a/tests/test_client_deadlines.py
+++ b/tests/test_client_deadlines.py
@@ -1,5 +1,5 @@
-"""How much time a client has left, as endpoints are told it, where its request came in more than the kernel
-buffers: with a loop that is held up while it comes, and from clients that write slowly."""
+"""The remaining time that endpoints are told for a client whose request is larger than the kernel's buffers:
+with an event loop that is blocked while it arrives, and with clients that write slowly."""
 
 import re
 import socket
@@ -13,8 +13,8 @@
 
 NO_PROBES = settings()["limits"] | {"probes": False}
 HELD_UP = 0.4  # seconds
-SLACK = 0.15  # seconds that an endpoint may be told beyond what its client has left
-SEND_BUFFER = 8 * 1024 * 1024  # bytes: the client's kernel takes a whole request at once
+SLACK = 0.15  # seconds that an endpoint may be told beyond the client's remaining time
+SEND_BUFFER = 8 * 1024 * 1024  # bytes: the client's kernel accepts a whole request at once
 SO_SNDBUFFORCE = 32
 DEADLINE = 2.0  # seconds
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
@@ -34,7 +34,7 @@
 
 
 class Writer:
-    """A client in a thread of its own, which the program's loop can't hold up."""
+    """A client in a thread of its own, which the program's event loop cannot block."""
 
     def __init__(self, address: str, large_buffer: bool = True) -> None:
         host, port = address.split(":")
@@ -48,7 +48,8 @@
         self.written = 0.0  # when the last byte was
 
     def write(self, data: bytes, piece: int = 0, pause: float = 0.0, stop: float = 0.0) -> bytes:
-        """Piece by piece, with one longer stop in the middle; the first bytes of the answer."""
+        """Sends piece by piece, with one longer pause in the middle; returns the first bytes of the
+        response."""
         piece = piece or len(data)
         for at in range(0, len(data), piece):
             self.sock.sendall(data[at : at + piece])
@@ -59,7 +60,7 @@
 
 
 class Endpoint:
-    """Tells by how much what it was told exceeds what `writer`'s client had left."""
+    """Records by how much the time told to the endpoint exceeds the remaining time of `writer`'s client."""
 
     def __init__(self) -> None:
         self.told: list[tuple[float, float]] = []  # seconds, and when
@@ -85,13 +86,13 @@
 
 
 def beyond(told: tuple[float, float], written: float, deadline: float = DEADLINE) -> float:
-    """Seconds that were told beyond what was left at that moment."""
+    """Seconds told beyond the remaining time at that moment."""
     seconds, at = told
     return seconds - (deadline - max(0.0, at - written))
 
 
 def hold_up(monkeypatch, after: int) -> None:
-    """The loop stands still once, when so many bytes have been read of the client."""
+    """The event loop is blocked once, when this many bytes have been read from the client."""
     receive, read = Client.receive, [0]
 
     async def late(client: Client) -> bytes:
@@ -109,7 +110,8 @@
 @pytest.mark.parametrize("size", [200_000, 500_000, 1_300_000, 4_000_000])
 @pytest.mark.parametrize("after", [1, 150_000])
 def test_endpoints_are_told_no_time_that_passed_while_the_loop_was_held_up(after, size, chunked, monkeypatch):
-    """Seen failing by 0.38 to 0.40 s: what waits in the sender's buffer is stamped when it arrives."""
+    """Guards against 0.38 to 0.40 s too much: bytes that wait in the sender's buffer get the timestamp of
+    their arrival."""
     hold_up(monkeypatch, after)
     endpoint = Endpoint()
 
@@ -127,7 +129,8 @@
 
 @pytest.mark.parametrize("size", [500_000, 1_300_000])
 def test_the_final_answer_comes_before_the_deadline_of_a_client_that_was_read_late(size, monkeypatch):
-    """Passed before too: the hard limit is cut by up to a third in a loop that lags (`Admit.due`)."""
+    """Also guarded by the hard limit, which is cut by up to a third if the loop lags
+    (`RequestFactory.due`)."""
     hold_up(monkeypatch, 1)
 
     async def silent(stream) -> None:
@@ -150,7 +153,7 @@
 
 @pytest.mark.parametrize("size", [500_000, 4_000_000])
 def test_nothing_is_begun_for_a_client_whose_time_may_be_over_already(size, monkeypatch):
-    """It is told at once that trying again is harmless, though some of its body was not read yet."""
+    """The client is told at once that a retry is harmless, although part of its body was not read yet."""
     hold_up(monkeypatch, 1)
     endpoint = Endpoint()
 
@@ -167,7 +170,7 @@
 
 
 def test_a_request_written_behind_a_large_one_is_told_no_time_that_passed_meanwhile(monkeypatch):
-    """Seen failing: it arrived when the body before it was read."""
+    """Guards against counting the request's arrival from when the body before it was read."""
     hold_up(monkeypatch, 1)
     endpoint = Endpoint()
 
@@ -190,8 +193,8 @@
     [(3_000, 0.002, 0.0), (15_000, 0.015, 0.0), (100_000, 0.1, 0.0), (600_000, 0.0, 1.0)],
 )
 def test_a_client_that_writes_slowly_keeps_its_time(piece, pause, stop, held_up, monkeypatch):
-    """It takes longer than its deadline to write, and has nearly all of it from its last byte on. Of what
-    came in a backlog a part may count as written before."""
+    """Writing takes longer than its deadline, and nearly all of the deadline is left after its last byte. A
+    part of what arrived in a backlog may count as written before."""
     if held_up:
         hold_up(monkeypatch, 1)
     endpoint = Endpoint()
@@ -209,7 +212,7 @@
 
 
 def test_large_requests_in_a_row_on_one_connection_keep_their_time():
-    """Each is answered before the next is written; together they take longer than one deadline."""
+    """Each gets its response before the next is written; together they take longer than one deadline."""
     endpoint = Endpoint()
 
     async def check(net: Net):
--- a/tests/test_clients_accept.py
+++ b/tests/test_clients_accept.py
@@ -1,5 +1,5 @@
-"""Accepting connections: whatever `accept` and the sockets it gives do, others have their turn, and a place
-is given back exactly once."""
+"""Accepting connections: whatever `accept` and the accepted sockets do, other tasks run, and each descriptor
+is released exactly once."""
 
 import errno
 import os
@@ -21,22 +21,23 @@
 from lupinmill.transport.listener import ACCEPT_BATCH, Listener
 from lupinmill.transport.buffers import BlockPool
 
-LONGEST_RUN = ACCEPT_BATCH + 1  # calls of `accept` in a row, the last of them the one that finds nothing
+LONGEST_RUN = ACCEPT_BATCH + 1  # calls of `accept` in a row, the last of which finds nothing
 
 
 class Starved(Exception):
-    """Nothing else had its turn between so many calls."""
+    """No other task ran between this many calls."""
 
 
 class Refusing(socket.socket):
-    """A connection that was reset before it was accepted, on a system that says so at the first option."""
+    """A connection that was reset before it was accepted, on a system that reports it at the first socket
+    option."""
 
     def setsockopt(self, *_):
         raise OSError(errno.EINVAL, "reset already")
 
 
 class Counted:
-    """The listening socket, with `accept` as told. Counts the calls between two turns of other tasks."""
+    """The listening socket, with a scripted `accept`. Counts the calls between two runs of other tasks."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock, self.in_a_row, self.most, self.calls = sock, 0, 0, 0
@@ -65,7 +66,7 @@
 
 
 def on_listener(check, limit: int = 1000) -> Listener:
-    """Runs `check(listener, sock, group)` beside a listener; `serve` is its to give."""
+    """Runs `check(listener, sock, group)` beside a listener; `check` starts it with a `serve` of its own."""
 
     async def main() -> Listener:
         listener = Listener("127.0.0.1:0", DescriptorBudget(limit), BlockPool())
@@ -96,7 +97,7 @@
     ],
 )
 def test_an_accept_that_fails_each_time_leaves_the_others_their_turn(number):
-    """Seen failing as a loop that nothing else ran beside: only four errors were followed by a pause."""
+    """Guards against a loop beside which no other task ran: only four errors were followed by a pause."""
 
     async def check(listener: Listener, sock: Counted, group):
         def failing():
@@ -118,14 +119,15 @@
             for _ in range(200):
                 await anyio.sleep(0)
             sock.accepting = accepting
-            await served.wait()  # it goes on by itself once the trouble is over
+            await served.wait()  # it continues by itself once the errors end
         assert sock.most <= LONGEST_RUN
 
     on_listener(check)
 
 
 def test_a_flood_of_connections_leaves_the_others_their_turn_after_each_batch():
-    """Seen failing with all of a full queue accepted in a row: a poll that says yes is no turn of others."""
+    """Guards against accepting all of a full queue in a row: a poll that finds connections does not let other
+    tasks run."""
 
     async def check(listener: Listener, sock: Counted, group):
         ended = []
@@ -148,8 +150,8 @@
 
 @pytest.mark.parametrize("place", [True, False])
 def test_a_connection_that_broke_before_it_was_accepted_costs_itself_alone(place):
-    """Seen failing with AttributeError out of `Client.close`, which ended the accepting task: a tenth of a
-    second in which nobody was accepted, and a defect in the log."""
+    """Guards against an AttributeError from `Client.close`, which ended the accept loop: nobody was accepted
+    for a tenth of a second, and an exception was logged."""
 
     async def check(listener: Listener, sock: Counted, group):
         if not place:
@@ -179,7 +181,8 @@
 
 
 def test_a_connection_passed_by_another_process_that_broke_is_an_os_error_and_gives_its_place_back():
-    """The hand-over's link takes OSError for the end of that one connection; anything else ended the link."""
+    """The handover's link takes OSError for the end of that one connection; any other exception ended the
+    link."""
 
     async def check(listener: Listener, sock: Counted, group):
         async def serve(client: Client, welcome: bool):
@@ -197,8 +200,8 @@
 
 
 def test_what_comes_to_a_queue_that_was_just_seen_empty_has_all_of_its_time():
-    """Where no kernel tells when bytes came, a first request counts as having waited for as long as the queue
-    was not seen empty. Seen failing where others have their turn behind a batch: it counted from before."""
+    """If the kernel gives no arrival time, a first request counts as having waited for as long as the queue
+    was not seen empty. If other tasks run after a batch, it must not count from before."""
 
     async def check(listener: Listener, sock: Counted, group):
         queued, came = [], []
@@ -222,7 +225,7 @@
 
 
 class DrawnAdmission:
-    """A door that is active, takes all up, and is busy at times."""
+    """Admission control that is active, accepts all requests, and is busy at times."""
 
     def __init__(self, random_source: random.Random) -> None:
         self.active, self.random_source = False, random_source
@@ -239,8 +242,8 @@
 
 @pytest.mark.parametrize("seed", range(16))
 def test_drawn_ends_bytes_and_words_to_close_leave_all_counts_exact(seed, monkeypatch):
-    """Bytes, ends, words to close and a door that turns active, in one pass and in several: `leaving`, idle
-    clients and places are exact at each step."""
+    """Bytes, disconnects, requests to close and admission control that becomes active, in one pass and in
+    several: `leaving`, idle clients and descriptors are exact at each step."""
     monkeypatch.setattr("lupinmill.transport.client.NEW_IDLE_S", 0.0)
     monkeypatch.setattr("lupinmill.transport.client.USED_IDLE_S", 0.0)
     random_source = random.Random(seed)
@@ -286,7 +289,8 @@
                 else:
                     others = [one for one in others if not ended(one)]
             descriptors = listener.descriptors
-            # One told to close counts as gone, and stays after all if bytes come in that very pass.
+            # A client that was told to close counts as gone, and stays after all if bytes arrive in that very
+            # pass.
             assert (
                 0
                 <= descriptors.leaving
@@ -324,8 +328,8 @@
 @pytest.mark.parametrize("elsewhere", [0, 4, 1000])
 @pytest.mark.parametrize("seed", range(3))
 def test_an_attempt_has_a_descriptor_whatever_clients_and_another_process_hold(limit, elsewhere, seed):
-    """Seen failing with the process before an upgrade holding all: no request could be sent on until it had
-    ended, however few this one held."""
+    """Guards against the process before an upgrade holding all descriptors: no request could be forwarded
+    until it had ended, however few this one held."""
     random_source = random.Random(seed)
     descriptors = DescriptorBudget(limit)
     idle, kept = [], []
--- a/tests/test_clients_answers.py
+++ b/tests/test_clients_answers.py
@@ -1,5 +1,5 @@
-"""Whatever ends the work on a request that was read, its client gets one answer, and what trickles past its
-time is told so; moments forced by stand-ins and barriers."""
+"""However the work on a request ends that was read, its client gets one response, also if it times out. The
+moments are forced by stand-ins and barriers."""
 
 import signal
 import socket
@@ -28,7 +28,7 @@
 
 
 async def statuses(stream, most: int = 100) -> list[int]:
-    """Of all answers on this connection up to its end, or so many."""
+    """Statuses of all responses on this connection up to its end, or of the first `count`."""
     got, data, over = [], b"", False
     while len(got) < most:
         side = ClientSide()
@@ -54,11 +54,11 @@
     return net.program.descriptors.close_idle_client.__self__
 
 
-# --- defects --------------------------------------------------------------------------------------------
+# --- unexpected exceptions ------------------------------------------------------------------------------
 
 
 class OwnSide(ServerSide):
-    """The program's, not the stand-ins'."""
+    """Used by the program, not by the stand-ins."""
 
 
 def lost_protocol(*_, **__):
@@ -81,7 +81,7 @@
     ],
 )
 def test_a_defect_behind_a_requests_last_byte_costs_no_answer(place, name, what, monkeypatch):
-    """Seen failing as a connection closed with no answer. The defect is logged and counted."""
+    """Guards against a connection closed with no response. The exception is logged and counted."""
 
     monkeypatch.setattr(client_handler, "ServerSide", OwnSide)
 
@@ -102,7 +102,8 @@
 
 @pytest.mark.parametrize("version", [b"1.1", b"1.0"])
 def test_a_large_answer_that_can_not_be_begun_is_told_as_failed(version, monkeypatch):
-    """One that is passed on as it comes. Seen failing as a connection closed, or reset, with no answer."""
+    """A response that is passed on as it arrives. Guards against a connection closed, or reset, with no
+    response."""
     monkeypatch.setattr(OwnSide, "begin", lost_protocol, raising=False)
     monkeypatch.setattr(client_handler, "ServerSide", OwnSide)
 
@@ -117,7 +118,7 @@
 
 
 def test_a_request_that_the_module_could_not_be_told_of_leaves_nothing_open():
-    """Seen failing with a journey that stayed in the book: its id refused for good, and a program that could
+    """Guards against a request that stayed in the table: its id was refused for good, and the program could
     not end."""
 
     async def check(net: Net):
@@ -158,7 +159,8 @@
 
 
 def test_a_body_that_no_attempt_takes_and_no_decision_ends_is_answered_in_its_time(monkeypatch):
-    """The module fails at its coming, the shelf has no room. Seen failing as a wait with no end."""
+    """The decision module fails when the request arrives, and the memory budget is exhausted. Guards against
+    a wait without end."""
     monkeypatch.setattr(client_handler, "REQUEST_TIMEOUT_S", 0.1)
 
     async def check(net: Net):
@@ -173,7 +175,7 @@
     assert not seen(net, "s1")
 
 
-# --- what does not come whole in its time ---------------------------------------------------------------
+# --- requests that are not complete in time -------------------------------------------------------------
 
 LARGE = wanted("s1", body=b"x" * 1_500_000)
 
@@ -191,7 +193,7 @@
 )
 @pytest.mark.parametrize("before", [0, 1])
 def test_a_request_that_trickles_past_its_time_is_told_so(first, before, monkeypatch):
-    """Seen failing as a connection closed with no answer."""
+    """Guards against a connection closed with no response."""
     monkeypatch.setattr(client_handler, "REQUEST_TIMEOUT_S", 0.3)
     monkeypatch.setattr(client_handler, "MIN_UPLOAD_RATE", 10_000_000)
 
@@ -210,7 +212,7 @@
 
 
 def test_a_request_whose_rest_lies_unread_when_its_time_is_over_is_served(monkeypatch):
-    """It is the loop that was late. Seen failing as a connection closed with no answer."""
+    """The event loop was late, not the client. Guards against a connection closed with no response."""
     began = anyio.Event()
     whole_send = client_handler.ClientHandler.read_more
 
@@ -236,8 +238,8 @@
 
 @pytest.mark.parametrize("size", [0, 60_000_000])
 def test_an_answer_behind_one_to_head_has_its_body(size, monkeypatch):
-    """Of a request that is refused by its head, or never had one whole. Seen failing with no
-    answer: it went by the method of the request before."""
+    """A request that is refused by its head, or never had a complete one. Guards against no response, because
+    the method of the request before was used."""
     monkeypatch.setattr(client_handler, "REQUEST_TIMEOUT_S", 0.3)
 
     async def check(net: Net):
@@ -255,7 +257,8 @@
 
 
 def test_a_deadline_with_a_body_to_come_ends_with_the_drain():
-    """Nothing may be open then. Seen failing as a deadline beyond it, by the time for the body."""
+    """Nothing may be open after the kill time. Guards against a deadline beyond it, by the time allowed for
+    the body."""
 
     async def check(net: Net):
         program = net.program
@@ -269,11 +272,11 @@
     on_network(check, fine, net_of=Unhurried)
 
 
-# --- connections that there is no place for -------------------------------------------------------------
+# --- connections for which no descriptor is free --------------------------------------------------------
 
 
 async def in_the_queue(net: Net, data: bytes, then) -> None:
-    """Nothing is accepted until the data lies in the kernel; no place is free."""
+    """Nothing is accepted until the data lies in the kernel; no descriptor is free."""
     listener = listener_of(net)
     net.program.descriptors.client_limit = 0
     accept_all, go_on = listener.accept_all, anyio.Event()
@@ -292,7 +295,7 @@
 
 
 def test_a_request_that_lies_whole_is_denied_however_late_the_loop_looks(monkeypatch):
-    """Seen failing as a connection closed with no answer: its time was over before it was looked at."""
+    """Guards against a connection closed with no response: its time was over before it was read."""
     monkeypatch.setattr(client_handler, "TURN_AWAY_TIMEOUT_S", 0.0)
 
     async def check(net: Net):
@@ -306,7 +309,7 @@
 
 @pytest.mark.parametrize("size", [0, 100_000, 3_000_000])
 def test_each_of_several_requests_that_were_read_is_denied(size):
-    """Seen failing with one answer for three requests, and 413 for a body that would be served else."""
+    """Guards against one response for three requests, and 413 for a body that would be served otherwise."""
 
     async def check(net: Net):
         async def then(stream):
@@ -332,11 +335,11 @@
     on_network(check, fine)
 
 
-# --- what was read behind another request ---------------------------------------------------------------
+# --- pipelined requests ---------------------------------------------------------------------------------
 
 
 def test_requests_read_behind_one_are_answered_before_the_connection_closes():
-    """Connections are to be closed. Seen failing with one answer for three requests."""
+    """Connections are to be closed. Guards against one response for three requests."""
 
     async def check(net: Net):
         async with await connect(net) as stream:
@@ -370,8 +373,8 @@
 
 @pytest.mark.parametrize("hold", [0.0, 0.1])
 def test_at_sigterm_each_of_two_requests_that_came_in_one_piece_is_answered(tmp_path, hold):
-    """A process of the program, clients that send two at once up to the end of each connection. Seen failing
-    with one answer for two requests that were read together."""
+    """A whole program, and clients that send two requests at once until each connection ends. Guards against
+    one response for two requests that were read together."""
     net = Net([always(Answer(200, [], b"done"), hold)])
     told, halves, served = [], [], []
 
@@ -419,7 +422,8 @@
 
 
 def test_of_what_came_ahead_the_kept_requests_are_answered_and_no_other_is_begun():
-    """More came than is kept. Seen failing with one answer for what was read whole as well."""
+    """More was pipelined than is kept. Guards against one response, although another request was read in
+    full."""
 
     async def check(net: Net):
         async with await connect(net) as stream:
@@ -439,8 +443,8 @@
 
 
 def test_an_answer_outlives_bytes_that_lie_unread_when_the_connection_is_closed(monkeypatch):
-    """A close over unread bytes is a reset, which takes an answer with it that its client hasn't read. Seen
-    failing for an answer to a defect and for one behind dropped bytes."""
+    """Closing with bytes unread is a reset, which loses a response that the client has not read. Guards the
+    response after an exception and the one behind dropped bytes."""
 
     async def check(net: Net):
         with socket.create_connection(net.address.rsplit(":", 1)) as sock:
@@ -460,7 +464,8 @@
 
 
 def test_a_connection_that_could_not_be_passed_on_is_served_while_something_lies_unread():
-    """The next process's link is full. Seen failing as a connection closed over what its client had sent."""
+    """The link to the next process is full. Guards against a connection closed over what its client had
+    sent."""
 
     async def check(net: Net):
         listener = listener_of(net)
--- a/tests/test_clients_door.py
+++ b/tests/test_clients_door.py
@@ -1,5 +1,5 @@
-"""The door while it judges: defects, ends and cancels there cost one request at most, every request that was
-read gets one answer, and the gate's count stays exact."""
+"""Admission control while it evaluates requests: exceptions, disconnects and cancellations there cost one
+request at most, every request that was read gets one response, and the gate's count stays exact."""
 
 import random
 import time
@@ -24,7 +24,7 @@
 
 
 def hold_all(net: Net):
-    """A door behind which every request waits, and that is released by hand alone."""
+    """Holds every request, and releases only when the test says so."""
     gate = net.program.admission.gate
     gate.active, gate.window = True, 0.0
     gate.in_time, gate.beat = (lambda *_: True), (lambda *_: None)
@@ -38,7 +38,8 @@
 
 @pytest.mark.parametrize("judged_by", ["the loop's call", "the client's task"])
 def test_a_defect_in_judging_costs_nobody_the_answer(judged_by):
-    """Seen failing with no answer: bytes were read in the loop's call, which raised, and nobody was woken."""
+    """Guards against no response: bytes were read in the event loop's callback, which raised, and no task was
+    woken."""
 
     async def check(net: Net):
         gate = net.program.admission.gate
@@ -60,13 +61,13 @@
 
 @pytest.mark.parametrize("part", ["left", "release"])
 def test_a_defect_at_the_end_of_a_request_ends_no_program(part):
-    """`leave` is called last of all in a client's task: what it raised ended the program's task group."""
+    """`leave` is the last call of a client's task: an exception from it ended the program's task group."""
 
     async def check(net: Net):
         gate = net.program.admission.gate
         gate.beat = lambda *_: None
         if part == "release":
-            gate.held = 1  # somebody waits, so that a release is due
+            gate.held = 1  # a request is held, so that a release is due
         whole = getattr(gate, part)
         async with await connect(net) as stream:
             await stream.send(wanted("s1"))
@@ -88,7 +89,7 @@
 
 
 def test_a_request_whose_turn_is_never_called_is_denied_in_its_time():
-    """A backstop as behind the module. Seen failing as a client that waited for ever."""
+    """A backstop like that behind the decision module. Guards against a client that waits for ever."""
 
     async def check(net: Net):
         gate, _ = hold_all(net)
@@ -102,7 +103,7 @@
 
 
 def test_a_denial_that_was_written_in_part_is_followed_by_nothing(monkeypatch):
-    """A client that takes no answers. Seen failing as a request served behind a part of its denial."""
+    """A client that does not read. Guards against a request served behind a part of its rejection."""
 
     async def check(net: Net):
         gate = net.program.admission.gate
@@ -126,7 +127,7 @@
 
 
 def test_a_request_that_is_held_when_the_program_ends_gets_an_answer():
-    """Seen failing as a connection that ended with no answer."""
+    """Guards against a connection that ended with no response."""
     held = []
 
     async def check(net: Net):
@@ -147,7 +148,7 @@
 
 
 def test_the_time_that_a_request_waited_for_the_loop_counts_at_the_door():
-    """By what it has left its turn is judged. Seen failing as an offer with all of the time told."""
+    """Its turn depends on the time it has left. Guards against an offer with the whole deadline."""
     offers = []
 
     async def check(net: Net):
@@ -160,7 +161,7 @@
             listener = net.program.descriptors.close_idle_client.__self__
             await until(lambda: listener.idle)
             await stream.send(wanted("s1", deadline="8"))
-            time.sleep(0.2)  # the loop lags
+            time.sleep(0.2)  # the event loop lags
             assert (await stream.receive()).startswith(b"HTTP/1.1 200")
         gate.active = False
 
@@ -169,11 +170,11 @@
     assert offer.left <= 7_800_000
 
 
-# --- the gate's count, whatever order things come in ------------------------------------------------------
+# --- the gate's count, in whatever order things happen ----------------------------------------------------
 
 
 class FakeClient:
-    """What the door needs of a client."""
+    """What admission control needs of a client."""
 
     def __init__(self, chance: random.Random) -> None:
         self.chance, self.sock = chance, self
@@ -273,7 +274,7 @@
 
 @pytest.mark.parametrize("end", ["bytes", "close"])
 def test_a_busy_door_leaves_the_others_their_turn_and_sees_to_its_clients_afterwards(end):
-    """Bytes or an end lie unread while it is busy, so that the loop calls in each of its passes."""
+    """Bytes or an end lie unread while it is busy, so that the event loop calls back in each pass."""
 
     async def check(net: Net):
         admission = net.program.admission
@@ -292,7 +293,7 @@
         while len(calls) < 50:
             passes += 1
             await anyio.sleep(0)
-        assert passes >= 25  # one call in a pass of the loop, beside which others ran
+        assert passes >= 25  # one call per pass of the loop, beside which other tasks ran
         assert listener.idle
         admission.busy = busy
         if end == "bytes":
--- a/tests/test_clients_drawn.py
+++ b/tests/test_clients_drawn.py
@@ -1,5 +1,5 @@
-"""Drawn troubles around clients that stay: each request that was written whole gets one final answer. The
-seeds are the parameters; a failure is replayed by its own."""
+"""Random faults around clients that stay: each request that was written in full gets one final response. The
+seeds are the parameters; a failure is replayed with its seed."""
 
 import random
 import time
@@ -18,12 +18,12 @@
 
 
 class Lost(Exception):
-    """A request with no whole answer."""
+    """A request without a complete response."""
 
 
 class Patron:
-    """A client that sends one request at a time, in pieces, keeps its connection, and opens another where
-    that ended between two requests."""
+    """A client that sends one request at a time, in pieces, keeps its connection, and opens another if that
+    ended between two requests."""
 
     def __init__(self, net: Net, chance: random.Random, name: str) -> None:
         self.net, self.chance, self.name, self.got = net, chance, name, []
@@ -36,7 +36,8 @@
             data = wanted(name, self.chance.choice(KINDS), "0.8", b"x" * size)
             answer = await self.ask(data)
             if answer is None and self.used:
-                await self.close()  # the sidecar may end it between two requests: once more on a new one
+                # the sidecar may close it between two requests: sent once more on a new one
+                await self.close()
                 answer = await self.ask(data)
             if answer is None:
                 raise Lost(name)
@@ -76,12 +77,12 @@
 
 
 async def troubles(net: Net, chance: random.Random) -> None:
-    """Of the loop, the door and the mode, until it is cancelled."""
+    """Disturbs the event loop, admission control and the mode, until it is cancelled."""
     client_handler, gate, listener = net.program.client_handler, net.program.admission.gate, listener_of(net)
     while True:
         draw = chance.random()
         if draw < 0.3:
-            time.sleep(0.03)  # the loop lags
+            time.sleep(0.03)  # the event loop lags
         elif draw < 0.5:
             gate.active, gate.window = True, chance.choice([0.0, 4.0, 50.0])
             gate.turned = gate.pressed = net.program.engine.clock.now()
--- a/tests/test_clients_end.py
+++ b/tests/test_clients_end.py
@@ -1,5 +1,5 @@
-"""A client's end, and the time that it has left: what lies ahead of its end or behind its request, on real
-sockets."""
+"""A client's disconnect, and the time that it has left: bytes ahead of its end of stream or behind its
+request, on real sockets."""
 
 import select
 import socket
@@ -14,11 +14,11 @@
 from lupinmill.transport.client import MAX_PIPELINED_BYTES, Client
 from lupinmill.transport.buffers import BlockPool
 
-LARGE_WINDOW = 1 << 20  # bytes that a kernel takes of a connection that nobody reads
+LARGE_WINDOW = 1 << 20  # bytes that a kernel accepts on a connection that nobody reads
 
 
 def has_ended(sock: socket.socket) -> bool:
-    """By the kernel's poll: its other side has sent its end, whatever lies unread before it."""
+    """Whether the kernel's poll says that the other side has sent its end, whatever is unread before it."""
     poll = select.poll()
     poll.register(sock, select.POLLRDHUP)
     return bool(poll.poll(0))
@@ -45,13 +45,13 @@
 def test_a_launch_is_not_written_for_a_client_whose_end_lies_behind_much_that_it_sent_ahead(
     told, monkeypatch
 ):
-    """Seen failing as a request at the endpoint: one look reads 64 KiB, and the end lay behind."""
+    """Guards against a request at the endpoint: one check reads 64 KiB, and the end was behind that."""
     if not told:
-        monkeypatch.setattr(socket, "TCP_INFO", 10_000)  # as a kernel that doesn't know it
+        monkeypatch.setattr(socket, "TCP_INFO", 10_000)  # like a kernel that does not know it
 
     async def check(net: Net):
         monkeypatch.setattr("lupinmill.routing.attempt_runner.UNSEEN_AGE_US", 0, raising=False)
-        monkeypatch.setattr(Client, "wait_disconnected", never)  # the watch has not had its turn
+        monkeypatch.setattr(Client, "wait_disconnected", never)  # the watching task has not run yet
         listener_of(net).sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, LARGE_WINDOW)
         async with await connect(net) as stream:
             await stream.send(wanted("s1", deadline="8"))
@@ -85,7 +85,7 @@
 
 
 def test_the_kernels_word_sees_an_end_behind_unread_bytes_also_where_no_state_is_told(monkeypatch):
-    """While a body comes nobody else may read. Seen failing where a kernel tells no state."""
+    """While a body arrives no other task may read. Guards systems whose kernel reports no TCP state."""
     monkeypatch.setattr(socket, "TCP_INFO", 10_000)
     client, other = pair()
     with client:
@@ -96,11 +96,12 @@
 
 
 def test_what_this_side_ended_is_no_end_of_the_client():
-    """Seen failing: states of a connection whose own end alone was sent counted as the client's."""
+    """Guards against TCP states of a connection on which only this side has sent its end: they counted as the
+    client's."""
     client, other = pair()
     with client, other:
         client.shut_down_sending()
-        assert other.recv(1) == b""  # it has come, so the connection waits for the client's end alone
+        assert other.recv(1) == b""  # it has arrived, so the connection waits only for the client's end
         assert not client.has_disconnected() and not client.check_disconnected()
         other.send(b"x")
         assert not client.check_disconnected() and not client.has_disconnected()
@@ -108,7 +109,8 @@
 
 @pytest.mark.parametrize("in_one", [True, False])
 def test_the_time_of_a_request_behind_another_is_not_begun_anew_by_a_third(in_one):
-    """The third's stamp was taken for the second's. Seen failing as a launch told all 8 s."""
+    """The timestamp of the third was taken for that of the second. Guards against an attempt with all 8 s as
+    its deadline."""
     there, go_on, told = anyio.Event(), anyio.Event(), {}
 
     async def act(request):
@@ -152,8 +154,8 @@
 
 @pytest.mark.parametrize("active", [False, True])
 def test_what_comes_behind_dropped_bytes_is_never_taken_for_a_part_of_a_request(active):
-    """A request is held at the door while its client sends more than is kept ahead, and is denied in the end.
-    Seen failing as a request at the endpoint whose body had a hole in it."""
+    """A request is held by admission control while its client pipelines more than is kept, and is rejected in
+    the end. Guards against a request at the endpoint whose body lacked a part."""
 
     async def check(net: Net):
         admission, gate = net.program.admission, net.program.admission.gate
@@ -167,7 +169,7 @@
             (offer,) = [one for line in gate.order for one in line.waiting]
             client = offer.client
             await stream.send(wanted("s2", deadline="8", body=b"a" * (3 * MAX_PIPELINED_BYTES)))
-            await until(lambda: client.pipelined_dropped and client.quiet())
+            await until(lambda: client.pipelined_dropped and client.is_idle())
             offer.left = 0  # its turn can't come in time any more
             gate.release = release
             admission.release()
@@ -188,8 +190,8 @@
 
 
 def test_behind_dropped_bytes_the_door_judges_nothing_either():
-    """Two requests are denied at the door, a third was dropped behind them: an answer to a fourth would pass
-    for the third's. Seen failing as a connection that was read on."""
+    """Two requests are rejected by admission control, and a third was dropped behind them: the response to a
+    fourth would pass for that of the third. Guards against reading on from the connection."""
 
     async def check(net: Net):
         admission, gate = net.program.admission, net.program.admission.gate
@@ -205,11 +207,9 @@
             await stream.send(wanted("s2", deadline="8"))
             await until(lambda: client.pipelined)
             await stream.send(b"x" * (3 * MAX_PIPELINED_BYTES))
-            await until(lambda: client.pipelined_dropped and client.quiet())
-            client.pipelined, client.pipelined_size = (
-                type(client.pipelined)([client.pipelined[0]]),
-                0,
-            )  # s2 alone was kept
+            await until(lambda: client.pipelined_dropped and client.is_idle())
+            # only s2 was kept
+            client.pipelined, client.pipelined_size = type(client.pipelined)([client.pipelined[0]]), 0
             offer.left, gate.in_time, gate.release = 0, (lambda *_: False), release
             admission.release()
             got = b""
--- a/tests/test_clients_upload_left.py
+++ b/tests/test_clients_upload_left.py
@@ -1,4 +1,4 @@
-"""A client that leaves in the middle of its upload, where attempts may not be cancelled."""
+"""A client that disconnects in the middle of its upload, if attempts may not be cancelled."""
 
 import anyio
 from bed import on_network, settings, wanted
--- a/tests/test_config_sidecar.py
+++ b/tests/test_config_sidecar.py
@@ -159,7 +159,7 @@
         assert not any(
             isinstance(event, t.RequestArrived) and event.workload == "bid" for event in net.events
         )
-        assert program.connection_pool.timeout_s == 0.7 and program.connection_pool.fresh == 11.0 * 0.8
+        assert program.connection_pool.timeout_s == 0.7 and program.connection_pool.max_idle_s == 11.0 * 0.8
         assert program.client_handler.retry_after == 250_000
         assert program.admission.workloads == {"view", "issue", "quick"} == program.request_factory.workloads
         assert program.engine.sidecar.dispatcher.settings.sharers == 2
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,6 +1,6 @@
-"""Two events that cross, on real sockets, in the order that was wrong or might be. Each test holds one back
-until the other has happened, by a barrier or a stand-in that stops at a told byte; none waits and hopes.
-The table of them all is docs/crossings.md."""
+"""Races between two events, on real sockets, in the order that was or might be wrong. Each test holds one
+event back until the other has happened, by a barrier or a stand-in that stops at a given byte; none relies on
+sleeping. The table of all races is docs/crossings.md."""
 
 import socket
 from contextlib import AsyncExitStack
@@ -33,12 +33,12 @@
     await until(lambda: any(isinstance(event, t.RequestCancelled) for event in net.events))
 
 
-# What waits in vain is denied at once: only long contracts let it wait.
+# A request that waits in vain is rejected at once: only long contract times let it wait.
 PATIENT = [one | {"contract-time-s": 8.0, "hard-limit-s": 9.0} for one in settings()["workloads"]]
 
 
 class Unlisted(Net):
-    """Of whose endpoints no list tells before `list_all`: until then all is held."""
+    """Endpoints that no list names before `list_all`: until then all requests are held."""
 
     def __init__(self, acts, **more) -> None:
         super().__init__(acts, workloads=PATIENT, discovery="push", **more)
@@ -50,7 +50,7 @@
 
 
 class Unhurried(Net):
-    """Whose workloads have long limits."""
+    """Workloads with long hard limits."""
 
     def __init__(self, acts, **more) -> None:
         super().__init__(acts, workloads=PATIENT, **more)
@@ -63,7 +63,7 @@
 
 
 async def all_quiet(net: Net) -> None:
-    """Nothing is left in the module either."""
+    """Nothing is left in the decision module either."""
     desk = net.program.engine.sidecar.dispatcher
     await until(lambda: not net.program.request_table.pending_requests and not desk.open)
     assert (
@@ -73,12 +73,13 @@
     )
 
 
-# --- a client leaves while its submission waits ---------------------------------------------------------
+# --- a client disconnects while its request waits -------------------------------------------------------
 
 
 @pytest.mark.parametrize("behind", [b"\r\n", b"junk", wanted("s2"), b"x" * 300_000])
 def test_a_client_that_sent_more_and_left_is_noticed_while_its_submission_waits(behind):
-    """Seen failing with no Withdrawn: once bytes had come instead of an end nothing looked for the end."""
+    """Guards against a missing RequestCancelled: once bytes had arrived instead of an end, nothing looked for
+    the end."""
 
     async def check(net: Net):
         async with await connect(net) as stream:
@@ -120,7 +121,7 @@
 
 
 def test_a_client_that_sends_on_without_end_is_answered_and_its_connection_closed():
-    """More than is kept of what came ahead of its turn is dropped, so the connection can't go on."""
+    """Pipelined bytes beyond what is kept are dropped, so the connection cannot continue."""
 
     async def check(net: Net):
         async with await connect(net) as stream:
@@ -139,7 +140,8 @@
 
 
 def test_a_client_that_left_while_it_was_held_at_the_door_is_not_taken_up():
-    """Seen failing as a launch: nobody looked at a connection while its request was held at the door."""
+    """Guards against an attempt: nobody checked a connection while its request was held by admission
+    control."""
 
     async def check(net: Net):
         gate = net.program.admission.gate
@@ -150,7 +152,7 @@
         async with await connect(net) as stream:
             await stream.send(held)
             await until(lambda: gate.held)
-        await until(lambda: not gate.held)  # its place in the line is given back at once
+        await until(lambda: not gate.held)  # its place in the queue is freed at once
         gate.window, gate.release = 8.0, release
         net.program.admission.release()
         assert (await net.ask(wanted("s2"))).status == 200
@@ -162,7 +164,7 @@
 
 
 def test_a_turn_at_the_door_that_crosses_the_clients_end_takes_nothing_up():
-    """The end lies unread in the very pass of the loop in which the request's turn comes."""
+    """The end lies unread in the very pass of the event loop in which the request's turn comes."""
 
     async def check(net: Net):
         door, gate = net.program.admission, net.program.admission.gate
@@ -174,7 +176,7 @@
             await until(lambda: gate.held)
             await until(lambda: [one for line in gate.order for one in line.waiting if one.token.scope])
             (offer,) = [one for line in gate.order for one in line.waiting]
-        assert offer.client.sock.recv(1, socket.MSG_PEEK) == b""  # it is there, and nobody has looked
+        assert offer.client.sock.recv(1, socket.MSG_PEEK) == b""  # it has arrived, and nobody has looked
         gate.window, gate.release = 8.0, release
         door.release()
         assert offer.client.admitted
@@ -186,15 +188,15 @@
 
 
 def test_a_launch_in_the_pass_in_which_the_client_left_is_not_written(monkeypatch):
-    """Guards a loop that lags: the end lies unread while the launch is on its way. Seen failing as a
-    request at the endpoint."""
+    """Guards a lagging event loop: the end lies unread while the attempt starts. The endpoint must get no
+    request."""
 
     async def never(client):
         await anyio.sleep_forever()
 
     async def check(net: Net):
         monkeypatch.setattr("lupinmill.routing.attempt_runner.UNSEEN_AGE_US", 0, raising=False)
-        monkeypatch.setattr(Client, "wait_disconnected", never)  # the watch has not had its turn
+        monkeypatch.setattr(Client, "wait_disconnected", never)  # the watching task has not run yet
         async with await connect(net) as stream:
             await stream.send(wanted("s1", deadline="8"))
             await arrived(net, "s1")
@@ -208,19 +210,18 @@
 
 
 def by_age_or_lag_alone_never(monkeypatch):
-    """So that what is looked for is judged by the connection itself, however long this run takes."""
+    """Makes the decision depend on the connection itself, however long this run takes."""
     for name in ("UNSEEN_AGE_US", "UNSEEN_LATENESS_US"):
         monkeypatch.setattr(f"lupinmill.routing.attempt_runner.{name}", 10**12, raising=False)
 
 
 def test_a_client_that_left_in_the_kernels_queue_while_no_place_was_free_is_launched_nowhere(monkeypatch):
-    """Descriptors are full, a client sends and goes, then a place comes free: its request and its end are
-    read in one pass, and by the stamps it came just now. Seen failing as a request at the endpoint, on the
-    kept connection that wants no pass of its own."""
+    """Descriptors are exhausted, a client sends and disconnects, then a descriptor becomes free: its request
+    and its end are read in one pass, with timestamps of just now. Guards against a request at the endpoint,
+    on the kept connection that needs no pass of its own."""
     by_age_or_lag_alone_never(monkeypatch)
-    monkeypatch.setattr(
-        client_handler, "TURN_AWAY_TIMEOUT_S", 60.0
-    )  # those that are turned away keep their places
+    # clients that are turned away keep their places
+    monkeypatch.setattr(client_handler, "TURN_AWAY_TIMEOUT_S", 60.0)
     there, go_on = anyio.Event(), anyio.Event()
 
     async def act(request):
@@ -259,8 +260,8 @@
 
 @pytest.mark.parametrize("before", [0, 1])
 def test_a_client_that_leaves_under_its_first_launch_gets_no_further_one(before, monkeypatch):
-    """Its end lies unread when the launch again is due: nobody has looked, and it is not 0.1 s old. `before`:
-    requests that this connection has had answered; on one that was watched the loop's lag tells."""
+    """Its end lies unread when the retry is due: nobody has looked, and it is not 0.1 s old. `before`:
+    requests already answered on this connection; on one that was watched the loop's lag is what tells."""
     by_age_or_lag_alone_never(monkeypatch)
 
     async def never(client):
@@ -295,8 +296,8 @@
 
 
 def test_the_time_of_a_request_runs_while_the_one_that_came_with_it_is_served(monkeypatch):
-    """Where no kernel tells when bytes came. Seen failing as a launch told all 8 s: its time was counted from
-    when its turn came, and its answer could come after its hard limit."""
+    """The kernel gives no arrival time. Guards against an attempt with all 8 s as its deadline: the time was
+    counted from when its turn came, and its response could arrive after its hard limit."""
     monkeypatch.setattr("lupinmill.transport.connection.ANCILLARY_SIZE", 0)
     monkeypatch.setattr("lupinmill.transport.client.ANCILLARY_SIZE", 0)
     monkeypatch.setattr("lupinmill.transport.connection.LAST_DATA_OFFSET", 10_000)
@@ -327,8 +328,9 @@
 
 @pytest.mark.parametrize("stamped", [True, False])
 def test_the_time_of_a_request_runs_while_it_waits_in_the_kernels_queue(stamped, monkeypatch):
-    """Nothing is accepted while two clients send. Seen failing where no kernel tells when bytes came:
-    launches told all 8 s. What comes to an empty queue has all of its time."""
+    """Nothing is accepted while two clients send, and the kernel gives no arrival time. Guards against
+    attempts with all 8 s as their deadline. A connection that arrives at an empty queue has all of its
+    time."""
     if not stamped:
         monkeypatch.setattr("lupinmill.transport.connection.ANCILLARY_SIZE", 0)
         monkeypatch.setattr("lupinmill.transport.connection.LAST_DATA_OFFSET", 10_000)
@@ -371,7 +373,7 @@
 
 
 def test_a_client_that_left_while_its_body_waited_for_room_is_noticed_at_the_launch(monkeypatch):
-    """Nothing is read of a body that there is no room for, so its end lies behind unread bytes."""
+    """A body that there is no room for is not read, so its end lies behind unread bytes."""
     monkeypatch.setattr("lupinmill.routing.attempt_runner.UNSEEN_AGE_US", 0, raising=False)
 
     async def check(net: Net):
@@ -390,7 +392,7 @@
 
 @pytest.mark.parametrize("held_by", ["a retry delay", "a full endpoint", "a connection that comes up late"])
 def test_a_client_that_leaves_gives_back_its_place_wherever_its_submission_is_held(held_by):
-    """With bytes behind its request each time, so that the end alone is not what wakes us."""
+    """With bytes behind the request each time, so that the end is not the only thing that wakes the task."""
     turned = anyio.Event()
 
     async def act(request):
--- a/tests/test_crossings_end.py
+++ b/tests/test_crossings_end.py
@@ -1,5 +1,5 @@
-"""The end of a program that crosses what its clients do, forced by barriers; and customers' settings that it
-can't serve. The table is docs/crossings.md."""
+"""The end of a program that races with its clients, forced by barriers; and deployments whose settings it
+cannot serve. The table is docs/crossings.md."""
 
 import os
 import signal
@@ -17,7 +17,7 @@
 
 
 def ends_here(net: Net) -> None:
-    """The signal to end, as the platform sends it."""
+    """Sends the signal to end, as the platform does."""
     os.kill(os.getpid(), signal.SIGTERM)
 
 
@@ -26,7 +26,7 @@
 
 
 def test_a_client_accepted_whose_task_has_not_begun_is_served_before_the_end(monkeypatch):
-    """Seen failing with no answer: clients counted from when their task ran, not from their acceptance."""
+    """Guards against no response: clients counted from when their task ran, not from their acceptance."""
     turn, serves, answers = anyio.Event(), ClientHandler.serve, []
 
     async def held(self, client, welcome):
@@ -54,7 +54,7 @@
 
 
 def test_an_answer_that_is_on_its_way_when_the_stay_is_over_still_reaches_its_client(monkeypatch):
-    """Seen failing as a connection that ended with nothing on it: settled counted as answered."""
+    """Guards against a connection that ended without a byte: a settled request counted as answered."""
     passes, held = ResponseWriter.send_answer, anyio.Event()
 
     async def late(self, *args):
@@ -104,8 +104,8 @@
 
 @pytest.mark.parametrize("hard", [0.1, 3.0])
 def test_all_that_is_sent_up_to_the_kill_is_answered_with_hanging_endpoints(tmp_path, hard):
-    """Clients go on sending on what stays open; endpoints hang; nothing taken is without an answer at the
-    earliest moment of the kill: the hard limit and 0.7 s."""
+    """Clients go on sending on what stays open, and endpoints hang; every request that was read has its
+    response by the earliest moment of the kill: the hard limit and 0.7 s."""
     net = Net(
         [always("silent")],
         workloads=[
@@ -129,7 +129,7 @@
                         got = await stream.receive()
                     except (anyio.BrokenResourceError, anyio.EndOfStream):
                         if not on_it:
-                            lost.append(name)  # else it crossed the close between two requests
+                            lost.append(name)  # else it raced with the close between two requests
                         break
                     answered.add(name)
                     if b"Connection: close" in got:
@@ -184,8 +184,8 @@
     ],
 )
 def test_a_customers_settings_that_can_not_be_served_end_the_start_in_one_line(tmp_path, change, key):
-    """Seen failing as a start: an unknown effect passed for one that may not be repeated, an unknown group
-    for a cell."""
+    """Guards against starting anyway: an unknown effect passed for one that must not be repeated, an unknown
+    group for a cell."""
     table = {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": CUSTOMER | change}
     process = start(tmp_path, table)
     try:
