--- a/tests/test_crossings_endpoints.py
+++ b/tests/test_crossings_endpoints.py
@@ -1,5 +1,6 @@
-"""Endpoints that end, stop or speak out of turn just then, and outcomes that meet in one pass of the loop;
-drawn sequences of all of it, judged by a referee of its own. The table is docs/crossings.md."""
+"""Endpoints that end, stop or send out of turn at a given moment, and outcomes that meet in one pass of the
+event loop; random sequences of all of it, checked by an independent referee. The table is
+docs/crossings.md."""
 
 import itertools
 import math
@@ -57,7 +58,7 @@
         if kept:
             assert (await net.ask(wanted("s0"))).status == 200
             (one,) = net.program.connection_pool.idle["e0"]
-            one.idle_since -= 1.0  # it has rested
+            one.idle_since -= 1.0  # idle for long enough
         assert (await net.ask(wanted("s1", "issue", "0.9"))).status == 502
         await all_quiet(net)
 
@@ -68,7 +69,7 @@
 
 @pytest.mark.parametrize("kept", [False, True])
 def test_a_reset_while_the_kernel_holds_a_part_of_the_request_never_ran(kept, monkeypatch):
-    """The endpoint reads some of the request and resets; its last byte was never taken by the kernel."""
+    """The endpoint reads some of the request and resets; the kernel never accepted its last byte."""
     makes, cut = transport.stream_socket, []
 
     def narrow(host):
@@ -100,7 +101,7 @@
             one.idle_since -= 1.0
         body = b"x" * (60_000 if kept else 3_000_000) + b"xyz"  # more than the kernels hold at once
         answer = await net.ask(wanted("s1", "issue", "5", body=body))
-        assert answer.status in (200, 503)  # launched again, or denied: both say that nothing ran
+        assert answer.status in (200, 503)  # retried, or rejected: both say that nothing ran
         await all_quiet(net)
 
     net = on_network(check, fine, endpoint=endpoint, limits=NO_PROBES)
@@ -125,7 +126,7 @@
 
 
 def test_an_answer_in_drops_is_given_up_before_the_hard_limit_and_leaves_nothing():
-    """Each drop less than a pause apart: it never stops, and it never ends."""
+    """Each byte arrives within the allowed pause: the response never stops, and it never ends."""
 
     async def endpoint(stream):
         async with stream:
@@ -157,7 +158,7 @@
 
 @pytest.mark.parametrize("moves", list(meetings()), ids=" then ".join)
 def test_of_outcomes_in_one_pass_one_is_told_and_one_answer_given(moves):
-    """In each order, with no pass of the loop between them."""
+    """In each order, with no pass of the event loop between them."""
 
     async def main():
         told = []
@@ -198,23 +199,22 @@
             if not pending.settled:
                 executor.abort_response(t.AbortResponse("s1"))
                 settled()
-            assert pending.answer is answers[0]  # what was given stands
+            assert pending.answer is answers[0]  # the first answer stands
             assert sum(isinstance(event, t.AttemptEnded) for event in told) == 1
             assert sum(isinstance(event, t.RequestCancelled) for event in told) <= 1
-            assert (
-                not request_table.pending_requests and request_table.unattempted == 1
-            )  # the launch was put there by hand
+            # the attempt was put there by the test
+            assert not request_table.pending_requests and request_table.unattempted == 1
 
     anyio.run(main)
 
 
-# --- drawn sequences ------------------------------------------------------------------------------------
+# --- random sequences -----------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_drawn_sequences_of_leaves_ends_lists_and_moves_keep_the_rules(seed):
-    """The referee has the clients' and the endpoints' word alone: who ran what and when, who got what, who
-    left and when. It knows nothing of the program."""
+    """The referee sees only what clients and endpoints recorded: who ran what and when, who got what, who
+    disconnected and when. It knows nothing of the program."""
     chance = random.Random(seed)
     ran: dict[str, list[tuple[int, float]]] = {}
     got: dict[str, Answer | None] = {}
@@ -247,7 +247,7 @@
             try:
                 await stream.send(chance.choice([b"\r\n", wanted(name + "x", kind), b"junk", b"GET /view"]))
             except anyio.BrokenResourceError:
-                pass  # it has answered and closed
+                pass  # it has sent its response and closed
             left[name] = left[name + "x"] = time.monotonic()
             kinds[name + "x"] = kind
 
@@ -293,7 +293,7 @@
 
 
 def test_a_client_in_every_state_leaves_nothing_when_the_program_ends():
-    """All at once: idle, half a request, held, launched, answered unread."""
+    """All at once: idle, half a request, held, in flight, response unread."""
 
     async def check(net: Net):
         streams = [await connect(net) for _ in range(4)]
@@ -314,7 +314,7 @@
 
 @pytest.mark.parametrize("key", [True, False])
 def test_without_its_key_a_deduplicated_submission_that_may_have_run_is_not_launched_again(key):
-    """Endpoints drop repeats by the key: where a request brings none, nothing would be dropped."""
+    """Endpoints drop repeats by the key: a request without one would be run again."""
 
     async def check(net: Net):
         net.program.engine.sidecar.dispatcher.taken.add(net.program.engine.clock.now(), 1000.0)
--- a/tests/test_crossings_lists.py
+++ b/tests/test_crossings_lists.py
@@ -1,4 +1,4 @@
-"""Lists of endpoints that cross a move, a launch or one another, and watches that fall silent: on real
+"""Lists of endpoints that race with a move, an attempt or one another, and watches that fall silent: on real
 sockets, in the order that was wrong, forced by a barrier or a stand-in. The table is docs/crossings.md."""
 
 import itertools
@@ -22,8 +22,8 @@
 
 
 def test_a_move_that_crosses_the_last_byte_of_a_call_asks_the_new_service_for_its_whole_list(monkeypatch):
-    """Seen failing with `index=2` as the first call at the new service: the old one's answer had taken back
-    that the list is to be asked for whole, and its version was another service's."""
+    """Guards against `index=2` in the first call at the new service: the old one's response had taken back
+    that the whole list is to be requested, and its version was another service's."""
     other = DiscoveryStand()
 
     async def check(net: Net):
@@ -69,8 +69,8 @@
 @pytest.mark.parametrize("asked", [True, False])
 @pytest.mark.parametrize("instances", [1, 40, 200, 1000])
 def test_what_a_silent_watch_missed_is_asked_for_before_it_counts_as_told(instances, asked):
-    """2 s after the wait of the call, or 6 s after the silence began, if that is later. Each watch is silent:
-    whole lists are asked for, and answered within what is left."""
+    """2 s after the wait of the call, or 6 s after the silence began, if that is later. Every watch is
+    silent: whole lists are requested, and answered within what is left."""
     timing = watch_timing(usual(instances=instances, poll_discovery=asked))
     simulation = Simulation(timing, longest)
     simulation.answer_at = (
@@ -90,8 +90,9 @@
 
 @pytest.mark.parametrize("mode", ["ask", "push"])
 def test_a_silent_watch_is_opened_anew_without_the_pause_for_a_discovery_in_trouble(mode, monkeypatch):
-    """Seen failing where lists are asked for: the module heard of a failure, and its pause, up to 2.5 s with
-    200 sidecars, ended after what the silent watch missed counted as told."""
+    """Where lists are requested, the decision module received a failure, and its pause, up to 2.5 s with 200
+    sidecars, ended after the time by which what the silent watch missed must be known. Guards against
+    that."""
     monkeypatch.setattr(driver, "watch_wait", lambda instances: 0.3)
     monkeypatch.setattr(watcher, "PARALLEL_CALL_INTERVAL_S", 0.5)
 
@@ -105,7 +106,7 @@
 
 
 def test_watches_that_were_answered_together_end_apart():
-    """Else all sidecars find out a silence at one moment, and their calls wait in one line."""
+    """Otherwise all sidecars notice a silence at one moment, and their calls wait in one queue."""
     waits = []
 
     async def check(net: Net):
@@ -118,12 +119,14 @@
         )
 
     on_network(check, fine, discovery="push", instances=200)
-    # 1.7 s is what is left of 6 s beside an answer that is 4 s late, and 0.7 s pass before a doubt.
+    # 1.7 s is what is left of 6 s beside a response that is 4 s late, and 0.7 s pass before the watch is
+    # doubted.
     assert len(set(waits)) > 1 and 800 <= min(waits) and max(waits) <= 1_000
 
 
 def test_the_last_word_on_a_name_in_one_answer_holds_for_launches_and_the_module_alike():
-    """Seen failing: the module went by the start in such an answer, launches by the end behind it."""
+    """Guards against a decision module that goes by the start in such a response while attempts go by the end
+    behind it."""
 
     async def check(net: Net):
         await until(lambda: len(net.discovery.seen) > 1)
@@ -142,7 +145,7 @@
 
 
 def test_an_endpoint_that_moved_while_its_connection_came_up_gets_the_launch_at_its_new_address():
-    """Seen failing as a request at the old address, where another may listen by now."""
+    """Guards against a request at the old address, where another endpoint may listen by now."""
     strange = Stand(fine)
 
     async def check(net: Net):
@@ -190,7 +193,8 @@
 
 
 def test_a_drain_told_between_a_kept_connections_end_and_the_second_try_stops_that_try():
-    """The kept connection breaks under the request's bytes; the list crosses before the new one is up."""
+    """The kept connection breaks while the request is written; the list arrives before the new one is
+    established."""
 
     async def check(net: Net):
         assert (await net.ask(wanted("s0"))).status == 200
@@ -252,8 +256,8 @@
 
 @pytest.mark.parametrize("draw", [longest, shortest])
 def test_a_pushed_list_is_asked_for_again_within_the_least_grace_of_any_customer(draw):
-    """While discovery is down it tells nothing, and what it gets at its return counts as told at once, where
-    lists are pushed. The longest pause between two calls that are refused has to leave time for the call."""
+    """While discovery is down it tells nothing, and where lists are pushed, what it receives at its return
+    counts as known at once. The longest pause between two refused calls has to leave time for the call."""
     grace = round(LEAST_GRACE * 1_000_000)
     simulation = Simulation(
         watch_timing(usual(poll_discovery=False, grace=grace)), draw, answer_at=lambda call: None
@@ -264,16 +268,16 @@
     assert len(apart) > 5 and max(apart) <= LEAST_GRACE - 0.2
 
 
-LEAST_GRACE = 0.5  # seconds, of the customers known (`stop-sending-within-s`)
+LEAST_GRACE = 0.5  # seconds, of the known deployments (`stop-sending-within-s`)
 
 
 @pytest.mark.parametrize("took", [0.0, 0.01, 1.5, 2.5])
 @pytest.mark.parametrize("instances", [1, 40, 200, 20_000])
 def test_after_calls_that_fail_the_next_answer_is_there_within_six_seconds(instances, took):
-    """A change counts as told 6 s after discovery had it and could be reached, whatever went wrong before: it
+    """A change counts as known 6 s after discovery had it and could be reached, whatever failed before: it
     may be made just after a call began that fails `took` seconds later, then comes the longest pause, then a
-    call that is answered. Seen failing with 3 s for the list behind 2 s for its connection and up to 5 s of
-    pause. The watch does not wait for the module to ask: its own pauses count."""
+    call that is answered. Guards against 3 s for the list after 2 s for its connection and up to 5 s of
+    pause. The watch does not wait for the decision module to ask: its own pauses count."""
     simulation = Simulation(
         watch_timing(usual(instances=instances, poll_discovery=True)), longest, answer_at=lambda call: None
     )
@@ -281,7 +285,7 @@
     simulation.run(40.0)
     apart = [after.started_at - before.started_at for before, after in itertools.pairwise(simulation.started)]
     assert len(apart) >= 8
-    assert max(apart) <= 6.0 - 2.5, apart  # also where failures follow one another; 2.5 s for the answer
+    assert max(apart) <= 6.0 - 2.5, apart  # also if failures follow one another; 2.5 s for the response
     assert (
         apart[0] <= max(watcher.PARALLEL_CALL_INTERVAL_S, took + watcher.MIN_RETRY_DELAY_S) + 0.02
-    )  # 4 s for the answer after a first one
+    )  # 4 s for the response after a first one
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -1,5 +1,5 @@
-"""Idle clients fill the descriptors while discovery is down: the process still gets its list, tells the truth
-about its readiness, serves, and stays within its limit."""
+"""Idle clients fill the descriptors while discovery is down: the process still gets its list, reports its
+readiness truthfully, serves, and stays within its limit."""
 
 import errno
 import os
@@ -23,7 +23,7 @@
 
 
 async def status(stream) -> int | None:
-    """Of the next answer on this connection; None where it ended."""
+    """Status of the next response on this connection; None if it ended."""
     side = ClientSide()
     side.ask(Request(b"GET", b"/", [(b"Host", b"a")]))
     try:
@@ -36,7 +36,7 @@
 
 @asynccontextmanager
 async def crowd(address: str, silent: int, used: int):
-    """Idle clients that stay: such as never said a word, and such as asked once and kept their connection."""
+    """Idle clients that stay: some never sent a byte, others sent one request and kept their connection."""
     host, port = address.split(":")
     async with AsyncExitStack() as stack:
 
@@ -53,10 +53,10 @@
 
 
 def test_where_no_place_is_free_readiness_is_told_as_it_is_and_all_else_denied(monkeypatch):
-    """A front that asked for /ready while every place was taken was told 503 by a ready sidecar."""
-    monkeypatch.setattr(
-        client_handler, "REQUEST_TIMEOUT_S", 60
-    )  # seconds that a place is held by half a request
+    """Guards against a load balancer that checked /ready while all descriptors were taken, and got 503 from a
+    ready sidecar."""
+    # seconds for which half a request holds a place
+    monkeypatch.setattr(client_handler, "REQUEST_TIMEOUT_S", 60)
 
     async def check(net: Net):
         host, port = net.address.split(":")
@@ -128,7 +128,7 @@
     sockets, began = 96, []
 
     async def started(net: Net, serial: int) -> int:
-        """Gives its process id once it listens, the crowd's calls refused until then."""
+        """Gives its process id once it listens; the crowd's calls are refused until then."""
         process = spawn(tmp_path, net.table, serial)
         began.append(process)
         while True:
@@ -152,7 +152,8 @@
                 pid = await started(net, serial)
                 async with crowd(net.address, 50, 100):
                     assert (await net.ask(READY)).status == 200 and held(pid) <= sockets
-                    # All of the crowd was accepted before /ready was; the silent are spared that long.
+                    # The whole crowd was accepted before /ready was; silent clients are not evicted for that
+                    # long.
                     await anyio.sleep(2 * NEW_IDLE_S)
                     assert (await net.ask(wanted(f"s{serial}"))).status == 200 and held(pid) <= sockets
                     began[serial].kill()
--- a/tests/test_endpoints_connections.py
+++ b/tests/test_endpoints_connections.py
@@ -1,6 +1,6 @@
-"""Connections to endpoints that are not what they seem: to oneself, reset under the look of an end, with
-an answer that belongs to another request; what the client has left, and whether it is still there, as the
-first byte leaves."""
+"""Connections to endpoints that are not what they seem: to oneself, reset while looking like a regular end,
+or with a response that belongs to another request; the client's remaining time, and whether it is still
+connected, when the first byte is sent."""
 
 import contextlib
 import errno
@@ -27,9 +27,9 @@
 from lupinmill.transport.buffers import BlockPool
 
 NO_PROBES = settings()["limits"] | {"probes": False}
-LARGE = 3 * 1024 * 1024  # bytes, far more than is waited for before a body is launched
-BEYOND_KEPT = 1_300_000  # bytes: launched while it comes, and no more than the kernels buffer
-TO_ITSELF = 0.5  # seconds, for a connection to come up
+LARGE = 3 * 1024 * 1024  # bytes, far more than is buffered before a body is sent
+BEYOND_KEPT = 1_300_000  # bytes: sent while it arrives, and no more than the kernels buffer
+TO_ITSELF = 0.5  # seconds, to establish a connection
 
 
 def pair() -> tuple[socket.socket, socket.socket]:
@@ -45,11 +45,11 @@
     sock.close()
 
 
-# --- coming up ------------------------------------------------------------------------------------------
+# --- connecting -----------------------------------------------------------------------------------------
 
 
 def test_a_connection_that_met_itself_is_none(monkeypatch):
-    """Seen failing: it came up, and what was sent on it would have been read as the answer."""
+    """Guards against a connection to itself: what was sent on it would have been read as the response."""
     bound = []
 
     def from_that_port(host):
@@ -82,7 +82,7 @@
 
 @pytest.mark.parametrize("at, number", SHORT)
 def test_what_is_short_on_this_machine_is_no_fault_of_the_endpoint(number, at, monkeypatch):
-    """Seen failing: the endpoint was told to be away, and set aside."""
+    """Guards against reporting the endpoint as unreachable and ejecting it."""
 
     class Short(socket.socket):
         def connect(self, address):
@@ -132,8 +132,8 @@
 
 
 def test_a_reset_that_a_send_was_told_is_no_end_for_who_reads():
-    """Seen failing: the kernel tells of a reset once; the next read showed a proper end, which frames an
-    answer."""
+    """The kernel reports a reset once, and the next read shows a regular end. Guards against taking that for
+    the end of a response."""
 
     async def main() -> None:
         here, there = pair()
@@ -153,13 +153,13 @@
     anyio.run(main)
 
 
-# --- an answer before its request -----------------------------------------------------------------------
+# --- a response before its request ----------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("kept", [False, True])
 @pytest.mark.parametrize("large", [False, True])
 def test_a_200_before_the_last_byte_of_a_request_is_not_its_answer(kept, large):
-    """A late second answer, by its content another client's. Seen failing: it was served."""
+    """A late second response, with another client's content. Guards against serving it."""
     body = b"stale" * (30_000 if large else 1)
     stale = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
 
@@ -178,10 +178,10 @@
         if kept:
             assert (await net.ask(wanted("s0"))).status == 200
             (one,) = net.program.connection_pool.idle["e0"]
-            one.idle_since -= 1.0  # it has rested
+            one.idle_since -= 1.0  # idle for long enough
         data = wanted("s1", "issue", "5", body=b"x" * LARGE)
         async with await connect(net) as stream:
-            await stream.send(data[: 2 * LARGE // 3])  # the rest never comes
+            await stream.send(data[: 2 * LARGE // 3])  # the rest never arrives
             got = await until_end_of(stream, b"\r\n\r\n")
         assert got.startswith(b"HTTP/1.1 502"), got[:100]
         await all_quiet(net)
@@ -190,12 +190,12 @@
     assert net.ended()[kept:] == [t.Outcome.SPOILT]
 
 
-# --- what the client has left ---------------------------------------------------------------------------
+# --- the client's remaining time ------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("deadline", [0.5, 1.0, 5.0])
 def test_a_launch_is_told_no_more_than_its_client_waits_while_the_body_still_comes(deadline):
-    """Seen failing with 46.6 s for a deadline of 0.5 s: the time that the body may take was told as well."""
+    """Guards against 46.6 s told for a deadline of 0.5 s: the time that the body may take was included."""
     told = []
 
     async def endpoint(stream):
@@ -220,8 +220,8 @@
 
 
 def test_what_a_client_has_written_and_lies_unread_counts_in_what_the_endpoint_is_told(monkeypatch):
-    """Seen failing, and in the soak, seed 11: told 0.560 s with 0.290 s left. A large body is launched while
-    it comes; its client had written all of it, and the loop was late with reading."""
+    """Guards against 0.560 s told with 0.290 s left (also found in the soak, seed 11). A large body is sent
+    while it arrives; its client had written all of it, and the event loop was late to read it."""
     told, written, receive = [], [], Client.receive
 
     async def slowly(client) -> bytes:
@@ -252,13 +252,14 @@
     assert 0 < deadline <= 1.0 - (at - written[0]) + 0.15
 
 
-# --- a client that has gone -----------------------------------------------------------------------------
+# --- a client that has disconnected ---------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("ahead", [0, 1, 60_000, 65_536, 65_537, 90_000])
 @pytest.mark.parametrize("end", ["close", "half-close"])
 def test_the_last_look_sees_an_end_behind_whatever_was_sent_ahead(ahead, end):
-    """Seen failing from 60,000 bytes on: a look reads four pieces, and the end comes as a fifth."""
+    """Guards against a missed disconnect from 60,000 bytes on: one check reads four pieces, and the end comes
+    fifth."""
     withdrawn = []
 
     class FakeRequestTable:
@@ -294,8 +295,8 @@
 @pytest.mark.parametrize("cancel", [False, True])
 @pytest.mark.parametrize("end", ["close", "reset"])
 def test_a_body_that_never_ends_keeps_no_launch_and_no_end_of_the_program_waiting(cancel, end):
-    """Seen failing where launches may not be called off: the launch waited up to a minute for the rest, and
-    the submission stayed open, which SIGTERM waits for."""
+    """Guards against a hang if attempts may not be cancelled: the attempt waited up to a minute for the rest,
+    and the request stayed open, which SIGTERM waits for."""
 
     async def endpoint(stream):
         async with stream:
@@ -310,7 +311,7 @@
         data = wanted("s1", "issue", "1", body=b"x" * LARGE)
         async with await connect(net) as stream:
             await stream.send(data[: 2 * LARGE // 3])
-            await until(lambda: begun)  # else it may have left before the launch had connected
+            await until(lambda: begun)  # else it may have disconnected before the attempt had connected
             if end == "reset":
                 raw = stream.extra(anyio.abc.SocketAttribute.raw_socket)
                 raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -325,13 +326,13 @@
 
 @pytest.mark.parametrize("kept", [False, True])
 def test_the_time_that_connecting_takes_is_not_told_as_left(kept, monkeypatch):
-    """Also where a kept connection was ended and another has to come up."""
+    """Also if a kept connection was closed and another must be established."""
     told: list[float] = []
     connects = connection_pool.connect
 
     async def late(*more):
         began = time.monotonic()
-        await anyio.sleep(0.3)  # what is judged is the time that passed, however long
+        await anyio.sleep(0.3)  # the deciding figure is the time that passed, however long
         made = await connects(*more)
         spent.append(time.monotonic() - began)
         return made
@@ -351,7 +352,7 @@
             assert (await net.ask(wanted("s0", "issue", "5"))).status == 200
             (one,) = net.program.connection_pool.idle["e0"]
             one.idle_since -= 1.0
-            monkeypatch.setattr(one, "is_idle", lambda: True)  # it ends between the look and the write
+            monkeypatch.setattr(one, "is_idle", lambda: True)  # it is closed between the check and the write
             one.sock.shutdown(socket.SHUT_RDWR)
         monkeypatch.setattr(connection_pool, "connect", late)
         assert (await net.ask(wanted("s1", "issue", "5"))).status == 200
--- a/tests/test_endpoints_late.py
+++ b/tests/test_endpoints_late.py
@@ -1,5 +1,5 @@
-"""Connections to endpoints that come up after the limit for connecting: the next attempt finds them up, and
-does not begin anew for ever. On real sockets: the listener's queue is full as the first SYN comes."""
+"""Connections to endpoints that are established after the connect time-out: the next attempt finds them and
+does not start anew for ever. On real sockets: the listener's queue is full when the first SYN arrives."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from lupinmill.transport.connection_pool import ConnectionPool
 from lupinmill.transport.buffers import BlockPool
 
-TIME_OUT = 0.1  # seconds, of one attempt; the kernel tries again a second after the first try
-BACKLOG = 0  # the system takes one more than this
+TIME_OUT = 0.1  # seconds, of one attempt; the kernel retries a second after the first try
+BACKLOG = 0  # the system accepts one more than this
 
 
 class Crowded:
@@ -36,7 +36,7 @@
             self.fillers.append(socket.create_connection(self.sock.getsockname()))
 
     async def let_in(self) -> tuple[str, int]:
-        """Takes one in, and waits for whoever comes to its place. Whose it is."""
+        """Accepts one connection and waits for whichever takes its place. Returns that one's address."""
         self.accepted.append(self.sock.accept()[0])
         self.sock.setblocking(False)
         while True:
@@ -62,7 +62,8 @@
 
 
 def test_a_connection_that_came_up_too_late_serves_the_next_attempt():
-    """Seen failing: the second attempt began anew, met a full queue as well, and so did each one after it."""
+    """Guards against a second attempt that starts anew and meets a full queue as well, like each one after
+    it."""
 
     async def main() -> None:
         crowded, (pool, descriptors) = Crowded(), made()
--- a/tests/test_forwarded_body.py
+++ b/tests/test_forwarded_body.py
@@ -1,4 +1,4 @@
-"""The body that several attempts read: against a model, through every interleaving that is drawn."""
+"""The body that several attempts read, compared with a model through random interleavings."""
 
 import socket
 import struct
@@ -18,13 +18,13 @@
 from lupinmill.transport.buffers import MemoryBudget
 
 SEARCH = hypothesis_settings(derandomize=True, deadline=None, max_examples=400)
-OTHER = 1_000  # bytes that other bodies hold of the shelf
+OTHER = 1_000  # bytes of the memory budget that other bodies hold
 LARGEST_PART = 9
-AHEAD = 12  # in the place of the module's
+AHEAD = 12  # in place of the module's
 
 
 class Attempt:
-    """Reads part after part, as `Send.send_large` does, and each step is told to it."""
+    """Reads part after part, like `AttemptRunner.send_body`; the test allows each step."""
 
     def __init__(self, body: RequestBody) -> None:
         self.body, self.got, self.number = body, b"", 0
@@ -65,7 +65,7 @@
 
 
 async def settle() -> None:
-    """Every task that can go on has done so."""
+    """Lets every task run that can."""
     for _ in range(8):
         await anyio.lowlevel.checkpoint()
 
@@ -153,7 +153,7 @@
                 await the_rest(group)
 
     async def the_rest(group) -> None:
-        """The source writes to its end while each attempt that is left reads on; nobody may be stuck."""
+        """The source writes to its end while each remaining attempt reads on; none may be stuck."""
         for _ in range(40 * len(sizes)):
             await made.act(group, "put", 0)
             for attempt in made.attempts:
@@ -214,7 +214,7 @@
     resetting, again = Resetting(cut), []
 
     async def check(net: Net):
-        for at in range(60):  # after so many there is something to repeat with
+        for at in range(60):  # after this many there is something to repeat with
             assert (await net.ask(wanted(f"w{at}"))).status == 200
         for at in range(20):
             body = noise(300_000, at)
--- a/tests/test_forwarded_framing.py
+++ b/tests/test_forwarded_framing.py
@@ -1,5 +1,5 @@
-"""Framing: what one client wrote is what is read, however its bytes are cut; nothing is read behind a
-malformed request; and an answer that was made can be written in every state."""
+"""Framing: what a client wrote is what is read, however its bytes are split; nothing is read behind a
+malformed request; and a response can be written in every state."""
 
 import socket
 import struct
@@ -21,7 +21,7 @@
 SEARCH = hypothesis_settings(derandomize=True, deadline=None, max_examples=300)
 
 
-# --- pipelined requests, cut anywhere -----------------------------------------------------------
+# --- pipelined requests, split anywhere ---------------------------------------------------------
 
 
 @dataclass(frozen=True)
@@ -69,7 +69,8 @@
 
 
 class Conversation:
-    """What `TakeIn.converse` does with the bytes of one connection; a malformed request ends it."""
+    """What `ClientHandler.serve_requests` does with the bytes of one connection; a malformed request ends
+    it."""
 
     def __init__(self) -> None:
         self.side, self.got, self.over = ServerSide(), [], False
@@ -178,7 +179,7 @@
 
 
 def test_the_parts_of_a_chunked_body_are_as_large_as_what_came_at_once():
-    """A part for each little chunk would be a write for each at the endpoint."""
+    """Writing a part for each small chunk would mean a write for each at the endpoint."""
     side, body = ServerSide(), bytes(range(256)) * 256
     side.feed(b"POST /x HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n" + chunks(body, 700))
     assert isinstance(side.next_part(), Request)
@@ -197,7 +198,7 @@
         assert side.next_part() is END
 
 
-# --- blanks that the parser would take seconds over ----------------------------------------------
+# --- whitespace on which the parser would spend seconds ------------------------------------------
 
 
 @pytest.mark.parametrize(
@@ -238,7 +239,7 @@
     assert max(given_to) <= 2 * http.BETWEEN_CHUNKS
 
 
-# --- answers to clients --------------------------------------------------------------------------
+# --- responses to clients ------------------------------------------------------------------------
 
 ASKED = [
     b"GET /x HTTP/1.1\r\nHost: a\r\n\r\n",
@@ -273,7 +274,7 @@
 
 
 def as_read(asked: bytes, data: bytes) -> Answer:
-    """By a client of its own, with the end of the connection behind it."""
+    """Read by a separate client, up to the end of the connection."""
     method = asked.split()[0]
     client = h11.Connection(h11.CLIENT)
     client.send(h11.Request(method=method, target="/x", headers=[("Host", "a")]))
@@ -365,7 +366,7 @@
     on_network(check, fine)
 
 
-# --- answers of endpoints --------------------------------------------------------------------------
+# --- responses of endpoints ------------------------------------------------------------------------
 
 
 def reading(data: bytes, method: bytes = b"GET") -> ClientSide:
--- a/tests/test_forwarded_headers.py
+++ b/tests/test_forwarded_headers.py
@@ -1,5 +1,5 @@
-"""Headers and targets that identity, class, repeat safety and deadline hang on: read once, forwarded as they
-were written, or refused."""
+"""Headers and targets that determine identity, workload, repeat safety and deadline: read once, and either
+forwarded as they were written or refused."""
 
 import anyio
 import pytest
@@ -34,7 +34,7 @@
     return Request(b"GET", target, [*HEADERS, *more])
 
 
-# --- what `Connection` names --------------------------------------------------------------------
+# --- headers that `Connection` names ------------------------------------------------------------
 
 
 @pytest.mark.parametrize("name, value", KEPT)
@@ -114,11 +114,11 @@
     assert [one.header(b"req-id") for one in net.stands[0].seen if one.header(b"req-id")] == ["s2"]
 
 
-# --- a glance is never more lenient than the parser ----------------------------------------------
+# --- the quick check is never more lenient than the parser ---------------------------------------
 
 
 def by_the_parser(data: bytes) -> bool:
-    """Does the parser take this as one whole request that becomes a submission?"""
+    """Whether the parser takes this as one complete request that is accepted."""
     side = ServerSide()
     try:
         side.feed(data)
@@ -188,7 +188,7 @@
         )
 
 
-# --- class names --------------------------------------------------------------------------------
+# --- workload names -----------------------------------------------------------------------------
 
 NAMES = ["für-später", "注文", "new order", "a/b", "50%", "tëst", "\N{NO-BREAK SPACE}x", "é"]
 
@@ -296,7 +296,7 @@
     assert side.next_request().target == b"*"
 
 
-# --- a request that was taken can be forwarded ----------------------------------------------------
+# --- an accepted request can be forwarded ---------------------------------------------------------
 
 
 @pytest.mark.parametrize(
--- a/tests/test_forwarded_pipelined.py
+++ b/tests/test_forwarded_pipelined.py
@@ -1,5 +1,5 @@
 """Several requests sent at once on one connection of a whole program: each reaches an endpoint as it was
-written, in its order, and nothing behind a malformed one does."""
+written, in order, and nothing behind a malformed one does."""
 
 import random
 
@@ -16,7 +16,7 @@
 
 
 def requests_of(rng: random.Random) -> list[tuple[bytes, bytes]]:
-    """Bytes of requests, and their bodies: together no more than is kept of what a client sends ahead."""
+    """Bytes of requests, and their bodies: together no more than is kept of pipelined bytes."""
     made = []
     for at in range(5):
         body = noise(rng.choice([0, 1, 900, 10_000]), at)
@@ -36,7 +36,7 @@
 
 
 async def answers_on(stream, count: int) -> list[Answer]:
-    """So many answers, one behind the other."""
+    """Reads this many responses, one after the other."""
     got, rest = [], b""
     while len(got) < count:
         side = ClientSide()
--- a/tests/test_standstill.py
+++ b/tests/test_standstill.py
@@ -1,4 +1,4 @@
-"""A process that stood still: what lies unread from that time is heard before anything is judged silent."""
+"""A process that was blocked: what lies unread from that time is read before anything is judged silent."""
 
 import signal
 import socket
@@ -19,11 +19,11 @@
 from lupinmill.transport.buffers import BlockPool
 
 ANSWERS_AFTER = 0.015  # seconds, of each endpoint
-STILL = 0.4  # seconds, many times what is usual, and less than an attempt has
+STILL = 0.4  # seconds, many times the usual, and less than an attempt has
 
 
 class StandstillCase(NamedTuple):
-    """How long endpoints take and the process stands still, in seconds; what lies unread first; how often."""
+    """How long endpoints take and the process is blocked, in seconds; what lies unread first; how often."""
 
     answers_after: float
     still: float
@@ -33,7 +33,7 @@
 
 
 async def exchange(stream: anyio.abc.SocketStream, name: str) -> bytes:
-    """The answer's first bytes; the rest is dropped."""
+    """The first bytes of the response; the rest is dropped."""
     await stream.send(wanted(name))
     side = ClientSide()
     side.ask(Request(b"POST", b"/view"))
@@ -45,7 +45,7 @@
 
 
 def judged_after_standstills(case: StandstillCase, tmp_path) -> str:
-    """Plays the case, checks what clients and endpoints saw, and returns the log."""
+    """Runs the case, checks what clients and endpoints saw, and returns the log."""
     net = Net([always(Answer(200, [], case.body), case.answers_after)] * 3)
 
     async def stand_still(process, number: int, streams) -> None:
@@ -65,7 +65,8 @@
             process.send_signal(signal.SIGCONT)
             other = await streams[1].receive()
         assert got[0].startswith(b"HTTP/1.1 200 ") and len(seen(net, name)) == 1, (got, seen(net, name))
-        # The core was short: what came meanwhile may be turned away, and is launched nowhere then.
+        # The CPU was short: requests that arrived meanwhile may be turned away, and no attempt is made for
+        # them then.
         assert other.startswith(b"HTTP/1.1 200 ") == len(seen(net, f"b{number}")), other
 
     async def check(processes: Processes, _) -> None:
@@ -87,22 +88,22 @@
 
 @pytest.mark.parametrize("comes_first", ["answer", "request"])
 def test_an_answer_that_came_while_the_process_stood_still_is_no_silence(comes_first, tmp_path):
-    """Guards against a request that is read before the answer: what was due by then rang at once, the
-    endpoint was set aside as silent, and its request was launched again."""
+    """Guards against a request that is read before the response: all timers due by then fired at once, the
+    endpoint was ejected as silent, and its request was retried."""
     case = StandstillCase(ANSWERS_AFTER, STILL, comes_first, rounds=3)
     assert "set aside" not in judged_after_standstills(case, tmp_path)
 
 
 def test_an_answer_of_many_reads_is_taken_after_a_standstill_past_its_attempts_time(tmp_path):
-    """Guards against a pass of the loop for each read: what was due rang between them, with 503 for the
-    client and a second launch."""
+    """Guards against a pass of the event loop for each read: due timers fired between them, with 503 for the
+    client and a second attempt."""
     case = StandstillCase(0.03, 0.7, "answer", rounds=2, body=b"x" * 60_000)
     assert "set aside" not in judged_after_standstills(case, tmp_path)
 
 
 def test_an_answer_within_its_attempts_time_is_taken_after_a_standstill_past_that_time(tmp_path):
-    """Guards against an attempt that is ended by its own limit while its answer lies unread: the client,
-    whose deadline is later, gets 503, and the endpoint is set aside."""
+    """Guards against an attempt that is ended by its own limit while its response lies unread: the client,
+    whose deadline is later, got 503, and the endpoint was ejected."""
     # After the first round a margin is kept for lateness, and of a request's second an attempt has 0.66 s.
     case = StandstillCase(0.03, 0.7, "answer", rounds=2)
     assert "set aside" not in judged_after_standstills(case, tmp_path)
@@ -113,7 +114,7 @@
 
 @pytest.mark.parametrize("moved_to", [None, SPAN / 2, 2 * SPAN])
 def test_an_attempt_without_an_answer_ends_at_its_limit_wherever_that_is_moved(moved_to):
-    """Guards against limits that hold no longer once an answer is waited for."""
+    """Guards against limits that no longer apply once a response is waited for."""
 
     async def check(ours: Connection, _: socket.socket) -> None:
         began = anyio.current_time()
@@ -175,7 +176,7 @@
 
 
 class Hand:
-    """A clock set by hand, in microseconds."""
+    """A clock set by the test, in microseconds."""
 
     def __init__(self) -> None:
         self.moment = 1_000_000
@@ -185,7 +186,7 @@
 
 
 def test_what_is_due_waits_for_what_lies_unread_but_never_for_long():
-    """Guards deadlines where every pass of a crowded loop is late."""
+    """Guards deadlines when every pass of a crowded event loop is late."""
     clock = Hand()
     engine = Engine(deployment(), clock, lambda event, **fields: None)
     engine.wake_at = clock.moment
--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -1,4 +1,4 @@
-"""Storage, descriptors and connections: what is leased, and that it is given back."""
+"""Buffers, descriptors and connections: what is leased is released."""
 
 import random
 import socket
@@ -147,7 +147,7 @@
 
 
 def pooled(check, idle_limit: float = 30.0) -> None:
-    """`check(pool, address, server)` with one connection in the pool."""
+    """Runs `check(pool, address, server)` with one connection in the pool."""
     budget = DescriptorBudget(100)
     pool = ConnectionPool(budget, BlockPool(), idle_limit, 0.5)
 
@@ -166,19 +166,19 @@
 
 
 def rest(pool, address):
-    """As if it had rested as long as a kept one has to."""
+    """Makes it look idle for as long as a kept connection has to be."""
     for kept in pool.idle[address]:
         kept.idle_since -= MIN_IDLE_S
 
 
 def test_a_second_answer_that_comes_after_the_first_never_passes_for_the_next_ones():
-    """Seen failing: quiet when kept and when taken, the connection went out at once, and the bytes that came
-    then were its next answer's."""
+    """Guards against a connection that was idle when kept and when taken and went out at once: bytes that
+    arrived then were taken for its next response."""
 
     async def check(pool, address, theirs):
         (kept,) = pool.idle[address]
         kept.idle_since = time.monotonic()
-        assert pool.reuse(address) is None and pool.idle[address] == [kept]  # it rests
+        assert pool.reuse(address) is None and pool.idle[address] == [kept]  # not idle for long enough
         theirs.send(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno")
         await until_unread(kept)
         rest(pool, address)
@@ -257,7 +257,7 @@
                 theirs, _ = server.accept()
                 with theirs:
                     theirs.send(b"x")
-                    time.sleep(0.1)  # the loop lags
+                    time.sleep(0.1)  # the event loop lags
                     assert await ours.receive() == b"x"
                     assert 85_000 < ours.unread_time() < 130_000
 
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -1,4 +1,4 @@
-"""The machine's clock is set while requests wait: their ages stay spans of real time."""
+"""The machine's clock is set while requests wait: their ages must stay spans of real time."""
 
 import random
 import time
@@ -32,7 +32,7 @@
 
 
 def rounded_up(age: int):
-    """As the kernel tells the time since data came last."""
+    """Like the kernel's time since data last arrived."""
     return lambda: (age // 1000 + 3) * 1000
 
 
@@ -56,7 +56,8 @@
 
 @pytest.mark.parametrize("step", [-3600 * SECOND, -2 * SECOND, 5 * SECOND, 20 * SECOND, 3600 * SECOND])
 def test_a_clock_that_is_set_for_this_process_alone_makes_no_request_old(step, monkeypatch):
-    """Seen: +1 to +20 s by a library that shifts one process's clock, and 96% of all requests were denied."""
+    """Guards against a library that shifts one process's clock by +1 to +20 s: 96% of all requests were
+    rejected."""
     machine = Machine(monkeypatch)
     clock, kernel_ahead = WallClock(), machine.wall_ahead
     machine.wall_ahead += step
@@ -91,7 +92,7 @@
 @pytest.mark.parametrize("step", [-HOUR, -5 * SECOND, 5 * SECOND, HOUR])
 @pytest.mark.parametrize("of_all", [False, True])
 def test_an_endpoint_that_starts_after_a_step_is_cold_whichever_clock_was_set(step, of_all, monkeypatch):
-    """Guards slow start: by a clock that was set back an hour, a start of now is one of an hour ago."""
+    """Guards slow start: by a clock that was set back an hour, a start just now looks an hour old."""
     machine = Machine(monkeypatch)
     clock = WallClock()
     starts, ours = StartTimes(clock), machine.wall_ahead
@@ -107,7 +108,8 @@
 
 @pytest.mark.parametrize("step", [-HOUR, HOUR])
 def test_a_whole_program_goes_slow_to_what_starts_after_its_clock_was_set(step, monkeypatch):
-    """Seen: set back by an hour, all endpoints that started from then on counted as warm at once."""
+    """Guards against a clock set back by an hour: all endpoints that started from then on counted as warm at
+    once."""
     monkeypatch.setattr(wall_clock, "SHARED", WallClock())
     read_wall = time.time_ns
 
