--- a/lupinmill/routing/client_handler.py
+++ b/lupinmill/routing/client_handler.py
@@ -167,12 +167,10 @@
         incomplete = body is not None and not body.complete
         if not incomplete:
             self.admission.enter(client)  # a slow upload is admitted only when it is complete
-        admitted = self.open_request(client, request, body)
-        if isinstance(admitted, Answer):
-            return await self.response_writer.send_answer(
-                client, side, admitted, self.must_close(client, side)
-            )
-        pending = admitted
+        opened = self.open_request(client, request, body)
+        if isinstance(opened, Answer):
+            return await self.response_writer.send_answer(client, side, opened, self.must_close(client, side))
+        pending = opened
         try:
             if incomplete:
                 if not await self.receive_body(client, side, pending, body):
@@ -226,12 +224,12 @@
         to_come = 0.0
         if body is not None and not body.complete:
             to_come = REQUEST_TIMEOUT_S + ((body.length or LARGEST_BODY) - body.end) / MIN_UPLOAD_RATE
-        admitted: PendingRequest | Answer | None = None
+        opened: PendingRequest | Answer | None = None
         try:
-            admitted = self.request_factory.create(request, client, body, to_come)
-            return admitted
+            opened = self.request_factory.create(request, client, body, to_come)
+            return opened
         finally:
-            if body is not None and not isinstance(admitted, PendingRequest):
+            if body is not None and not isinstance(opened, PendingRequest):
                 body.drop()
 
     async def receive_body(
--- a/tests/bed.py
+++ b/tests/bed.py
@@ -56,8 +56,8 @@
         self.d, self.now, self.serial = d, 100 * SECOND, 0
         self.sidecar = Sidecar(d)
         self.workloads = {w.name: w for w in d.workloads}
-        self.owed: dict[str, t.RequestArrived] = {}
-        self.flights: dict[str, list[dict]] = {}  # of requests, also after their end
+        self.unanswered: dict[str, t.RequestArrived] = {}
+        self.attempts: dict[str, list[dict]] = {}  # of requests, also after their end
         self.answers: dict[str, t.Command] = {}
         self.closed: dict[str, str] = {}
         self.coming: set[str] = set()  # requests whose last byte has not arrived
@@ -72,11 +72,11 @@
     def step(self, *events: t.Event, after: int = 0) -> list[t.Command]:
         self.now += after
         for event in events:
-            self.book(event)
+            self.record(event)
         commands = self.sidecar.step(self.now, list(events))
         for command in commands:
             self.check(command)
-        for name, arrived in self.owed.items():
+        for name, arrived in self.unanswered.items():
             assert self.now <= arrived.due + 20_000, f"{name} was not answered before its hard limit"
         return commands
 
@@ -98,33 +98,33 @@
         return name
 
     def end(
-        self, name: str, launch: int, how: t.Outcome, load: t.LoadReport | None = None, **more
+        self, name: str, number: int, how: t.Outcome, load: t.LoadReport | None = None, **more
     ) -> list[t.Command]:
-        flight = self.flights[name][launch]
+        attempt = self.attempts[name][number]
         handled = how is t.Outcome.HANDLED
-        took = self.now - flight["sent"]
-        closed = handled or name not in self.owed
-        return self.step(t.AttemptEnded(name, launch, how, took, closed, load), **more)
+        took = self.now - attempt["sent"]
+        closed = handled or name not in self.unanswered
+        return self.step(t.AttemptEnded(name, number, how, took, closed, load), **more)
 
     def out(self, name: str) -> list[int]:
-        return [i for i, f in enumerate(self.flights.get(name, [])) if f["how"] is None]
+        return [i for i, f in enumerate(self.attempts.get(name, [])) if f["how"] is None]
 
-    def book(self, event: t.Event) -> None:
+    def record(self, event: t.Event) -> None:
         if isinstance(event, t.RequestArrived):
-            self.owed[event.request] = event
-            self.flights[event.request] = []
+            self.unanswered[event.request] = event
+            self.attempts[event.request] = []
             if not event.whole:
                 self.coming.add(event.request)
         elif isinstance(event, t.RequestBodyReceived):
-            if event.request in self.owed:
-                self.owed[event.request].due = event.due
+            if event.request in self.unanswered:
+                self.unanswered[event.request].due = event.due
             self.coming.discard(event.request)
         elif isinstance(event, t.AttemptEnded):
-            self.flights[event.request][event.attempt]["how"] = event.outcome
-            if event.outcome is t.Outcome.HANDLED and self.owed.pop(event.request, None):
+            self.attempts[event.request][event.attempt]["how"] = event.outcome
+            if event.outcome is t.Outcome.HANDLED and self.unanswered.pop(event.request, None):
                 self.closed[event.request] = "handled"
         elif isinstance(event, t.RequestCancelled):
-            if self.owed.pop(event.request, None):
+            if self.unanswered.pop(event.request, None):
                 self.closed[event.request] = "withdrawn"
         elif isinstance(event, t.ListReceived):
             for entry in event.entries:
@@ -135,8 +135,8 @@
             self.check_launch(command)
         elif isinstance(command, (t.RejectRequest, t.AbortResponse)):
             name = command.request
-            assert name in self.owed, f"{name} was answered twice or never taken"
-            w = self.workloads[self.owed.pop(name).workload]
+            assert name in self.unanswered, f"{name} was answered twice or never opened"
+            w = self.workloads[self.unanswered.pop(name).workload]
             self.closed[name] = "denied" if isinstance(command, t.RejectRequest) else "broken off"
             if isinstance(command, t.RejectRequest) and not (
                 w.repeat is t.RepeatPolicy.IDEMPOTENT or w.group is t.DeduplicationScope.ALL
@@ -152,18 +152,18 @@
         elif isinstance(command, t.StartWatch):
             self.watches.append(self.now)
         elif isinstance(command, t.CancelAttempt):
-            assert command.attempt < len(self.flights[command.request])
+            assert command.attempt < len(self.attempts[command.request])
 
     def maybe(self, name: str) -> list[dict]:
-        return [f for f in self.flights[name] if f["how"] not in NEVER]
+        return [f for f in self.attempts[name] if f["how"] not in NEVER]
 
     def check_launch(self, command: t.StartAttempt) -> None:
         name = command.request
-        assert name in self.owed, f"{name} was launched after its end"
+        assert name in self.unanswered, f"{name} got an attempt after its end"
         assert (
             self.state[command.endpoint] is t.EndpointStatus.READY
         ), f"{command.endpoint} is not to be sent anything"
-        w, earlier = self.workloads[self.owed[name].workload], self.maybe(name)
+        w, earlier = self.workloads[self.unanswered[name].workload], self.maybe(name)
         if earlier and w.repeat is t.RepeatPolicy.UNREPEATABLE:
             raise AssertionError(f"{name} may run twice")
         if earlier and w.repeat is t.RepeatPolicy.DEDUPLICATED:
@@ -171,9 +171,9 @@
             if w.group is t.DeduplicationScope.CELL:
                 assert self.cells[command.endpoint] == self.cells[earlier[0]["endpoint"]], "outside its group"
         if not self.d.hedging_allowed:
-            assert not self.out(name), f"{name} has two launches out"
-        assert len(self.flights[name]) < self.d.max_attempts
-        self.flights[name].append({"endpoint": command.endpoint, "sent": self.now, "how": None})
+            assert not self.out(name), f"{name} has two attempts in flight"
+        assert len(self.attempts[name]) < self.d.max_attempts
+        self.attempts[name].append({"endpoint": command.endpoint, "sent": self.now, "how": None})
 
 
 # --- the network: loopback stand-ins for endpoints and discovery around a whole program -----------------
@@ -314,7 +314,7 @@
 
 
 class Net:
-    """A whole program among stand-ins. `notes` are the events its decision module received, `logs` what it
+    """A whole program among stand-ins. `events` are those its decision module received, `logs` what it
     logged."""
 
     def __init__(self, acts, sockets: int = 1024, known: bool = True, **more) -> None:
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -174,7 +174,7 @@
     bed.step(t.OperatorOverride("e0", True))
     for _ in range(30):
         bed.arrive(bed.workloads["view"])
-        for name in list(bed.owed):
+        for name in list(bed.unanswered):
             for launch in bed.out(name):
                 bed.end(name, launch, t.Outcome.HANDLED, after=2_000)
     bed.sidecar.step(bed.now, [t.ListReceived(t.ListKind.FULL, [listing(0), listing(1)])])
@@ -187,7 +187,7 @@
     for _ in range(300):
         name = bed.arrive(bed.workloads["view"])
         bed.end(name, 0, t.Outcome.HANDLED, after=5_000)
-    sent = [f["endpoint"] for flights in bed.flights.values() for f in flights]
+    sent = [f["endpoint"] for flights in bed.attempts.values() for f in flights]
     assert "e0" not in sent[:40] and 0 < sent[-300:].count("e0") < 150
 
 
@@ -195,7 +195,7 @@
     bed = Bed(deployment(), 3)
     for _ in range(2):
         name = bed.arrive(bed.workloads["view"])
-        at = bed.flights[name][0]["endpoint"]
+        at = bed.attempts[name][0]["endpoint"]
         bed.end(name, 0, t.Outcome.UNCONNECTED)
     bed.step(t.OperatorOverride(at, True))
     bed.state[at] = t.EndpointStatus.DRAINING
--- a/tests/test_beside.py
+++ b/tests/test_beside.py
@@ -41,12 +41,12 @@
         bed.run(apart)
         for name in list(out):
             for launch in bed.out(name):
-                flight = bed.flights[name][launch]
+                flight = bed.attempts[name][launch]
                 if bed.now - flight["sent"] >= took(flight["endpoint"]):
                     bed.end(name, launch, t.Outcome.HANDLED)
-            if name not in bed.owed:
+            if name not in bed.unanswered:
                 out.remove(name)
-                picks += [flight["endpoint"] for flight in bed.flights[name]]
+                picks += [flight["endpoint"] for flight in bed.attempts[name]]
     return picks
 
 
@@ -60,7 +60,7 @@
 def test_the_first_submission_is_launched_at_once():
     """Seen: every sidecar with few connections denied all that came in its first half second."""
     bed = Bed(beside(few_connections=True), endpoints=20)
-    assert bed.flights[bed.arrive(IDEM)]
+    assert bed.attempts[bed.arrive(IDEM)]
 
 
 def test_a_thin_sidecar_holds_few_connections_and_others_take_the_place_of_those_that_fail():
@@ -70,7 +70,7 @@
     for _ in range(3 * len(used)):
         name = bed.arrive(IDEM)
         for launch in bed.out(name):
-            if bed.flights[name][launch]["endpoint"] in used:
+            if bed.attempts[name][launch]["endpoint"] in used:
                 bed.end(name, launch, t.Outcome.UNCONNECTED)
     assert set(serve(bed, 20, 200 * MS)) - used
 
@@ -126,7 +126,7 @@
     bed = Bed(beside(), endpoints=3)
     serve(bed, 50, 50 * MS)
     name = bed.arrive(IDEM)
-    gone = bed.flights[name][0]["endpoint"]
+    gone = bed.attempts[name][0]["endpoint"]
     bed.end(name, 0, t.Outcome.UNCONNECTED)
     assert gone not in serve(bed, 40, 50 * MS)
 
@@ -177,7 +177,7 @@
         for command in commands:
             if isinstance(command, t.RejectRequest):
                 assert command.retry_after >= SECOND // 2
-            if isinstance(command, t.RejectRequest) and not bed.flights[command.request]:
+            if isinstance(command, t.RejectRequest) and not bed.attempts[command.request]:
                 waits.append(bed.now - came[command.request])
     assert len(waits) > 300 and max(waits) < IDEM.contract
 
--- a/tests/test_clients_door.py
+++ b/tests/test_clients_door.py
@@ -176,16 +176,16 @@
 class FakeClient:
     """What admission control needs of a client."""
 
-    def __init__(self, chance: random.Random) -> None:
-        self.chance, self.sock = chance, self
+    def __init__(self, random_source: random.Random) -> None:
+        self.random_source, self.sock = random_source, self
         self.admitted = self.has_requested = self.unwritable = self.disconnected = self.response_due = False
         self.waiter = None
         self.end = anyio.Event()
 
     def send(self, data: bytes) -> int:
-        if self.chance.random() < 0.1:
+        if self.random_source.random() < 0.1:
             raise ConnectionResetError
-        return len(data) - (self.chance.random() < 0.1)
+        return len(data) - (self.random_source.random() < 0.1)
 
     def max_elapsed_wait(self, left: int) -> int:
         return 0
@@ -200,7 +200,7 @@
 
 @pytest.mark.parametrize("seed", range(12))
 def test_drawn_cancels_ends_and_defects_leave_the_gates_count_exact(seed):
-    chance = random.Random(seed)
+    random_source = random.Random(seed)
     d = deployment()
 
     async def main() -> Gate:
@@ -213,9 +213,11 @@
 
         async def serve(client: FakeClient) -> None:
             try:
-                while chance.random() < 0.8:
+                while random_source.random() < 0.8:
                     data = wanted(
-                        "s", chance.choice(["view", "bid"]), "0.3" if chance.random() < 0.3 else "8"
+                        "s",
+                        random_source.choice(["view", "bid"]),
+                        "0.3" if random_source.random() < 0.3 else "8",
                     )
                     if not admission.evaluate(client, data):
                         continue
@@ -226,7 +228,7 @@
                         continue
                     admission.enter(client)
                     await pause()
-                    if chance.random() < 0.1:
+                    if random_source.random() < 0.1:
                         raise RuntimeError("a defect")
                     admission.leave(client)
             except RuntimeError:
@@ -235,13 +237,13 @@
                 admission.leave(client)
 
         async def pause() -> None:
-            for _ in range(chance.randrange(4)):
+            for _ in range(random_source.randrange(4)):
                 await anyio.sleep(0)
 
         with anyio.fail_after(20):
             async with anyio.create_task_group() as group:
                 for _ in range(60):
-                    client = FakeClient(chance)
+                    client = FakeClient(random_source)
                     clients.append(client)
                     scope = anyio.CancelScope()
 
@@ -251,9 +253,9 @@
 
                     group.start_soon(under)
                     await pause()
-                    draw = chance.random()
+                    draw = random_source.random()
                     if draw < 0.2:
-                        clients[chance.randrange(len(clients))].end.set()
+                        clients[random_source.randrange(len(clients))].end.set()
                     elif draw < 0.4:
                         scope.cancel()
                     elif draw < 0.6:
--- a/tests/test_clients_drawn.py
+++ b/tests/test_clients_drawn.py
@@ -25,15 +25,15 @@
     """A client that sends one request at a time, in pieces, keeps its connection, and opens another if that
     ended between two requests."""
 
-    def __init__(self, net: Net, chance: random.Random, name: str) -> None:
-        self.net, self.chance, self.name, self.got = net, chance, name, []
+    def __init__(self, net: Net, random_source: random.Random, name: str) -> None:
+        self.net, self.random_source, self.name, self.got = net, random_source, name, []
         self.stream, self.used = None, False
 
     async def run(self) -> None:
         for at in range(REQUESTS):
             name = f"{self.name}-{at}"
-            size = self.chance.choice([0, 0, 100, 20_000, 90_000])
-            data = wanted(name, self.chance.choice(KINDS), "0.8", b"x" * size)
+            size = self.random_source.choice([0, 0, 100, 20_000, 90_000])
+            data = wanted(name, self.random_source.choice(KINDS), "0.8", b"x" * size)
             answer = await self.ask(data)
             if answer is None and self.used:
                 # the sidecar may close it between two requests: sent once more on a new one
@@ -45,9 +45,9 @@
             if answer.status == 200 and answer.body != b"done-" + name.encode():
                 raise Lost(f"{name} got another's answer: {answer.body!r}")
             self.used = True
-            if (answer.header(b"connection") or "").lower() == "close" or self.chance.random() < 0.2:
+            if (answer.header(b"connection") or "").lower() == "close" or self.random_source.random() < 0.2:
                 await self.close()
-            await anyio.sleep(self.chance.random() * 0.05)
+            await anyio.sleep(self.random_source.random() * 0.05)
         await self.close()
 
     async def close(self) -> None:
@@ -70,41 +70,41 @@
         return answer
 
     async def write(self, data: bytes) -> None:
-        cuts = sorted(self.chance.randrange(len(data)) for _ in range(self.chance.randrange(3)))
+        cuts = sorted(self.random_source.randrange(len(data)) for _ in range(self.random_source.randrange(3)))
         for begin, end in zip([0, *cuts], [*cuts, len(data)], strict=True):
             await self.stream.send(data[begin:end])
-            await anyio.sleep(0.005 * self.chance.randrange(2))
+            await anyio.sleep(0.005 * self.random_source.randrange(2))
 
 
-async def troubles(net: Net, chance: random.Random) -> None:
+async def troubles(net: Net, random_source: random.Random) -> None:
     """Disturbs the event loop, admission control and the mode, until it is cancelled."""
     client_handler, gate, listener = net.program.client_handler, net.program.admission.gate, listener_of(net)
     while True:
-        draw = chance.random()
+        draw = random_source.random()
         if draw < 0.3:
             time.sleep(0.03)  # the event loop lags
         elif draw < 0.5:
-            gate.active, gate.window = True, chance.choice([0.0, 4.0, 50.0])
+            gate.active, gate.window = True, random_source.choice([0.0, 4.0, 50.0])
             gate.turned = gate.pressed = net.program.engine.clock.now()
         elif draw < 0.6:
-            closing = chance.random() < 0.5
+            closing = random_source.random() < 0.5
             client_handler.closing = lambda closing=closing: closing
         elif draw < 0.7:
             listener.close_all_idle()
         elif draw < 0.8:
             listener.evict_idle_client()
-        await anyio.sleep(chance.random() * 0.03)
+        await anyio.sleep(random_source.random() * 0.03)
 
 
 @pytest.mark.parametrize("seed", range(6))
 def test_each_request_of_a_client_that_stays_gets_one_answer(seed):
-    chance = random.Random(seed)
+    random_source = random.Random(seed)
 
     async def act(request):
         if request.header(b"req-id") is None:
             return await fine(request)
-        draw = chance.random()
-        await anyio.sleep(chance.random() * 0.02)
+        draw = random_source.random()
+        await anyio.sleep(random_source.random() * 0.02)
         return (
             DECLINED
             if draw < 0.1
@@ -116,9 +116,9 @@
         )
 
     async def check(net: Net):
-        patrons = [Patron(net, chance, f"p{at}") for at in range(CLIENTS)]
+        patrons = [Patron(net, random_source, f"p{at}") for at in range(CLIENTS)]
         async with anyio.create_task_group() as around:
-            around.start_soon(troubles, net, chance)
+            around.start_soon(troubles, net, random_source)
             async with anyio.create_task_group() as group:
                 for one in patrons:
                     group.start_soon(one.run)
@@ -131,5 +131,5 @@
         assert gate.inside == 0 and gate.held == 0 and net.program.client_handler.answering == 0
         assert net.program.client_handler.internal_errors == 0
 
-    net = on_network(check, act, act, sockets=chance.choice([56, 64, 1024]))
+    net = on_network(check, act, act, sockets=random_source.choice([56, 64, 1024]))
     assert not [log for log in net.logs if log[0] in ("task_failed", "module_failed", "order_failed")]
--- a/tests/test_common.py
+++ b/tests/test_common.py
@@ -35,7 +35,7 @@
 
 
 def zones_of_first_attempts(bed: Bed, names: list[str]) -> list[str]:
-    return [bed.flights[name][0]["endpoint"][0] if bed.flights[name] else "" for name in names]
+    return [bed.attempts[name][0]["endpoint"][0] if bed.attempts[name] else "" for name in names]
 
 
 def complete_requests(bed: Bed, count: int, workload=IDEM) -> list[str]:
@@ -100,8 +100,8 @@
     name = bed.arrive(IDEM)
     bed.end(name, 0, t.Outcome.UNCONNECTED)
     bed.run(100 * MS)
-    assert [flight["endpoint"][0] for flight in bed.flights[name]][0] == "a"
-    assert len(bed.flights[name]) == 2 and bed.flights[name][1]["endpoint"][0] in "bc"
+    assert [flight["endpoint"][0] for flight in bed.attempts[name]][0] == "a"
+    assert len(bed.attempts[name]) == 2 and bed.attempts[name][1]["endpoint"][0] in "bc"
 
 
 def test_a_full_zone_holds_up_no_other():
@@ -109,7 +109,7 @@
     bed = bed_with_endpoints(instances=1)
     update_shared_state(bed, plan=same_plan_for_all({"a": 1.0}))
     waiting = [bed.arrive(IDEM) for _ in range(2 * CAP_START + 3)]
-    assert sum(not bed.flights[name] for name in waiting if name in bed.owed) > 0
+    assert sum(not bed.attempts[name] for name in waiting if name in bed.unanswered) > 0
     update_shared_state(bed, plan=same_plan_for_all({"b": 1.0}))
     assert zones_of_first_attempts(bed, [bed.arrive(IDEM)]) == ["b"]
     assert all(zone in "a" for zone in zones_of_first_attempts(bed, waiting))
@@ -122,7 +122,7 @@
     view, bid = bed.arrive(IDEM), bed.arrive(KEYED)
     bed.now += 20 * MS
     bed.end(full[0], 0, t.Outcome.HANDLED)
-    assert bed.flights[bid] and not bed.flights[view]
+    assert bed.attempts[bid] and not bed.attempts[view]
 
 
 @pytest.mark.parametrize("bound", [{"zones": ("c",)}, {"kinds": ("rare",)}])
@@ -145,7 +145,7 @@
     drain(bed, "b")
     bed.end(name, 0, t.Outcome.RESET)
     bed.run(SECOND)
-    assert {flight["endpoint"][0] for flight in bed.flights[name]} == {"a"}
+    assert {flight["endpoint"][0] for flight in bed.attempts[name]} == {"a"}
 
 
 def test_a_cold_endpoint_gets_less_where_all_together_send_it_too_much():
@@ -160,7 +160,7 @@
         update_shared_state(bed, brakes=brakes)
         names = complete_requests(bed, 200)
         assert warm
-        return sum(flight["endpoint"] == "a9" for name in names for flight in bed.flights[name])
+        return sum(flight["endpoint"] == "a9" for name in names for flight in bed.attempts[name])
 
     unlimited, limited = sent({}), sent({"a9": 0.1})
     assert unlimited >= 8 and limited <= unlimited / 3
--- a/tests/test_config_terms.py
+++ b/tests/test_config_terms.py
@@ -26,12 +26,12 @@
         self.newest, self.terms = d, {}
         super().__init__(d, endpoints)
 
-    def book(self, event: t.Event) -> None:
+    def record(self, event: t.Event) -> None:
         if isinstance(event, t.DeploymentChanged):
             self.newest = event.deployment
         elif isinstance(event, t.RequestArrived):
             self.terms[event.request] = self.newest
-        super().book(event)
+        super().record(event)
 
     def check(self, command: t.Command) -> None:
         name = getattr(command, "request", None)
@@ -76,10 +76,10 @@
     name = waits_for_a_retry(bed, IDEM, t.Outcome.ERROR)
     bed.deploy(workloads=[as_(IDEM, repeat=t.RepeatPolicy.UNREPEATABLE), KEYED, ONCE])
     bed.run(SECOND)
-    assert len(bed.flights[name]) >= 2
+    assert len(bed.attempts[name]) >= 2
     new = bed.arrive(IDEM)
     bed.end(new, 0, t.Outcome.ERROR, after=10_000)
-    assert bed.closed[new] == "broken off" and len(bed.flights[new]) == 1
+    assert bed.closed[new] == "broken off" and len(bed.attempts[new]) == 1
 
 
 def test_what_waits_for_a_retry_while_its_workload_becomes_repeatable_never_runs_twice():
@@ -88,15 +88,15 @@
     name = waits_for_a_retry(bed, ONCE, t.Outcome.REFUSED)  # it never ran: it may be launched again
     bed.deploy(workloads=[IDEM, KEYED, as_(ONCE, repeat=t.RepeatPolicy.IDEMPOTENT)])
     bed.run(SECOND)
-    assert len(bed.flights[name]) == 2
+    assert len(bed.attempts[name]) == 2
     bed.end(name, 1, t.Outcome.ERROR, after=10_000)  # now it may have run, and by its own terms that is all
     assert bed.closed[name] == "broken off"
     bed.run(2 * SECOND)
-    assert len(bed.flights[name]) == 2
+    assert len(bed.attempts[name]) == 2
     new = bed.arrive(as_(ONCE, repeat=t.RepeatPolicy.IDEMPOTENT))
     bed.end(new, 0, t.Outcome.ERROR, after=10_000)
     bed.run(SECOND)
-    assert len(bed.flights[new]) >= 2
+    assert len(bed.attempts[new]) >= 2
 
 
 def test_a_window_and_a_group_stay_those_under_which_a_keyed_one_was_taken():
@@ -105,7 +105,7 @@
     name = waits_for_a_retry(bed, KEYED, t.Outcome.RESET)
     bed.deploy(workloads=[IDEM, as_(KEYED, window=1, group=t.DeduplicationScope.ALL), ONCE])
     bed.run(SECOND)
-    assert len(bed.flights[name]) >= 2, "its own window was open"
+    assert len(bed.attempts[name]) >= 2, "its own window was open"
     wide = as_(KEYED, window=60 * SECOND, group=t.DeduplicationScope.ALL)
     bed.deploy(workloads=[IDEM, wide, ONCE])
     bed.run(3 * SECOND)
@@ -120,7 +120,7 @@
     bed.run(SECOND)
     bed.end(name, 1, t.Outcome.ERROR, after=10_000)
     bed.run(SECOND)
-    assert len(bed.flights[name]) == 2 and bed.closed[name] == "denied"
+    assert len(bed.attempts[name]) == 2 and bed.closed[name] == "denied"
     late = bed.arrive(IDEM)  # called off at its end by the terms in force before, not by these
     bed.run(3 * SECOND)
     assert bed.closed[late] == "denied"
@@ -283,7 +283,7 @@
         elif what == "arrive":
             bed.arrive(bed.newest.workloads[value % len(bed.newest.workloads)], tenant="xyz"[value % 3])
         elif what == "end":
-            out = [(name, at) for name in bed.flights for at in bed.out(name)]
+            out = [(name, at) for name in bed.attempts for at in bed.out(name)]
             if out:
                 name, at = out[value[0] % len(out)]
                 bed.end(name, at, value[1], after=3_000)
@@ -293,8 +293,8 @@
             state = t.EndpointStatus.READY if value[1] else t.EndpointStatus.DRAINING
             bed.step(t.ListReceived(t.ListKind.CHANGES, [listing(value[0], state)]), after=1)
     bed.run(5 * SECOND)
-    assert not bed.owed, "each is answered once, before its own hard limit"
-    for name in list(bed.flights):
+    assert not bed.unanswered, "each is answered once, before its own hard limit"
+    for name in list(bed.attempts):
         for at in bed.out(name):
             bed.end(name, at, t.Outcome.CALLED_OFF)
     bed.run(SECOND)
@@ -327,12 +327,12 @@
         gate.release(bed.now)
         if at % 500 == 499:
             bed.run(5 * SECOND)
-            for name in list(bed.flights):
+            for name in list(bed.attempts):
                 for number in bed.out(name):
                     bed.end(name, number, t.Outcome.CALLED_OFF)
             bed.step(t.DeploymentChanged(d))
             gate.deploy(d)
-            for book in (bed.flights, bed.terms, bed.closed, bed.answers, bed.logs, bed.wakes, bed.probes):
+            for book in (bed.attempts, bed.terms, bed.closed, bed.answers, bed.logs, bed.wakes, bed.probes):
                 book.clear()
             sizes.append(len(pickle.dumps(bed.sidecar)))
         assert len(desk.queues) <= 5 + len(desk.open) and len(desk.gauges) <= 5 + len(desk.open)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -64,12 +64,12 @@
 
 async def all_quiet(net: Net) -> None:
     """Nothing is left in the decision module either."""
-    desk = net.program.engine.sidecar.dispatcher
-    await until(lambda: not net.program.request_table.pending_requests and not desk.open)
+    dispatcher = net.program.engine.sidecar.dispatcher
+    await until(lambda: not net.program.request_table.pending_requests and not dispatcher.open)
     assert (
-        desk.waiting == 0
-        and desk.in_flight == 0
-        and not any(seat.in_flight for seat in desk.endpoint_states.values())
+        dispatcher.waiting == 0
+        and dispatcher.in_flight == 0
+        and not any(seat.in_flight for seat in dispatcher.endpoint_states.values())
     )
 
 
@@ -407,10 +407,10 @@
     gone = anyio.Event()
 
     async def check(net: Net):
-        desk = net.program.engine.sidecar.dispatcher
+        dispatcher = net.program.engine.sidecar.dispatcher
         if held_by == "a retry delay":
-            desk.taken.add(desk.message_queue.now, 1000.0)  # the budget allows one
-            desk.random_source.upto = lambda ceiling: ceiling  # the longest delay
+            dispatcher.taken.add(dispatcher.message_queue.now, 1000.0)  # the budget allows one
+            dispatcher.random_source.upto = lambda ceiling: ceiling  # the longest delay
         if held_by == "a connection that comes up late":
             opens = net.program.connection_pool.open
 
@@ -423,7 +423,7 @@
             net.program.connection_pool.open = late
         async with anyio.create_task_group() as group:
             if held_by == "a full endpoint":
-                desk.cap, desk.settings.cap_growth = 1.0, 0.0
+                dispatcher.cap, dispatcher.settings.cap_growth = 1.0, 0.0
                 group.start_soon(net.ask, wanted("hog", deadline="8"))
                 await turned.wait()
             async with await connect(net) as stream:
@@ -432,7 +432,7 @@
                 await arrived(net, "s1")
                 await stream.send(b"more")
             await withdrawn(net)
-            assert "s1" not in desk.open or desk.open["s1"].done
+            assert "s1" not in dispatcher.open or dispatcher.open["s1"].done
             gone.set()
         assert (await net.ask(wanted("s2"))).status == 200
         await all_quiet(net)
--- a/tests/test_crossings_endpoints.py
+++ b/tests/test_crossings_endpoints.py
@@ -215,7 +215,7 @@
 def test_drawn_sequences_of_leaves_ends_lists_and_moves_keep_the_rules(seed):
     """The referee sees only what clients and endpoints recorded: who ran what and when, who got what, who
     disconnected and when. It knows nothing of the program."""
-    chance = random.Random(seed)
+    random_source = random.Random(seed)
     ran: dict[str, list[tuple[int, float]]] = {}
     got: dict[str, Answer | None] = {}
     left: dict[str, float] = {}
@@ -226,13 +226,13 @@
             name = request.header(b"req-id")
             if name is None:
                 return Answer(200, [], b"queue=0,util=0.1")
-            what = chance.random()
+            what = random_source.random()
             if what < 0.1:
                 return DECLINED
             ran.setdefault(name, []).append((number, time.monotonic()))
-            await anyio.sleep(chance.uniform(0, 0.25))
+            await anyio.sleep(random_source.uniform(0, 0.25))
             if what < 0.2:
-                return chance.choice(["reset", "cut", "garbled", "silent"])
+                return random_source.choice(["reset", "cut", "garbled", "silent"])
             return Answer(200, [], b"done-" + name.encode())
 
         return act
@@ -243,9 +243,11 @@
     async def leave(net: Net, name: str, kind: str) -> None:
         async with await connect(net) as stream:
             await stream.send(wanted(name, kind, "0.9"))
-            await anyio.sleep(chance.uniform(0, 0.1))
+            await anyio.sleep(random_source.uniform(0, 0.1))
             try:
-                await stream.send(chance.choice([b"\r\n", wanted(name + "x", kind), b"junk", b"GET /view"]))
+                await stream.send(
+                    random_source.choice([b"\r\n", wanted(name + "x", kind), b"junk", b"GET /view"])
+                )
             except anyio.BrokenResourceError:
                 pass  # it has sent its response and closed
             left[name] = left[name + "x"] = time.monotonic()
@@ -253,10 +255,10 @@
 
     async def lists_move(net: Net) -> None:
         while True:
-            await anyio.sleep(chance.uniform(0.02, 0.15))
-            row = chance.choice(net.discovery.rows)
+            await anyio.sleep(random_source.uniform(0.02, 0.15))
+            row = random_source.choice(net.discovery.rows)
             net.discovery.change(row, status="SERVING" if row["status"] != "SERVING" else "DRAINING")
-            if chance.random() < 0.3:
+            if random_source.random() < 0.3:
                 net.program.discovery.move(net.discovery.address)
 
     async def check(net: Net):
@@ -265,10 +267,10 @@
             mover.start_soon(lists_move, net)
             async with anyio.create_task_group() as clients:
                 for at in range(120):
-                    await anyio.sleep(chance.uniform(0, 0.02))
-                    name, kind = f"s{at}", chance.choice(["view", "bid", "issue"])
+                    await anyio.sleep(random_source.uniform(0, 0.02))
+                    name, kind = f"s{at}", random_source.choice(["view", "bid", "issue"])
                     kinds[name] = kind
-                    clients.start_soon(leave if chance.random() < 0.3 else stay, net, name, kind)
+                    clients.start_soon(leave if random_source.random() < 0.3 else stay, net, name, kind)
             mover.cancel_scope.cancel()
         await all_quiet(net)
 
--- a/tests/test_forwarded_body.py
+++ b/tests/test_forwarded_body.py
@@ -74,9 +74,9 @@
     """A body, its source and its attempts, driven step by step."""
 
     def __init__(self, room: int, sizes: list[int], launched: bool) -> None:
-        self.shelf = MemoryBudget(OTHER + room)
-        assert self.shelf.lease(OTHER)
-        self.body = RequestBody(self.shelf, None)
+        self.memory = MemoryBudget(OTHER + room)
+        assert self.memory.lease(OTHER)
+        self.body = RequestBody(self.memory, None)
         self.sizes, self.launched = sizes, launched
         self.written, self.put = b"", 0
         self.attempts: list[Attempt] = []
@@ -111,7 +111,7 @@
     def check(self) -> None:
         body = self.body
         kept = b"".join(bytes(part) for part in body.parts)
-        assert self.shelf.leased == OTHER + body.leased <= self.shelf.limit
+        assert self.memory.leased == OTHER + body.leased <= self.memory.limit
         assert 0 <= body.leased <= len(kept)
         if not body.dropped:
             assert kept == self.written[body.start :] and body.end == len(self.written)
@@ -173,7 +173,7 @@
         anyio.run(main)
     finally:
         bodies.MAX_UNSENT_BYTES = before
-    assert made.shelf.leased == OTHER and made.body.leased == 0 and not made.body.parts
+    assert made.memory.leased == OTHER and made.body.leased == 0 and not made.body.parts
 
 
 # --- on sockets ---------------------------------------------------------------------------------
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -213,7 +213,7 @@
     name = bed.arrive(IDEM)
     assert not bed.out(name)  # queued: the cap is reached
     bed.step(t.PredecessorLoad({"e0": full["e0"]}))
-    assert bed.flights[name][0]["endpoint"] == "e1"
+    assert bed.attempts[name][0]["endpoint"] == "e1"
     bed.step(t.ListReceived(t.ListKind.CHANGES, [listing(0, t.EndpointStatus.GONE)]))
     bed.end(name, 0, t.Outcome.HANDLED, after=1_000)
     bed.step(t.PredecessorLoad({}))
--- a/tests/test_module_faults.py
+++ b/tests/test_module_faults.py
@@ -13,9 +13,9 @@
 def test_an_endpoint_may_go_while_a_request_sent_there_is_still_coming():
     """Its seat was dropped, as the launch was not counted so far; the outcome then found no endpoint."""
     bed = Bed(deployment(workloads=[IDEM]), endpoints=1)
-    bed.owed["u"] = t.RequestArrived("u", IDEM.name, bed.now + SECOND, whole=False)
-    bed.flights["u"] = []
-    bed.step(bed.owed["u"])
+    bed.unanswered["u"] = t.RequestArrived("u", IDEM.name, bed.now + SECOND, whole=False)
+    bed.attempts["u"] = []
+    bed.step(bed.unanswered["u"])
     bed.step(t.ListReceived(t.ListKind.CHANGES, [listing(0, t.EndpointStatus.GONE)]))
     bed.step(t.RequestBodyReceived("u", bed.now + SECOND))
     bed.run(200 * MS)
@@ -26,9 +26,9 @@
 
 def test_an_endpoint_that_came_back_under_its_name_gets_no_outcome_of_before():
     bed = Bed(deployment(workloads=[IDEM]), endpoints=1)
-    bed.owed["u"] = t.RequestArrived("u", IDEM.name, bed.now + SECOND, whole=False)
-    bed.flights["u"] = []
-    bed.step(bed.owed["u"])
+    bed.unanswered["u"] = t.RequestArrived("u", IDEM.name, bed.now + SECOND, whole=False)
+    bed.attempts["u"] = []
+    bed.step(bed.unanswered["u"])
     bed.step(t.ListReceived(t.ListKind.CHANGES, [listing(0, t.EndpointStatus.GONE)]))
     bed.step(t.ListReceived(t.ListKind.CHANGES, [listing(0)]))
     assert (
@@ -52,16 +52,16 @@
     bed.end(name, 0, t.Outcome.HANDLED)
     assert all(pace > 0 for pace in bed.sidecar.dispatcher.kinds.values())
     bed.run(SECOND)
-    assert bed.arrive(IDEM) in bed.flights
+    assert bed.arrive(IDEM) in bed.attempts
 
 
 @pytest.mark.parametrize("late", [1, SECOND])
 def test_a_request_whose_time_is_over_is_answered_and_not_sent(late):
     bed = Bed(deployment(), endpoints=2)
-    bed.owed["s"] = t.RequestArrived("s", IDEM.name, bed.now - late)
-    bed.flights["s"] = []
+    bed.unanswered["s"] = t.RequestArrived("s", IDEM.name, bed.now - late)
+    bed.attempts["s"] = []
     bed.sidecar.step(bed.now, [])
-    commands = bed.sidecar.step(bed.now, [bed.owed["s"]])
+    commands = bed.sidecar.step(bed.now, [bed.unanswered["s"]])
     assert [type(command) for command in commands if not isinstance(command, t.SetTimer)] == [t.RejectRequest]
 
 
@@ -82,7 +82,7 @@
     bed.step(t.ListReceived(t.ListKind.FULL, entries))
     names = [bed.arrive(IDEM) for _ in range(5)]
     bed.run(SECOND)
-    assert all(bed.flights[name] for name in names[:1])
+    assert all(bed.attempts[name] for name in names[:1])
 
 
 def test_a_request_told_twice_is_taken_once():
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -41,13 +41,13 @@
 def test_the_endpoint_with_fewest_launches_is_picked_under_the_cap():
     bed = Bed(deployment(), endpoints=3)
     names = [bed.arrive(IDEM) for _ in range(12)]
-    picks = [bed.flights[n][0]["endpoint"] for n in names]
+    picks = [bed.attempts[n][0]["endpoint"] for n in names]
     for start in range(0, 12, 3):
         assert len(set(picks[start : start + 3])) == 3
     held = bed.arrive(IDEM)
-    assert held in bed.owed and not bed.flights[held]
+    assert held in bed.unanswered and not bed.attempts[held]
     bed.end(names[0], 0, t.Outcome.HANDLED, after=10 * MS)
-    assert len(bed.flights[held]) == 1
+    assert len(bed.attempts[held]) == 1
 
 
 def test_a_failure_is_retried_by_the_front_after_a_jittered_delay_elsewhere():
@@ -59,7 +59,7 @@
         start = bed.now
         bed.end(name, 0, t.Outcome.ERROR)
         bed.run(60 * MS, stride=1000)
-        first, second = bed.flights[name]
+        first, second = bed.attempts[name]
         assert first["endpoint"] != second["endpoint"]
         delays.append(second["sent"] - start)
     assert max(delays) <= RETRY_BASE + 2 * MS
@@ -71,7 +71,7 @@
     warm(bed, 30)
     name = bed.arrive(IDEM)
     bed.end(name, 0, t.Outcome.ERROR)
-    assert bed.closed[name] == "denied" and len(bed.flights[name]) == 1
+    assert bed.closed[name] == "denied" and len(bed.attempts[name]) == 1
 
 
 def test_retries_stay_under_a_tenth_of_the_submissions():
@@ -80,10 +80,10 @@
     for _ in range(taken):
         bed.arrive(IDEM)
         bed.run(40 * MS)
-        for name in list(bed.flights):
+        for name in list(bed.attempts):
             for launch in bed.out(name):
                 bed.end(name, launch, t.Outcome.ERROR)
-    launches = sum(len(f) for f in bed.flights.values())
+    launches = sum(len(f) for f in bed.attempts.values())
     assert 0 < launches - taken < taken / 10
 
 
@@ -95,17 +95,17 @@
     bed.end(name, 0, how)
     bed.run(100 * MS)
     assert bed.closed.get(name) == closed
-    assert len(bed.flights[name]) == (1 if closed else 2)
+    assert len(bed.attempts[name]) == (1 if closed else 2)
 
 
 def test_deduplicated_is_broken_off_when_its_group_has_nobody_left():
     bed = Bed(deployment(), endpoints=3)  # e1 is alone in its cell
     warm(bed, 30)
-    name = next(n for n in iter(lambda: bed.arrive(KEYED), "") if bed.flights[n][0]["endpoint"] == "e1")
+    name = next(n for n in iter(lambda: bed.arrive(KEYED), "") if bed.attempts[n][0]["endpoint"] == "e1")
     bed.step(t.ListReceived(t.ListKind.CHANGES, [listing(1, t.EndpointStatus.GONE)]))
     bed.end(name, 0, t.Outcome.RESET)
     bed.run(3 * SECOND)
-    assert bed.closed[name] == "broken off" and len(bed.flights[name]) == 1
+    assert bed.closed[name] == "broken off" and len(bed.attempts[name]) == 1
 
 
 def test_a_held_submission_is_answered_without_any_endpoint():
@@ -124,9 +124,9 @@
 def test_drained_endpoints_get_nothing_and_an_empty_list_holds():
     bed = Bed(deployment(), endpoints=2)
     bed.step(t.ListReceived(t.ListKind.CHANGES, [listing(0, t.EndpointStatus.DRAINING)]))
-    assert {bed.flights[bed.arrive(IDEM)][0]["endpoint"] for _ in range(4)} == {"e1"}
+    assert {bed.attempts[bed.arrive(IDEM)][0]["endpoint"] for _ in range(4)} == {"e1"}
     bed.step(t.ListReceived(t.ListKind.FULL, []))
-    assert not bed.flights[bed.arrive(IDEM)]
+    assert not bed.attempts[bed.arrive(IDEM)]
 
 
 def test_a_cold_endpoint_gets_no_burst():
@@ -138,7 +138,7 @@
         bed.run(20 * MS)
         for launch in bed.out(name):
             bed.end(name, launch, t.Outcome.HANDLED)
-    sent = [f["sent"] for fs in bed.flights.values() for f in fs if f["endpoint"] == "e9"]
+    sent = [f["sent"] for fs in bed.attempts.values() for f in fs if f["endpoint"] == "e9"]
     assert 1 <= len(sent) <= 100 / 5 + 1
 
 
@@ -150,7 +150,7 @@
         name = bed.arrive(IDEM)
         bed.run(50 * MS)
         for launch in bed.out(name):
-            if bed.flights[name][launch]["endpoint"] != "e0":
+            if bed.attempts[name][launch]["endpoint"] != "e0":
                 bed.end(name, launch, t.Outcome.HANDLED)
             else:
                 stuck.append(name)
@@ -161,7 +161,7 @@
     bed = Bed(deployment(), endpoints=4)
     stuck = hang(bed)
     assert any("e0 set aside: silent" in line for line in bed.logs)
-    assert any(len(bed.flights[n]) == 2 for n in stuck)  # second copies elsewhere
+    assert any(len(bed.attempts[n]) == 2 for n in stuck)  # second copies elsewhere
     for _ in range(4):
         bed.run(SECOND)
         for endpoint in bed.probes:
@@ -178,7 +178,7 @@
             name = bed.arrive(ONCE)
             bed.run(20 * MS)
             for launch in bed.out(name):
-                failed = bed.flights[name][launch]["endpoint"] in bad
+                failed = bed.attempts[name][launch]["endpoint"] in bad
                 bed.end(name, launch, t.Outcome.ERROR if failed else t.Outcome.HANDLED)
         aside = {line.split()[0] for line in bed.logs if "set aside" in line}
         assert aside == ({"e0"} if len(bad) == 1 else set())
@@ -196,7 +196,7 @@
     bed = Bed(deployment())
     warm(bed)
     name = bed.arrive(IDEM)
-    bad = bed.flights[name][0]["endpoint"]
+    bad = bed.attempts[name][0]["endpoint"]
     bed.end(name, 0, t.Outcome.UNCONNECTED)
     assert any(line == f"{bad} set aside: connections break" for line in bed.logs)
     while "set aside" in bed.logs[-1]:
@@ -204,7 +204,7 @@
         while bed.probes:
             bed.step(t.ProbeEnded(bed.probes.pop(), t.Outcome.UNCONNECTED if away else t.Outcome.HANDLED, MS))
             away = False
-    assert bed.logs[-1] == f"{bad} {then}" and least < bed.now - bed.flights[name][0]["sent"] < most
+    assert bed.logs[-1] == f"{bad} {then}" and least < bed.now - bed.attempts[name][0]["sent"] < most
 
 
 def test_an_endpoint_that_fails_often_is_not_measured_against_itself():
@@ -216,7 +216,7 @@
     for at in range(300):
         bed.run(20 * MS)
         for name in [name for name in out if bed.out(name)]:
-            flight = bed.flights[name][0]
+            flight = bed.attempts[name][0]
             bad = flight["endpoint"] == "e0"
             if bad or bed.now - flight["sent"] >= 100 * MS:
                 fails = bad and rand.random() < (0.2 if at < 150 else 0.6)
@@ -267,13 +267,13 @@
         else:
             left = [entry for entry in listed.values() if entry.endpoint != gone]
             bed.step(t.ListReceived(t.ListKind.FULL, [*left, new]), after=10 * MS)
-        for name in list(bed.flights):
+        for name in list(bed.attempts):
             for launch in bed.out(name):
                 how = rand.choice([t.Outcome.HANDLED, t.Outcome.RESET, t.Outcome.UNCONNECTED])
                 bed.end(name, launch, how, t.LoadReport(1.0))
         bed.step(t.ProbeEnded(gone, t.Outcome.HANDLED, MS))
     bed.run(4 * SECOND)
-    for name in list(bed.flights):
+    for name in list(bed.attempts):
         for launch in bed.out(name):
             bed.end(name, launch, t.Outcome.CALLED_OFF)
     assert set(desk.endpoints) == set(desk.endpoint_states) == set(listed) and len(desk.endpoint_states) == 4
@@ -327,7 +327,7 @@
     for _ in range(1500):
         bed.run(5 * MS)
         roll = chance.random()
-        live = [(n, i) for n, fs in bed.flights.items() for i, f in enumerate(fs) if f["how"] is None]
+        live = [(n, i) for n, fs in bed.attempts.items() for i, f in enumerate(fs) if f["how"] is None]
         if roll < 0.45:
             w = chance.choice(bed.d.workloads)
             bed.arrive(w, chance.randint(20 * MS, w.hard_limit))
@@ -338,17 +338,17 @@
             started = bed.now if chance.random() < 0.5 else 0
             entry = listing(chance.randrange(8), chance.choice(list(t.EndpointStatus)), started)
             bed.step(t.ListReceived(t.ListKind.CHANGES, [entry]))
-        elif roll < 0.94 and bed.owed:
-            bed.step(t.RequestCancelled(chance.choice(list(bed.owed))))
+        elif roll < 0.94 and bed.unanswered:
+            bed.step(t.RequestCancelled(chance.choice(list(bed.unanswered))))
         for endpoint in bed.probes:
             bed.step(t.ProbeEnded(endpoint, chance.choice(HOWS), MS))
         bed.probes.clear()
         for name, launch in live:
-            arrived = bed.owed.get(name)
+            arrived = bed.unanswered.get(name)
             if arrived and arrived.due <= bed.now and launch in bed.out(name):
                 bed.end(name, launch, t.Outcome.TIMED_OUT)
     bed.run(4 * SECOND)
-    assert not bed.owed
+    assert not bed.unanswered
 
 
 def test_launches_unanswered_at_the_hard_limit_count_against_their_endpoint():
@@ -357,11 +357,11 @@
     for _ in range(100):
         bed.arrive(ONCE, 400 * MS)
         bed.run(30 * MS)
-        for other in list(bed.flights):
+        for other in list(bed.attempts):
             for launch in bed.out(other):
-                if bed.flights[other][launch]["endpoint"] != "e0":
+                if bed.attempts[other][launch]["endpoint"] != "e0":
                     bed.end(other, launch, t.Outcome.HANDLED)
-                elif other not in bed.owed:
+                elif other not in bed.unanswered:
                     bed.end(other, launch, t.Outcome.CALLED_OFF)
     assert any("e0 set aside" in line for line in bed.logs)
 
@@ -378,7 +378,7 @@
     bed.step(t.ListReceived(t.ListKind.CHANGES, [listing(9)]))
     for _ in range(12):
         bed.arrive(IDEM)
-    flying = [f["endpoint"] for fs in bed.flights.values() for f in fs if f["how"] is None]
+    flying = [f["endpoint"] for fs in bed.attempts.values() for f in fs if f["how"] is None]
     assert 1 <= flying.count("e9") < 4
 
 
@@ -389,7 +389,7 @@
         bed = Bed(deployment(instances=instances, seed=seed), endpoints=8)
         for _ in range(3):
             bed.arrive(IDEM)
-        flying.append(sum(f["how"] is None for fs in bed.flights.values() for f in fs))
+        flying.append(sum(f["how"] is None for fs in bed.attempts.values() for f in fs))
     assert 0.5 * FLEET_START < sum(flying) / 8 <= 1.1 * FLEET_START  # of all together, an endpoint
     assert instances < 100 or min(flying) == 0  # and some send none
 
@@ -406,8 +406,8 @@
                     endpoint, t.Outcome.HANDLED, MS, t.LoadReport(queued=9.0 if endpoint == "e0" else 1.0)
                 )
             )
-    assert sum(fs[0]["endpoint"] == "e0" for fs in bed.flights.values()) < 15
-    assert "e0" in {bed.flights[bed.arrive(IDEM)][0]["endpoint"] for _ in range(13)}
+    assert sum(fs[0]["endpoint"] == "e0" for fs in bed.attempts.values()) < 15
+    assert "e0" in {bed.attempts[bed.arrive(IDEM)][0]["endpoint"] for _ in range(13)}
 
 
 @pytest.mark.parametrize("uneven", [False, True])
@@ -432,10 +432,10 @@
             )
         (stars if at % 3 else others).append(bed.arrive(star if at % 3 else IDEM))
         bed.run(20 * MS)
-        for name in list(bed.flights):
+        for name in list(bed.attempts):
             for launch in bed.out(name):
                 bed.end(name, launch, chance.choice(hows))
-    assert {f["endpoint"] for name in stars for f in bed.flights[name]} == {"e0", "e1"}
+    assert {f["endpoint"] for name in stars for f in bed.attempts[name]} == {"e0", "e1"}
     assert sum(bed.closed.get(name) == "handled" for name in others) > 0.8 * len(others)
 
 
@@ -472,12 +472,12 @@
     for _ in range(20):
         picks.append(name := bed.arrive(IDEM))
         bed.end(name, 0, t.Outcome.HANDLED, after=20 * MS)
-    used = [bed.flights[name][0]["endpoint"] for name in picks]
+    used = [bed.attempts[name][0]["endpoint"] for name in picks]
     assert ("e0" in used) is not drained
     while not drained and "e0" in bed.sidecar.dispatcher.endpoints:
         name = bed.arrive(IDEM)
         bed.end(
-            name, 0, t.Outcome.UNCONNECTED if bed.flights[name][0]["endpoint"] == "e0" else t.Outcome.HANDLED
+            name, 0, t.Outcome.UNCONNECTED if bed.attempts[name][0]["endpoint"] == "e0" else t.Outcome.HANDLED
         )
     assert "e0" not in bed.sidecar.registry.listed and not bed.sidecar.registry.dropped
     bed.step(t.ListReceived(t.ListKind.CHANGES, [listing(0)]))
@@ -493,7 +493,7 @@
     ]
     bed.step(t.ListReceived(t.ListKind.FULL, told))
     names = [bed.arrive(heavy) for _ in range(9)]
-    assert {f["endpoint"] for name in names for f in bed.flights[name]} == {"e3"}
+    assert {f["endpoint"] for name in names for f in bed.attempts[name]} == {"e3"}
 
 
 def test_a_first_report_puts_nobody_behind_before_the_mean_is_known():
@@ -508,7 +508,7 @@
     picks = []
     for _ in range(200):
         name = bed.arrive(IDEM)
-        picks.append(bed.flights[name][0]["endpoint"])
+        picks.append(bed.attempts[name][0]["endpoint"])
         bed.run((150 if picks[-1] == "e0" else 40) * MS)
         bed.end(name, 0, t.Outcome.HANDLED)
     assert picks[100:].count("e0") < 12
@@ -522,7 +522,7 @@
         name = bed.arrive(ONCE)
         bed.end(name, 0, how)
         bed.run(100 * MS)
-        assert len({f["endpoint"] for f in bed.flights[name]}) == launches
+        assert len({f["endpoint"] for f in bed.attempts[name]}) == launches
 
 
 @pytest.mark.parametrize(
@@ -540,14 +540,14 @@
     name = bed.arrive(workload)
     bed.end(name, 0, how)
     bed.run(RETRY_BASE + 5 * MS)
-    assert len(bed.flights[name]) == launches
+    assert len(bed.attempts[name]) == launches
 
 
 def test_a_hang_met_by_single_launches_is_seen_at_their_time_out():
     bed = Bed(deployment(instances=20, tier=1), endpoints=6)
     for _ in range(60):
         name = bed.arrive(ONCE, 600 * MS)
-        if bed.flights[name][0]["endpoint"] == "e0":
+        if bed.attempts[name][0]["endpoint"] == "e0":
             bed.run(600 * MS)
             bed.end(name, 0, t.Outcome.CALLED_OFF)
             break
@@ -567,7 +567,7 @@
         bed.run(wait)
         bed.end(name, 0, t.Outcome.ERROR)
         bed.run(200 * MS)
-        assert len(bed.flights[name]) == launches
+        assert len(bed.attempts[name]) == launches
 
 
 def test_a_cold_endpoint_is_not_filled_up_to_the_mean_at_once():
@@ -576,7 +576,7 @@
     names = [bed.arrive(IDEM) for _ in range(12)]
     bed.step(t.ListReceived(t.ListKind.CHANGES, [listing(9, started=bed.now)]))
     names += [bed.arrive(IDEM) for _ in range(6)]
-    assert sum(bed.flights[n][0]["endpoint"] == "e9" for n in names if bed.flights[n]) <= 1
+    assert sum(bed.attempts[n][0]["endpoint"] == "e9" for n in names if bed.attempts[n]) <= 1
 
 
 def test_all_caps_fall_when_all_answers_slow_down():
@@ -590,7 +590,7 @@
                 bed.end(name, launch, t.Outcome.HANDLED)
     for _ in range(20):
         bed.arrive(IDEM)
-    flying = sum(f["how"] is None for fs in bed.flights.values() for f in fs)
+    flying = sum(f["how"] is None for fs in bed.attempts.values() for f in fs)
     assert flying < 4 * CAP_START
     assert not any("set aside" in line for line in bed.logs)
 
@@ -635,7 +635,7 @@
 
 def test_probed_reports_decide_ties_at_one_probe_a_launch():
     bed = probing()
-    picks = [fs[0]["endpoint"] for fs in bed.flights.values() if fs]
+    picks = [fs[0]["endpoint"] for fs in bed.attempts.values() if fs]
     assert 0 < bed.probed <= len(picks)
     assert picks[50:].count("e0") < 100 / 8 / 2
     assert len(set(picks[50:])) > 4  # no herd
@@ -677,9 +677,9 @@
     for _ in range(60):
         bed.arrive(IDEM)
         bed.run(50 * MS)
-        out = [(n, i) for n, fs in bed.flights.items() for i, f in enumerate(fs) if f["how"] is None]
+        out = [(n, i) for n, fs in bed.attempts.items() for i, f in enumerate(fs) if f["how"] is None]
         for name, launch in out:
-            if bed.now - bed.flights[name][launch]["sent"] >= 300 * MS:
+            if bed.now - bed.attempts[name][launch]["sent"] >= 300 * MS:
                 bed.end(name, launch, t.Outcome.HANDLED)
         total.append(len(out))
     assert sum(total[20:60]) / 40 <= 1.5 * 50 * FLEET_START * UNEVEN / 100
@@ -687,7 +687,7 @@
 
 def test_a_tie_goes_to_the_endpoint_that_told_of_less_even_without_a_crowd():
     bed = probing(load=2.0)
-    picks = [fs[0]["endpoint"] for fs in bed.flights.values() if fs]
+    picks = [fs[0]["endpoint"] for fs in bed.attempts.values() if fs]
     assert not bed.sidecar.dispatcher.endpoint_states["e0"].report.crowded
     assert picks[50:].count("e0") < 100 / 8 / 2
 
@@ -697,7 +697,7 @@
     bed = Bed(deployment(hedging_allowed=copies), endpoints=4)
     hang(bed)
     assert any("e0 set aside: silent" in line for line in bed.logs)
-    assert any(len(fs) == 2 for fs in bed.flights.values()) is copies
+    assert any(len(fs) == 2 for fs in bed.attempts.values()) is copies
 
 
 def test_a_held_call_of_an_inner_tier_is_answered_long_before_its_hard_limit():
--- a/tests/test_settings_served.py
+++ b/tests/test_settings_served.py
@@ -341,7 +341,7 @@
         for launch in bed.out(submission):
             bed.end(submission, launch, t.Outcome.HANDLED if at % 2 else t.Outcome.ERROR)
     bed.run(max(one.hard_limit for one in d.workloads) + 100_000)
-    assert not bed.owed
+    assert not bed.unanswered
 
 
 # --- a crash of the module at its start ---------------------------------------------------------
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -218,7 +218,7 @@
             bed.end(bed.arrive(IDEM), 0, t.Outcome.HANDLED, after=10_000)
         name = bed.arrive(ONCE)
         bed.step(t.AttemptEnded(name, 0, how, 10_000, last=True))
-        assert bed.closed[name] == answer and len(bed.flights[name]) == 1
+        assert bed.closed[name] == answer and len(bed.attempts[name]) == 1
 
 
 # --- whole programs -----------------------------------------------------------------------------
@@ -568,6 +568,6 @@
     bed = Bed(deployment(), 2)
     bed.step(t.RequestArrived("u", "view", bed.now + 25 * SECOND, whole=False))
     bed.run(24 * SECOND)
-    assert "u" in bed.owed and bed.out("u")
+    assert "u" in bed.unanswered and bed.out("u")
     bed.run(SECOND)
     assert bed.closed["u"] == "denied"
--- a/tests/test_slow_start_fleet.py
+++ b/tests/test_slow_start_fleet.py
@@ -223,12 +223,12 @@
         for name in names:
             for launch in bed.out(name):
                 bed.end(name, launch, t.Outcome.HANDLED)
-        names = [name for name in names if name in bed.owed]
+        names = [name for name in names if name in bed.unanswered]
         bed.run(pause)
 
 
 def sent_to(bed: Bed, endpoint: str) -> int:
-    return sum(one["endpoint"] == endpoint for flights in bed.flights.values() for one in flights)
+    return sum(one["endpoint"] == endpoint for flights in bed.attempts.values() for one in flights)
 
 
 def test_what_was_saved_in_quiet_hours_is_not_spent_at_once():
--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -16,18 +16,18 @@
 
 @pytest.mark.parametrize("seed", range(5))
 def test_a_ring_keeps_every_byte_in_order_and_its_block_only_while_it_holds_some(seed):
-    chance, store = random.Random(seed), BlockPool(block=37)
+    random_source, store = random.Random(seed), BlockPool(block=37)
     ring, model, serial = RingBuffer(store), b"", 0
     for _ in range(3000):
-        if chance.random() < 0.5:
-            data = bytes((serial + i) % 251 for i in range(chance.randrange(60)))
+        if random_source.random() < 0.5:
+            data = bytes((serial + i) % 251 for i in range(random_source.randrange(60)))
             done = ring.write(memoryview(data))
             assert done == min(len(data), 37 - len(model))
             model, serial = model + data[:done], serial + done
         else:
             stretch = bytes(ring.readable())
             assert model.startswith(stretch) and (stretch or not model)
-            count = chance.randint(0, len(stretch))
+            count = random_source.randint(0, len(stretch))
             ring.consume(count)
             model = model[count:]
         assert ring.size == len(model) and store.leased == (1 if model else 0)
