--- a/lupinmill/routing/admission.py
+++ b/lupinmill/routing/admission.py
@@ -11,8 +11,8 @@
 from lupinmill import terms as t
 from lupinmill.limits.gate import Fate, Gate, Offer
 from lupinmill.protocol import quick
-from lupinmill.routing.request_table import RequestTable
 from lupinmill.routing.engine import Log, error_fields
+from lupinmill.routing.request_table import RequestTable
 from lupinmill.transport.client import Client
 
 HEARTBEAT_S = 0.010
--- a/lupinmill/routing/attempt_runner.py
+++ b/lupinmill/routing/attempt_runner.py
@@ -9,16 +9,15 @@
 from lupinmill import terms as t
 from lupinmill.protocol import submission
 from lupinmill.protocol.http import Answer, ClientSide, Garbled, Request
-from lupinmill.routing.request_body import RequestBody, BodyUnavailable
-from lupinmill.routing.request_table import RequestTable, PendingRequest, Attempt
 from lupinmill.routing.deadline import MAX_PAUSE_S, Deadline
 from lupinmill.routing.directory import EndpointDirectory
 from lupinmill.routing.engine import Log, error_fields
+from lupinmill.routing.request_body import BodyUnavailable, RequestBody
+from lupinmill.routing.request_table import Attempt, PendingRequest, RequestTable
 from lupinmill.routing.response_stream import ResponseStream
 from lupinmill.transport.connection import Connection, NoDescriptor, Unconnected
 from lupinmill.transport.connection_pool import ConnectionPool
 
-
 # Microseconds after which a client may have disconnected unnoticed: since its request arrived, ...
 UNSEEN_AGE_US = 50_000
 UNSEEN_LATENESS_US = 25_000  # ... or of event loop lag
--- a/lupinmill/routing/client_handler.py
+++ b/lupinmill/routing/client_handler.py
@@ -20,15 +20,15 @@
     plain,
 )
 from lupinmill.protocol.submission import denied
-from lupinmill.routing.request_factory import RequestFactory
-from lupinmill.routing.request_body import RequestBody
-from lupinmill.routing.request_table import PendingRequest
 from lupinmill.routing.admission import AdmissionController
 from lupinmill.routing.engine import Log, error_fields
+from lupinmill.routing.request_body import RequestBody
+from lupinmill.routing.request_factory import RequestFactory
+from lupinmill.routing.request_table import PendingRequest
 from lupinmill.routing.response_writer import ResponseWriter
+from lupinmill.transport.buffers import MemoryBudget
 from lupinmill.transport.client import Client
 from lupinmill.transport.listener import REQUEST_TIMEOUT_S, Listener
-from lupinmill.transport.buffers import MemoryBudget
 
 # bytes of a body that are buffered before its first attempt, if the memory budget allows
 MAX_BUFFERED_BODY = 1024 * 1024
--- a/lupinmill/routing/command_executor.py
+++ b/lupinmill/routing/command_executor.py
@@ -7,10 +7,10 @@
 
 from lupinmill import terms as t
 from lupinmill.protocol import submission
-from lupinmill.routing.request_table import MIN_DURATION_US, RequestTable, Attempt
+from lupinmill.routing.attempt_runner import AttemptRunner
 from lupinmill.routing.deadline import Deadline
 from lupinmill.routing.engine import Engine
-from lupinmill.routing.attempt_runner import AttemptRunner
+from lupinmill.routing.request_table import MIN_DURATION_US, Attempt, RequestTable
 
 
 class CommandExecutor:
--- a/lupinmill/routing/request_factory.py
+++ b/lupinmill/routing/request_factory.py
@@ -6,12 +6,11 @@
 from lupinmill.admin.operator_overrides import OperatorOverrides
 from lupinmill.protocol import submission
 from lupinmill.protocol.http import Answer, Malformed, Request, plain
-from lupinmill.routing.request_body import RequestBody
-from lupinmill.routing.request_table import RequestTable, PendingRequest
 from lupinmill.routing.directory import EndpointDirectory
+from lupinmill.routing.request_body import RequestBody
+from lupinmill.routing.request_table import PendingRequest, RequestTable
 from lupinmill.transport.client import Client
 
-
 MAX_REMOVED_WORKLOADS = 1_000  # removed workloads that are remembered; older ones count as unknown
 
 
--- a/lupinmill/routing/request_table.py
+++ b/lupinmill/routing/request_table.py
@@ -11,13 +11,12 @@
 from lupinmill import terms as t
 from lupinmill.protocol.http import Answer, Request
 from lupinmill.protocol.submission import Asked, broken_off
-from lupinmill.routing.request_body import RequestBody
 from lupinmill.routing.deadline import Deadline
 from lupinmill.routing.engine import Engine
+from lupinmill.routing.request_body import RequestBody
 from lupinmill.routing.response_stream import ResponseStream
 from lupinmill.transport.client import Client
 
-
 # microseconds; below this, durations differ by event loop and kernel rather than by endpoint
 MIN_DURATION_US = 5_000
 
--- a/lupinmill/routing/response_writer.py
+++ b/lupinmill/routing/response_writer.py
@@ -7,8 +7,8 @@
 
 from lupinmill.protocol.http import Answer, ServerSide
 from lupinmill.protocol.submission import broken_off
-from lupinmill.routing.request_table import RequestTable, PendingRequest
 from lupinmill.routing.engine import Log
+from lupinmill.routing.request_table import PendingRequest, RequestTable
 from lupinmill.routing.response_stream import IncompleteResponse, ResponseStream
 from lupinmill.transport.client import Client
 
--- a/lupinmill/transport/client.py
+++ b/lupinmill/transport/client.py
@@ -16,9 +16,9 @@
 
 import anyio
 
-from lupinmill.transport.arrivals import Arrivals, Backlog, Read, ElapsedWait
-from lupinmill.transport.connection import ANCILLARY_SIZE, Connection
+from lupinmill.transport.arrivals import Arrivals, Backlog, ElapsedWait, Read
 from lupinmill.transport.buffers import BlockPool
+from lupinmill.transport.connection import ANCILLARY_SIZE, Connection
 
 NEW_IDLE_S = 0.1  # seconds without a byte after which a new connection may be evicted, ...
 USED_IDLE_S = 2.0  # ... and seconds between two requests after which a used one may
--- a/lupinmill/transport/connection.py
+++ b/lupinmill/transport/connection.py
@@ -12,10 +12,9 @@
 import anyio
 
 from lupinmill.transport import wall_clock
-from lupinmill.transport.buffers import RingBuffer, BlockPool
+from lupinmill.transport.buffers import BlockPool, RingBuffer
 from lupinmill.transport.wall_clock import KERNEL_ROUNDING_US
 
-
 SO_TIMESTAMPNS = 35  # socket option: the kernel returns with each read the time when its last bytes arrived
 ANCILLARY_SIZE = 64  # bytes
 LAST_DATA_OFFSET = 52  # offset in tcp_info of the milliseconds since the last data arrived
--- a/lupinmill/transport/connection_pool.py
+++ b/lupinmill/transport/connection_pool.py
@@ -4,9 +4,9 @@
 
 import time
 
-from lupinmill.transport.connection import Connection, NoDescriptor, Unconnected, connect, is_established
-from lupinmill.transport.descriptors import DescriptorBudget, ConnectionKind
 from lupinmill.transport.buffers import BlockPool
+from lupinmill.transport.connection import Connection, NoDescriptor, Unconnected, connect, is_established
+from lupinmill.transport.descriptors import ConnectionKind, DescriptorBudget
 
 # Seconds before a connection is reused after a response. Guards against a second response some milliseconds
 # after the first, on a connection that was idle both when it was kept and when it was taken: it would pass
--- a/lupinmill/transport/listener.py
+++ b/lupinmill/transport/listener.py
@@ -13,10 +13,10 @@
 import anyio
 from anyio.abc import TaskGroup
 
+from lupinmill.transport.buffers import BlockPool
 from lupinmill.transport.client import Client
 from lupinmill.transport.connection import ANCILLARY_SIZE, listen_at
-from lupinmill.transport.descriptors import RESERVED_DESCRIPTORS, DescriptorBudget, ConnectionKind
-from lupinmill.transport.buffers import BlockPool
+from lupinmill.transport.descriptors import RESERVED_DESCRIPTORS, ConnectionKind, DescriptorBudget
 
 BACKLOG = 4096
 ACCEPT_BATCH = 16  # connections accepted in a row before other tasks run
