--- a/tests/test_client_deadlines.py
+++ b/tests/test_client_deadlines.py
@@ -33,7 +33,7 @@
     return data
 
 
-class Writer:
+class SlowWriter:
     """A client in a thread of its own, which the program's event loop cannot block."""
 
     def __init__(self, address: str, large_buffer: bool = True) -> None:
@@ -85,13 +85,13 @@
         await stream.send(OK)
 
 
-def beyond(told: tuple[float, float], written: float, deadline: float = DEADLINE) -> float:
+def excess_deadline(told: tuple[float, float], written: float, deadline: float = DEADLINE) -> float:
     """Seconds told beyond the remaining time at that moment."""
     seconds, at = told
     return seconds - (deadline - max(0.0, at - written))
 
 
-def hold_up(monkeypatch, after: int) -> None:
+def block_loop_once(monkeypatch, after: int) -> None:
     """The event loop is blocked once, when this many bytes have been read from the client."""
     receive, read = Client.receive, [0]
 
@@ -112,17 +112,17 @@
 def test_endpoints_are_told_no_time_that_passed_while_the_loop_was_held_up(after, size, chunked, monkeypatch):
     """Guards against 0.38 to 0.40 s too much: bytes that wait in the sender's buffer get the timestamp of
     their arrival."""
-    hold_up(monkeypatch, after)
+    block_loop_once(monkeypatch, after)
     endpoint = Endpoint()
 
     async def check(net: Net):
-        writer = Writer(net.address)
+        writer = SlowWriter(net.address)
         data = request("s1", size, chunked)
         assert (await anyio.to_thread.run_sync(writer.write, data)).startswith(b"HTTP/1.1 200")
         writer.sock.close()
         (told,) = endpoint.told
         assert told[1] - writer.written > HELD_UP / 2, "the loop was not held up behind the last byte"
-        assert beyond(told, writer.written) < SLACK
+        assert excess_deadline(told, writer.written) < SLACK
 
     on_network(check, unused, endpoint=endpoint.serve, limits=NO_PROBES)
 
@@ -131,7 +131,7 @@
 def test_the_final_answer_comes_before_the_deadline_of_a_client_that_was_read_late(size, monkeypatch):
     """Also guarded by the hard limit, which is cut by up to a third if the loop lags
     (`RequestFactory.due`)."""
-    hold_up(monkeypatch, 1)
+    block_loop_once(monkeypatch, 1)
 
     async def silent(stream) -> None:
         async with stream:
@@ -142,7 +142,7 @@
                 pass
 
     async def check(net: Net):
-        writer = Writer(net.address)
+        writer = SlowWriter(net.address)
         data = request("s1", size, deadline=1.0)
         answer = await anyio.to_thread.run_sync(writer.write, data)
         writer.sock.close()
@@ -154,11 +154,11 @@
 @pytest.mark.parametrize("size", [500_000, 4_000_000])
 def test_nothing_is_begun_for_a_client_whose_time_may_be_over_already(size, monkeypatch):
     """The client is told at once that a retry is harmless, although part of its body was not read yet."""
-    hold_up(monkeypatch, 1)
+    block_loop_once(monkeypatch, 1)
     endpoint = Endpoint()
 
     async def check(net: Net):
-        writer = Writer(net.address)
+        writer = SlowWriter(net.address)
         data = request("s1", size, deadline=0.3)
         answer = await anyio.to_thread.run_sync(writer.write, data)
         writer.sock.close()
@@ -171,18 +171,18 @@
 
 def test_a_request_written_behind_a_large_one_is_told_no_time_that_passed_meanwhile(monkeypatch):
     """Guards against counting the request's arrival from when the body before it was read."""
-    hold_up(monkeypatch, 1)
+    block_loop_once(monkeypatch, 1)
     endpoint = Endpoint()
 
     async def check(net: Net):
-        writer = Writer(net.address)
+        writer = SlowWriter(net.address)
         data = request("s1", 900_000) + request("s2", 3)
         await anyio.to_thread.run_sync(writer.write, data)
         with anyio.fail_after(5):
             while len(endpoint.told) < 2:
                 await anyio.sleep(0.01)
         writer.sock.close()
-        assert all(beyond(told, writer.written) < SLACK for told in endpoint.told)
+        assert all(excess_deadline(told, writer.written) < SLACK for told in endpoint.told)
 
     on_network(check, unused, endpoint=endpoint.serve, limits=NO_PROBES)
 
@@ -196,17 +196,19 @@
     """Writing takes longer than its deadline, and nearly all of the deadline is left after its last byte. A
     part of what arrived in a backlog may count as written before."""
     if held_up:
-        hold_up(monkeypatch, 1)
+        block_loop_once(monkeypatch, 1)
     endpoint = Endpoint()
 
     async def check(net: Net):
-        writer = Writer(net.address)
+        writer = SlowWriter(net.address)
         data = request("s1", 1_300_000, deadline=0.8)
         answer = await anyio.to_thread.run_sync(writer.write, data, piece, pause, stop)
         writer.sock.close()
         assert answer.startswith(b"HTTP/1.1 200")
         (told,) = endpoint.told
-        assert beyond(told, writer.written, 0.8) < SLACK and told[0] > 0.8 - SLACK - HELD_UP * held_up
+        assert (
+            excess_deadline(told, writer.written, 0.8) < SLACK and told[0] > 0.8 - SLACK - HELD_UP * held_up
+        )
 
     on_network(check, unused, endpoint=endpoint.serve, limits=NO_PROBES)
 
@@ -216,7 +218,7 @@
     endpoint = Endpoint()
 
     async def check(net: Net):
-        writer = Writer(net.address)
+        writer = SlowWriter(net.address)
         began = time.monotonic()
         for number in range(200):
             data = request(f"s{number}", 300_000, deadline=0.5)
--- a/tests/test_clients_accept.py
+++ b/tests/test_clients_accept.py
@@ -24,11 +24,11 @@
 LONGEST_RUN = ACCEPT_BATCH + 1  # calls of `accept` in a row, the last of which finds nothing
 
 
-class Starved(Exception):
+class LoopStarved(Exception):
     """No other task ran between this many calls."""
 
 
-class Refusing(socket.socket):
+class ResettingSocket(socket.socket):
     """A connection that was reset before it was accepted, on a system that reports it at the first socket
     option."""
 
@@ -36,7 +36,7 @@
         raise OSError(errno.EINVAL, "reset already")
 
 
-class Counted:
+class CountingSocket:
     """The listening socket, with a scripted `accept`. Counts the calls between two runs of other tasks."""
 
     def __init__(self, sock: socket.socket) -> None:
@@ -48,7 +48,7 @@
         self.calls += 1
         self.most = max(self.most, self.in_a_row)
         if self.in_a_row > 50 * ACCEPT_BATCH:
-            raise Starved(f"{self.in_a_row} calls of accept, and no other task had its turn")
+            raise LoopStarved(f"{self.in_a_row} calls of accept, and no other task had its turn")
         return self.accepting()
 
     def __getattr__(self, name):
@@ -65,13 +65,13 @@
     return [socket.create_connection((host, int(port))) for _ in range(count)]
 
 
-def on_listener(check, limit: int = 1000) -> Listener:
+def run_with_listener(check, limit: int = 1000) -> Listener:
     """Runs `check(listener, sock, group)` beside a listener; `check` starts it with a `serve` of its own."""
 
     async def main() -> Listener:
         listener = Listener("127.0.0.1:0", DescriptorBudget(limit), BlockPool())
         with listener.sock as sock:
-            listener.sock = Counted(sock)
+            listener.sock = CountingSocket(sock)
             with anyio.fail_after(20):
                 async with anyio.create_task_group() as group:
                     await check(listener, listener.sock, group)
@@ -99,7 +99,7 @@
 def test_an_accept_that_fails_each_time_leaves_the_others_their_turn(number):
     """Guards against a loop beside which no other task ran: only four errors were followed by a pause."""
 
-    async def check(listener: Listener, sock: Counted, group):
+    async def check(listener: Listener, sock: CountingSocket, group):
         def failing():
             raise OSError(number, os.strerror(number))
 
@@ -122,14 +122,14 @@
             await served.wait()  # it continues by itself once the errors end
         assert sock.most <= LONGEST_RUN
 
-    on_listener(check)
+    run_with_listener(check)
 
 
 def test_a_flood_of_connections_leaves_the_others_their_turn_after_each_batch():
     """Guards against accepting all of a full queue in a row: a poll that finds connections does not let other
     tasks run."""
 
-    async def check(listener: Listener, sock: Counted, group):
+    async def check(listener: Listener, sock: CountingSocket, group):
         ended = []
 
         async def serve(client: Client, welcome: bool):
@@ -145,7 +145,7 @@
         for one in waiting:
             one.close()
 
-    on_listener(check)
+    run_with_listener(check)
 
 
 @pytest.mark.parametrize("place", [True, False])
@@ -153,7 +153,7 @@
     """Guards against an AttributeError from `Client.close`, which ended the accept loop: nobody was accepted
     for a tenth of a second, and an exception was logged."""
 
-    async def check(listener: Listener, sock: Counted, group):
+    async def check(listener: Listener, sock: CountingSocket, group):
         if not place:
             listener.descriptors.client_limit = 0
         broken, served = [], anyio.Event()
@@ -161,7 +161,7 @@
         def first_broken():
             made, address = listener.sock.sock.accept()
             if not broken:
-                broken.append(Refusing(fileno=made.detach()))
+                broken.append(ResettingSocket(fileno=made.detach()))
                 return broken[0], address
             return made, address
 
@@ -177,33 +177,33 @@
         assert broken[0].fileno() == -1
         first.close(), second.close()
 
-    on_listener(check)
+    run_with_listener(check)
 
 
 def test_a_connection_passed_by_another_process_that_broke_is_an_os_error_and_gives_its_place_back():
     """The handover's link takes OSError for the end of that one connection; any other exception ended the
     link."""
 
-    async def check(listener: Listener, sock: Counted, group):
+    async def check(listener: Listener, sock: CountingSocket, group):
         async def serve(client: Client, welcome: bool):
             raise AssertionError("there is nobody to serve")
 
         (one,) = connections(listener, 1)
         other, _ = sock.sock.accept()
-        broken = Refusing(fileno=other.detach())
+        broken = ResettingSocket(fileno=other.detach())
         with pytest.raises(OSError):
             listener.adopt(broken, group, serve)
         assert broken.fileno() == -1 and listener.descriptors.open[ConnectionKind.CLIENT] == 0
         one.close()
 
-    on_listener(check)
+    run_with_listener(check)
 
 
 def test_what_comes_to_a_queue_that_was_just_seen_empty_has_all_of_its_time():
     """If the kernel gives no arrival time, a first request counts as having waited for as long as the queue
     was not seen empty. If other tasks run after a batch, it must not count from before."""
 
-    async def check(listener: Listener, sock: Counted, group):
+    async def check(listener: Listener, sock: CountingSocket, group):
         queued, came = [], []
 
         async def serve(client: Client, welcome: bool):
@@ -221,7 +221,7 @@
         for one in waiting + came:
             one.close()
 
-    on_listener(check)
+    run_with_listener(check)
 
 
 class DrawnAdmission:
@@ -248,7 +248,7 @@
     monkeypatch.setattr("lupinmill.transport.client.USED_IDLE_S", 0.0)
     random_source = random.Random(seed)
 
-    async def check(listener: Listener, sock: Counted, group):
+    async def check(listener: Listener, sock: CountingSocket, group):
         live = set()
 
         async def serve(client: Client, welcome: bool):
@@ -318,7 +318,7 @@
             sock.close()
         return over
 
-    on_listener(check, limit=RESERVED_DESCRIPTORS + 16)
+    run_with_listener(check, limit=RESERVED_DESCRIPTORS + 16)
 
 
 # --- the budget of descriptors ---------------------------------------------------------------------------
--- a/tests/test_clients_answers.py
+++ b/tests/test_clients_answers.py
@@ -10,7 +10,7 @@
 import orjson
 import pytest
 from bed import Net, on_network, wanted
-from test_crossings import PATIENT, Unhurried, Unlisted, arrived, connect, list_all
+from test_crossings import PATIENT, LongLimitsNet, UnlistedNet, connect, list_all, request_arrived
 from test_sidecar import always, fine, seen, start, until
 
 from lupinmill import terms as t
@@ -266,10 +266,10 @@
         program.overrides.begin_shutdown(now, now + 3_000_000, now + 3_500_000)
         async with await connect(net) as stream:
             await stream.send(wanted("s1", deadline="8", body=b"x" * 3_000_000)[:2_000_000])
-            await arrived(net, "s1")
+            await request_arrived(net, "s1")
             assert program.request_table.pending_requests["s1"].due <= now + 3_500_000
 
-    on_network(check, fine, net_of=Unhurried)
+    on_network(check, fine, net_of=LongLimitsNet)
 
 
 # --- connections for which no descriptor is free --------------------------------------------------------
@@ -344,7 +344,7 @@
     async def check(net: Net):
         async with await connect(net) as stream:
             await stream.send(wanted("s1", deadline="8") + wanted("s2", deadline="8"))
-            await arrived(net, "s1")
+            await request_arrived(net, "s1")
             (pending,) = net.program.request_table.pending_requests.values()
             await stream.send(wanted("s3", deadline="8"))
             await until(lambda: pending.client.pipelined)
@@ -353,21 +353,21 @@
             with anyio.fail_after(10):
                 assert await statuses(stream) == [200, 200, 200]
 
-    on_network(check, fine, net_of=Unlisted)
+    on_network(check, fine, net_of=UnlistedNet)
 
 
 def test_a_client_that_always_sends_ahead_does_not_hold_up_the_end_of_the_program():
     async def check(net: Net):
         async with await connect(net) as stream:
             await stream.send(wanted("s1", deadline="8") + wanted("s2", deadline="8"))
-            await arrived(net, "s1")
+            await request_arrived(net, "s1")
             net.program.client_handler.closing = lambda: True
             net.program.overrides.drain_deadline = net.program.engine.clock.now()
             list_all(net)
             with anyio.fail_after(10):
                 assert await statuses(stream) == [200]
 
-    net = on_network(check, fine, net_of=Unlisted)
+    net = on_network(check, fine, net_of=UnlistedNet)
     assert not seen(net, "s2")
 
 
@@ -428,7 +428,7 @@
     async def check(net: Net):
         async with await connect(net) as stream:
             await stream.send(wanted("s1", deadline="8"))
-            await arrived(net, "s1")
+            await request_arrived(net, "s1")
             (pending,) = net.program.request_table.pending_requests.values()
             await stream.send(wanted("s2", deadline="8") + wanted("s3", deadline="8", body=b"x" * 1000))
             await until(lambda: pending.client.pipelined)
@@ -438,7 +438,7 @@
             with anyio.fail_after(10):
                 assert await statuses(stream) == [200, 200, 200]
 
-    net = on_network(check, fine, net_of=Unlisted)
+    net = on_network(check, fine, net_of=UnlistedNet)
     assert seen(net, "s2") and seen(net, "s3") and not seen(net, "s4")
 
 
@@ -481,4 +481,4 @@
                 assert await statuses(stream, 1) == [200]
         listener.handing_over = False
 
-    on_network(check, fine, net_of=Unhurried)
+    on_network(check, fine, net_of=LongLimitsNet)
--- a/tests/test_clients_door.py
+++ b/tests/test_clients_door.py
@@ -7,7 +7,7 @@
 import anyio
 import pytest
 from bed import Net, deployment, on_network, wanted
-from test_crossings import arrived, connect
+from test_crossings import connect, request_arrived
 from test_sidecar import fine, seen, until
 
 from lupinmill import terms as t
@@ -71,7 +71,7 @@
         whole = getattr(gate, part)
         async with await connect(net) as stream:
             await stream.send(wanted("s1"))
-            await arrived(net, "s1")
+            await request_arrived(net, "s1")
             setattr(gate, part, defective)
         await until(lambda: failed(net))
         setattr(gate, part, whole)
--- a/tests/test_clients_drawn.py
+++ b/tests/test_clients_drawn.py
@@ -17,11 +17,11 @@
 KINDS = ("view", "bid", "issue")
 
 
-class Lost(Exception):
+class ResponseLost(Exception):
     """A request without a complete response."""
 
 
-class Patron:
+class RandomClient:
     """A client that sends one request at a time, in pieces, keeps its connection, and opens another if that
     ended between two requests."""
 
@@ -40,10 +40,10 @@
                 await self.close()
                 answer = await self.ask(data)
             if answer is None:
-                raise Lost(name)
+                raise ResponseLost(name)
             self.got.append(answer.status)
             if answer.status == 200 and answer.body != b"done-" + name.encode():
-                raise Lost(f"{name} got another's answer: {answer.body!r}")
+                raise ResponseLost(f"{name} got another's answer: {answer.body!r}")
             self.used = True
             if (answer.header(b"connection") or "").lower() == "close" or self.random_source.random() < 0.2:
                 await self.close()
@@ -76,7 +76,7 @@
             await anyio.sleep(0.005 * self.random_source.randrange(2))
 
 
-async def troubles(net: Net, random_source: random.Random) -> None:
+async def random_faults(net: Net, random_source: random.Random) -> None:
     """Disturbs the event loop, admission control and the mode, until it is cancelled."""
     client_handler, gate, listener = net.program.client_handler, net.program.admission.gate, listener_of(net)
     while True:
@@ -116,16 +116,16 @@
         )
 
     async def check(net: Net):
-        patrons = [Patron(net, random_source, f"p{at}") for at in range(CLIENTS)]
+        clients = [RandomClient(net, random_source, f"p{at}") for at in range(CLIENTS)]
         async with anyio.create_task_group() as around:
-            around.start_soon(troubles, net, random_source)
+            around.start_soon(random_faults, net, random_source)
             async with anyio.create_task_group() as group:
-                for one in patrons:
+                for one in clients:
                     group.start_soon(one.run)
             around.cancel_scope.cancel()
         net.program.client_handler.closing = lambda: False
-        assert all(len(one.got) == REQUESTS for one in patrons)
-        assert {status for one in patrons for status in one.got} <= {200, 500, 502, 503}
+        assert all(len(one.got) == REQUESTS for one in clients)
+        assert {status for one in clients for status in one.got} <= {200, 500, 502, 503}
         gate = net.program.admission.gate
         await until(lambda: net.program.descriptors.open[ConnectionKind.CLIENT] == 0)
         assert gate.inside == 0 and gate.held == 0 and net.program.client_handler.answering == 0
--- a/tests/test_clients_end.py
+++ b/tests/test_clients_end.py
@@ -7,7 +7,7 @@
 import anyio
 import pytest
 from bed import Net, on_network, wanted
-from test_crossings import Unhurried, Unlisted, all_quiet, arrived, connect, list_all
+from test_crossings import LongLimitsNet, UnlistedNet, connect, list_all, module_is_idle, request_arrived
 from test_sidecar import fine, seen, until
 
 from lupinmill import terms as t
@@ -55,15 +55,15 @@
         listener_of(net).sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, LARGE_WINDOW)
         async with await connect(net) as stream:
             await stream.send(wanted("s1", deadline="8"))
-            await arrived(net, "s1")
+            await request_arrived(net, "s1")
             await stream.send(b"x" * (4 * MAX_PIPELINED_BYTES))
         (pending,) = net.program.request_table.pending_requests.values()
         await until(lambda: has_ended(pending.client.sock))
         list_all(net)
         await until(lambda: net.ended())
-        await all_quiet(net)
+        await module_is_idle(net)
 
-    net = on_network(check, fine, net_of=Unlisted)
+    net = on_network(check, fine, net_of=UnlistedNet)
     assert net.ended() == [t.Outcome.UNSENT] and not seen(net, "s1")
 
 
@@ -144,12 +144,12 @@
             await until(lambda: len(told) == 3)
             assert told["s2"] <= 8.0 - waited + 0.01
             assert told["s3"] > 8.0 - (anyio.current_time() - late) - waited  # and the third has its own time
-        await all_quiet(net)
+        await module_is_idle(net)
 
     def pieces(client: Client) -> list[bytes]:
         return [getattr(one, "data", b"x") for one in client.pipelined]
 
-    on_network(check, act, net_of=Unhurried)
+    on_network(check, act, net_of=LongLimitsNet)
 
 
 @pytest.mark.parametrize("active", [False, True])
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -23,13 +23,13 @@
     return await anyio.connect_tcp(host, int(port))
 
 
-async def arrived(net: Net, name: str) -> None:
+async def request_arrived(net: Net, name: str) -> None:
     await until(
         lambda: any(isinstance(event, t.RequestArrived) and event.request == name for event in net.events)
     )
 
 
-async def withdrawn(net: Net) -> None:
+async def request_cancelled(net: Net) -> None:
     await until(lambda: any(isinstance(event, t.RequestCancelled) for event in net.events))
 
 
@@ -37,7 +37,7 @@
 PATIENT = [one | {"contract-time-s": 8.0, "hard-limit-s": 9.0} for one in settings()["workloads"]]
 
 
-class Unlisted(Net):
+class UnlistedNet(Net):
     """Endpoints that no list names before `list_all`: until then all requests are held."""
 
     def __init__(self, acts, **more) -> None:
@@ -49,20 +49,20 @@
         self.table["known"]["endpoints"] = []
 
 
-class Unhurried(Net):
+class LongLimitsNet(Net):
     """Workloads with long hard limits."""
 
     def __init__(self, acts, **more) -> None:
         super().__init__(acts, workloads=PATIENT, **more)
 
 
-def list_all(net: Unlisted) -> None:
+def list_all(net: UnlistedNet) -> None:
     net.discovery.rows = net.rows
     for row in net.rows:
         net.discovery.change(row)
 
 
-async def all_quiet(net: Net) -> None:
+async def module_is_idle(net: Net) -> None:
     """Nothing is left in the decision module either."""
     dispatcher = net.program.engine.sidecar.dispatcher
     await until(lambda: not net.program.request_table.pending_requests and not dispatcher.open)
@@ -84,16 +84,16 @@
     async def check(net: Net):
         async with await connect(net) as stream:
             await stream.send(wanted("s1", deadline="8"))
-            await arrived(net, "s1")
+            await request_arrived(net, "s1")
             await stream.send(behind)
-        await withdrawn(net)
+        await request_cancelled(net)
         assert net.program.engine.sidecar.dispatcher.waiting == 0
         list_all(net)
         await until(lambda: net.program.directory.states)
         assert (await net.ask(wanted("s3"))).status == 200
-        await all_quiet(net)
+        await module_is_idle(net)
 
-    net = on_network(check, fine, net_of=Unlisted)
+    net = on_network(check, fine, net_of=UnlistedNet)
     assert not seen(net, "s1") and not seen(net, "s2") and seen(net, "s3")
 
 
@@ -101,7 +101,7 @@
     async def check(net: Net):
         async with await connect(net) as stream:
             await stream.send(wanted("s1", deadline="8"))
-            await arrived(net, "s1")
+            await request_arrived(net, "s1")
             second = wanted("s2", body=b"x" * 30_000)
             await stream.send(second[:20_000])
             await until(lambda: any(client.pipelined for client in clients(net)))
@@ -115,7 +115,7 @@
     def clients(net: Net) -> list[Client]:
         return [one.client for one in net.program.request_table.pending_requests.values()]
 
-    net = on_network(check, fine, net_of=Unlisted)
+    net = on_network(check, fine, net_of=UnlistedNet)
     (second,) = [one for one in net.stands[0].seen if one.header(b"req-id") == "s2"]
     assert second.body == b"x" * 30_000
 
@@ -126,7 +126,7 @@
     async def check(net: Net):
         async with await connect(net) as stream:
             await stream.send(wanted("s1", deadline="8"))
-            await arrived(net, "s1")
+            await request_arrived(net, "s1")
             await stream.send(b"GET /view HTTP/1.1\r\n" + b"x" * 400_000)
             list_all(net)
             got = await stream.receive()
@@ -135,7 +135,7 @@
                 while True:
                     await stream.receive()
 
-    net = on_network(check, fine, net_of=Unlisted)
+    net = on_network(check, fine, net_of=UnlistedNet)
     assert seen(net, "s1")
 
 
@@ -199,17 +199,17 @@
         monkeypatch.setattr(Client, "wait_disconnected", never)  # the watching task has not run yet
         async with await connect(net) as stream:
             await stream.send(wanted("s1", deadline="8"))
-            await arrived(net, "s1")
+            await request_arrived(net, "s1")
             await stream.send(b"more")
         list_all(net)
         await until(lambda: net.ended())
-        await all_quiet(net)
+        await module_is_idle(net)
 
-    net = on_network(check, fine, net_of=Unlisted)
+    net = on_network(check, fine, net_of=UnlistedNet)
     assert net.ended() == [t.Outcome.UNSENT] and not seen(net, "s1")
 
 
-def by_age_or_lag_alone_never(monkeypatch):
+def disable_unseen_checks(monkeypatch):
     """Makes the decision depend on the connection itself, however long this run takes."""
     for name in ("UNSEEN_AGE_US", "UNSEEN_LATENESS_US"):
         monkeypatch.setattr(f"lupinmill.routing.attempt_runner.{name}", 10**12, raising=False)
@@ -219,7 +219,7 @@
     """Descriptors are exhausted, a client sends and disconnects, then a descriptor becomes free: its request
     and its end are read in one pass, with timestamps of just now. Guards against a request at the endpoint,
     on the kept connection that needs no pass of its own."""
-    by_age_or_lag_alone_never(monkeypatch)
+    disable_unseen_checks(monkeypatch)
     # clients that are turned away keep their places
     monkeypatch.setattr(client_handler, "TURN_AWAY_TIMEOUT_S", 60.0)
     there, go_on = anyio.Event(), anyio.Event()
@@ -251,10 +251,10 @@
             (kept,) = net.program.connection_pool.idle["e0"]
             kept.idle_since -= MIN_IDLE_S
             await hog.aclose()
-            await arrived(net, "s1")
-            await all_quiet(net)
+            await request_arrived(net, "s1")
+            await module_is_idle(net)
 
-    net = on_network(check, act, net_of=Unhurried)
+    net = on_network(check, act, net_of=LongLimitsNet)
     assert seen(net, "hog") and not seen(net, "s1")
 
 
@@ -262,7 +262,7 @@
 def test_a_client_that_leaves_under_its_first_launch_gets_no_further_one(before, monkeypatch):
     """Its end lies unread when the retry is due: nobody has looked, and it is not 0.1 s old. `before`:
     requests already answered on this connection; on one that was watched the loop's lag is what tells."""
-    by_age_or_lag_alone_never(monkeypatch)
+    disable_unseen_checks(monkeypatch)
 
     async def never(client):
         await anyio.sleep_forever()
@@ -289,9 +289,9 @@
             await turned.wait()
         left.set()
         await until(lambda: len(net.ended()) >= 1 + before)
-        await all_quiet(net)
+        await module_is_idle(net)
 
-    net = on_network(check, act, act, limits=settings()["limits"] | {"probes": False}, net_of=Unhurried)
+    net = on_network(check, act, act, limits=settings()["limits"] | {"probes": False}, net_of=LongLimitsNet)
     assert len(seen(net, "s1")) == 1
 
 
@@ -321,9 +321,9 @@
             go_on.set()
             await until(lambda: told)
             assert told[0] <= 8.0 - waited
-        await all_quiet(net)
+        await module_is_idle(net)
 
-    on_network(check, act, net_of=Unhurried)
+    on_network(check, act, net_of=LongLimitsNet)
 
 
 @pytest.mark.parametrize("stamped", [True, False])
@@ -367,9 +367,9 @@
             await third.send(wanted("s3", deadline="8"))
             await until(lambda: len(told) == 3)
             assert told["s3"] > 8.0 - waited
-        await all_quiet(net)
+        await module_is_idle(net)
 
-    on_network(check, act, net_of=Unhurried)
+    on_network(check, act, net_of=LongLimitsNet)
 
 
 def test_a_client_that_left_while_its_body_waited_for_room_is_noticed_at_the_launch(monkeypatch):
@@ -380,13 +380,13 @@
         net.program.body_memory.limit = 0
         async with await connect(net) as stream:
             await stream.send(wanted("s1", deadline="5", body=b"x" * 900_000)[:-400_000])
-            await arrived(net, "s1")
+            await request_arrived(net, "s1")
             await until(lambda: net.program.request_table.pending_requests["s1"].body.end > 65_536)
         list_all(net)
         await until(lambda: net.ended())
-        await all_quiet(net)
+        await module_is_idle(net)
 
-    net = on_network(check, fine, net_of=Unlisted)
+    net = on_network(check, fine, net_of=UnlistedNet)
     assert net.ended() == [t.Outcome.UNSENT] and net.stands[0].open == 0
 
 
@@ -429,13 +429,13 @@
             async with await connect(net) as stream:
                 await stream.send(wanted("s1", deadline="8"))
                 await turned.wait()
-                await arrived(net, "s1")
+                await request_arrived(net, "s1")
                 await stream.send(b"more")
-            await withdrawn(net)
+            await request_cancelled(net)
             assert "s1" not in dispatcher.open or dispatcher.open["s1"].done
             gone.set()
         assert (await net.ask(wanted("s2"))).status == 200
-        await all_quiet(net)
+        await module_is_idle(net)
 
     limits = settings()["limits"] | {"probes": False}
     net = on_network(check, act, limits=limits, workloads=PATIENT)
--- a/tests/test_crossings_end.py
+++ b/tests/test_crossings_end.py
@@ -16,12 +16,12 @@
 from lupinmill.routing.client_handler import ClientHandler
 
 
-def ends_here(net: Net) -> None:
+def send_termination_signal(net: Net) -> None:
     """Sends the signal to end, as the platform does."""
     os.kill(os.getpid(), signal.SIGTERM)
 
 
-def stopped(net: Net) -> bool:
+def is_stopping(net: Net) -> bool:
     return any(event == "stopped" for event, _ in net.logs)
 
 
@@ -36,7 +36,7 @@
     monkeypatch.setattr(ClientHandler, "serve", held)
 
     async def check(net: Net):
-        ends_here(net)
+        send_termination_signal(net)
         await until(lambda: net.program.overrides.drain_deadline is not None)
 
         async def ask():
@@ -45,7 +45,7 @@
         async with anyio.create_task_group() as group:
             group.start_soon(ask)
             closes = net.program.overrides.close_connections_at
-            await until(lambda: net.program.engine.clock.now() > closes or stopped(net))
+            await until(lambda: net.program.engine.clock.now() > closes or is_stopping(net))
             turn.set()
         assert answers[0] is not None and answers[0].status == 200
 
@@ -71,10 +71,10 @@
         async with anyio.create_task_group() as group:
             group.start_soon(ask)
             await until(lambda: seen(net, "s1"))
-            ends_here(net)
+            send_termination_signal(net)
             await until(lambda: net.program.overrides.drain_deadline is not None)
             ends = net.program.overrides.drain_deadline
-            await until(lambda: net.program.engine.clock.now() > ends + 100_000 or stopped(net))
+            await until(lambda: net.program.engine.clock.now() > ends + 100_000 or is_stopping(net))
             held.set()
         assert answers[0] is not None and answers[0].status == 200
 
@@ -83,7 +83,7 @@
 
 def test_a_second_signal_to_end_and_one_to_read_again_change_nothing_on_the_way_out():
     async def check(net: Net):
-        ends_here(net)
+        send_termination_signal(net)
         await until(lambda: net.program.overrides.drain_deadline is not None)
         ends = net.program.overrides.drain_deadline
         answers = []
@@ -94,7 +94,7 @@
         async with anyio.create_task_group() as group:
             group.start_soon(ask)
             await until(lambda: seen(net, "s1"))
-            ends_here(net)
+            send_termination_signal(net)
             os.kill(os.getpid(), signal.SIGHUP)
         assert answers[0].status == 200 and net.program.overrides.drain_deadline == ends
 
@@ -163,20 +163,20 @@
 CUSTOMER = settings()
 
 
-def of_workload(**more) -> dict:
+def settings_with_workload(**more) -> dict:
     return {"workloads": [CUSTOMER["workloads"][1] | more]}
 
 
 @pytest.mark.parametrize(
     "change, key",
     [
-        (of_workload(repeat="sometimes"), "settings.workloads.0.repeat"),
-        (of_workload(repeat=""), "settings.workloads.0.repeat"),
-        (of_workload(group="rack"), "settings.workloads.0.group"),
-        (of_workload(**{"hard-limit-s": -1}), "settings.workloads.0.hard-limit-s"),
-        (of_workload(**{"hard-limit-s": None}), "settings.workloads.0.hard-limit-s"),
-        (of_workload(**{"contract-time-s": "soon"}), "settings.workloads.0.contract-time-s"),
-        (of_workload(**{"window-s": 0}), "settings.workloads.0.window-s"),
+        (settings_with_workload(repeat="sometimes"), "settings.workloads.0.repeat"),
+        (settings_with_workload(repeat=""), "settings.workloads.0.repeat"),
+        (settings_with_workload(group="rack"), "settings.workloads.0.group"),
+        (settings_with_workload(**{"hard-limit-s": -1}), "settings.workloads.0.hard-limit-s"),
+        (settings_with_workload(**{"hard-limit-s": None}), "settings.workloads.0.hard-limit-s"),
+        (settings_with_workload(**{"contract-time-s": "soon"}), "settings.workloads.0.contract-time-s"),
+        (settings_with_workload(**{"window-s": 0}), "settings.workloads.0.window-s"),
         ({"discovery": "gossip"}, "settings.discovery"),
         ({"limits": CUSTOMER["limits"] | {"most-launches": 0}}, "settings.limits.most-launches"),
         ({"limits": CUSTOMER["limits"] | {"conn-idle-s": -1}}, "settings.limits.conn-idle-s"),
--- a/tests/test_crossings_endpoints.py
+++ b/tests/test_crossings_endpoints.py
@@ -12,7 +12,7 @@
 import anyio
 import pytest
 from bed import Net, on_network, settings, wanted
-from test_crossings import all_quiet, connect
+from test_crossings import connect, module_is_idle
 from test_sidecar import DECLINED, always, fine, seen, until
 
 from lupinmill import terms as t
@@ -60,7 +60,7 @@
             (one,) = net.program.connection_pool.idle["e0"]
             one.idle_since -= 1.0  # idle for long enough
         assert (await net.ask(wanted("s1", "issue", "0.9"))).status == 502
-        await all_quiet(net)
+        await module_is_idle(net)
 
     net = on_network(check, fine, endpoint=endpoint, limits=NO_PROBES)
     assert net.ended()[kept:] == [t.Outcome.RESET]
@@ -102,7 +102,7 @@
         body = b"x" * (60_000 if kept else 3_000_000) + b"xyz"  # more than the kernels hold at once
         answer = await net.ask(wanted("s1", "issue", "5", body=body))
         assert answer.status in (200, 503)  # retried, or rejected: both say that nothing ran
-        await all_quiet(net)
+        await module_is_idle(net)
 
     net = on_network(check, fine, endpoint=endpoint, limits=NO_PROBES)
     assert cut and set(net.ended()[kept:]) <= {t.Outcome.UNCONNECTED, t.Outcome.HANDLED, t.Outcome.UNSENT}
@@ -119,7 +119,7 @@
 
     async def check(net: Net):
         assert (await net.ask(wanted("s1", "issue", "0.9"))).status == 502
-        await all_quiet(net)
+        await module_is_idle(net)
 
     net = on_network(check, fine, endpoint=endpoint, limits=NO_PROBES)
     assert net.ended() == [t.Outcome.SPOILT]
@@ -141,7 +141,7 @@
 
     async def check(net: Net):
         assert (await net.ask(wanted("s1", "issue", "0.5"))).status == 502
-        await all_quiet(net)
+        await module_is_idle(net)
 
     net = on_network(check, fine, endpoint=endpoint, limits=NO_PROBES)
     assert net.ended() == [t.Outcome.CALLED_OFF] or net.ended() == [t.Outcome.TIMED_OUT]
@@ -150,13 +150,13 @@
 # --- outcomes that meet in one pass ---------------------------------------------------------------------
 
 
-def meetings():
+def event_orders():
     moves = ("answered", "called off", "timed out", "denied", "withdrawn")
     for count in (2, 3):
         yield from itertools.permutations(moves, count)
 
 
-@pytest.mark.parametrize("moves", list(meetings()), ids=" then ".join)
+@pytest.mark.parametrize("moves", list(event_orders()), ids=" then ".join)
 def test_of_outcomes_in_one_pass_one_is_told_and_one_answer_given(moves):
     """In each order, with no pass of the event loop between them."""
 
@@ -272,7 +272,7 @@
                     kinds[name] = kind
                     clients.start_soon(leave if random_source.random() < 0.3 else stay, net, name, kind)
             mover.cancel_scope.cancel()
-        await all_quiet(net)
+        await module_is_idle(net)
 
     net = on_network(check, *(endpoint(number) for number in range(4)), limits=NO_PROBES)
     defects = ("task_failed", "module_failed", "order_failed", "backstop")
@@ -309,7 +309,7 @@
             lambda: net.program.descriptors.open == dict.fromkeys(net.program.descriptors.open, 0)
             or not net.program.request_table.pending_requests
         )
-        await all_quiet(net)
+        await module_is_idle(net)
 
     on_network(check, always("silent"))
 
@@ -323,7 +323,7 @@
         data = wanted("s1", "bid", "0.9")
         answer = await net.ask(data if key else data.replace(b"Idempotency-Key: k-s1\r\n", b""))
         assert answer.status in (400, 502)
-        await all_quiet(net)
+        await module_is_idle(net)
 
     net = on_network(check, *[always("reset")] * 4, limits=NO_PROBES)
     assert (len(seen(net, "s1")) > 1) if key else (len(seen(net, "s1")) <= 1)
--- a/tests/test_crossings_lists.py
+++ b/tests/test_crossings_lists.py
@@ -8,7 +8,7 @@
 import pytest
 from bed import DiscoveryStand, Net, Stand, on_network, settings, wanted
 from bed import deployment as usual
-from test_crossings import all_quiet, arrived
+from test_crossings import module_is_idle, request_arrived
 from test_discovery_watcher import Simulation, longest, shortest
 from test_sidecar import fine, seen, until
 
@@ -165,7 +165,7 @@
             moved = lists.known({"index": 8, "endpoints": [old | {"address": strange.address}]})
             net.program.directory.update(moved, t.ListKind.CHANGES)
             assert (await net.ask(wanted("s1", "issue", "0.8"))).status == 200
-            await all_quiet(net)
+            await module_is_idle(net)
             assert not strange.seen
             group.cancel_scope.cancel()
 
@@ -186,7 +186,7 @@
 
         net.program.connection_pool.open = crossed
         assert (await net.ask(wanted("s1", "issue", "0.3"))).status == 503
-        await all_quiet(net)
+        await module_is_idle(net)
 
     net = on_network(check, fine, limits=settings()["limits"] | {"probes": False})
     assert not seen(net, "s1") and set(net.ended()) == {t.Outcome.UNSENT}
@@ -212,7 +212,7 @@
 
         kept.send = broken
         assert (await net.ask(wanted("s1", "issue", "0.3"))).status == 503
-        await all_quiet(net)
+        await module_is_idle(net)
 
     net = on_network(check, fine, limits=settings()["limits"] | {"probes": False})
     assert not seen(net, "s1") and net.ended()[1:] == [t.Outcome.UNSENT]
@@ -243,12 +243,12 @@
         host, port = net.address.split(":")
         async with await anyio.connect_tcp(host, int(port)) as stream:
             await stream.send(wanted("s1"))
-            await arrived(net, "s1")
+            await request_arrived(net, "s1")
             await there.wait()
         await until(lambda: any(isinstance(event, t.RequestCancelled) for event in net.events))
         net.program.directory.set_cordoned("e0", True)
         gone.set()
-        await all_quiet(net)
+        await module_is_idle(net)
 
     net = on_network(check, fine)
     assert not seen(net, "s1")
--- a/tests/test_endpoints_connections.py
+++ b/tests/test_endpoints_connections.py
@@ -12,7 +12,7 @@
 import anyio
 import pytest
 from bed import Net, on_network, settings, wanted
-from test_crossings import all_quiet, connect
+from test_crossings import connect, module_is_idle
 from test_crossings_endpoints import until_end_of
 from test_sidecar import fine, until
 
@@ -184,7 +184,7 @@
             await stream.send(data[: 2 * LARGE // 3])  # the rest never arrives
             got = await until_end_of(stream, b"\r\n\r\n")
         assert got.startswith(b"HTTP/1.1 502"), got[:100]
-        await all_quiet(net)
+        await module_is_idle(net)
 
     net = on_network(check, fine, endpoint=endpoint, limits=NO_PROBES)
     assert net.ended()[kept:] == [t.Outcome.SPOILT]
@@ -213,7 +213,7 @@
             await until(lambda: told)
             await stream.send(data[2 * LARGE // 3 :])
             assert (await until_end_of(stream, b"\r\n\r\n")).startswith(b"HTTP/1.1 200")
-        await all_quiet(net)
+        await module_is_idle(net)
 
     on_network(check, fine, endpoint=endpoint, limits=NO_PROBES)
     assert len(told) == 1 and 0 < told[0] <= deadline
@@ -244,7 +244,7 @@
             await stream.send(data)
             written.append(time.monotonic())
             assert (await until_end_of(stream, b"\r\n\r\n")).startswith(b"HTTP/1.1 200")
-        await all_quiet(net)
+        await module_is_idle(net)
 
     on_network(check, fine, endpoint=endpoint, limits=NO_PROBES)
     ((deadline, at),) = told
@@ -316,7 +316,7 @@
                 raw = stream.extra(anyio.abc.SocketAttribute.raw_socket)
                 raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         with anyio.fail_after(5):
-            await all_quiet(net)
+            await module_is_idle(net)
             await until(lambda: ends)
 
     net = on_network(check, fine, endpoint=endpoint, limits=NO_PROBES | {"cancel": cancel})
--- a/tests/test_endpoints_late.py
+++ b/tests/test_endpoints_late.py
@@ -19,7 +19,7 @@
 BACKLOG = 0  # the system accepts one more than this
 
 
-class Crowded:
+class FullListener:
     """A listener whose queue is full."""
 
     def __init__(self) -> None:
@@ -51,12 +51,12 @@
             one.close()
 
 
-def made() -> tuple[ConnectionPool, DescriptorBudget]:
+def new_pool() -> tuple[ConnectionPool, DescriptorBudget]:
     descriptors = DescriptorBudget(200)
     return ConnectionPool(descriptors, BlockPool(), 30.0, TIME_OUT), descriptors
 
 
-async def given_up(pool: ConnectionPool, address: str) -> None:
+async def time_out_attempt(pool: ConnectionPool, address: str) -> None:
     with pytest.raises(Unconnected):
         await pool.open(address)
 
@@ -66,9 +66,9 @@
     it."""
 
     async def main() -> None:
-        crowded, (pool, descriptors) = Crowded(), made()
+        crowded, (pool, descriptors) = FullListener(), new_pool()
         try:
-            await given_up(pool, crowded.address)
+            await time_out_attempt(pool, crowded.address)
             own = await crowded.let_in()
             crowded.fill()
             connection = await pool.open(crowded.address)
@@ -83,9 +83,9 @@
 
 def test_one_that_comes_up_while_the_next_attempt_connects_serves_it():
     async def main() -> None:
-        crowded, (pool, _) = Crowded(), made()
+        crowded, (pool, _) = FullListener(), new_pool()
         try:
-            await given_up(pool, crowded.address)
+            await time_out_attempt(pool, crowded.address)
             pool.timeout_s = 3.0
             found: list[Connection] = []
 
@@ -108,12 +108,12 @@
 
 def test_what_comes_up_late_is_bounded_and_given_back(monkeypatch):
     async def main() -> None:
-        listeners = [Crowded() for _ in range(pools.MAX_LATE_CONNECTIONS + 2)]
-        pool, descriptors = made()
+        listeners = [FullListener() for _ in range(pools.MAX_LATE_CONNECTIONS + 2)]
+        pool, descriptors = new_pool()
         try:
             for one in listeners:
-                await given_up(pool, one.address)
-                await given_up(pool, one.address)  # one for each address
+                await time_out_attempt(pool, one.address)
+                await time_out_attempt(pool, one.address)  # one for each address
             assert descriptors.open[ConnectionKind.ENDPOINT] == pools.MAX_LATE_CONNECTIONS
             assert (
                 pool.close_oldest()
@@ -132,12 +132,12 @@
 
 def test_one_that_was_refused_after_the_limit_is_given_back():
     async def main() -> None:
-        crowded, (pool, descriptors) = Crowded(), made()
-        await given_up(pool, crowded.address)
+        crowded, (pool, descriptors) = FullListener(), new_pool()
+        await time_out_attempt(pool, crowded.address)
         crowded.close()
         with anyio.fail_after(10):
             while descriptors.open[ConnectionKind.ENDPOINT]:
-                await given_up(pool, crowded.address)
+                await time_out_attempt(pool, crowded.address)
                 await anyio.sleep(0.05)
 
     anyio.run(main)
--- a/tests/test_engine_defects.py
+++ b/tests/test_engine_defects.py
@@ -4,7 +4,7 @@
 import anyio
 import pytest
 from bed import Net, deployment, on_network, settings, wanted
-from test_crossings import PATIENT, all_quiet
+from test_crossings import PATIENT, module_is_idle
 from test_sidecar import always, fine, seen, until
 
 from lupinmill import terms as t
@@ -42,7 +42,7 @@
             answer = await net.ask(wanted("bad", "issue", "8.0"))
         assert answer.status == 502
         assert (await net.ask(wanted("s1", "issue", "8.0"))).status == 200
-        await all_quiet(net)
+        await module_is_idle(net)
 
     net = on_network(check, fine, workloads=PATIENT, limits=NO_PROBES)
     assert not seen(net, "bad") and len(logged(net, "module_failed")) == 1
@@ -58,7 +58,7 @@
             assert (await net.ask(wanted("bad", "issue", "8.0"))).status == 502
         net.stands[0].act = fine
         assert (await net.ask(wanted("s1", "issue", "8.0"))).status == 200
-        await all_quiet(net)  # the module counts no launch at the endpoint any more
+        await module_is_idle(net)  # the module counts no launch at the endpoint any more
 
     net = on_network(check, always(how), workloads=PATIENT, limits=NO_PROBES)
     assert len(logged(net, "module_failed")) == 1
@@ -248,7 +248,7 @@
                 group.start_soon(ask, 1)
         assert len(got) == 60
         assert {name: status for name, status in got.items() if name not in chosen and status != 200} == {}
-        await all_quiet(net)
+        await module_is_idle(net)
 
     net = on_network(check, fine, workloads=PATIENT, limits=NO_PROBES)
     assert logged(net, "module_failed")
@@ -289,7 +289,7 @@
                 assert got == {"waits": 502}
                 release.set()
         assert got == {"waits": 502, "first": 200, "innocent": 200}
-        await all_quiet(net)
+        await module_is_idle(net)
 
     release = anyio.Event()
 
--- a/tests/test_forwarded_framing.py
+++ b/tests/test_forwarded_framing.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True)
-class Written:
+class WrittenRequest:
     """A request as a client writes it, and as it should be read."""
 
     data: bytes
@@ -36,7 +36,7 @@
 
 
 @st.composite
-def written(draw) -> Written:
+def written_requests(draw) -> WrittenRequest:
     method = draw(st.sampled_from([b"GET", b"POST", b"HEAD", b"PUT", b"X-odd!"]))
     target = b"/" + draw(st.text("/ab?=%~:;", max_size=12)).encode()
     name = st.text("abcXYZ09-_!", min_size=1, max_size=8).map(lambda text: b"X-" + text.encode())
@@ -54,7 +54,7 @@
     blank = draw(st.sampled_from([b"", b" ", b"\t "]))
     lines = [b"%s:%s%s%s\r\n" % (key, blank, text, blank) for key, text in [*headers, *framing]]
     line = b"%s %s HTTP/1.1\r\n" % (method, target)
-    return Written(line + b"".join(lines) + b"\r\n" + sent, method, target, tuple(headers), body)
+    return WrittenRequest(line + b"".join(lines) + b"\r\n" + sent, method, target, tuple(headers), body)
 
 
 def chunks(body: bytes, size: int) -> bytes:
@@ -112,7 +112,11 @@
 
 
 @SEARCH
-@given(st.lists(st.tuples(EMPTY, written()), min_size=1, max_size=4), EMPTY, st.lists(st.integers(0, 9999)))
+@given(
+    st.lists(st.tuples(EMPTY, written_requests()), min_size=1, max_size=4),
+    EMPTY,
+    st.lists(st.integers(0, 9999)),
+)
 def test_pipelined_requests_are_the_same_however_they_are_cut(requests, tail, cuts):
     data = b"".join(empty + one.data for empty, one in requests) + tail
     expected = [(one.method, one.target, one.headers, one.body) for _, one in requests]
@@ -154,7 +158,7 @@
 
 
 @SEARCH
-@given(written(), st.integers(0, 9999), st.lists(st.integers(0, 9999)))
+@given(written_requests(), st.integers(0, 9999), st.lists(st.integers(0, 9999)))
 def test_half_a_request_is_none(one, cut, cuts):
     part = one.data[: cut % len(one.data)]
     made = conversation(part, cuts)
@@ -162,7 +166,7 @@
 
 
 @SEARCH
-@given(written())
+@given(written_requests())
 def test_every_attempt_writes_the_same_request(one):
     side = ServerSide()
     side.feed(one.data)
@@ -273,7 +277,7 @@
     return answer
 
 
-def as_read(asked: bytes, data: bytes) -> Answer:
+def parse_response(asked: bytes, data: bytes) -> Answer:
     """Read by a separate client, up to the end of the connection."""
     method = asked.split()[0]
     client = h11.Connection(h11.CLIENT)
@@ -297,7 +301,7 @@
     side = ServerSide()
     side.feed(asked)
     assert side.next_request() is not None
-    got = as_read(asked, side.answer(answer, close))
+    got = parse_response(asked, side.answer(answer, close))
     assert (got.status, got.body) == (answer.status, b"" if bodiless else b"ok")
     assert side.goes_on() == (not close and b"HTTP/1.1" in asked)
 
@@ -308,7 +312,7 @@
     side.feed(asked)
     assert side.next_request() is not None
     data = side.begin(Answer(200), None, False) + side.part(b"o") + side.part(b"k") + side.end()
-    assert as_read(asked, data).body == (b"" if asked.startswith(b"HEAD") else b"ok")
+    assert parse_response(asked, data).body == (b"" if asked.startswith(b"HEAD") else b"ok")
     assert side.tells_its_end() == (b"HTTP/1.1" in asked)
 
 
@@ -329,7 +333,7 @@
         side = ServerSide()
         side.feed(asked)
         side.next_request()
-        assert as_read(asked, side.answer(answer, False)).status == 502
+        assert parse_response(asked, side.answer(answer, False)).status == 502
         assert not side.goes_on()
 
 
@@ -369,7 +373,7 @@
 # --- responses of endpoints ------------------------------------------------------------------------
 
 
-def reading(data: bytes, method: bytes = b"GET") -> ClientSide:
+def client_side(data: bytes, method: bytes = b"GET") -> ClientSide:
     side = ClientSide()
     side.ask(Request(method, b"/", [(b"Host", b"a")]))
     side.feed(data)
@@ -396,13 +400,13 @@
 )
 def test_an_answer_out_of_bounds_is_garbled(data):
     with pytest.raises(Garbled):
-        assert reading(data).next_answer() is None
+        assert client_side(data).next_answer() is None
         pytest.fail("it waits for more")
 
 
 def test_some_informational_answers_are_passed_over():
     ahead = b"HTTP/1.1 103 Hints\r\n\r\n" * http.MOST_AHEAD
-    side = reading(ahead + b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+    side = client_side(ahead + b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
     assert side.next_answer().status == 200 and side.reusable()
 
 
@@ -416,13 +420,13 @@
     ],
 )
 def test_an_answer_to_head_ends_with_its_head_whatever_it_tells(head):
-    side = reading(head, b"HEAD")
+    side = client_side(head, b"HEAD")
     assert side.next_answer().body == b"" and side.reusable() and not side.large
 
 
 def test_of_a_chunked_answer_the_length_that_it_tells_too_says_nothing():
     head = b"HTTP/1.1 200 OK\r\nContent-Length: 99999999999\r\nTransfer-Encoding: chunked\r\n\r\n"
-    side = reading(head + b"2\r\nok\r\n0\r\n\r\n")
+    side = client_side(head + b"2\r\nok\r\n0\r\n\r\n")
     assert side.next_answer().body == b"ok" and side.length is None
 
 
@@ -432,9 +436,9 @@
         b"Content-Length: 2\r\n\r\nok",
         b"Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n",
     ):
-        side = reading(b"HTTP/1.1 200 OK\r\n" + framing + behind)
+        side = client_side(b"HTTP/1.1 200 OK\r\n" + framing + behind)
         assert side.next_answer().body == b"ok" and not side.reusable()
-        later = reading(b"HTTP/1.1 200 OK\r\n" + framing)
+        later = client_side(b"HTTP/1.1 200 OK\r\n" + framing)
         assert later.next_answer().body == b"ok" and later.reusable()
         later.feed(behind)
         assert not later.reusable()
--- a/tests/test_standstill.py
+++ b/tests/test_standstill.py
@@ -44,7 +44,7 @@
     return first
 
 
-def judged_after_standstills(case: StandstillCase, tmp_path) -> str:
+def run_case(case: StandstillCase, tmp_path) -> str:
     """Runs the case, checks what clients and endpoints saw, and returns the log."""
     net = Net([always(Answer(200, [], case.body), case.answers_after)] * 3)
 
@@ -91,14 +91,14 @@
     """Guards against a request that is read before the response: all timers due by then fired at once, the
     endpoint was ejected as silent, and its request was retried."""
     case = StandstillCase(ANSWERS_AFTER, STILL, comes_first, rounds=3)
-    assert "set aside" not in judged_after_standstills(case, tmp_path)
+    assert "set aside" not in run_case(case, tmp_path)
 
 
 def test_an_answer_of_many_reads_is_taken_after_a_standstill_past_its_attempts_time(tmp_path):
     """Guards against a pass of the event loop for each read: due timers fired between them, with 503 for the
     client and a second attempt."""
     case = StandstillCase(0.03, 0.7, "answer", rounds=2, body=b"x" * 60_000)
-    assert "set aside" not in judged_after_standstills(case, tmp_path)
+    assert "set aside" not in run_case(case, tmp_path)
 
 
 def test_an_answer_within_its_attempts_time_is_taken_after_a_standstill_past_that_time(tmp_path):
@@ -106,7 +106,7 @@
     whose deadline is later, got 503, and the endpoint was ejected."""
     # After the first round a margin is kept for lateness, and of a request's second an attempt has 0.66 s.
     case = StandstillCase(0.03, 0.7, "answer", rounds=2)
-    assert "set aside" not in judged_after_standstills(case, tmp_path)
+    assert "set aside" not in run_case(case, tmp_path)
 
 
 SPAN = 0.1  # seconds
@@ -132,7 +132,7 @@
         if moved_to is not None:
             deadline.reschedule(began + moved_to)
 
-    between_sockets(check)
+    with_connection(check)
 
 
 def test_what_lies_unread_at_the_limit_is_heard_and_nothing_after_it():
@@ -144,7 +144,7 @@
             await deadline.receive(ours, False)
         assert deadline.scope.cancelled_caught
 
-    between_sockets(check)
+    with_connection(check)
 
 
 def test_a_limit_holds_for_the_next_connection_after_one_that_broke():
@@ -161,10 +161,10 @@
             await anyio.sleep_forever()
         assert deadline.scope.cancelled_caught
 
-    between_sockets(check)
+    with_connection(check)
 
 
-def between_sockets(check) -> None:
+def with_connection(check) -> None:
     async def main() -> None:
         with socket.create_server(("127.0.0.1", 0)) as listening:
             sock = socket.create_connection(listening.getsockname())
@@ -175,7 +175,7 @@
     anyio.run(main)
 
 
-class Hand:
+class ManualClock:
     """A clock set by the test, in microseconds."""
 
     def __init__(self) -> None:
@@ -187,7 +187,7 @@
 
 def test_what_is_due_waits_for_what_lies_unread_but_never_for_long():
     """Guards deadlines when every pass of a crowded event loop is late."""
-    clock = Hand()
+    clock = ManualClock()
     engine = Engine(deployment(), clock, lambda event, **fields: None)
     engine.wake_at = clock.moment
     clock.moment += LATE_WAKEUP_US
--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -146,7 +146,7 @@
     assert given == [1]
 
 
-def pooled(check, idle_limit: float = 30.0) -> None:
+def run_with_pool(check, idle_limit: float = 30.0) -> None:
     """Runs `check(pool, address, server)` with one connection in the pool."""
     budget = DescriptorBudget(100)
     pool = ConnectionPool(budget, BlockPool(), idle_limit, 0.5)
@@ -155,7 +155,7 @@
         with socket.create_server(("127.0.0.1", 0)) as server:
             address = "127.0.0.1:%d" % server.getsockname()[1]
             pool.keep(await pool.open(address), address)
-            rest(pool, address)
+            age_connection(pool, address)
             theirs, _ = server.accept()
             with theirs:
                 await check(pool, address, theirs)
@@ -165,7 +165,7 @@
     anyio.run(main)
 
 
-def rest(pool, address):
+def age_connection(pool, address):
     """Makes it look idle for as long as a kept connection has to be."""
     for kept in pool.idle[address]:
         kept.idle_since -= MIN_IDLE_S
@@ -181,10 +181,10 @@
         assert pool.reuse(address) is None and pool.idle[address] == [kept]  # not idle for long enough
         theirs.send(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno")
         await until_unread(kept)
-        rest(pool, address)
+        age_connection(pool, address)
         assert pool.reuse(address) is None and kept.closed and not pool.idle
 
-    pooled(check)
+    run_with_pool(check)
 
 
 async def until_unread(connection):
@@ -202,7 +202,7 @@
         assert pool.reuse(address) is newer and pool.idle[address] == [old, newest]
         newer.close()
 
-    pooled(check)
+    run_with_pool(check)
 
 
 def test_a_kept_connection_is_used_again_but_not_with_its_end_read_or_bytes_unasked_for():
@@ -210,7 +210,7 @@
         again = pool.reuse(address)
         assert again is not None
         pool.keep(again, address)
-        rest(pool, address)
+        age_connection(pool, address)
         theirs.send(b"HTTP/1.1 408 too slow\r\n\r\n")
         await anyio.sleep(0.01)
         assert pool.reuse(address) is None and not pool.idle
@@ -220,8 +220,8 @@
         await anyio.sleep(0.01)
         assert pool.reuse(address) is None
 
-    pooled(check)
-    pooled(check_end)
+    run_with_pool(check)
+    run_with_pool(check_end)
 
 
 def test_a_kept_connection_is_left_alone_near_its_idle_limit():
@@ -233,7 +233,7 @@
         kept.idle_since -= 4.0  # of 5 s: the endpoint's clock may be ahead
         assert pool.reuse(address) is None
 
-    pooled(check, 5.0)
+    run_with_pool(check, 5.0)
 
 
 def test_the_sweep_closes_what_was_ended():
@@ -245,7 +245,7 @@
         pool.close_expired()
         assert not pool.idle and pool.descriptors.open[ConnectionKind.ENDPOINT] == 0
 
-    pooled(check)
+    run_with_pool(check)
 
 
 def test_bytes_that_lay_unread_are_told_by_how_long():
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -15,7 +15,7 @@
 SECOND = 1_000_000  # microseconds
 
 
-class Machine:
+class FakeClocks:
     """Two clocks, in microseconds; one of them can be set, and readings of both can be held up."""
 
     def __init__(self, monkeypatch) -> None:
@@ -40,7 +40,7 @@
 @pytest.mark.parametrize("back", [False, True])
 @pytest.mark.parametrize("seed", range(20))
 def test_an_age_is_real_time_wherever_the_step_falls(step, back, seed, monkeypatch):
-    machine, drawn = Machine(monkeypatch), random.Random(seed)
+    machine, drawn = FakeClocks(monkeypatch), random.Random(seed)
     clock = WallClock()
     for _ in range(50):
         machine.steady += drawn.randint(0, SECOND)
@@ -58,7 +58,7 @@
 def test_a_clock_that_is_set_for_this_process_alone_makes_no_request_old(step, monkeypatch):
     """Guards against a library that shifts one process's clock by +1 to +20 s: 96% of all requests were
     rejected."""
-    machine = Machine(monkeypatch)
+    machine = FakeClocks(monkeypatch)
     clock, kernel_ahead = WallClock(), machine.wall_ahead
     machine.wall_ahead += step
     for _ in range(100):
@@ -68,7 +68,7 @@
 
 
 def test_a_process_that_is_held_up_between_two_readings_sees_no_step(monkeypatch):
-    machine = Machine(monkeypatch)
+    machine = FakeClocks(monkeypatch)
     clock = WallClock()
     for machine.held_up in (0, 150_000, 0):
         assert clock.age(machine.wall() - 1000, rounded_up(1000)) is not None
@@ -76,7 +76,7 @@
 
 
 def test_a_stamp_of_no_known_setting_tells_nothing(monkeypatch):
-    machine = Machine(monkeypatch)
+    machine = FakeClocks(monkeypatch)
     clock = WallClock()
     assert clock.age(machine.wall() + SECOND, rounded_up(0)) is None
     assert clock.age(machine.wall() - MAX_STAMP_AGE_US - SECOND, rounded_up(0)) is None
@@ -93,7 +93,7 @@
 @pytest.mark.parametrize("of_all", [False, True])
 def test_an_endpoint_that_starts_after_a_step_is_cold_whichever_clock_was_set(step, of_all, monkeypatch):
     """Guards slow start: by a clock that was set back an hour, a start just now looks an hour old."""
-    machine = Machine(monkeypatch)
+    machine = FakeClocks(monkeypatch)
     clock = WallClock()
     starts, ours = StartTimes(clock), machine.wall_ahead
     machine.wall_ahead += step
@@ -127,7 +127,7 @@
 
 def test_a_start_that_was_heard_before_a_step_stays_what_it_was(monkeypatch):
     """Guards against a whole fleet that looks restarted, or cold, with the next whole list."""
-    machine = Machine(monkeypatch)
+    machine = FakeClocks(monkeypatch)
     clock = WallClock()
     starts, started = StartTimes(clock), machine.wall() - HOUR - SECOND
     assert starts.resolve(listed(started), machine.wall()).started == started
@@ -140,7 +140,7 @@
 
 
 def test_while_no_clock_is_set_a_start_is_taken_as_it_is_told(monkeypatch):
-    machine = Machine(monkeypatch)
+    machine = FakeClocks(monkeypatch)
     starts = StartTimes(WallClock())
     for started in (0, 1, machine.wall(), machine.wall() + HOUR):
         entry = listed(started)
