--- a/lupinmill/config/driver.py
+++ b/lupinmill/config/driver.py
@@ -35,9 +35,9 @@
 )
 from lupinmill.protocol.http import ClientSide, Garbled
 from lupinmill.routing.engine import Log as Logs
-from lupinmill.routing.engine import defect
+from lupinmill.routing.engine import error_fields
 from lupinmill.transport.connection import Connection, NoDescriptor, Unconnected, connect
-from lupinmill.transport.ring import Store
+from lupinmill.transport.buffers import BlockPool
 
 SECOND = 1_000_000
 SAVE_RETRY_S = 5.0  # delay before a failed save is retried
@@ -58,7 +58,7 @@
         self,
         follower: Follower,
         scopes: tuple[str, ...],
-        store: Store,
+        store: BlockPool,
         apply_version: ApplyCallback,
         log: Logs,
         store_path: str | Path | None = None,
@@ -150,7 +150,7 @@
         try:
             why = self.apply_version(command.version, command.entries)
         except Exception as error:  # an exception there must not end the watch
-            self.log("task_failed", task="take", **defect(error))
+            self.log("task_failed", task="take", **error_fields(error))
             why = f"a defect: {type(error).__name__}"
         if why is not None:
             self.inbox.append(VersionRefused(command.version, why[:MAX_REASON_CHARS]))
@@ -202,13 +202,13 @@
         except (OSError, Unconnected, NoDescriptor) as error:
             return WatchFailed(watch.relay, str(error) or type(error).__name__)
         except Exception as error:
-            self.log("task_failed", task="config", **defect(error))
+            self.log("task_failed", task="config", **error_fields(error))
             return WatchFailed(watch.relay, f"a defect: {type(error).__name__}", garbled=True)
 
     async def exchange(self, watch: SendWatch, margin: float) -> Reply:
         """`margin`: seconds allowed for connecting, and between two parts of a reply, before TimeoutError is
         raised. It grows with the follower's own margin."""
-        if self.connection is None or self.relay != watch.relay or not self.connection.quiet():
+        if self.connection is None or self.relay != watch.relay or not self.connection.is_idle():
             self.disconnect()
             self.connection, self.relay = (
                 await connect(watch.relay, margin, self.store, lambda: None),
--- a/lupinmill/config/relay.py
+++ b/lupinmill/config/relay.py
@@ -30,8 +30,8 @@
 from lupinmill.config.relay_file import RelayFile
 from lupinmill.config.server import AdminServer, WatchServer
 from lupinmill.config.source import Source
-from lupinmill.routing.engine import Clock, Log, defect
-from lupinmill.transport.ring import Store
+from lupinmill.routing.engine import Clock, Log, error_fields
+from lupinmill.transport.buffers import BlockPool
 
 if TYPE_CHECKING:
     from lupinmill.config.driver import ConfigWatch
@@ -188,7 +188,7 @@
             self.history.entries,
         )
         follower.history = self.history
-        return ConfigWatch(follower, (), Store(), self.apply_version, self.log)
+        return ConfigWatch(follower, (), BlockPool(), self.apply_version, self.log)
 
     # --- new versions ---
 
@@ -276,7 +276,7 @@
             try:
                 return await task()
             except Exception as error:
-                self.log("task_failed", task=task.__qualname__, **defect(error))
+                self.log("task_failed", task=task.__qualname__, **error_fields(error))
                 await anyio.sleep(TASK_RETRY_S)
 
     def close(self) -> None:
--- a/lupinmill/config/server.py
+++ b/lupinmill/config/server.py
@@ -26,11 +26,11 @@
     WatchReceived,
 )
 from lupinmill.protocol.http import Answer, Malformed, Request, ServerSide, plain
-from lupinmill.routing.engine import Clock, Log, defect
+from lupinmill.routing.engine import Clock, Log, error_fields
 from lupinmill.transport.client import Client
-from lupinmill.transport.descriptors import OWN, Descriptors
+from lupinmill.transport.descriptors import RESERVED_DESCRIPTORS, DescriptorBudget
 from lupinmill.transport.listener import Listener
-from lupinmill.transport.ring import Shelf, Store
+from lupinmill.transport.buffers import MemoryBudget, BlockPool
 
 WRITE_TIMEOUT_S = 10.0  # for the client to read an answer
 CALL_TIMEOUT_S = 2.5  # from a request's first byte to its last
@@ -40,9 +40,9 @@
 JSON_HEADERS = [(b"Content-Type", b"application/json")]
 
 
-def descriptors_for(connections: int) -> Descriptors:
+def descriptors_for(connections: int) -> DescriptorBudget:
     """Enough that `connections` remain after the quarter left for others and the `OWN` ones."""
-    return Descriptors(math.ceil(connections * 4 / 3) + OWN + 4)
+    return DescriptorBudget(math.ceil(connections * 4 / 3) + RESERVED_DESCRIPTORS + 4)
 
 
 class HttpServer:
@@ -52,7 +52,7 @@
 
     def __init__(self, address: str, connections: int, log: Log) -> None:
         self.log = log
-        self.store, self.descriptors = Store(), descriptors_for(connections)
+        self.store, self.descriptors = BlockPool(), descriptors_for(connections)
         self.listener = Listener(address, self.descriptors, self.store)
         self.address = self.listener.address
         self.draining = False  # each answer then closes its connection
@@ -68,14 +68,14 @@
         except (OSError, TimeoutError):
             pass  # the client disconnected or stalled; everything held was released above
         except Exception as error:
-            self.log("task_failed", task="caller", **defect(error))
+            self.log("task_failed", task="caller", **error_fields(error))
 
     async def handle_calls(self, client: Client, admitted: bool) -> None:
         side = ServerSide(self.max_body_bytes)
         try:
             while (request := await self.read(client, side, admitted)) is not None:
-                client.asked = True
-                has_room = admitted and not client.overrun
+                client.has_requested = True
+                has_room = admitted and not client.pipelined_dropped
                 if not await (
                     self.answer(client, side, request) if has_room else self.send_unavailable(client, side)
                 ):
@@ -115,7 +115,7 @@
 
     async def write(self, client: Client, side: ServerSide, answer: Answer, close: bool = False) -> bool:
         """Sends large bodies without copying them."""
-        close = close or self.draining or client.overrun
+        close = close or self.draining or client.pipelined_dropped
         data = side.begin(answer, len(answer.body), close)
         body = side.part(answer.body) if answer.body else b""
         end = side.end()
@@ -153,7 +153,7 @@
         self.fanout, self.clock = fanout, clock
         self.tokens = itertools.count(1)
         self.watchers: dict[int, Watcher] = {}
-        self.shelf = Shelf(reply_memory)
+        self.shelf = MemoryBudget(reply_memory)
         self.sending: dict[int, int] = {}  # by id of a reply's bytes: number of connections sending it
         self.timer_at: int | None = None
         self.timer_changed = anyio.Event()
@@ -205,7 +205,7 @@
             self.step(WatchReceived(token, watch.scopes, watch.since, deadline, watch.status))
             if watcher.outcome is None:
                 with watcher.scope:
-                    await client.gone()
+                    await client.wait_disconnected()
         finally:
             if self.watchers.pop(token, None) is not None:
                 self.step(WatchClosed(token))
@@ -223,7 +223,7 @@
             self.sending[key] -= 1
             if not self.sending[key]:
                 del self.sending[key]
-                self.shelf.give_back(len(data))
+                self.shelf.release(len(data))
 
     async def send_unavailable(self, client: Client, side: ServerSide) -> bool:
         self.refused += 1
@@ -248,7 +248,7 @@
                 watcher.outcome = RejectWatch(token)
                 watcher.scope.cancel()
             await anyio.sleep(duration_s / len(tokens))
-        self.listener.dismiss_all()
+        self.listener.close_all_idle()
 
 
 class AdminServer(HttpServer):
@@ -266,6 +266,6 @@
         except Malformed as error:
             answer = plain(error.status, f"{error}\n")
         except Exception as error:
-            self.log("task_failed", task="operator", **defect(error))
+            self.log("task_failed", task="operator", **error_fields(error))
             answer = plain(500, "a defect; see the log\n")
         return await self.write(client, side, answer)
--- /dev/null
+++ b/lupinmill/routing/client_handler.py
@@ -0,0 +1,393 @@
+"""Serves one client connection, request after request."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass
+
+import anyio
+import h11
+
+from lupinmill.protocol.http import (
+    END,
+    LARGEST_BODY,
+    SMALL,
+    Answer,
+    Malformed,
+    Request,
+    ServerSide,
+    length_of,
+    plain,
+)
+from lupinmill.protocol.submission import denied
+from lupinmill.routing.admission import AdmissionController
+from lupinmill.routing.engine import Log, error_fields
+from lupinmill.routing.request_body import RequestBody
+from lupinmill.routing.request_factory import RequestFactory
+from lupinmill.routing.request_table import PendingRequest
+from lupinmill.routing.response_writer import ResponseWriter
+from lupinmill.transport.buffers import MemoryBudget
+from lupinmill.transport.client import Client
+from lupinmill.transport.listener import REQUEST_TIMEOUT_S, Listener
+
+# bytes of a body that are buffered before its first attempt, if the memory budget allows
+MAX_BUFFERED_BODY = 1024 * 1024
+MIN_UPLOAD_RATE = 48_000  # bytes per second; a slower upload times out
+TURN_AWAY_TIMEOUT_S = 0.5  # seconds for a request on a connection for which no descriptor is free
+# Sent if a request was read in full and its task ends without a response. It is not the response of a
+# rejection, because an attempt may have run.
+FALLBACK_ANSWER = b"HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
+
+
+@dataclass(slots=True)
+class ReadDeadline:
+    """Time by which a request must be complete, by the event loop's clock."""
+
+    until: float
+    expired: bool = False  # the deadline passed, and the bytes that were unread then have been read
+
+
+class ClientHandler:
+    def __init__(
+        self,
+        listener: Listener,
+        request_factory: RequestFactory,
+        response_writer: ResponseWriter,
+        admission: AdmissionController,
+        retry_after: int,
+        log: Log,
+        body_memory: MemoryBudget,
+    ) -> None:
+        self.listener, self.request_factory, self.response_writer, self.admission, self.log = (
+            listener,
+            request_factory,
+            response_writer,
+            admission,
+            log,
+        )
+        self.body_memory = body_memory
+        self.retry_after = retry_after  # microseconds to advise in Retry-After when a client is turned away
+        self.closing = lambda: False  # whether responses close their connections
+        # passes an idle connection, with its unread bytes, to the next process
+        self.hand_over_client: Callable[[Client], bool] | None = None
+        self.in_progress = 0  # clients whose request is being handled and whose response is not written
+        self.internal_errors = 0  # client tasks that ended with an unexpected exception
+
+    @property
+    def answering(self) -> int:
+        """Number of clients whose request is complete and whose response is not written."""
+        return self.in_progress + self.admission.gate.held
+
+    async def serve(self, client: Client, welcome: bool) -> None:
+        """Serves the connection. A request that was read in full gets a response, however its task ends."""
+        try:
+            with client:
+                try:
+                    await self.handle(client, welcome)
+                finally:
+                    self.admission.leave(client)
+                    answered = self.send_fallback_answer(client)
+                if answered:
+                    await self.response_writer.linger(client)
+        except OSError:
+            pass  # the client disconnected or does not read; everything it held is released above
+
+    async def handle(self, client: Client, welcome: bool) -> None:
+        try:
+            if welcome:
+                await self.serve_requests(client)
+            else:
+                await self.turn_away(client)
+        except OSError:
+            pass  # as above; also a time-out
+        except Exception as error:
+            self.internal_errors += 1
+            self.log("task_failed", task="client", **error_fields(error))
+
+    def send_fallback_answer(self, client: Client) -> bool:
+        """Writes without waiting, because the task may have been cancelled."""
+        if not client.response_due or client.has_disconnected():
+            return False
+        client.response_due = False
+        try:
+            return client.sock.send(FALLBACK_ANSWER) == len(FALLBACK_ANSWER)
+        except OSError:
+            return False
+
+    async def serve_requests(self, client: Client) -> None:
+        side = ServerSide()
+        while not self.hand_over(client, side):
+            try:
+                received = await self.read_request(client, side)
+                if received is not None:
+                    if not await self.handle_request(client, side, *received):
+                        return
+                elif not await self.has_next_request(client, side):
+                    return
+            except Malformed as error:
+                await self.send_rejection(client, side, plain(error.status, f"{error}\n"))
+                return
+            self.admission.leave(client)
+
+    async def send_rejection(self, client: Client, side: ServerSide, answer: Answer) -> None:
+        """Answers a request that is malformed or incomplete."""
+        client.response_due = True
+        await self.response_writer.send_answer(client, side, answer, True, LARGEST_BODY)
+
+    async def handle_request(
+        self, client: Client, side: ServerSide, request: Request, body: RequestBody | None
+    ) -> bool:
+        """Returns True if the connection can serve another request."""
+        client.has_requested = client.response_due = True
+        self.in_progress += 1
+        try:
+            goes_on = await self.serve_request(client, side, request, body)
+        finally:
+            self.in_progress -= 1
+        client.unanswered = False
+        return goes_on
+
+    async def has_next_request(self, client: Client, side: ServerSide) -> bool:
+        """Called when no request was read. Returns True if one is still unread that this process must serve,
+        because the connection could not be handed over."""
+        if client.pipelined_dropped:
+            await self.response_writer.linger(client)  # the response that was just written must not be lost
+            return False
+        return (
+            not self.hand_over(client, side)
+            and not client.closed
+            and not client.unwritable
+            and client.has_unread()
+        )
+
+    async def serve_request(
+        self, client: Client, side: ServerSide, request: Request, body: RequestBody | None
+    ) -> bool:
+        """Returns True if the connection can serve another request."""
+        incomplete = body is not None and not body.complete
+        if not incomplete:
+            self.admission.enter(client)  # a slow upload is admitted only when it is complete
+        opened = self.open_request(client, request, body)
+        if isinstance(opened, Answer):
+            return await self.response_writer.send_answer(client, side, opened, self.must_close(client, side))
+        pending = opened
+        try:
+            if incomplete:
+                if not await self.receive_body(client, side, pending, body):
+                    return False
+                self.admission.enter(client)
+            answer = (
+                pending.answer
+                if pending.settled
+                else await self.response_writer.final_answer(client, pending)
+            )
+            if answer is None:
+                return False
+            if pending.stream is not None:
+                # from here on the duration depends on the client's reading speed
+                self.admission.leave(client)
+                return await self.response_writer.send_stream(
+                    client, side, answer, pending.stream, self.must_close(client, side)
+                )
+            return await self.response_writer.send_answer(
+                client, side, answer, self.must_close(client, side), LARGEST_BODY
+            )
+        finally:
+            if pending.stream is not None:
+                pending.stream.finish()
+            if not pending.settled:
+                self.response_writer.request_table.withdraw(pending)
+
+    def must_close(self, client: Client, side: ServerSide) -> bool:
+        """Whether the response must end the connection: this sidecar is closing its connections, or pipelined
+        bytes were dropped and cannot be recovered. Not while another request has been read that must be
+        answered, until the drain deadline: a client that always pipelines must not delay the shutdown."""
+        if not client.pipelined_dropped and not self.closing():
+            return False
+        return self.request_factory.past_drain_deadline() or not self.has_pipelined_request(client, side)
+
+    def has_pipelined_request(self, client: Client, side: ServerSide) -> bool:
+        """Whether another request was read in full, or in part if the rest can still arrive."""
+        pipelined = side.incoming.rest() + b"".join(piece.data for piece in client.pipelined)
+        if not pipelined or side.http.their_state is not h11.DONE:
+            return False
+        parser = ServerSide()
+        try:
+            parser.feed(pipelined)
+            return parser.next_request() is not None or parser.begun() and not client.pipelined_dropped
+        except Malformed:
+            return False
+
+    def open_request(
+        self, client: Client, request: Request, body: RequestBody | None
+    ) -> PendingRequest | Answer:
+        to_come = 0.0
+        if body is not None and not body.complete:
+            to_come = REQUEST_TIMEOUT_S + ((body.length or LARGEST_BODY) - body.end) / MIN_UPLOAD_RATE
+        opened: PendingRequest | Answer | None = None
+        try:
+            opened = self.request_factory.create(request, client, body, to_come)
+            return opened
+        finally:
+            if body is not None and not isinstance(opened, PendingRequest):
+                body.drop()
+
+    async def receive_body(
+        self, client: Client, side: ServerSide, pending: PendingRequest, body: RequestBody
+    ) -> bool:
+        """Passes the rest of a body to the attempt that sends it, until the body is complete or the request
+        is settled. Returns False if nobody waits for a response any more."""
+        complete = False
+        try:
+            with anyio.move_on_after(self.response_writer.seconds_to_decision(pending)) as scope:
+                pending.client_wait = scope
+                if not pending.settled:
+                    complete = await self.collect_body(client, side, body, LARGEST_BODY)
+        except Malformed:
+            if not pending.settled:
+                raise
+        finally:
+            pending.client_wait = None
+        if pending.settled:
+            return True
+        if scope.cancelled_caught:
+            self.response_writer.abort_if_undecided(pending)
+            return True
+        if not complete:
+            client.disconnected = True
+            self.response_writer.request_table.withdraw(pending)
+            return False
+        left, waits = pending.metadata.left, client.elapsed_wait()
+        due, latest_start = (
+            self.request_factory.due(left, waits.at_least),
+            self.request_factory.due(left, waits.at_most),
+        )
+        self.response_writer.request_table.body_received(pending, due, latest_start)
+        return True
+
+    async def read_request(
+        self, client: Client, side: ServerSide
+    ) -> tuple[Request, RequestBody | None] | None:
+        """Reads the next request, in full or with a body that is still arriving. Returns None if there is
+        none. Raises Malformed also if the request times out."""
+        part = side.next_part()
+        while part is None and not side.begun():
+            if not (data := await self.listener.next_bytes(client)):
+                return None
+            side.feed(data)
+            part = side.next_part()
+        if part is None:
+            # however slowly the bytes arrive
+            deadline = ReadDeadline(anyio.current_time() + REQUEST_TIMEOUT_S)
+            while part is None:
+                if not await self.read_more(client, side, deadline):
+                    return None
+                part = side.next_part()
+        request = side.request
+        assert request is not None and part is request
+        return await self.read_body(client, side, request)
+
+    async def read_body(
+        self, client: Client, side: ServerSide, request: Request
+    ) -> tuple[Request, RequestBody | None] | None:
+        """Reads up to 64 KiB, or up to 1 MiB if the memory budget allows."""
+        received, began = bytearray(), 0.0
+        deadline: ReadDeadline | None = None  # most bodies arrive together with their head and need none
+        while (part := side.next_part()) is not END and len(received) <= SMALL:
+            if isinstance(part, (bytes, bytearray)):
+                received += part
+                continue
+            if deadline is None:
+                began = anyio.current_time()
+                deadline = ReadDeadline(began + REQUEST_TIMEOUT_S)
+            deadline.until = began + REQUEST_TIMEOUT_S + side.size / MIN_UPLOAD_RATE
+            if not await self.read_more(client, side, deadline):
+                return None
+        if part is END:
+            request.body = bytes(received)
+            return request, None
+        if isinstance(part, (bytes, bytearray)):
+            received += part
+        body = RequestBody(self.body_memory, length_of(request.headers))
+        try:
+            await body.put(bytes(received), False)
+            received.clear()
+            if body.fully_buffered() and not await self.collect_body(client, side, body, MAX_BUFFERED_BODY):
+                body.drop()
+                return None
+        except BaseException:
+            body.drop()
+            raise
+        return request, body
+
+    async def collect_body(self, client: Client, side: ServerSide, body: RequestBody, max_bytes: int) -> bool:
+        """Reads until the end of the body, or until `max_bytes` are buffered or the memory budget is
+        exhausted. Time during which no attempt takes the buffered bytes does not count against a slow upload.
+        Returns False if the client disconnected."""
+        began, before = anyio.current_time(), side.size
+        deadline = ReadDeadline(began + REQUEST_TIMEOUT_S)
+        while body.end < max_bytes or max_bytes == LARGEST_BODY:
+            part = side.next_part()
+            if part is END:
+                body.finish()
+                return True
+            if part is None:
+                if not await self.read_more(client, side, deadline):
+                    return False
+            else:
+                asked = anyio.current_time()
+                await body.put(part, max_bytes == LARGEST_BODY)
+                began += anyio.current_time() - asked
+                if max_bytes < LARGEST_BODY and not body.fully_buffered():
+                    break
+                deadline.until = began + REQUEST_TIMEOUT_S + (side.size - before) / MIN_UPLOAD_RATE
+        return True
+
+    async def read_more(self, client: Client, side: ServerSide, deadline: ReadDeadline) -> bool:
+        """Reads more bytes. Returns False at the end of the stream. After the deadline the bytes that are
+        already unread are read once more, because it may be this event loop that was late."""
+        data = b""
+        with anyio.CancelScope(deadline=deadline.until) as scope:
+            if ahead := side.go_ahead():
+                await client.send(ahead)
+            data = await client.receive()
+        if scope.cancelled_caught:
+            if not deadline.expired:
+                deadline.expired, data = True, await client.receive_unread()
+            if not data:
+                raise Malformed(408, "the request did not come whole in its time")
+        if data:
+            side.feed(data)
+        return bool(data)
+
+    def hand_over(self, client: Client, side: ServerSide) -> bool:
+        """Hands the connection to the next process. Only between two requests, before a byte of the next is
+        read."""
+        if self.hand_over_client is None or client.unwritable or client.pipelined or side.begun():
+            return False
+        return self.hand_over_client(client)
+
+    async def turn_away(self, client: Client) -> None:
+        """Rejects requests on a connection for which no descriptor is free; no attempt is made for them. A
+        readiness check still gets the true answer: a load balancer that receives 503 would not add this
+        sidecar."""
+        side, deadline = ServerSide(SMALL), ReadDeadline(anyio.current_time() + TURN_AWAY_TIMEOUT_S)
+        goes_on = True
+        while goes_on:
+            try:
+                while (request := side.next_request()) is None:
+                    if not await self.read_more(client, side, deadline):
+                        return
+            except Malformed as error:
+                await self.turn_away_malformed(client, side, error)
+                return
+            client.response_due = True
+            answer = self.request_factory.readiness(request) or denied(self.retry_after)
+            goes_on = await self.response_writer.send_answer(client, side, answer, not side.begun())
+
+    async def turn_away_malformed(self, client: Client, side: ServerSide, error: Malformed) -> None:
+        if error.status == 408 and not side.begun():
+            return  # it never sent a byte
+        # A request that is too large only for this path is rejected like any other.
+        answer = denied(self.retry_after) if error.status == 413 else plain(error.status, f"{error}\n")
+        await self.send_rejection(client, side, answer)
--- a/lupinmill/routing/directory.py
+++ b/lupinmill/routing/directory.py
@@ -1,4 +1,4 @@
-"""What the list of endpoints says now: where each listens, and whether it still takes launches."""
+"""The current list of endpoints: their addresses, and whether they accept attempts."""
 
 from __future__ import annotations
 
@@ -7,65 +7,69 @@
 from lupinmill import terms as t
 from lupinmill.protocol.lists import Known
 from lupinmill.routing.engine import Engine
-from lupinmill.routing.starts import Starts
+from lupinmill.routing.start_times import StartTimes
 from lupinmill.transport import wall_clock
-from lupinmill.transport.pool import Pool
+from lupinmill.transport.connection_pool import ConnectionPool
 
 
-class Directory:
-    """Hears of every list first, so that a launch on its way can look at it, then tells the module."""
+class EndpointDirectory:
+    """Receives each list first, so that attempts in progress can check it, then passes it to the decision
+    module."""
 
-    def __init__(self, engine: Engine, pool: Pool, out: Container[str] = ()) -> None:
-        self.engine, self.pool = engine, pool
-        self.out = out  # by hand; whose set it is changes it before `by_hand` is called
+    def __init__(
+        self, engine: Engine, connection_pool: ConnectionPool, cordoned: Container[str] = ()
+    ) -> None:
+        self.engine, self.connection_pool = engine, connection_pool
+        # cordoned by operators; the owner of the set changes it before calling `set_cordoned`
+        self.cordoned = cordoned
         self.states: dict[str, t.EndpointStatus] = {}
         self.addresses: dict[str, str] = {}
         self.index: int | None = None
-        self.starts = Starts(wall_clock.SHARED)
-        engine.failed.append(self.after_failure)
+        self.start_times = StartTimes(wall_clock.SHARED)
+        engine.failure_listeners.append(self.on_module_failure)
 
     def update(self, known: Known, kind: t.ListKind) -> None:
-        """Whole or not at all: nothing is touched before the whole new state is there. Should the module fail
-        on it, `index` turns None, and the whole list is to be asked for again."""
-        # The last word on a name holds, here as in the module: an answer may hold a name's end and its new
-        # start, or the other way round.
+        """Applies a list as a whole: nothing is changed before the new state is complete. If the decision
+        module fails on it, `index` becomes None and the whole list must be requested again."""
+        # The last entry for a name applies, here as in the decision module: a response may hold a name's end
+        # and its new start, or the other way round.
         now = self.engine.clock.now()
         last = {entry.endpoint: entry for entry in known.entries}
-        entries = [self.starts.understand(entry, now) for entry in last.values()]
+        entries = [self.start_times.resolve(entry, now) for entry in last.values()]
         states = dict(self.states) if kind is t.ListKind.CHANGES else {}
         for entry in entries:
             states[entry.endpoint] = entry.state
         states = {name: state for name, state in states.items() if state is not t.EndpointStatus.GONE}
-        told = known.addresses
-        addresses = {name: told.get(name, self.addresses.get(name)) for name in states}
+        listed = known.addresses
+        addresses = {name: listed.get(name, self.addresses.get(name)) for name in states}
         moved = [name for name, address in self.addresses.items() if addresses.get(name) != address]
         self.index, self.states = known.index, states
         self.addresses = {name: address for name, address in addresses.items() if address is not None}
-        self.starts.keep(states.keys())
+        self.start_times.retain(states.keys())
         for name in moved:
-            self.pool.drop(name)
-        self.engine.tell(t.ListReceived(kind, entries))
+            self.connection_pool.drop(name)
+        self.engine.handle_event(t.ListReceived(kind, entries))
 
-    def after_failure(self, event: object) -> None:
-        """The module may hold a part of a list: changes since then would never make up for the rest."""
+    def on_module_failure(self, event: object) -> None:
+        """The decision module may hold only part of a list, which later changes would never complete."""
         if isinstance(event, t.ListReceived):
             self.index = None
 
-    def by_hand(self, name: str, out: bool) -> None:
-        """Launches on their way look at the set itself; connections that are kept would outlast a restart."""
-        self.pool.drop(name)
-        self.engine.tell(t.OperatorOverride(name, out))
+    def set_cordoned(self, name: str, out: bool) -> None:
+        """Attempts in progress check the set itself; kept connections would outlast a restart."""
+        self.connection_pool.drop(name)
+        self.engine.handle_event(t.OperatorOverride(name, out))
 
-    def failed(self) -> None:
-        self.engine.tell(t.ListReceived(t.ListKind.FAILED, []))
+    def fetch_failed(self) -> None:
+        self.engine.handle_event(t.ListReceived(t.ListKind.FAILED, []))
 
-    def listens(self, name: str, address: str) -> bool:
-        return self.addresses.get(name) == address and name not in self.out
+    def listens_at(self, name: str, address: str) -> bool:
+        return self.addresses.get(name) == address and name not in self.cordoned
 
-    def takes(self, name: str) -> bool:
-        return self.states.get(name) is t.EndpointStatus.READY and name not in self.out
+    def accepts_attempts(self, name: str) -> bool:
+        return self.states.get(name) is t.EndpointStatus.READY and name not in self.cordoned
 
-    def empty(self) -> bool:
-        """No endpoint is there; those out by hand are, for this: it is by operators' will that none
+    def has_no_ready_endpoint(self) -> bool:
+        """Whether no endpoint is ready. Cordoned ones count as ready here, as operators chose that none
         serves."""
         return not any(state is t.EndpointStatus.READY for state in self.states.values())
--- /dev/null
+++ b/lupinmill/routing/request_factory.py
@@ -0,0 +1,111 @@
+"""Turns a complete HTTP request into a pending request, or into the response that says why it was not
+accepted."""
+
+from __future__ import annotations
+
+from lupinmill.admin.operator_overrides import OperatorOverrides
+from lupinmill.protocol import submission
+from lupinmill.protocol.http import Answer, Malformed, Request, plain
+from lupinmill.routing.directory import EndpointDirectory
+from lupinmill.routing.request_body import RequestBody
+from lupinmill.routing.request_table import PendingRequest, RequestTable
+from lupinmill.transport.client import Client
+
+MAX_REMOVED_WORKLOADS = 1_000  # removed workloads that are remembered; older ones count as unknown
+
+
+class RequestFactory:
+    def __init__(
+        self,
+        request_table: RequestTable,
+        directory: EndpointDirectory,
+        workloads: set[str],
+        overrides: OperatorOverrides,
+    ) -> None:
+        self.request_table, self.directory, self.workloads, self.overrides = (
+            request_table,
+            directory,
+            workloads,
+            overrides,
+        )
+        self.removed_workloads: dict[str, None] = {}  # removed while this process runs, most recent last
+        self.known_workloads = workloads  # including removed ones
+        # microseconds to advise in Retry-After for requests that never reach the decision module
+        self.retry_after = 0
+
+    def deploy(self, workloads: set[str], retry_after: int) -> None:
+        """Sets the known workloads. Requests for a removed workload are rejected: they were sent nowhere, and
+        the workload may come back."""
+        self.removed_workloads |= dict.fromkeys(sorted(self.workloads - workloads))
+        self.removed_workloads = {name: None for name in self.removed_workloads if name not in workloads}
+        for name in list(self.removed_workloads)[:-MAX_REMOVED_WORKLOADS]:
+            del self.removed_workloads[name]
+        self.workloads, self.known_workloads, self.retry_after = (
+            workloads,
+            workloads | self.removed_workloads.keys(),
+            retry_after,
+        )
+
+    def create(
+        self, request: Request, client: Client, body: RequestBody | None = None, to_come: float = 0.0
+    ) -> PendingRequest | Answer:
+        """Opens a pending request. `to_come`: seconds that the rest of an incomplete body may take."""
+        if (answer := self.readiness(request)) is not None:
+            return answer
+        try:
+            metadata = submission.read(request, self.known_workloads)
+            if self.request_table.is_open(metadata.submission):
+                # The decision module would take both for the same request, and one client would get no
+                # response.
+                raise Malformed(400, "this Req-Id is still open", True)
+        except Malformed as error:
+            return plain(error.status, f"{error}\n")
+        if metadata.workload in self.removed_workloads:
+            return submission.denied(self.retry_after)
+        incomplete = body is not None and not body.complete
+        waited = client.max_elapsed_wait(metadata.left, incomplete)
+        if incomplete and waited >= metadata.left:
+            return submission.denied(self.retry_after)  # the client's whole deadline may have passed
+        # The client may still be writing while the body arrives, and waits for no response yet.
+        due = (
+            self.due(metadata.left, 0, int(to_come * 1_000_000))
+            if incomplete
+            else self.due(metadata.left, waited)
+        )
+        pending = PendingRequest(
+            metadata, request, due, client, self.request_table.engine.clock.now() - waited, body=body
+        )
+        try:
+            self.request_table.add(pending)
+        except Exception:
+            # an entry left in the table would keep the program from ending
+            self.request_table.withdraw(pending)
+            raise
+        return pending
+
+    def readiness(self, request: Request) -> Answer | None:
+        """Returns None if the request is not a readiness check."""
+        if request.target.split(b"?", 1)[0] != submission.READY or request.method not in (b"GET", b"HEAD"):
+            return None
+        return plain(200, "ready\n") if self.is_ready() else plain(503, "not ready\n")
+
+    def due(self, left: int, waited: int, to_come: int = 0) -> int:
+        """Returns the hard limit of a request that was complete `waited` microseconds ago, or may take
+        `to_come` to complete."""
+        engine = self.request_table.engine
+        # Guards against responses after the hard limit while the event loop lags: they are late by the lag
+        # twice, once from the decision module and once on the way to the client.
+        left -= min(2 * engine.lateness, left // 3)
+        now = engine.clock.now()
+        due = now - waited + left + to_come
+        if (latest := self.overrides.latest_hard_limit(now)) is not None:
+            due = min(due, latest)  # nothing may be open when the process is killed or the drain ends
+        return due
+
+    def past_drain_deadline(self) -> bool:
+        """Whether the drain deadline has passed, after which no request may be open."""
+        ends = self.overrides.drain_deadline
+        return ends is not None and self.request_table.engine.clock.now() >= ends
+
+    def is_ready(self) -> bool:
+        return self.overrides.is_ready() and not self.directory.has_no_ready_endpoint()
--- /dev/null
+++ b/lupinmill/routing/request_table.py
@@ -0,0 +1,213 @@
+"""Every open request, its attempts and its one final response."""
+
+from __future__ import annotations
+
+import math
+from dataclasses import dataclass, field, replace
+from typing import Any
+
+import anyio
+
+from lupinmill import terms as t
+from lupinmill.protocol.http import Answer, Request
+from lupinmill.protocol.submission import Asked, broken_off
+from lupinmill.routing.deadline import Deadline
+from lupinmill.routing.engine import Engine
+from lupinmill.routing.request_body import RequestBody
+from lupinmill.routing.response_stream import ResponseStream
+from lupinmill.transport.client import Client
+
+# microseconds; below this, durations differ by event loop and kernel rather than by endpoint
+MIN_DURATION_US = 5_000
+
+
+@dataclass(slots=True)
+class Attempt:
+    endpoint: str
+    number: int
+    started_at: int
+    deadline: Deadline
+    fully_sent: bool = False  # the last byte was sent; from here on it may have run
+    sent_at: int = 0  # when the last byte was sent
+    cancelled: bool = False
+    unread_time: int = 0  # microseconds that its response lay unread
+    end_reported: bool = False  # the decision module knows its end, because a large response had begun
+    in_flight: bool = True
+
+
+@dataclass(slots=True)
+class PendingRequest:
+    """One request from its arrival until its last attempt has ended."""
+
+    metadata: Asked
+    request: Request
+    due: int
+    client: Client
+    received_at: int  # when its last byte arrived, as far as the kernel tells
+    # no attempt starts later; None while the body arrives, or if `due` covers it
+    latest_start: int | None = None
+    settled: bool = False
+    answer: Answer | None = None  # stays None if the client has disconnected
+    client_wait: anyio.CancelScope | None = None  # scope of its client's task, until the request is settled
+    attempts: list[Attempt] = field(default_factory=list)
+    body: RequestBody | None = None  # over 64 KiB: what is buffered of it or still arriving
+    stream: ResponseStream | None = None  # of a large response, which the client's task reads
+
+
+class RequestTable:
+    """Owns the open requests. `remove_if_finished` is the only place where they are removed."""
+
+    def __init__(self, engine: Engine) -> None:
+        self.engine = engine
+        self.pending_requests: dict[str, PendingRequest] = {}
+        self.repeats = 0  # attempts beyond a request's first, so far
+        self.open_in_predecessor: set[str] = set()  # ids that are open in the process before this one
+        self.unattempted = 0  # open requests for which the decision module has started no attempt yet
+        engine.failure_listeners.append(self.on_module_failure)
+
+    def add(self, pending: PendingRequest) -> None:
+        metadata = pending.metadata
+        self.pending_requests[metadata.submission] = pending
+        self.unattempted += 1
+        whole = pending.body is None or pending.body.complete
+        name, repeated = metadata.submission, metadata.repeated
+        self.engine.handle_event(
+            t.RequestArrived(
+                name,
+                metadata.workload,
+                pending.due,
+                metadata.tenant,
+                repeated,
+                whole,
+                metadata.key,
+                metadata.keyed,
+            )
+        )
+
+    def body_received(self, pending: PendingRequest, due: int, latest_start: int) -> None:
+        """The last byte of the body has arrived, and the hard limit is known from here on."""
+        pending.due, pending.latest_start = due, latest_start
+        now, clock = self.engine.clock.now(), anyio.current_time()
+        for attempt in pending.attempts:
+            if attempt.in_flight:
+                attempt.deadline.reschedule(clock + (due - now) / 1_000_000)
+        self.engine.handle_event(t.RequestBodyReceived(pending.metadata.submission, due))
+
+    def start_response_stream(
+        self,
+        pending: PendingRequest,
+        attempt: Attempt,
+        answer: Answer,
+        stream: ResponseStream,
+        load: t.LoadReport | None,
+    ) -> None:
+        """A large response is passed on as it arrives; from here on no deadline of this sidecar ends it."""
+        attempt.deadline.reschedule(math.inf)
+        pending.stream = stream
+        self.settle(pending, answer)
+        # For the decision module the attempt is over: the endpoint has done its work, and writing the
+        # response takes no capacity there.
+        self.report_attempt_ended(pending, attempt, t.Outcome.HANDLED, load)
+        attempt.end_reported = True
+
+    def is_open(self, name: str) -> bool:
+        return name in self.pending_requests or name in self.open_in_predecessor
+
+    def in_flight_by_endpoint(self) -> dict[str, int]:
+        """Attempts in flight whose request was sent in full, by endpoint."""
+        counts: dict[str, int] = {}
+        for pending in self.pending_requests.values():
+            for attempt in pending.attempts:
+                if attempt.in_flight and attempt.fully_sent and not attempt.end_reported:
+                    counts[attempt.endpoint] = counts.get(attempt.endpoint, 0) + 1
+        return counts
+
+    def settle(self, pending: PendingRequest, answer: Answer | None) -> bool:
+        """Sets the final response. Only the first one counts; later ones are dropped."""
+        if pending.settled:
+            return False
+        pending.answer, pending.settled = answer, True
+        if pending.client_wait is not None:
+            pending.client_wait.cancel()
+        if pending.body is not None and not pending.body.complete:
+            pending.body.drop()  # no more of it is read, so an attempt would wait for the rest forever
+        self.remove_if_finished(pending)
+        return True
+
+    def withdraw(self, pending: PendingRequest) -> None:
+        """Settles a request whose client has disconnected, or whose response came from no decision."""
+        if self.settle(pending, None):
+            self.engine.handle_event(t.RequestCancelled(pending.metadata.submission))
+
+    def on_module_failure(self, event: Any) -> None:
+        """The decision module failed on this event and may never decide on its request. If no attempt is in
+        flight that may still bring a response, the request gets its final one now."""
+        about = getattr(event, "request", "")  # the request's id; in the module's internal events its state
+        pending = self.pending_requests.get(getattr(about, "name", about))
+        if pending is not None and not any(attempt.in_flight for attempt in pending.attempts):
+            self.abort_after_module_failure(pending)
+        if isinstance(event, t.AttemptEnded) and event.outcome is not t.Outcome.CALLED_OFF:
+            # Sent again with an outcome that says nothing about the endpoint; otherwise its place there would
+            # never be freed.
+            self.engine.handle_event(replace(event, outcome=t.Outcome.CALLED_OFF, load=None))
+
+    def abort_after_module_failure(self, pending: PendingRequest) -> None:
+        """Gives a final response that comes from no decision."""
+        if self.settle(pending, broken_off()):
+            self.engine.log("backstop", submission=pending.metadata.submission)
+            self.engine.handle_event(t.RequestCancelled(pending.metadata.submission))
+
+    def attempt_ended(
+        self,
+        pending: PendingRequest,
+        attempt: Attempt,
+        outcome: t.Outcome,
+        answer: Answer | None,
+        load: t.LoadReport | None,
+    ) -> None:
+        if not attempt.in_flight:
+            return
+        attempt.in_flight = False
+        try:
+            if answer is not None:
+                self.settle(pending, answer)
+            if not attempt.end_reported:
+                attempt.end_reported = True
+                self.report_attempt_ended(pending, attempt, outcome, load)
+        finally:
+            self.remove_if_finished(pending)
+
+    def report_attempt_ended(
+        self, pending: PendingRequest, attempt: Attempt, outcome: t.Outcome, load: t.LoadReport | None
+    ) -> None:
+        # Counted from the last byte sent: before that, event loop and connection took the time.
+        began = attempt.sent_at or attempt.started_at
+        name, took = pending.metadata.submission, self.engine.clock.now() - began - attempt.unread_time
+        took = max(took, MIN_DURATION_US)
+        last = pending.body is not None and not (pending.body.can_restart() and self.time_left(pending) > 0)
+        self.engine.handle_event(
+            t.AttemptEnded(name, attempt.number, outcome, took, pending.settled, load, last)
+        )
+
+    def time_left(self, pending: PendingRequest) -> int:
+        """Microseconds that the client still waits, at least: the deadline that an attempt starting now is
+        given."""
+        now = self.engine.clock.now()
+        left = pending.due - now
+        if pending.latest_start is not None:
+            left = min(left, pending.latest_start - now)
+        elif pending.body is not None and not pending.body.complete:
+            left = min(
+                left, pending.metadata.left - pending.client.max_elapsed_wait(pending.metadata.left, True)
+            )
+        return left
+
+    def remove_if_finished(self, pending: PendingRequest) -> None:
+        if pending.settled and not any(attempt.in_flight for attempt in pending.attempts):
+            if (
+                self.pending_requests.pop(pending.metadata.submission, None) is not None
+                and not pending.attempts
+            ):
+                self.unattempted -= 1
+            if pending.body is not None:
+                pending.body.drop()
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -128,7 +128,7 @@
         await many("a")
         assert found("a")
         assert await admin_status(net, "PUT", "/admin/cordon?member=e0") == 200
-        assert not net.program.pool.idle.get("e0")
+        assert not net.program.connection_pool.idle.get("e0")
         row, update = net.discovery.rows[0], net.program.directory.update
         for fields in (
             {},
@@ -153,14 +153,14 @@
 
 def test_a_launch_that_connects_while_its_endpoint_is_taken_out_sends_no_byte():
     async def check(net):
-        whole = net.program.pool.open
+        whole = net.program.connection_pool.open
 
         async def slow(address):
             connection = await whole(address)
             assert await admin_status(net, "PUT", "/admin/cordon?member=e0") == 200
             return connection
 
-        net.program.pool.open = slow
+        net.program.connection_pool.open = slow
         assert (await net.ask(wanted("s1", "issue", "0.3"))).status == 503
 
     net = on_network(check, fine, operator=True)
@@ -174,7 +174,7 @@
     bed.step(t.OperatorOverride("e0", True))
     for _ in range(30):
         bed.arrive(bed.workloads["view"])
-        for name in list(bed.owed):
+        for name in list(bed.unanswered):
             for launch in bed.out(name):
                 bed.end(name, launch, t.Outcome.HANDLED, after=2_000)
     bed.sidecar.step(bed.now, [t.ListReceived(t.ListKind.FULL, [listing(0), listing(1)])])
@@ -187,7 +187,7 @@
     for _ in range(300):
         name = bed.arrive(bed.workloads["view"])
         bed.end(name, 0, t.Outcome.HANDLED, after=5_000)
-    sent = [f["endpoint"] for flights in bed.flights.values() for f in flights]
+    sent = [f["endpoint"] for flights in bed.attempts.values() for f in flights]
     assert "e0" not in sent[:40] and 0 < sent[-300:].count("e0") < 150
 
 
@@ -195,7 +195,7 @@
     bed = Bed(deployment(), 3)
     for _ in range(2):
         name = bed.arrive(bed.workloads["view"])
-        at = bed.flights[name][0]["endpoint"]
+        at = bed.attempts[name][0]["endpoint"]
         bed.end(name, 0, t.Outcome.UNCONNECTED)
     bed.step(t.OperatorOverride(at, True))
     bed.state[at] = t.EndpointStatus.DRAINING
@@ -324,9 +324,9 @@
 
 
 def client_side():
-    from lupinmill.transport.descriptors import Side
+    from lupinmill.transport.descriptors import ConnectionKind
 
-    return Side.CLIENT
+    return ConnectionKind.CLIENT
 
 
 def test_what_a_drain_takes_in_late_is_answered_before_its_end(monkeypatch):
--- a/tests/test_clients_answers.py
+++ b/tests/test_clients_answers.py
@@ -1,5 +1,5 @@
-"""Whatever ends the work on a request that was read, its client gets one answer, and what trickles past its
-time is told so; moments forced by stand-ins and barriers."""
+"""However the work on a request ends that was read, its client gets one response, also if it times out. The
+moments are forced by stand-ins and barriers."""
 
 import signal
 import socket
@@ -10,15 +10,15 @@
 import orjson
 import pytest
 from bed import Net, on_network, wanted
-from test_crossings import PATIENT, Unhurried, Unlisted, arrived, connect, list_all
+from test_crossings import PATIENT, LongLimitsNet, UnlistedNet, connect, list_all, request_arrived
 from test_sidecar import always, fine, seen, start, until
 
 from lupinmill import terms as t
 from lupinmill.protocol import submission
 from lupinmill.protocol.http import Answer, ClientSide, Request, ServerSide
-from lupinmill.routing import take_in
-from lupinmill.transport.client import AHEAD, Client
-from lupinmill.transport.descriptors import Side
+from lupinmill.routing import client_handler
+from lupinmill.transport.client import MAX_PIPELINED_BYTES, Client
+from lupinmill.transport.descriptors import ConnectionKind
 
 ENDED = (anyio.EndOfStream, anyio.BrokenResourceError)
 
@@ -28,7 +28,7 @@
 
 
 async def statuses(stream, most: int = 100) -> list[int]:
-    """Of all answers on this connection up to its end, or so many."""
+    """Statuses of all responses on this connection up to its end, or of the first `count`."""
     got, data, over = [], b"", False
     while len(got) < most:
         side = ClientSide()
@@ -54,11 +54,11 @@
     return net.program.descriptors.close_idle_client.__self__
 
 
-# --- defects --------------------------------------------------------------------------------------------
+# --- unexpected exceptions ------------------------------------------------------------------------------
 
 
 class OwnSide(ServerSide):
-    """The program's, not the stand-ins'."""
+    """Used by the program, not by the stand-ins."""
 
 
 def lost_protocol(*_, **__):
@@ -75,15 +75,15 @@
         (submission, "read", defective),
         (OwnSide, "answer", lost_protocol),
         (OwnSide, "goes_on", defective),
-        (Client, "gone", broken_watch),
-        (Client, "waited_for", defective),
-        (take_in.TakeIn, "closes", defective),
+        (Client, "wait_disconnected", broken_watch),
+        (Client, "max_elapsed_wait", defective),
+        (client_handler.ClientHandler, "must_close", defective),
     ],
 )
 def test_a_defect_behind_a_requests_last_byte_costs_no_answer(place, name, what, monkeypatch):
-    """Seen failing as a connection closed with no answer. The defect is logged and counted."""
+    """Guards against a connection closed with no response. The exception is logged and counted."""
 
-    monkeypatch.setattr(take_in, "ServerSide", OwnSide)
+    monkeypatch.setattr(client_handler, "ServerSide", OwnSide)
 
     async def check(net: Net):
         with monkeypatch.context() as defect:
@@ -93,7 +93,7 @@
                 with anyio.fail_after(5):
                     got = await statuses(stream, 1)
         assert got == [200] if name == "goes_on" else got in ([502], [500])
-        assert net.program.take_in.defects == (what is not broken_watch)
+        assert net.program.client_handler.internal_errors == (what is not broken_watch)
         assert (await net.ask(wanted("s2"))).status == 200
 
     net = on_network(check, fine)
@@ -102,9 +102,10 @@
 
 @pytest.mark.parametrize("version", [b"1.1", b"1.0"])
 def test_a_large_answer_that_can_not_be_begun_is_told_as_failed(version, monkeypatch):
-    """One that is passed on as it comes. Seen failing as a connection closed, or reset, with no answer."""
+    """A response that is passed on as it arrives. Guards against a connection closed, or reset, with no
+    response."""
     monkeypatch.setattr(OwnSide, "begin", lost_protocol, raising=False)
-    monkeypatch.setattr(take_in, "ServerSide", OwnSide)
+    monkeypatch.setattr(client_handler, "ServerSide", OwnSide)
 
     async def check(net: Net):
         async with await connect(net) as stream:
@@ -117,21 +118,21 @@
 
 
 def test_a_request_that_the_module_could_not_be_told_of_leaves_nothing_open():
-    """Seen failing with a journey that stayed in the book: its id refused for good, and a program that could
+    """Guards against a request that stayed in the table: its id was refused for good, and the program could
     not end."""
 
     async def check(net: Net):
-        tell = net.program.engine.tell
+        tell = net.program.engine.handle_event
 
         def broken(event):
             if isinstance(event, t.RequestArrived) and event.request == "s1":
                 raise RuntimeError("a defect")
             tell(event)
 
-        net.program.engine.tell = broken
+        net.program.engine.handle_event = broken
         assert (await net.ask(wanted("s1"))).status == 502
-        assert not net.program.book.journeys and net.program.book.unlaunched == 0
-        net.program.engine.tell = tell
+        assert not net.program.request_table.pending_requests and net.program.request_table.unattempted == 0
+        net.program.engine.handle_event = tell
         assert (await net.ask(wanted("s1"))).status == 200
 
     assert failed(on_network(check, fine)) == ["client"]
@@ -158,12 +159,13 @@
 
 
 def test_a_body_that_no_attempt_takes_and_no_decision_ends_is_answered_in_its_time(monkeypatch):
-    """The module fails at its coming, the shelf has no room. Seen failing as a wait with no end."""
-    monkeypatch.setattr(take_in, "WHOLE", 0.1)
+    """The decision module fails when the request arrives, and the memory budget is exhausted. Guards against
+    a wait without end."""
+    monkeypatch.setattr(client_handler, "REQUEST_TIMEOUT_S", 0.1)
 
     async def check(net: Net):
         net.program.engine.sidecar.dispatcher.handlers[t.RequestArrived] = defective
-        net.program.shelf.limit = 0
+        net.program.body_memory.limit = 0
         async with await connect(net) as stream:
             await stream.send(wanted("s1", deadline="0.3", body=b"x" * 200_000)[:-1000])
             with anyio.fail_after(15):
@@ -173,7 +175,7 @@
     assert not seen(net, "s1")
 
 
-# --- what does not come whole in its time ---------------------------------------------------------------
+# --- requests that are not complete in time -------------------------------------------------------------
 
 LARGE = wanted("s1", body=b"x" * 1_500_000)
 
@@ -191,9 +193,9 @@
 )
 @pytest.mark.parametrize("before", [0, 1])
 def test_a_request_that_trickles_past_its_time_is_told_so(first, before, monkeypatch):
-    """Seen failing as a connection closed with no answer."""
-    monkeypatch.setattr(take_in, "WHOLE", 0.3)
-    monkeypatch.setattr(take_in, "PACE", 10_000_000)
+    """Guards against a connection closed with no response."""
+    monkeypatch.setattr(client_handler, "REQUEST_TIMEOUT_S", 0.3)
+    monkeypatch.setattr(client_handler, "MIN_UPLOAD_RATE", 10_000_000)
 
     async def check(net: Net):
         async with await connect(net) as stream:
@@ -203,16 +205,16 @@
             await stream.send(first)
             with anyio.fail_after(10):
                 assert await statuses(stream) == [408]
-        await until(lambda: net.program.descriptors.open[Side.CLIENT] == 0)
+        await until(lambda: net.program.descriptors.open[ConnectionKind.CLIENT] == 0)
 
     net = on_network(check, fine, workloads=PATIENT)
     assert not seen(net, "s1") and not failed(net)
 
 
 def test_a_request_whose_rest_lies_unread_when_its_time_is_over_is_served(monkeypatch):
-    """It is the loop that was late. Seen failing as a connection closed with no answer."""
+    """The event loop was late, not the client. Guards against a connection closed with no response."""
     began = anyio.Event()
-    whole_send = take_in.TakeIn.more
+    whole_send = client_handler.ClientHandler.read_more
 
     async def check(net: Net):
         async with await connect(net) as stream:
@@ -223,11 +225,11 @@
                     began.set()
                     await stream.send(whole[100:])
                     await until(client.has_unread)
-                    monkeypatch.setattr(take_in, "WHOLE", -1.0)
+                    monkeypatch.setattr(client_handler, "REQUEST_TIMEOUT_S", -1.0)
                 return await whole_send(self, client, *rest)
 
-            monkeypatch.setattr(take_in.TakeIn, "more", more)
-            monkeypatch.setattr(take_in, "WHOLE", 0.0)
+            monkeypatch.setattr(client_handler.ClientHandler, "read_more", more)
+            monkeypatch.setattr(client_handler, "REQUEST_TIMEOUT_S", 0.0)
             await stream.send(whole[:100])
             assert await statuses(stream, 1) == [200]
 
@@ -236,9 +238,9 @@
 
 @pytest.mark.parametrize("size", [0, 60_000_000])
 def test_an_answer_behind_one_to_head_has_its_body(size, monkeypatch):
-    """Of a request that is refused by its head, or never had one whole. Seen failing with no
-    answer: it went by the method of the request before."""
-    monkeypatch.setattr(take_in, "WHOLE", 0.3)
+    """A request that is refused by its head, or never had a complete one. Guards against no response, because
+    the method of the request before was used."""
+    monkeypatch.setattr(client_handler, "REQUEST_TIMEOUT_S", 0.3)
 
     async def check(net: Net):
         async with await connect(net) as stream:
@@ -255,7 +257,8 @@
 
 
 def test_a_deadline_with_a_body_to_come_ends_with_the_drain():
-    """Nothing may be open then. Seen failing as a deadline beyond it, by the time for the body."""
+    """Nothing may be open after the kill time. Guards against a deadline beyond it, by the time allowed for
+    the body."""
 
     async def check(net: Net):
         program = net.program
@@ -263,17 +266,17 @@
         program.overrides.begin_shutdown(now, now + 3_000_000, now + 3_500_000)
         async with await connect(net) as stream:
             await stream.send(wanted("s1", deadline="8", body=b"x" * 3_000_000)[:2_000_000])
-            await arrived(net, "s1")
-            assert program.book.journeys["s1"].due <= now + 3_500_000
+            await request_arrived(net, "s1")
+            assert program.request_table.pending_requests["s1"].due <= now + 3_500_000
 
-    on_network(check, fine, net_of=Unhurried)
+    on_network(check, fine, net_of=LongLimitsNet)
 
 
-# --- connections that there is no place for -------------------------------------------------------------
+# --- connections for which no descriptor is free --------------------------------------------------------
 
 
 async def in_the_queue(net: Net, data: bytes, then) -> None:
-    """Nothing is accepted until the data lies in the kernel; no place is free."""
+    """Nothing is accepted until the data lies in the kernel; no descriptor is free."""
     listener = listener_of(net)
     net.program.descriptors.client_limit = 0
     accept_all, go_on = listener.accept_all, anyio.Event()
@@ -292,8 +295,8 @@
 
 
 def test_a_request_that_lies_whole_is_denied_however_late_the_loop_looks(monkeypatch):
-    """Seen failing as a connection closed with no answer: its time was over before it was looked at."""
-    monkeypatch.setattr(take_in, "CROWDED_OUT", 0.0)
+    """Guards against a connection closed with no response: its time was over before it was read."""
+    monkeypatch.setattr(client_handler, "TURN_AWAY_TIMEOUT_S", 0.0)
 
     async def check(net: Net):
         async def then(stream):
@@ -306,7 +309,7 @@
 
 @pytest.mark.parametrize("size", [0, 100_000, 3_000_000])
 def test_each_of_several_requests_that_were_read_is_denied(size):
-    """Seen failing with one answer for three requests, and 413 for a body that would be served else."""
+    """Guards against one response for three requests, and 413 for a body that would be served otherwise."""
 
     async def check(net: Net):
         async def then(stream):
@@ -321,7 +324,7 @@
 
 
 def test_half_a_request_that_there_is_no_place_for_is_told_that_its_time_is_over(monkeypatch):
-    monkeypatch.setattr(take_in, "CROWDED_OUT", 0.1)
+    monkeypatch.setattr(client_handler, "TURN_AWAY_TIMEOUT_S", 0.1)
 
     async def check(net: Net):
         async def then(stream):
@@ -332,46 +335,46 @@
     on_network(check, fine)
 
 
-# --- what was read behind another request ---------------------------------------------------------------
+# --- pipelined requests ---------------------------------------------------------------------------------
 
 
 def test_requests_read_behind_one_are_answered_before_the_connection_closes():
-    """Connections are to be closed. Seen failing with one answer for three requests."""
+    """Connections are to be closed. Guards against one response for three requests."""
 
     async def check(net: Net):
         async with await connect(net) as stream:
             await stream.send(wanted("s1", deadline="8") + wanted("s2", deadline="8"))
-            await arrived(net, "s1")
-            (journey,) = net.program.book.journeys.values()
+            await request_arrived(net, "s1")
+            (pending,) = net.program.request_table.pending_requests.values()
             await stream.send(wanted("s3", deadline="8"))
-            await until(lambda: journey.client.ahead)
-            net.program.take_in.closing = lambda: True
+            await until(lambda: pending.client.pipelined)
+            net.program.client_handler.closing = lambda: True
             list_all(net)
             with anyio.fail_after(10):
                 assert await statuses(stream) == [200, 200, 200]
 
-    on_network(check, fine, net_of=Unlisted)
+    on_network(check, fine, net_of=UnlistedNet)
 
 
 def test_a_client_that_always_sends_ahead_does_not_hold_up_the_end_of_the_program():
     async def check(net: Net):
         async with await connect(net) as stream:
             await stream.send(wanted("s1", deadline="8") + wanted("s2", deadline="8"))
-            await arrived(net, "s1")
-            net.program.take_in.closing = lambda: True
+            await request_arrived(net, "s1")
+            net.program.client_handler.closing = lambda: True
             net.program.overrides.drain_deadline = net.program.engine.clock.now()
             list_all(net)
             with anyio.fail_after(10):
                 assert await statuses(stream) == [200]
 
-    net = on_network(check, fine, net_of=Unlisted)
+    net = on_network(check, fine, net_of=UnlistedNet)
     assert not seen(net, "s2")
 
 
 @pytest.mark.parametrize("hold", [0.0, 0.1])
 def test_at_sigterm_each_of_two_requests_that_came_in_one_piece_is_answered(tmp_path, hold):
-    """A process of the program, clients that send two at once up to the end of each connection. Seen failing
-    with one answer for two requests that were read together."""
+    """A whole program, and clients that send two requests at once until each connection ends. Guards against
+    one response for two requests that were read together."""
     net = Net([always(Answer(200, [], b"done"), hold)])
     told, halves, served = [], [], []
 
@@ -419,28 +422,29 @@
 
 
 def test_of_what_came_ahead_the_kept_requests_are_answered_and_no_other_is_begun():
-    """More came than is kept. Seen failing with one answer for what was read whole as well."""
+    """More was pipelined than is kept. Guards against one response, although another request was read in
+    full."""
 
     async def check(net: Net):
         async with await connect(net) as stream:
             await stream.send(wanted("s1", deadline="8"))
-            await arrived(net, "s1")
-            (journey,) = net.program.book.journeys.values()
+            await request_arrived(net, "s1")
+            (pending,) = net.program.request_table.pending_requests.values()
             await stream.send(wanted("s2", deadline="8") + wanted("s3", deadline="8", body=b"x" * 1000))
-            await until(lambda: journey.client.ahead)
-            await stream.send(wanted("s4", deadline="8", body=b"x" * (4 * AHEAD)))
-            await until(lambda: journey.client.overrun)
+            await until(lambda: pending.client.pipelined)
+            await stream.send(wanted("s4", deadline="8", body=b"x" * (4 * MAX_PIPELINED_BYTES)))
+            await until(lambda: pending.client.pipelined_dropped)
             list_all(net)
             with anyio.fail_after(10):
                 assert await statuses(stream) == [200, 200, 200]
 
-    net = on_network(check, fine, net_of=Unlisted)
+    net = on_network(check, fine, net_of=UnlistedNet)
     assert seen(net, "s2") and seen(net, "s3") and not seen(net, "s4")
 
 
 def test_an_answer_outlives_bytes_that_lie_unread_when_the_connection_is_closed(monkeypatch):
-    """A close over unread bytes is a reset, which takes an answer with it that its client hasn't read. Seen
-    failing for an answer to a defect and for one behind dropped bytes."""
+    """Closing with bytes unread is a reset, which loses a response that the client has not read. Guards the
+    response after an exception and the one behind dropped bytes."""
 
     async def check(net: Net):
         with socket.create_connection(net.address.rsplit(":", 1)) as sock:
@@ -450,17 +454,18 @@
                 sock.send(
                     wanted("s1") + b"POST /view HTTP/1.1\r\nContent-Length: 30000\r\n\r\n" + b"x" * 20_000
                 )
-                await until(lambda: net.program.take_in.defects)
+                await until(lambda: net.program.client_handler.internal_errors)
                 sock.send(b"x" * 10_000)
                 sock.shutdown(socket.SHUT_WR)
-                await until(lambda: net.program.descriptors.open[Side.CLIENT] == 0)
+                await until(lambda: net.program.descriptors.open[ConnectionKind.CLIENT] == 0)
             assert sock.recv(4096).startswith(b"HTTP/1.1 502 ")
 
     on_network(check, fine)
 
 
 def test_a_connection_that_could_not_be_passed_on_is_served_while_something_lies_unread():
-    """The next process's link is full. Seen failing as a connection closed over what its client had sent."""
+    """The link to the next process is full. Guards against a connection closed over what its client had
+    sent."""
 
     async def check(net: Net):
         listener = listener_of(net)
@@ -468,12 +473,12 @@
             await stream.send(wanted("s1"))
             assert await statuses(stream, 1) == [200]
             await until(lambda: listener.idle)
-            net.program.take_in.pass_on = lambda client: False
-            listener.passing = True
+            net.program.client_handler.hand_over_client = lambda client: False
+            listener.handing_over = True
             await stream.send(wanted("s2"))
-            listener.dismiss_all()
+            listener.close_all_idle()
             with anyio.fail_after(5):
                 assert await statuses(stream, 1) == [200]
-        listener.passing = False
+        listener.handing_over = False
 
-    on_network(check, fine, net_of=Unhurried)
+    on_network(check, fine, net_of=LongLimitsNet)
--- a/tests/test_clients_door.py
+++ b/tests/test_clients_door.py
@@ -1,5 +1,5 @@
-"""The door while it judges: defects, ends and cancels there cost one request at most, every request that was
-read gets one answer, and the gate's count stays exact."""
+"""Admission control while it evaluates requests: exceptions, disconnects and cancellations there cost one
+request at most, every request that was read gets one response, and the gate's count stays exact."""
 
 import random
 import time
@@ -7,16 +7,16 @@
 import anyio
 import pytest
 from bed import Net, deployment, on_network, wanted
-from test_crossings import arrived, connect
+from test_crossings import connect, request_arrived
 from test_sidecar import fine, seen, until
 
 from lupinmill import terms as t
 from lupinmill.limits.gate import AdmissionGate
 from lupinmill.protocol import quick
-from lupinmill.routing.book import Book
-from lupinmill.routing.door import Door
+from lupinmill.routing.request_table import RequestTable
+from lupinmill.routing.admission import AdmissionController
 from lupinmill.routing.engine import Clock, Engine
-from lupinmill.transport.descriptors import Side
+from lupinmill.transport.descriptors import ConnectionKind
 
 
 def defective(*_):
@@ -24,8 +24,8 @@
 
 
 def hold_all(net: Net):
-    """A door behind which every request waits, and that is released by hand alone."""
-    gate = net.program.door.gate
+    """Holds every request, and releases only when the test says so."""
+    gate = net.program.admission.gate
     gate.active, gate.window = True, 0.0
     gate.is_in_time, gate.record_lateness = (lambda *_: True), (lambda *_: None)
     release, gate.release = gate.release, lambda now: []
@@ -38,10 +38,11 @@
 
 @pytest.mark.parametrize("judged_by", ["the loop's call", "the client's task"])
 def test_a_defect_in_judging_costs_nobody_the_answer(judged_by):
-    """Seen failing with no answer: bytes were read in the loop's call, which raised, and nobody was woken."""
+    """Guards against no response: bytes were read in the event loop's callback, which raised, and no task was
+    woken."""
 
     async def check(net: Net):
-        gate = net.program.door.gate
+        gate = net.program.admission.gate
         gate.record_lateness = lambda *_: None
         gate.active = judged_by == "the loop's call"
         async with await connect(net) as stream:
@@ -60,17 +61,17 @@
 
 @pytest.mark.parametrize("part", ["finished", "release"])
 def test_a_defect_at_the_end_of_a_request_ends_no_program(part):
-    """`leave` is called last of all in a client's task: what it raised ended the program's task group."""
+    """`leave` is the last call of a client's task: an exception from it ended the program's task group."""
 
     async def check(net: Net):
-        gate = net.program.door.gate
+        gate = net.program.admission.gate
         gate.record_lateness = lambda *_: None
         if part == "release":
-            gate.held = 1  # somebody waits, so that a release is due
+            gate.held = 1  # a request is held, so that a release is due
         whole = getattr(gate, part)
         async with await connect(net) as stream:
             await stream.send(wanted("s1"))
-            await arrived(net, "s1")
+            await request_arrived(net, "s1")
             setattr(gate, part, defective)
         await until(lambda: failed(net))
         setattr(gate, part, whole)
@@ -88,7 +89,7 @@
 
 
 def test_a_request_whose_turn_is_never_called_is_denied_in_its_time():
-    """A backstop as behind the module. Seen failing as a client that waited for ever."""
+    """A backstop like that behind the decision module. Guards against a client that waits for ever."""
 
     async def check(net: Net):
         gate, _ = hold_all(net)
@@ -102,10 +103,10 @@
 
 
 def test_a_denial_that_was_written_in_part_is_followed_by_nothing(monkeypatch):
-    """A client that takes no answers. Seen failing as a request served behind a part of its denial."""
+    """A client that does not read. Guards against a request served behind a part of its rejection."""
 
     async def check(net: Net):
-        gate = net.program.door.gate
+        gate = net.program.admission.gate
         async with await connect(net) as stream:
             listener = net.program.descriptors.close_idle_client.__self__
             await until(lambda: listener.idle)
@@ -126,7 +127,7 @@
 
 
 def test_a_request_that_is_held_when_the_program_ends_gets_an_answer():
-    """Seen failing as a connection that ended with no answer."""
+    """Guards against a connection that ended with no response."""
     held = []
 
     async def check(net: Net):
@@ -147,11 +148,11 @@
 
 
 def test_the_time_that_a_request_waited_for_the_loop_counts_at_the_door():
-    """By what it has left its turn is judged. Seen failing as an offer with all of the time told."""
+    """Its turn depends on the time it has left. Guards against an offer with the whole deadline."""
     offers = []
 
     async def check(net: Net):
-        gate = net.program.door.gate
+        gate = net.program.admission.gate
         gate.record_lateness = lambda *_: None
         offer = gate.admit
         gate.admit = lambda now, one: (offers.append(one), offer(now, one))[1]
@@ -160,7 +161,7 @@
             listener = net.program.descriptors.close_idle_client.__self__
             await until(lambda: listener.idle)
             await stream.send(wanted("s1", deadline="8"))
-            time.sleep(0.2)  # the loop lags
+            time.sleep(0.2)  # the event loop lags
             assert (await stream.receive()).startswith(b"HTTP/1.1 200")
         gate.active = False
 
@@ -169,78 +170,80 @@
     assert offer.time_left <= 7_800_000
 
 
-# --- the gate's count, whatever order things come in ------------------------------------------------------
+# --- the gate's count, in whatever order things happen ----------------------------------------------------
 
 
-class StandIn:
-    """What the door needs of a client."""
+class FakeClient:
+    """What admission control needs of a client."""
 
-    def __init__(self, chance: random.Random) -> None:
-        self.chance, self.sock = chance, self
-        self.inside = self.asked = self.broken = self.left = self.owed = False
-        self.offer = None
+    def __init__(self, random_source: random.Random) -> None:
+        self.random_source, self.sock = random_source, self
+        self.admitted = self.has_requested = self.unwritable = self.disconnected = self.response_due = False
+        self.waiter = None
         self.end = anyio.Event()
 
     def send(self, data: bytes) -> int:
-        if self.chance.random() < 0.1:
+        if self.random_source.random() < 0.1:
             raise ConnectionResetError
-        return len(data) - (self.chance.random() < 0.1)
+        return len(data) - (self.random_source.random() < 0.1)
 
-    def waited_for(self, left: int) -> int:
+    def max_elapsed_wait(self, left: int) -> int:
         return 0
 
-    def look(self) -> bool:
-        self.left = self.left or self.end.is_set()
-        return self.left
+    def check_disconnected(self) -> bool:
+        self.disconnected = self.disconnected or self.end.is_set()
+        return self.disconnected
 
-    async def gone(self) -> None:
+    async def wait_disconnected(self) -> None:
         await self.end.wait()
 
 
 @pytest.mark.parametrize("seed", range(12))
 def test_drawn_cancels_ends_and_defects_leave_the_gates_count_exact(seed):
-    chance = random.Random(seed)
+    random_source = random.Random(seed)
     d = deployment()
 
     async def main() -> AdmissionGate:
         gate = AdmissionGate(d)
         engine = Engine(d, Clock(), lambda *_, **__: None)
-        door = Door(gate, Book(engine), lambda *_, **__: None)
+        admission = AdmissionController(gate, RequestTable(engine), lambda *_, **__: None)
         gate.record_lateness = lambda *_: None
         gate.active, gate.window, gate.peak_rate = True, 2.0, 1000.0
-        clients: list[StandIn] = []
+        clients: list[FakeClient] = []
 
-        async def serve(client: StandIn) -> None:
+        async def serve(client: FakeClient) -> None:
             try:
-                while chance.random() < 0.8:
+                while random_source.random() < 0.8:
                     data = wanted(
-                        "s", chance.choice(["view", "bid"]), "0.3" if chance.random() < 0.3 else "8"
+                        "s",
+                        random_source.choice(["view", "bid"]),
+                        "0.3" if random_source.random() < 0.3 else "8",
                     )
-                    if not door.judge(client, data):
+                    if not admission.evaluate(client, data):
                         continue
                     await pause()  # its task is woken in a later pass, or is cancelled before
-                    if not await door.wait(client):
-                        if client.broken:
+                    if not await admission.wait_for_turn(client):
+                        if client.unwritable:
                             return
                         continue
-                    door.enter(client)
+                    admission.enter(client)
                     await pause()
-                    if chance.random() < 0.1:
+                    if random_source.random() < 0.1:
                         raise RuntimeError("a defect")
-                    door.leave(client)
+                    admission.leave(client)
             except RuntimeError:
                 pass
             finally:
-                door.leave(client)
+                admission.leave(client)
 
         async def pause() -> None:
-            for _ in range(chance.randrange(4)):
+            for _ in range(random_source.randrange(4)):
                 await anyio.sleep(0)
 
         with anyio.fail_after(20):
             async with anyio.create_task_group() as group:
                 for _ in range(60):
-                    client = StandIn(chance)
+                    client = FakeClient(random_source)
                     clients.append(client)
                     scope = anyio.CancelScope()
 
@@ -250,20 +253,20 @@
 
                     group.start_soon(under)
                     await pause()
-                    draw = chance.random()
+                    draw = random_source.random()
                     if draw < 0.2:
-                        clients[chance.randrange(len(clients))].end.set()
+                        clients[random_source.randrange(len(clients))].end.set()
                     elif draw < 0.4:
                         scope.cancel()
                     elif draw < 0.6:
-                        door.release()
-                    inside = sum(one.inside for one in clients)
+                        admission.release()
+                    inside = sum(one.admitted for one in clients)
                     assert gate.inside == inside and gate.held == sum(
                         line.length for line in gate.queues_by_priority
                     )
                 gate.window = 1000.0
                 for _ in range(50):
-                    door.release()
+                    admission.release()
                     await anyio.sleep(0)
                 for one in clients:
                     one.end.set()
@@ -275,17 +278,17 @@
 
 @pytest.mark.parametrize("end", ["bytes", "close"])
 def test_a_busy_door_leaves_the_others_their_turn_and_sees_to_its_clients_afterwards(end):
-    """Bytes or an end lie unread while it is busy, so that the loop calls in each of its passes."""
+    """Bytes or an end lie unread while it is busy, so that the event loop calls back in each pass."""
 
     async def check(net: Net):
-        door = net.program.door
-        door.gate.record_lateness = lambda *_: None
-        door.gate.active, door.gate.window = True, 10.0
+        admission = net.program.admission
+        admission.gate.record_lateness = lambda *_: None
+        admission.gate.active, admission.gate.window = True, 10.0
         listener = net.program.descriptors.close_idle_client.__self__
         stream = await connect(net)
         await until(lambda: listener.idle)
-        calls, busy = [], door.busy
-        door.busy = lambda: (calls.append(None), True)[1]
+        calls, busy = [], admission.busy
+        admission.busy = lambda: (calls.append(None), True)[1]
         if end == "bytes":
             await stream.send(wanted("s1"))
         else:
@@ -294,14 +297,14 @@
         while len(calls) < 50:
             passes += 1
             await anyio.sleep(0)
-        assert passes >= 25  # one call in a pass of the loop, beside which others ran
+        assert passes >= 25  # one call per pass of the loop, beside which other tasks ran
         assert listener.idle
-        door.busy = busy
+        admission.busy = busy
         if end == "bytes":
             assert (await stream.receive()).startswith(b"HTTP/1.1 200")
             await stream.aclose()
-        await until(lambda: net.program.descriptors.open[Side.CLIENT] == 0)
-        door.gate.active = False
+        await until(lambda: net.program.descriptors.open[ConnectionKind.CLIENT] == 0)
+        admission.gate.active = False
 
     net = on_network(check, fine)
     assert not failed(net)
--- a/tests/test_config_relay.py
+++ b/tests/test_config_relay.py
@@ -23,7 +23,7 @@
 from lupinmill.config.relay_file import RelayFile
 from lupinmill.config.watcher_table import LatencyHistogram
 from lupinmill.protocol.http import Answer, ClientSide, Request
-from lupinmill.transport.ring import Store
+from lupinmill.transport.buffers import BlockPool
 
 # --- whole relays and sources on loopback --------------------------------------------------------
 
@@ -717,7 +717,7 @@
                     seen.append((version, entries))
 
                 follower = Follower("x", (dying,), 5, 20 * SECOND, 1, *first)
-                driver = ConfigWatch(follower, (), Store(), take, lambda *a, **k: None)
+                driver = ConfigWatch(follower, (), BlockPool(), take, lambda *a, **k: None)
                 group.start_soon(driver.run)
                 while cuts:
                     follower.next_call_at = 0  # retries immediately
--- a/tests/test_config_terms.py
+++ b/tests/test_config_terms.py
@@ -13,7 +13,7 @@
 from lupinmill.config.model import Key
 from lupinmill.limits.gate import Verdict, AdmissionGate, AdmissionRequest
 from lupinmill.program import in_force
-from lupinmill.routing.admit import Admit
+from lupinmill.routing.request_factory import RequestFactory
 from lupinmill.rules import Sidecar
 
 FLEET, MINE = Key("fleet", "settings"), Key("sidecar/n1", "settings")
@@ -26,12 +26,12 @@
         self.newest, self.terms = d, {}
         super().__init__(d, endpoints)
 
-    def book(self, event: t.Event) -> None:
+    def record(self, event: t.Event) -> None:
         if isinstance(event, t.DeploymentChanged):
             self.newest = event.deployment
         elif isinstance(event, t.RequestArrived):
             self.terms[event.request] = self.newest
-        super().book(event)
+        super().record(event)
 
     def check(self, command: t.Command) -> None:
         name = getattr(command, "request", None)
@@ -76,10 +76,10 @@
     name = start_waiting_retry(bed, IDEM, t.Outcome.ERROR)
     bed.deploy(workloads=[changed(IDEM, repeat=t.RepeatPolicy.UNREPEATABLE), KEYED, ONCE])
     bed.run(SECOND)
-    assert len(bed.flights[name]) >= 2
+    assert len(bed.attempts[name]) >= 2
     new = bed.arrive(IDEM)
     bed.end(new, 0, t.Outcome.ERROR, after=10_000)
-    assert bed.closed[new] == "broken off" and len(bed.flights[new]) == 1
+    assert bed.closed[new] == "broken off" and len(bed.attempts[new]) == 1
 
 
 def test_what_waits_for_a_retry_while_its_workload_becomes_repeatable_never_runs_twice():
@@ -88,17 +88,17 @@
     name = start_waiting_retry(bed, ONCE, t.Outcome.REFUSED)  # it never ran, so it may be sent again
     bed.deploy(workloads=[IDEM, KEYED, changed(ONCE, repeat=t.RepeatPolicy.IDEMPOTENT)])
     bed.run(SECOND)
-    assert len(bed.flights[name]) == 2
+    assert len(bed.attempts[name]) == 2
     bed.end(
         name, 1, t.Outcome.ERROR, after=10_000
     )  # it may have run, so its own settings forbid another attempt
     assert bed.closed[name] == "broken off"
     bed.run(2 * SECOND)
-    assert len(bed.flights[name]) == 2
+    assert len(bed.attempts[name]) == 2
     new = bed.arrive(changed(ONCE, repeat=t.RepeatPolicy.IDEMPOTENT))
     bed.end(new, 0, t.Outcome.ERROR, after=10_000)
     bed.run(SECOND)
-    assert len(bed.flights[new]) >= 2
+    assert len(bed.attempts[new]) >= 2
 
 
 def test_a_window_and_a_group_stay_those_under_which_a_keyed_one_was_taken():
@@ -107,7 +107,7 @@
     name = start_waiting_retry(bed, KEYED, t.Outcome.RESET)
     bed.deploy(workloads=[IDEM, changed(KEYED, window=1, group=t.DeduplicationScope.ALL), ONCE])
     bed.run(SECOND)
-    assert len(bed.flights[name]) >= 2, "its own window was open"
+    assert len(bed.attempts[name]) >= 2, "its own window was open"
     wide = changed(KEYED, window=60 * SECOND, group=t.DeduplicationScope.ALL)
     bed.deploy(workloads=[IDEM, wide, ONCE])
     bed.run(3 * SECOND)
@@ -122,7 +122,7 @@
     bed.run(SECOND)
     bed.end(name, 1, t.Outcome.ERROR, after=10_000)
     bed.run(SECOND)
-    assert len(bed.flights[name]) == 2 and bed.closed[name] == "denied"
+    assert len(bed.attempts[name]) == 2 and bed.closed[name] == "denied"
     late = bed.arrive(IDEM)  # cancelled at its end under its own settings, not the new ones
     bed.run(3 * SECOND)
     assert bed.closed[late] == "denied"
@@ -295,7 +295,7 @@
         elif what == "arrive":
             bed.arrive(bed.newest.workloads[value % len(bed.newest.workloads)], tenant="xyz"[value % 3])
         elif what == "end":
-            out = [(name, at) for name in bed.flights for at in bed.out(name)]
+            out = [(name, at) for name in bed.attempts for at in bed.out(name)]
             if out:
                 name, at = out[value[0] % len(out)]
                 bed.end(name, at, value[1], after=3_000)
@@ -305,8 +305,8 @@
             state = t.EndpointStatus.READY if value[1] else t.EndpointStatus.DRAINING
             bed.step(t.ListReceived(t.ListKind.CHANGES, [listing(value[0], state)]), after=1)
     bed.run(5 * SECOND)
-    assert not bed.owed, "each is answered once, before its own hard limit"
-    for name in list(bed.flights):
+    assert not bed.unanswered, "each is answered once, before its own hard limit"
+    for name in list(bed.attempts):
         for at in bed.out(name):
             bed.end(name, at, t.Outcome.CALLED_OFF)
     bed.run(SECOND)
@@ -319,7 +319,7 @@
     bed, rng, names = SettingsBed(deployment(workloads=[IDEM])), random.Random(11), iter(range(10**6))
     gate, desk = AdmissionGate(deployment(workloads=[IDEM])), bed.sidecar.dispatcher
     gate.active, gate.window, gate.peak_rate = True, 0.0, 1_000.0
-    admit = Admit(None, None, {"view"}, None)
+    factory = RequestFactory(None, None, {"view"}, None)
     row = in_force.replace(IDEM)
     sizes = []
     for at in range(2_000):
@@ -328,7 +328,7 @@
         d = deployment(workloads=workloads, tenants=tenants, instances=rng.randrange(1, 5))
         bed.step(t.DeploymentChanged(d), after=1_000)
         gate.deploy(d)
-        admit.deploy({w.name for w in workloads}, 0)
+        factory.deploy({w.name for w in workloads}, 0)
         for w in workloads:
             name = bed.arrive(w, tenant=tenants[0].name)
             offer = AdmissionRequest(w.name, w.hard_limit)
@@ -339,18 +339,18 @@
         gate.release(bed.now)
         if at % 500 == 499:
             bed.run(5 * SECOND)
-            for name in list(bed.flights):
+            for name in list(bed.attempts):
                 for number in bed.out(name):
                     bed.end(name, number, t.Outcome.CALLED_OFF)
             bed.step(t.DeploymentChanged(d))
             gate.deploy(d)
-            for book in (bed.flights, bed.terms, bed.closed, bed.answers, bed.logs, bed.wakes, bed.probes):
+            for book in (bed.attempts, bed.terms, bed.closed, bed.answers, bed.logs, bed.wakes, bed.probes):
                 book.clear()
             sizes.append(len(pickle.dumps(bed.sidecar)))
         assert len(desk.queues) <= 5 + len(desk.requests) and len(desk.latency_estimates) <= 5 + len(
             desk.requests
         )
         assert len(desk.arrivals_by_tenant) == 1 and len(gate.queues) <= 5
-        assert len(admit.gone) <= 1_000 and len(admit.known) <= 1_005
+        assert len(factory.removed_workloads) <= 1_000 and len(factory.known_workloads) <= 1_005
     assert not desk.requests and len(desk.queues) == 0
     assert max(sizes[1:]) < 1.2 * sizes[0], sizes
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,6 +1,6 @@
-"""Two events that cross, on real sockets, in the order that was wrong or might be. Each test holds one back
-until the other has happened, by a barrier or a stand-in that stops at a told byte; none waits and hopes.
-The table of them all is docs/crossings.md."""
+"""Races between two events, on real sockets, in the order that was or might be wrong. Each test holds one
+event back until the other has happened, by a barrier or a stand-in that stops at a given byte; none relies on
+sleeping. The table of all races is docs/crossings.md."""
 
 import socket
 from contextlib import AsyncExitStack
@@ -12,10 +12,10 @@
 
 from lupinmill import terms as t
 from lupinmill.protocol.http import Answer
-from lupinmill.routing import take_in
-from lupinmill.transport.descriptors import OWN, Side
+from lupinmill.routing import client_handler
+from lupinmill.transport.descriptors import RESERVED_DESCRIPTORS, ConnectionKind
 from lupinmill.transport.listener import Client
-from lupinmill.transport.pool import REST
+from lupinmill.transport.connection_pool import MIN_IDLE_S
 
 
 async def connect(net: Net) -> anyio.abc.SocketStream:
@@ -23,22 +23,22 @@
     return await anyio.connect_tcp(host, int(port))
 
 
-async def arrived(net: Net, name: str) -> None:
+async def request_arrived(net: Net, name: str) -> None:
     await until(
         lambda: any(isinstance(event, t.RequestArrived) and event.request == name for event in net.events)
     )
 
 
-async def withdrawn(net: Net) -> None:
+async def request_cancelled(net: Net) -> None:
     await until(lambda: any(isinstance(event, t.RequestCancelled) for event in net.events))
 
 
-# What waits in vain is denied at once: only long contracts let it wait.
+# A request that waits in vain is rejected at once: only long contract times let it wait.
 PATIENT = [one | {"contract-time-s": 8.0, "hard-limit-s": 9.0} for one in settings()["workloads"]]
 
 
-class Unlisted(Net):
-    """Of whose endpoints no list tells before `list_all`: until then all is held."""
+class UnlistedNet(Net):
+    """Endpoints that no list names before `list_all`: until then all requests are held."""
 
     def __init__(self, acts, **more) -> None:
         super().__init__(acts, workloads=PATIENT, discovery="push", **more)
@@ -49,50 +49,51 @@
         self.table["known"]["endpoints"] = []
 
 
-class Unhurried(Net):
-    """Whose workloads have long limits."""
+class LongLimitsNet(Net):
+    """Workloads with long hard limits."""
 
     def __init__(self, acts, **more) -> None:
         super().__init__(acts, workloads=PATIENT, **more)
 
 
-def list_all(net: Unlisted) -> None:
+def list_all(net: UnlistedNet) -> None:
     net.discovery.rows = net.rows
     for row in net.rows:
         net.discovery.change(row)
 
 
-async def all_quiet(net: Net) -> None:
-    """Nothing is left in the module either."""
-    desk = net.program.engine.sidecar.dispatcher
-    await until(lambda: not net.program.book.journeys and not desk.requests)
+async def module_is_idle(net: Net) -> None:
+    """Nothing is left in the decision module either."""
+    dispatcher = net.program.engine.sidecar.dispatcher
+    await until(lambda: not net.program.request_table.pending_requests and not dispatcher.requests)
     assert (
-        desk.waiting == 0
-        and desk.in_flight == 0
-        and not any(seat.in_flight for seat in desk.endpoint_states.values())
+        dispatcher.waiting == 0
+        and dispatcher.in_flight == 0
+        and not any(seat.in_flight for seat in dispatcher.endpoint_states.values())
     )
 
 
-# --- a client leaves while its submission waits ---------------------------------------------------------
+# --- a client disconnects while its request waits -------------------------------------------------------
 
 
 @pytest.mark.parametrize("behind", [b"\r\n", b"junk", wanted("s2"), b"x" * 300_000])
 def test_a_client_that_sent_more_and_left_is_noticed_while_its_submission_waits(behind):
-    """Seen failing with no Withdrawn: once bytes had come instead of an end nothing looked for the end."""
+    """Guards against a missing RequestCancelled: once bytes had arrived instead of an end, nothing looked for
+    the end."""
 
     async def check(net: Net):
         async with await connect(net) as stream:
             await stream.send(wanted("s1", deadline="8"))
-            await arrived(net, "s1")
+            await request_arrived(net, "s1")
             await stream.send(behind)
-        await withdrawn(net)
+        await request_cancelled(net)
         assert net.program.engine.sidecar.dispatcher.waiting == 0
         list_all(net)
         await until(lambda: net.program.directory.states)
         assert (await net.ask(wanted("s3"))).status == 200
-        await all_quiet(net)
+        await module_is_idle(net)
 
-    net = on_network(check, fine, net_of=Unlisted)
+    net = on_network(check, fine, net_of=UnlistedNet)
     assert not seen(net, "s1") and not seen(net, "s2") and seen(net, "s3")
 
 
@@ -100,10 +101,10 @@
     async def check(net: Net):
         async with await connect(net) as stream:
             await stream.send(wanted("s1", deadline="8"))
-            await arrived(net, "s1")
+            await request_arrived(net, "s1")
             second = wanted("s2", body=b"x" * 30_000)
             await stream.send(second[:20_000])
-            await until(lambda: any(client.ahead for client in clients(net)))
+            await until(lambda: any(client.pipelined for client in clients(net)))
             list_all(net)
             got = await stream.receive()
             assert got.startswith(b"HTTP/1.1 200") and got.endswith(b"done-s1")
@@ -112,20 +113,20 @@
             assert got.startswith(b"HTTP/1.1 200") and got.endswith(b"done-s2")
 
     def clients(net: Net) -> list[Client]:
-        return [one.client for one in net.program.book.journeys.values()]
+        return [one.client for one in net.program.request_table.pending_requests.values()]
 
-    net = on_network(check, fine, net_of=Unlisted)
+    net = on_network(check, fine, net_of=UnlistedNet)
     (second,) = [one for one in net.stands[0].seen if one.header(b"req-id") == "s2"]
     assert second.body == b"x" * 30_000
 
 
 def test_a_client_that_sends_on_without_end_is_answered_and_its_connection_closed():
-    """More than is kept of what came ahead of its turn is dropped, so the connection can't go on."""
+    """Pipelined bytes beyond what is kept are dropped, so the connection cannot continue."""
 
     async def check(net: Net):
         async with await connect(net) as stream:
             await stream.send(wanted("s1", deadline="8"))
-            await arrived(net, "s1")
+            await request_arrived(net, "s1")
             await stream.send(b"GET /view HTTP/1.1\r\n" + b"x" * 400_000)
             list_all(net)
             got = await stream.receive()
@@ -134,15 +135,16 @@
                 while True:
                     await stream.receive()
 
-    net = on_network(check, fine, net_of=Unlisted)
+    net = on_network(check, fine, net_of=UnlistedNet)
     assert seen(net, "s1")
 
 
 def test_a_client_that_left_while_it_was_held_at_the_door_is_not_taken_up():
-    """Seen failing as a launch: nobody looked at a connection while its request was held at the door."""
+    """Guards against an attempt: nobody checked a connection while its request was held by admission
+    control."""
 
     async def check(net: Net):
-        gate = net.program.door.gate
+        gate = net.program.admission.gate
         gate.active, gate.window = True, 0.0
         gate.is_in_time, gate.record_lateness = (lambda *_: True), (lambda *_: None)
         release, gate.release = gate.release, lambda now: []
@@ -150,9 +152,9 @@
         async with await connect(net) as stream:
             await stream.send(held)
             await until(lambda: gate.held)
-        await until(lambda: not gate.held)  # its place in the line is given back at once
+        await until(lambda: not gate.held)  # its place in the queue is freed at once
         gate.window, gate.release = 8.0, release
-        net.program.door.release()
+        net.program.admission.release()
         assert (await net.ask(wanted("s2"))).status == 200
         assert gate.inside == 0 and gate.held == 0
 
@@ -162,10 +164,10 @@
 
 
 def test_a_turn_at_the_door_that_crosses_the_clients_end_takes_nothing_up():
-    """The end lies unread in the very pass of the loop in which the request's turn comes."""
+    """The end lies unread in the very pass of the event loop in which the request's turn comes."""
 
     async def check(net: Net):
-        door, gate = net.program.door, net.program.door.gate
+        door, gate = net.program.admission, net.program.admission.gate
         gate.active, gate.window = True, 0.0
         gate.is_in_time, gate.record_lateness = (lambda *_: True), (lambda *_: None)
         release, gate.release = gate.release, lambda now: []
@@ -176,10 +178,10 @@
                 lambda: [one for line in gate.queues_by_priority for one in line.waiting if one.token.scope]
             )
             (offer,) = [one for line in gate.queues_by_priority for one in line.waiting]
-        assert offer.client.sock.recv(1, socket.MSG_PEEK) == b""  # it is there, and nobody has looked
+        assert offer.client.sock.recv(1, socket.MSG_PEEK) == b""  # it has arrived, and nobody has looked
         gate.window, gate.release = 8.0, release
         door.release()
-        assert offer.client.inside
+        assert offer.client.admitted
         await until(lambda: offer.client.closed)
         assert gate.inside == 0
 
@@ -188,39 +190,40 @@
 
 
 def test_a_launch_in_the_pass_in_which_the_client_left_is_not_written(monkeypatch):
-    """Guards a loop that lags: the end lies unread while the launch is on its way. Seen failing as a
-    request at the endpoint."""
+    """Guards a lagging event loop: the end lies unread while the attempt starts. The endpoint must get no
+    request."""
 
     async def never(client):
         await anyio.sleep_forever()
 
     async def check(net: Net):
-        monkeypatch.setattr("lupinmill.routing.send.WAITED", 0, raising=False)
-        monkeypatch.setattr(Client, "gone", never)  # the watch has not had its turn
+        monkeypatch.setattr("lupinmill.routing.attempt_runner.UNSEEN_AGE_US", 0, raising=False)
+        monkeypatch.setattr(Client, "wait_disconnected", never)  # the watching task has not run yet
         async with await connect(net) as stream:
             await stream.send(wanted("s1", deadline="8"))
-            await arrived(net, "s1")
+            await request_arrived(net, "s1")
             await stream.send(b"more")
         list_all(net)
         await until(lambda: net.ended())
-        await all_quiet(net)
+        await module_is_idle(net)
 
-    net = on_network(check, fine, net_of=Unlisted)
+    net = on_network(check, fine, net_of=UnlistedNet)
     assert net.ended() == [t.Outcome.UNSENT] and not seen(net, "s1")
 
 
-def by_age_or_lag_alone_never(monkeypatch):
-    """So that what is looked for is judged by the connection itself, however long this run takes."""
-    for name in ("WAITED", "LAGS"):
-        monkeypatch.setattr(f"lupinmill.routing.send.{name}", 10**12, raising=False)
+def disable_unseen_checks(monkeypatch):
+    """Makes the decision depend on the connection itself, however long this run takes."""
+    for name in ("UNSEEN_AGE_US", "UNSEEN_LATENESS_US"):
+        monkeypatch.setattr(f"lupinmill.routing.attempt_runner.{name}", 10**12, raising=False)
 
 
 def test_a_client_that_left_in_the_kernels_queue_while_no_place_was_free_is_launched_nowhere(monkeypatch):
-    """Descriptors are full, a client sends and goes, then a place comes free: its request and its end are
-    read in one pass, and by the stamps it came just now. Seen failing as a request at the endpoint, on the
-    kept connection that wants no pass of its own."""
-    by_age_or_lag_alone_never(monkeypatch)
-    monkeypatch.setattr(take_in, "CROWDED_OUT", 60.0)  # those that are turned away keep their places
+    """Descriptors are exhausted, a client sends and disconnects, then a descriptor becomes free: its request
+    and its end are read in one pass, with timestamps of just now. Guards against a request at the endpoint,
+    on the kept connection that needs no pass of its own."""
+    disable_unseen_checks(monkeypatch)
+    # clients that are turned away keep their places
+    monkeypatch.setattr(client_handler, "TURN_AWAY_TIMEOUT_S", 60.0)
     there, go_on = anyio.Event(), anyio.Event()
 
     async def act(request):
@@ -231,37 +234,37 @@
 
     async def check(net: Net):
         assert (await net.ask(wanted("s0"))).status == 200
-        (kept,) = net.program.pool.idle["e0"]
-        kept.idle_since -= REST
-        await until(lambda: net.program.descriptors.open[Side.CLIENT] == 0)
+        (kept,) = net.program.connection_pool.idle["e0"]
+        kept.idle_since -= MIN_IDLE_S
+        await until(lambda: net.program.descriptors.open[ConnectionKind.CLIENT] == 0)
         listener = net.program.descriptors.close_idle_client.__self__
         net.program.descriptors.client_limit = 1
         async with AsyncExitStack() as crowd:
             hog = await connect(net)
             await hog.send(wanted("hog", deadline="8"))
             await there.wait()
-            for _ in range(OWN // 2):
+            for _ in range(RESERVED_DESCRIPTORS // 2):
                 await crowd.enter_async_context(await connect(net))
-            await until(lambda: listener.turning_away == OWN // 2)
+            await until(lambda: listener.turning_away == RESERVED_DESCRIPTORS // 2)
             async with await connect(net) as stream:
                 await stream.send(wanted("s1", deadline="8"))
             go_on.set()
             await hog.receive()
-            (kept,) = net.program.pool.idle["e0"]
-            kept.idle_since -= REST
+            (kept,) = net.program.connection_pool.idle["e0"]
+            kept.idle_since -= MIN_IDLE_S
             await hog.aclose()
-            await arrived(net, "s1")
-            await all_quiet(net)
+            await request_arrived(net, "s1")
+            await module_is_idle(net)
 
-    net = on_network(check, act, net_of=Unhurried)
+    net = on_network(check, act, net_of=LongLimitsNet)
     assert seen(net, "hog") and not seen(net, "s1")
 
 
 @pytest.mark.parametrize("before", [0, 1])
 def test_a_client_that_leaves_under_its_first_launch_gets_no_further_one(before, monkeypatch):
-    """Its end lies unread when the launch again is due: nobody has looked, and it is not 0.1 s old. `before`:
-    requests that this connection has had answered; on one that was watched the loop's lag tells."""
-    by_age_or_lag_alone_never(monkeypatch)
+    """Its end lies unread when the retry is due: nobody has looked, and it is not 0.1 s old. `before`:
+    requests already answered on this connection; on one that was watched the loop's lag is what tells."""
+    disable_unseen_checks(monkeypatch)
 
     async def never(client):
         await anyio.sleep_forever()
@@ -281,25 +284,25 @@
             for at in range(before):
                 await stream.send(wanted(f"b{at}"))
                 await stream.receive()
-            monkeypatch.setattr(Client, "gone", never)
+            monkeypatch.setattr(Client, "wait_disconnected", never)
             if before:
-                monkeypatch.setattr("lupinmill.routing.send.LAGS", -1)
+                monkeypatch.setattr("lupinmill.routing.attempt_runner.UNSEEN_LATENESS_US", -1)
             await stream.send(wanted("s1", deadline="8"))
             await turned.wait()
         left.set()
         await until(lambda: len(net.ended()) >= 1 + before)
-        await all_quiet(net)
+        await module_is_idle(net)
 
-    net = on_network(check, act, act, limits=settings()["limits"] | {"probes": False}, net_of=Unhurried)
+    net = on_network(check, act, act, limits=settings()["limits"] | {"probes": False}, net_of=LongLimitsNet)
     assert len(seen(net, "s1")) == 1
 
 
 def test_the_time_of_a_request_runs_while_the_one_that_came_with_it_is_served(monkeypatch):
-    """Where no kernel tells when bytes came. Seen failing as a launch told all 8 s: its time was counted from
-    when its turn came, and its answer could come after its hard limit."""
-    monkeypatch.setattr("lupinmill.transport.connection.STAMP_ROOM", 0)
-    monkeypatch.setattr("lupinmill.transport.client.STAMP_ROOM", 0)
-    monkeypatch.setattr("lupinmill.transport.connection.LAST_DATA", 10_000)
+    """The kernel gives no arrival time. Guards against an attempt with all 8 s as its deadline: the time was
+    counted from when its turn came, and its response could arrive after its hard limit."""
+    monkeypatch.setattr("lupinmill.transport.connection.ANCILLARY_SIZE", 0)
+    monkeypatch.setattr("lupinmill.transport.client.ANCILLARY_SIZE", 0)
+    monkeypatch.setattr("lupinmill.transport.connection.LAST_DATA_OFFSET", 10_000)
     there, go_on, told = anyio.Event(), anyio.Event(), []
 
     async def act(request):
@@ -320,18 +323,19 @@
             go_on.set()
             await until(lambda: told)
             assert told[0] <= 8.0 - waited
-        await all_quiet(net)
+        await module_is_idle(net)
 
-    on_network(check, act, net_of=Unhurried)
+    on_network(check, act, net_of=LongLimitsNet)
 
 
 @pytest.mark.parametrize("stamped", [True, False])
 def test_the_time_of_a_request_runs_while_it_waits_in_the_kernels_queue(stamped, monkeypatch):
-    """Nothing is accepted while two clients send. Seen failing where no kernel tells when bytes came:
-    launches told all 8 s. What comes to an empty queue has all of its time."""
+    """Nothing is accepted while two clients send, and the kernel gives no arrival time. Guards against
+    attempts with all 8 s as their deadline. A connection that arrives at an empty queue has all of its
+    time."""
     if not stamped:
-        monkeypatch.setattr("lupinmill.transport.connection.STAMP_ROOM", 0)
-        monkeypatch.setattr("lupinmill.transport.connection.LAST_DATA", 10_000)
+        monkeypatch.setattr("lupinmill.transport.connection.ANCILLARY_SIZE", 0)
+        monkeypatch.setattr("lupinmill.transport.connection.LAST_DATA_OFFSET", 10_000)
     told = {}
 
     async def act(request):
@@ -360,37 +364,37 @@
             await until(lambda: len(told) == 2)
             assert max(told.values()) <= 8.0 - waited
             listener.accept_all = accept_all
-        await until(lambda: net.program.descriptors.open[Side.CLIENT] == 0)
+        await until(lambda: net.program.descriptors.open[ConnectionKind.CLIENT] == 0)
         async with await connect(net) as third:
             await third.send(wanted("s3", deadline="8"))
             await until(lambda: len(told) == 3)
             assert told["s3"] > 8.0 - waited
-        await all_quiet(net)
+        await module_is_idle(net)
 
-    on_network(check, act, net_of=Unhurried)
+    on_network(check, act, net_of=LongLimitsNet)
 
 
 def test_a_client_that_left_while_its_body_waited_for_room_is_noticed_at_the_launch(monkeypatch):
-    """Nothing is read of a body that there is no room for, so its end lies behind unread bytes."""
-    monkeypatch.setattr("lupinmill.routing.send.WAITED", 0, raising=False)
+    """A body that there is no room for is not read, so its end lies behind unread bytes."""
+    monkeypatch.setattr("lupinmill.routing.attempt_runner.UNSEEN_AGE_US", 0, raising=False)
 
     async def check(net: Net):
-        net.program.shelf.limit = 0
+        net.program.body_memory.limit = 0
         async with await connect(net) as stream:
             await stream.send(wanted("s1", deadline="5", body=b"x" * 900_000)[:-400_000])
-            await arrived(net, "s1")
-            await until(lambda: net.program.book.journeys["s1"].body.end > 65_536)
+            await request_arrived(net, "s1")
+            await until(lambda: net.program.request_table.pending_requests["s1"].body.end > 65_536)
         list_all(net)
         await until(lambda: net.ended())
-        await all_quiet(net)
+        await module_is_idle(net)
 
-    net = on_network(check, fine, net_of=Unlisted)
+    net = on_network(check, fine, net_of=UnlistedNet)
     assert net.ended() == [t.Outcome.UNSENT] and net.stands[0].open == 0
 
 
 @pytest.mark.parametrize("held_by", ["a retry delay", "a full endpoint", "a connection that comes up late"])
 def test_a_client_that_leaves_gives_back_its_place_wherever_its_submission_is_held(held_by):
-    """With bytes behind its request each time, so that the end alone is not what wakes us."""
+    """With bytes behind the request each time, so that the end is not the only thing that wakes the task."""
     turned = anyio.Event()
 
     async def act(request):
@@ -405,12 +409,12 @@
     gone = anyio.Event()
 
     async def check(net: Net):
-        desk = net.program.engine.sidecar.dispatcher
+        dispatcher = net.program.engine.sidecar.dispatcher
         if held_by == "a retry delay":
-            desk.new_requests.add(desk.message_queue.now, 1000.0)  # the budget allows one
-            desk.random_source.upto = lambda ceiling: ceiling  # the longest delay
+            dispatcher.new_requests.add(dispatcher.message_queue.now, 1000.0)  # the budget allows one
+            dispatcher.random_source.upto = lambda ceiling: ceiling  # the longest delay
         if held_by == "a connection that comes up late":
-            opens = net.program.pool.open
+            opens = net.program.connection_pool.open
 
             async def late(address):
                 turned.set()
@@ -418,22 +422,22 @@
                     await gone.wait()
                 return await opens(address)
 
-            net.program.pool.open = late
+            net.program.connection_pool.open = late
         async with anyio.create_task_group() as group:
             if held_by == "a full endpoint":
-                desk.cap, desk.settings.cap_growth = 1.0, 0.0
+                dispatcher.cap, dispatcher.settings.cap_growth = 1.0, 0.0
                 group.start_soon(net.ask, wanted("hog", deadline="8"))
                 await turned.wait()
             async with await connect(net) as stream:
                 await stream.send(wanted("s1", deadline="8"))
                 await turned.wait()
-                await arrived(net, "s1")
+                await request_arrived(net, "s1")
                 await stream.send(b"more")
-            await withdrawn(net)
-            assert "s1" not in desk.requests or desk.requests["s1"].done
+            await request_cancelled(net)
+            assert "s1" not in dispatcher.requests or dispatcher.requests["s1"].done
             gone.set()
         assert (await net.ask(wanted("s2"))).status == 200
-        await all_quiet(net)
+        await module_is_idle(net)
 
     limits = settings()["limits"] | {"probes": False}
     net = on_network(check, act, limits=limits, workloads=PATIENT)
--- a/tests/test_crossings_end.py
+++ b/tests/test_crossings_end.py
@@ -1,5 +1,5 @@
-"""The end of a program that crosses what its clients do, forced by barriers; and customers' settings that it
-can't serve. The table is docs/crossings.md."""
+"""The end of a program that races with its clients, forced by barriers; and deployments whose settings it
+cannot serve. The table is docs/crossings.md."""
 
 import os
 import signal
@@ -12,31 +12,31 @@
 from test_sidecar import always, fine, seen, start, until
 
 from lupinmill.protocol.http import Answer
-from lupinmill.routing.relay import Relay
-from lupinmill.routing.take_in import TakeIn
+from lupinmill.routing.response_writer import ResponseWriter
+from lupinmill.routing.client_handler import ClientHandler
 
 
-def ends_here(net: Net) -> None:
-    """The signal to end, as the platform sends it."""
+def send_termination_signal(net: Net) -> None:
+    """Sends the signal to end, as the platform does."""
     os.kill(os.getpid(), signal.SIGTERM)
 
 
-def stopped(net: Net) -> bool:
+def is_stopping(net: Net) -> bool:
     return any(event == "stopped" for event, _ in net.logs)
 
 
 def test_a_client_accepted_whose_task_has_not_begun_is_served_before_the_end(monkeypatch):
-    """Seen failing with no answer: clients counted from when their task ran, not from their acceptance."""
-    turn, serves, answers = anyio.Event(), TakeIn.serve, []
+    """Guards against no response: clients counted from when their task ran, not from their acceptance."""
+    turn, serves, answers = anyio.Event(), ClientHandler.serve, []
 
     async def held(self, client, welcome):
         await turn.wait()
         await serves(self, client, welcome)
 
-    monkeypatch.setattr(TakeIn, "serve", held)
+    monkeypatch.setattr(ClientHandler, "serve", held)
 
     async def check(net: Net):
-        ends_here(net)
+        send_termination_signal(net)
         await until(lambda: net.program.overrides.drain_deadline is not None)
 
         async def ask():
@@ -45,7 +45,7 @@
         async with anyio.create_task_group() as group:
             group.start_soon(ask)
             closes = net.program.overrides.close_connections_at
-            await until(lambda: net.program.engine.clock.now() > closes or stopped(net))
+            await until(lambda: net.program.engine.clock.now() > closes or is_stopping(net))
             turn.set()
         assert answers[0] is not None and answers[0].status == 200
 
@@ -54,8 +54,8 @@
 
 
 def test_an_answer_that_is_on_its_way_when_the_stay_is_over_still_reaches_its_client(monkeypatch):
-    """Seen failing as a connection that ended with nothing on it: settled counted as answered."""
-    passes, held = Relay.pass_back, anyio.Event()
+    """Guards against a connection that ended without a byte: a settled request counted as answered."""
+    passes, held = ResponseWriter.send_answer, anyio.Event()
 
     async def late(self, *args):
         await held.wait()
@@ -67,14 +67,14 @@
         async def ask():
             answers.append(await net.ask(wanted("s1", deadline="0.9")))
 
-        monkeypatch.setattr(Relay, "pass_back", late)
+        monkeypatch.setattr(ResponseWriter, "send_answer", late)
         async with anyio.create_task_group() as group:
             group.start_soon(ask)
             await until(lambda: seen(net, "s1"))
-            ends_here(net)
+            send_termination_signal(net)
             await until(lambda: net.program.overrides.drain_deadline is not None)
             ends = net.program.overrides.drain_deadline
-            await until(lambda: net.program.engine.clock.now() > ends + 100_000 or stopped(net))
+            await until(lambda: net.program.engine.clock.now() > ends + 100_000 or is_stopping(net))
             held.set()
         assert answers[0] is not None and answers[0].status == 200
 
@@ -83,7 +83,7 @@
 
 def test_a_second_signal_to_end_and_one_to_read_again_change_nothing_on_the_way_out():
     async def check(net: Net):
-        ends_here(net)
+        send_termination_signal(net)
         await until(lambda: net.program.overrides.drain_deadline is not None)
         ends = net.program.overrides.drain_deadline
         answers = []
@@ -94,7 +94,7 @@
         async with anyio.create_task_group() as group:
             group.start_soon(ask)
             await until(lambda: seen(net, "s1"))
-            ends_here(net)
+            send_termination_signal(net)
             os.kill(os.getpid(), signal.SIGHUP)
         assert answers[0].status == 200 and net.program.overrides.drain_deadline == ends
 
@@ -104,8 +104,8 @@
 
 @pytest.mark.parametrize("hard", [0.1, 3.0])
 def test_all_that_is_sent_up_to_the_kill_is_answered_with_hanging_endpoints(tmp_path, hard):
-    """Clients go on sending on what stays open; endpoints hang; nothing taken is without an answer at the
-    earliest moment of the kill: the hard limit and 0.7 s."""
+    """Clients go on sending on what stays open, and endpoints hang; every request that was read has its
+    response by the earliest moment of the kill: the hard limit and 0.7 s."""
     net = Net(
         [always("silent")],
         workloads=[
@@ -129,7 +129,7 @@
                         got = await stream.receive()
                     except (anyio.BrokenResourceError, anyio.EndOfStream):
                         if not on_it:
-                            lost.append(name)  # else it crossed the close between two requests
+                            lost.append(name)  # else it raced with the close between two requests
                         break
                     answered.add(name)
                     if b"Connection: close" in got:
@@ -163,20 +163,20 @@
 CUSTOMER = settings()
 
 
-def of_workload(**more) -> dict:
+def settings_with_workload(**more) -> dict:
     return {"workloads": [CUSTOMER["workloads"][1] | more]}
 
 
 @pytest.mark.parametrize(
     "change, key",
     [
-        (of_workload(repeat="sometimes"), "settings.workloads.0.repeat"),
-        (of_workload(repeat=""), "settings.workloads.0.repeat"),
-        (of_workload(group="rack"), "settings.workloads.0.group"),
-        (of_workload(**{"hard-limit-s": -1}), "settings.workloads.0.hard-limit-s"),
-        (of_workload(**{"hard-limit-s": None}), "settings.workloads.0.hard-limit-s"),
-        (of_workload(**{"contract-time-s": "soon"}), "settings.workloads.0.contract-time-s"),
-        (of_workload(**{"window-s": 0}), "settings.workloads.0.window-s"),
+        (settings_with_workload(repeat="sometimes"), "settings.workloads.0.repeat"),
+        (settings_with_workload(repeat=""), "settings.workloads.0.repeat"),
+        (settings_with_workload(group="rack"), "settings.workloads.0.group"),
+        (settings_with_workload(**{"hard-limit-s": -1}), "settings.workloads.0.hard-limit-s"),
+        (settings_with_workload(**{"hard-limit-s": None}), "settings.workloads.0.hard-limit-s"),
+        (settings_with_workload(**{"contract-time-s": "soon"}), "settings.workloads.0.contract-time-s"),
+        (settings_with_workload(**{"window-s": 0}), "settings.workloads.0.window-s"),
         ({"discovery": "gossip"}, "settings.discovery"),
         ({"limits": CUSTOMER["limits"] | {"most-launches": 0}}, "settings.limits.most-launches"),
         ({"limits": CUSTOMER["limits"] | {"conn-idle-s": -1}}, "settings.limits.conn-idle-s"),
@@ -184,8 +184,8 @@
     ],
 )
 def test_a_customers_settings_that_can_not_be_served_end_the_start_in_one_line(tmp_path, change, key):
-    """Seen failing as a start: an unknown effect passed for one that may not be repeated, an unknown group
-    for a cell."""
+    """Guards against starting anyway: an unknown effect passed for one that must not be repeated, an unknown
+    group for a cell."""
     table = {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": CUSTOMER | change}
     process = start(tmp_path, table)
     try:
--- a/tests/test_crossings_endpoints.py
+++ b/tests/test_crossings_endpoints.py
@@ -1,5 +1,6 @@
-"""Endpoints that end, stop or speak out of turn just then, and outcomes that meet in one pass of the loop;
-drawn sequences of all of it, judged by a referee of its own. The table is docs/crossings.md."""
+"""Endpoints that end, stop or send out of turn at a given moment, and outcomes that meet in one pass of the
+event loop; random sequences of all of it, checked by an independent referee. The table is
+docs/crossings.md."""
 
 import itertools
 import math
@@ -11,17 +12,17 @@
 import anyio
 import pytest
 from bed import Net, on_network, settings, wanted
-from test_crossings import all_quiet, connect
+from test_crossings import connect, module_is_idle
 from test_sidecar import DECLINED, always, fine, seen, until
 
 from lupinmill import terms as t
 from lupinmill.program.told import understand
 from lupinmill.protocol import submission
 from lupinmill.protocol.http import Answer, Request
-from lupinmill.routing.book import Book, Journey, Launch
+from lupinmill.routing.request_table import RequestTable, PendingRequest, Attempt
 from lupinmill.routing.deadline import Deadline
 from lupinmill.routing.engine import Clock, Engine
-from lupinmill.routing.route import Route
+from lupinmill.routing.command_executor import CommandExecutor
 from lupinmill.transport import connection as transport
 
 NO_PROBES = settings()["limits"] | {"probes": False}
@@ -56,10 +57,10 @@
     async def check(net: Net):
         if kept:
             assert (await net.ask(wanted("s0"))).status == 200
-            (one,) = net.program.pool.idle["e0"]
-            one.idle_since -= 1.0  # it has rested
+            (one,) = net.program.connection_pool.idle["e0"]
+            one.idle_since -= 1.0  # idle for long enough
         assert (await net.ask(wanted("s1", "issue", "0.9"))).status == 502
-        await all_quiet(net)
+        await module_is_idle(net)
 
     net = on_network(check, fine, endpoint=endpoint, limits=NO_PROBES)
     assert net.ended()[kept:] == [t.Outcome.RESET]
@@ -68,7 +69,7 @@
 
 @pytest.mark.parametrize("kept", [False, True])
 def test_a_reset_while_the_kernel_holds_a_part_of_the_request_never_ran(kept, monkeypatch):
-    """The endpoint reads some of the request and resets; its last byte was never taken by the kernel."""
+    """The endpoint reads some of the request and resets; the kernel never accepted its last byte."""
     makes, cut = transport.stream_socket, []
 
     def narrow(host):
@@ -96,12 +97,12 @@
         net.program.engine.sidecar.dispatcher.new_requests.add(net.program.engine.clock.now(), 1000.0)
         if kept:
             assert (await net.ask(wanted("s0"))).status == 200
-            (one,) = net.program.pool.idle["e0"]
+            (one,) = net.program.connection_pool.idle["e0"]
             one.idle_since -= 1.0
         body = b"x" * (60_000 if kept else 3_000_000) + b"xyz"  # more than the kernels hold at once
         answer = await net.ask(wanted("s1", "issue", "5", body=body))
-        assert answer.status in (200, 503)  # launched again, or denied: both say that nothing ran
-        await all_quiet(net)
+        assert answer.status in (200, 503)  # retried, or rejected: both say that nothing ran
+        await module_is_idle(net)
 
     net = on_network(check, fine, endpoint=endpoint, limits=NO_PROBES)
     assert cut and set(net.ended()[kept:]) <= {t.Outcome.UNCONNECTED, t.Outcome.HANDLED, t.Outcome.UNSENT}
@@ -118,14 +119,14 @@
 
     async def check(net: Net):
         assert (await net.ask(wanted("s1", "issue", "0.9"))).status == 502
-        await all_quiet(net)
+        await module_is_idle(net)
 
     net = on_network(check, fine, endpoint=endpoint, limits=NO_PROBES)
     assert net.ended() == [t.Outcome.SPOILT]
 
 
 def test_an_answer_in_drops_is_given_up_before_the_hard_limit_and_leaves_nothing():
-    """Each drop less than a pause apart: it never stops, and it never ends."""
+    """Each byte arrives within the allowed pause: the response never stops, and it never ends."""
 
     async def endpoint(stream):
         async with stream:
@@ -140,7 +141,7 @@
 
     async def check(net: Net):
         assert (await net.ask(wanted("s1", "issue", "0.5"))).status == 502
-        await all_quiet(net)
+        await module_is_idle(net)
 
     net = on_network(check, fine, endpoint=endpoint, limits=NO_PROBES)
     assert net.ended() == [t.Outcome.CALLED_OFF] or net.ended() == [t.Outcome.TIMED_OUT]
@@ -149,69 +150,72 @@
 # --- outcomes that meet in one pass ---------------------------------------------------------------------
 
 
-def meetings():
+def event_orders():
     moves = ("answered", "called off", "timed out", "denied", "withdrawn")
     for count in (2, 3):
         yield from itertools.permutations(moves, count)
 
 
-@pytest.mark.parametrize("moves", list(meetings()), ids=" then ".join)
+@pytest.mark.parametrize("moves", list(event_orders()), ids=" then ".join)
 def test_of_outcomes_in_one_pass_one_is_told_and_one_answer_given(moves):
-    """In each order, with no pass of the loop between them."""
+    """In each order, with no pass of the event loop between them."""
 
     async def main():
         told = []
         table = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "settings": settings()}
         engine = Engine(understand(table, {}).deployment, Clock(), lambda *_, **__: None)
-        engine.tell = told.append
-        book = Book(engine)
+        engine.handle_event = told.append
+        request_table = RequestTable(engine)
         async with anyio.create_task_group() as group:
-            route = Route(engine, book, None, group)
+            executor = CommandExecutor(engine, request_table, None, group)
             request = Request(b"GET", b"/view", [(b"Req-Id", b"s1"), (b"Req-Deadline", b"1")])
-            asked = submission.read(request, {"view"})
-            journey = Journey(asked, request, engine.clock.now() + 1_000_000, None, engine.clock.now())
-            book.begin(journey)
-            launch = Launch("e0", 0, engine.clock.now(), Deadline(math.inf), written=True)
-            journey.launches.append(launch)
+            metadata = submission.read(request, {"view"})
+            pending = PendingRequest(
+                metadata, request, engine.clock.now() + 1_000_000, None, engine.clock.now()
+            )
+            request_table.add(pending)
+            attempt = Attempt("e0", 0, engine.clock.now(), Deadline(math.inf), fully_sent=True)
+            pending.attempts.append(attempt)
             answers = []
 
             def settled():
-                if journey.settled and not answers:
-                    answers.append(journey.answer)
+                if pending.settled and not answers:
+                    answers.append(pending.answer)
 
             for move in moves:
                 if move == "answered":
-                    book.ended(journey, launch, t.Outcome.HANDLED, Answer(200), None)
+                    request_table.attempt_ended(pending, attempt, t.Outcome.HANDLED, Answer(200), None)
                 elif move == "called off":
-                    route.call_off(t.CancelAttempt("s1", 0))
+                    executor.cancel_attempt(t.CancelAttempt("s1", 0))
                 elif move == "timed out":
-                    book.ended(journey, launch, t.Outcome.TIMED_OUT, None, None)
+                    request_table.attempt_ended(pending, attempt, t.Outcome.TIMED_OUT, None, None)
                 elif move == "denied":
-                    route.deny(t.RejectRequest("s1", 0))
+                    executor.reject_request(t.RejectRequest("s1", 0))
                 else:
-                    book.withdraw(journey)
+                    request_table.withdraw(pending)
                 settled()
-            if launch.out:
-                book.ended(journey, launch, t.Outcome.CALLED_OFF, None, None)
-            if not journey.settled:
-                route.break_off(t.AbortResponse("s1"))
+            if attempt.in_flight:
+                request_table.attempt_ended(pending, attempt, t.Outcome.CALLED_OFF, None, None)
+            if not pending.settled:
+                executor.abort_response(t.AbortResponse("s1"))
                 settled()
-            assert journey.answer is answers[0]  # what was given stands
+            assert pending.answer is answers[0]  # the first answer stands
             assert sum(isinstance(event, t.AttemptEnded) for event in told) == 1
             assert sum(isinstance(event, t.RequestCancelled) for event in told) <= 1
-            assert not book.journeys and book.unlaunched == 1  # the launch was put there by hand
+            # the attempt was put there by the test
+            assert not request_table.pending_requests and request_table.unattempted == 1
 
     anyio.run(main)
 
 
-# --- drawn sequences ------------------------------------------------------------------------------------
+# --- random sequences -----------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_drawn_sequences_of_leaves_ends_lists_and_moves_keep_the_rules(seed):
-    """The referee has the clients' and the endpoints' word alone: who ran what and when, who got what, who
-    left and when. It knows nothing of the program."""
-    chance = random.Random(seed)
+    """The referee sees only what clients and endpoints recorded: who ran what and when, who got what, who
+    disconnected and when. It knows nothing of the program."""
+    random_source = random.Random(seed)
     ran: dict[str, list[tuple[int, float]]] = {}
     got: dict[str, Answer | None] = {}
     left: dict[str, float] = {}
@@ -222,13 +226,13 @@
             name = request.header(b"req-id")
             if name is None:
                 return Answer(200, [], b"queue=0,util=0.1")
-            what = chance.random()
+            what = random_source.random()
             if what < 0.1:
                 return DECLINED
             ran.setdefault(name, []).append((number, time.monotonic()))
-            await anyio.sleep(chance.uniform(0, 0.25))
+            await anyio.sleep(random_source.uniform(0, 0.25))
             if what < 0.2:
-                return chance.choice(["reset", "cut", "garbled", "silent"])
+                return random_source.choice(["reset", "cut", "garbled", "silent"])
             return Answer(200, [], b"done-" + name.encode())
 
         return act
@@ -239,20 +243,22 @@
     async def leave(net: Net, name: str, kind: str) -> None:
         async with await connect(net) as stream:
             await stream.send(wanted(name, kind, "0.9"))
-            await anyio.sleep(chance.uniform(0, 0.1))
+            await anyio.sleep(random_source.uniform(0, 0.1))
             try:
-                await stream.send(chance.choice([b"\r\n", wanted(name + "x", kind), b"junk", b"GET /view"]))
+                await stream.send(
+                    random_source.choice([b"\r\n", wanted(name + "x", kind), b"junk", b"GET /view"])
+                )
             except anyio.BrokenResourceError:
-                pass  # it has answered and closed
+                pass  # it has sent its response and closed
             left[name] = left[name + "x"] = time.monotonic()
             kinds[name + "x"] = kind
 
     async def lists_move(net: Net) -> None:
         while True:
-            await anyio.sleep(chance.uniform(0.02, 0.15))
-            row = chance.choice(net.discovery.rows)
+            await anyio.sleep(random_source.uniform(0.02, 0.15))
+            row = random_source.choice(net.discovery.rows)
             net.discovery.change(row, status="SERVING" if row["status"] != "SERVING" else "DRAINING")
-            if chance.random() < 0.3:
+            if random_source.random() < 0.3:
                 net.program.discovery.move(net.discovery.address)
 
     async def check(net: Net):
@@ -261,12 +267,12 @@
             mover.start_soon(lists_move, net)
             async with anyio.create_task_group() as clients:
                 for at in range(120):
-                    await anyio.sleep(chance.uniform(0, 0.02))
-                    name, kind = f"s{at}", chance.choice(["view", "bid", "issue"])
+                    await anyio.sleep(random_source.uniform(0, 0.02))
+                    name, kind = f"s{at}", random_source.choice(["view", "bid", "issue"])
                     kinds[name] = kind
-                    clients.start_soon(leave if chance.random() < 0.3 else stay, net, name, kind)
+                    clients.start_soon(leave if random_source.random() < 0.3 else stay, net, name, kind)
             mover.cancel_scope.cancel()
-        await all_quiet(net)
+        await module_is_idle(net)
 
     net = on_network(check, *(endpoint(number) for number in range(4)), limits=NO_PROBES)
     defects = ("task_failed", "module_failed", "order_failed", "backstop")
@@ -289,7 +295,7 @@
 
 
 def test_a_client_in_every_state_leaves_nothing_when_the_program_ends():
-    """All at once: idle, half a request, held, launched, answered unread."""
+    """All at once: idle, half a request, held, in flight, response unread."""
 
     async def check(net: Net):
         streams = [await connect(net) for _ in range(4)]
@@ -301,23 +307,23 @@
             await stream.aclose()
         await until(
             lambda: net.program.descriptors.open == dict.fromkeys(net.program.descriptors.open, 0)
-            or not net.program.book.journeys
+            or not net.program.request_table.pending_requests
         )
-        await all_quiet(net)
+        await module_is_idle(net)
 
     on_network(check, always("silent"))
 
 
 @pytest.mark.parametrize("key", [True, False])
 def test_without_its_key_a_deduplicated_submission_that_may_have_run_is_not_launched_again(key):
-    """Endpoints drop repeats by the key: where a request brings none, nothing would be dropped."""
+    """Endpoints drop repeats by the key: a request without one would be run again."""
 
     async def check(net: Net):
         net.program.engine.sidecar.dispatcher.new_requests.add(net.program.engine.clock.now(), 1000.0)
         data = wanted("s1", "bid", "0.9")
         answer = await net.ask(data if key else data.replace(b"Idempotency-Key: k-s1\r\n", b""))
         assert answer.status in (400, 502)
-        await all_quiet(net)
+        await module_is_idle(net)
 
     net = on_network(check, *[always("reset")] * 4, limits=NO_PROBES)
     assert (len(seen(net, "s1")) > 1) if key else (len(seen(net, "s1")) <= 1)
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -1,5 +1,5 @@
-"""Idle clients fill the descriptors while discovery is down: the process still gets its list, tells the truth
-about its readiness, serves, and stays within its limit."""
+"""Idle clients fill the descriptors while discovery is down: the process still gets its list, reports its
+readiness truthfully, serves, and stays within its limit."""
 
 import errno
 import os
@@ -14,16 +14,16 @@
 
 from lupinmill import terms as t
 from lupinmill.protocol.http import Answer, ClientSide, Request
-from lupinmill.routing import take_in
+from lupinmill.routing import client_handler
 from lupinmill.transport import connection
-from lupinmill.transport.client import SILENT
-from lupinmill.transport.descriptors import Side
+from lupinmill.transport.client import NEW_IDLE_S
+from lupinmill.transport.descriptors import ConnectionKind
 
 READY = b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n"
 
 
 async def status(stream) -> int | None:
-    """Of the next answer on this connection; None where it ended."""
+    """Status of the next response on this connection; None if it ended."""
     side = ClientSide()
     side.ask(Request(b"GET", b"/", [(b"Host", b"a")]))
     try:
@@ -36,7 +36,7 @@
 
 @asynccontextmanager
 async def crowd(address: str, silent: int, used: int):
-    """Idle clients that stay: such as never said a word, and such as asked once and kept their connection."""
+    """Idle clients that stay: some never sent a byte, others sent one request and kept their connection."""
     host, port = address.split(":")
     async with AsyncExitStack() as stack:
 
@@ -53,8 +53,10 @@
 
 
 def test_where_no_place_is_free_readiness_is_told_as_it_is_and_all_else_denied(monkeypatch):
-    """A front that asked for /ready while every place was taken was told 503 by a ready sidecar."""
-    monkeypatch.setattr(take_in, "WHOLE", 60)  # seconds that a place is held by half a request
+    """Guards against a load balancer that checked /ready while all descriptors were taken, and got 503 from a
+    ready sidecar."""
+    # seconds for which half a request holds a place
+    monkeypatch.setattr(client_handler, "REQUEST_TIMEOUT_S", 60)
 
     async def check(net: Net):
         host, port = net.address.split(":")
@@ -63,13 +65,13 @@
             for _ in range(descriptors.client_limit):
                 stuck = await stack.enter_async_context(await anyio.connect_tcp(host, int(port)))
                 await stuck.send(b"POST /view HTTP/1.1\r\n")
-            await until(lambda: descriptors.open[Side.CLIENT] == descriptors.client_limit)
+            await until(lambda: descriptors.open[ConnectionKind.CLIENT] == descriptors.client_limit)
             await until(lambda: not descriptors.close_idle_client.__self__.idle)
             assert (await net.ask(READY)).status == 200
             assert (await net.ask(wanted("late"))).status == 503
             net.program.overrides.quiesce(0)
             assert (await net.ask(READY)).status == 503
-        assert not net.program.book.journeys
+        assert not net.program.request_table.pending_requests
 
     net = on_network(check, fine, sockets=48)
     assert not net.ended()
@@ -82,10 +84,10 @@
         async with crowd(net.address, 60, 40):
             assert (await net.ask(READY)).status == 503
             net.discovery.fault = None
-            await until(lambda: not net.program.directory.empty())
+            await until(lambda: not net.program.directory.has_no_ready_endpoint())
             assert (await net.ask(READY)).status == 200
-            idle = net.program.take_in.listener.idle
-            await until(lambda: any(client.spare(time.monotonic()) for client in idle))
+            idle = net.program.client_handler.listener.idle
+            await until(lambda: any(client.evictable(time.monotonic()) for client in idle))
             for at in range(5):
                 assert (await net.ask(wanted(f"s{at}"))).body == b"done-s%d" % at
 
@@ -114,7 +116,7 @@
     monkeypatch.setattr(connection, "stream_socket", short)
 
     async def check(net: Net):
-        await until(lambda: not net.program.directory.empty())
+        await until(lambda: not net.program.directory.has_no_ready_endpoint())
         assert (await net.ask(READY)).status == 200
 
     net = on_network(check, fine, known=False, discovery="push")
@@ -126,7 +128,7 @@
     sockets, began = 96, []
 
     async def started(net: Net, serial: int) -> int:
-        """Gives its process id once it listens, the crowd's calls refused until then."""
+        """Gives its process id once it listens; the crowd's calls are refused until then."""
         process = spawn(tmp_path, net.table, serial)
         began.append(process)
         while True:
@@ -150,8 +152,9 @@
                 pid = await started(net, serial)
                 async with crowd(net.address, 50, 100):
                     assert (await net.ask(READY)).status == 200 and held(pid) <= sockets
-                    # All of the crowd was accepted before /ready was; the silent are spared that long.
-                    await anyio.sleep(2 * SILENT)
+                    # The whole crowd was accepted before /ready was; silent clients are not evicted for that
+                    # long.
+                    await anyio.sleep(2 * NEW_IDLE_S)
                     assert (await net.ask(wanted(f"s{serial}"))).status == 200 and held(pid) <= sockets
                     began[serial].kill()
                     began[serial].wait()
--- a/tests/test_endpoints_late.py
+++ b/tests/test_endpoints_late.py
@@ -1,5 +1,5 @@
-"""Connections to endpoints that come up after the limit for connecting: the next attempt finds them up, and
-does not begin anew for ever. On real sockets: the listener's queue is full as the first SYN comes."""
+"""Connections to endpoints that are established after the connect time-out: the next attempt finds them and
+does not start anew for ever. On real sockets: the listener's queue is full when the first SYN arrives."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 import anyio
 import pytest
 
-from lupinmill.transport import pool as pools
+from lupinmill.transport import connection_pool as pools
 from lupinmill.transport.connection import Connection, Unconnected
-from lupinmill.transport.descriptors import Descriptors, Side
-from lupinmill.transport.pool import Pool
-from lupinmill.transport.ring import Store
+from lupinmill.transport.descriptors import DescriptorBudget, ConnectionKind
+from lupinmill.transport.connection_pool import ConnectionPool
+from lupinmill.transport.buffers import BlockPool
 
-TIME_OUT = 0.1  # seconds, of one attempt; the kernel tries again a second after the first try
-BACKLOG = 0  # the system takes one more than this
+TIME_OUT = 0.1  # seconds, of one attempt; the kernel retries a second after the first try
+BACKLOG = 0  # the system accepts one more than this
 
 
-class Crowded:
+class FullListener:
     """A listener whose queue is full."""
 
     def __init__(self) -> None:
@@ -36,7 +36,7 @@
             self.fillers.append(socket.create_connection(self.sock.getsockname()))
 
     async def let_in(self) -> tuple[str, int]:
-        """Takes one in, and waits for whoever comes to its place. Whose it is."""
+        """Accepts one connection and waits for whichever takes its place. Returns that one's address."""
         self.accepted.append(self.sock.accept()[0])
         self.sock.setblocking(False)
         while True:
@@ -51,29 +51,30 @@
             one.close()
 
 
-def made() -> tuple[Pool, Descriptors]:
-    descriptors = Descriptors(200)
-    return Pool(descriptors, Store(), 30.0, TIME_OUT), descriptors
+def new_pool() -> tuple[ConnectionPool, DescriptorBudget]:
+    descriptors = DescriptorBudget(200)
+    return ConnectionPool(descriptors, BlockPool(), 30.0, TIME_OUT), descriptors
 
 
-async def given_up(pool: Pool, address: str) -> None:
+async def time_out_attempt(pool: ConnectionPool, address: str) -> None:
     with pytest.raises(Unconnected):
         await pool.open(address)
 
 
 def test_a_connection_that_came_up_too_late_serves_the_next_attempt():
-    """Seen failing: the second attempt began anew, met a full queue as well, and so did each one after it."""
+    """Guards against a second attempt that starts anew and meets a full queue as well, like each one after
+    it."""
 
     async def main() -> None:
-        crowded, (pool, descriptors) = Crowded(), made()
+        crowded, (pool, descriptors) = FullListener(), new_pool()
         try:
-            await given_up(pool, crowded.address)
+            await time_out_attempt(pool, crowded.address)
             own = await crowded.let_in()
             crowded.fill()
             connection = await pool.open(crowded.address)
             assert isinstance(connection, Connection) and connection.sock.getsockname() == own
             connection.close()
-            assert descriptors.open[Side.ENDPOINT] == 0
+            assert descriptors.open[ConnectionKind.ENDPOINT] == 0
         finally:
             crowded.close()
 
@@ -82,10 +83,10 @@
 
 def test_one_that_comes_up_while_the_next_attempt_connects_serves_it():
     async def main() -> None:
-        crowded, (pool, _) = Crowded(), made()
+        crowded, (pool, _) = FullListener(), new_pool()
         try:
-            await given_up(pool, crowded.address)
-            pool.time_out = 3.0
+            await time_out_attempt(pool, crowded.address)
+            pool.timeout_s = 3.0
             found: list[Connection] = []
 
             async def attempt() -> None:
@@ -96,7 +97,7 @@
                 await anyio.sleep(0)
                 await crowded.let_in()
                 crowded.fill()
-            assert found[0].quiet()
+            assert found[0].is_idle()
             found[0].close()
             pool.close()
         finally:
@@ -107,18 +108,21 @@
 
 def test_what_comes_up_late_is_bounded_and_given_back(monkeypatch):
     async def main() -> None:
-        listeners = [Crowded() for _ in range(pools.MOST_RISING + 2)]
-        pool, descriptors = made()
+        listeners = [FullListener() for _ in range(pools.MAX_LATE_CONNECTIONS + 2)]
+        pool, descriptors = new_pool()
         try:
             for one in listeners:
-                await given_up(pool, one.address)
-                await given_up(pool, one.address)  # one for each address
-            assert descriptors.open[Side.ENDPOINT] == pools.MOST_RISING
-            assert pool.close_oldest() and descriptors.open[Side.ENDPOINT] == pools.MOST_RISING - 1
-            later = time.monotonic() + pools.RISES + 1
+                await time_out_attempt(pool, one.address)
+                await time_out_attempt(pool, one.address)  # one for each address
+            assert descriptors.open[ConnectionKind.ENDPOINT] == pools.MAX_LATE_CONNECTIONS
+            assert (
+                pool.close_oldest()
+                and descriptors.open[ConnectionKind.ENDPOINT] == pools.MAX_LATE_CONNECTIONS - 1
+            )
+            later = time.monotonic() + pools.LATE_CONNECT_S + 1
             monkeypatch.setattr(pools.time, "monotonic", lambda: later)
-            pool.sweep()
-            assert descriptors.open[Side.ENDPOINT] == 0
+            pool.close_expired()
+            assert descriptors.open[ConnectionKind.ENDPOINT] == 0
         finally:
             for one in listeners:
                 one.close()
@@ -128,12 +132,12 @@
 
 def test_one_that_was_refused_after_the_limit_is_given_back():
     async def main() -> None:
-        crowded, (pool, descriptors) = Crowded(), made()
-        await given_up(pool, crowded.address)
+        crowded, (pool, descriptors) = FullListener(), new_pool()
+        await time_out_attempt(pool, crowded.address)
         crowded.close()
         with anyio.fail_after(10):
-            while descriptors.open[Side.ENDPOINT]:
-                await given_up(pool, crowded.address)
+            while descriptors.open[ConnectionKind.ENDPOINT]:
+                await time_out_attempt(pool, crowded.address)
                 await anyio.sleep(0.05)
 
     anyio.run(main)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -13,7 +13,7 @@
 from lupinmill.limits.gate import HEARTBEAT as GATE_HEARTBEAT
 from lupinmill.protocol import quick
 from lupinmill.protocol.http import Answer
-from lupinmill.routing.door import Door
+from lupinmill.routing.admission import AdmissionController
 
 MS, SECOND = 1_000, 1_000_000
 VIEW = t.Workload("view", 600 * MS, 1500 * MS, 2.0)
@@ -264,12 +264,12 @@
 
 def shut(net: Net) -> AdmissionGate:
     """Closes the window, as when the core is far behind."""
-    door = net.program.door
-    assert isinstance(door, Door)
-    door.gate.record_lateness(0, 10 * ENTER_LATENESS)
-    door.gate.window, door.gate.peak_rate = 0.0, 1.0
-    door.gate.record_lateness = lambda *_: None
-    return door.gate
+    admission = net.program.admission
+    assert isinstance(admission, AdmissionController)
+    admission.gate.record_lateness(0, 10 * ENTER_LATENESS)
+    admission.gate.window, admission.gate.peak_rate = 0.0, 1.0
+    admission.gate.record_lateness = lambda *_: None
+    return admission.gate
 
 
 def test_what_the_door_denies_reaches_no_module_and_no_endpoint() -> None:
@@ -306,7 +306,7 @@
             broken = await net.ask(b"GET /view HTTP/1.1\r\nHost: x\r\nReq-Id: z\r\n\r\n")
             assert broken is not None and broken.status == 400
             gate.window = 5.0
-            net.program.door.release()
+            net.program.admission.release()
         assert [event.request for event in net.events if isinstance(event, t.RequestArrived)] == ["held"]
         assert gate.inside == gate.held == 0
 
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -1,4 +1,4 @@
-"""The machine's clock is set while requests wait: their ages stay spans of real time."""
+"""The machine's clock is set while requests wait: their ages must stay spans of real time."""
 
 import random
 import time
@@ -8,14 +8,14 @@
 from test_sidecar import fine, until
 
 from lupinmill import terms as t
-from lupinmill.routing.starts import Starts
+from lupinmill.routing.start_times import StartTimes
 from lupinmill.transport import wall_clock
-from lupinmill.transport.wall_clock import KERNEL_ROUNDS, OLDEST, STEP, WallClock
+from lupinmill.transport.wall_clock import KERNEL_ROUNDING_US, MAX_STAMP_AGE_US, MIN_STEP_US, WallClock
 
 SECOND = 1_000_000  # microseconds
 
 
-class Machine:
+class FakeClocks:
     """Two clocks, in microseconds; one of them can be set, and readings of both can be held up."""
 
     def __init__(self, monkeypatch) -> None:
@@ -32,15 +32,15 @@
 
 
 def rounded_up(age: int):
-    """As the kernel tells the time since data came last."""
+    """Like the kernel's time since data last arrived."""
     return lambda: (age // 1000 + 3) * 1000
 
 
-@pytest.mark.parametrize("step", [STEP, SECOND, 11 * SECOND, 3600 * SECOND])
+@pytest.mark.parametrize("step", [MIN_STEP_US, SECOND, 11 * SECOND, 3600 * SECOND])
 @pytest.mark.parametrize("back", [False, True])
 @pytest.mark.parametrize("seed", range(20))
 def test_an_age_is_real_time_wherever_the_step_falls(step, back, seed, monkeypatch):
-    machine, drawn = Machine(monkeypatch), random.Random(seed)
+    machine, drawn = FakeClocks(monkeypatch), random.Random(seed)
     clock = WallClock()
     for _ in range(50):
         machine.steady += drawn.randint(0, SECOND)
@@ -51,34 +51,35 @@
             machine.wall_ahead += -step if back else step
         machine.steady += after
         age = clock.age(stamp, rounded_up(before + after))
-        assert abs(age - before - after) <= max(STEP, KERNEL_ROUNDS)
+        assert abs(age - before - after) <= max(MIN_STEP_US, KERNEL_ROUNDING_US)
 
 
 @pytest.mark.parametrize("step", [-3600 * SECOND, -2 * SECOND, 5 * SECOND, 20 * SECOND, 3600 * SECOND])
 def test_a_clock_that_is_set_for_this_process_alone_makes_no_request_old(step, monkeypatch):
-    """Seen: +1 to +20 s by a library that shifts one process's clock, and 96% of all requests were denied."""
-    machine = Machine(monkeypatch)
+    """Guards against a library that shifts one process's clock by +1 to +20 s: 96% of all requests were
+    rejected."""
+    machine = FakeClocks(monkeypatch)
     clock, kernel_ahead = WallClock(), machine.wall_ahead
     machine.wall_ahead += step
     for _ in range(100):
         stamp = machine.steady + kernel_ahead
         machine.steady += 30_000
-        assert abs(clock.age(stamp, rounded_up(30_000)) - 30_000) <= STEP
+        assert abs(clock.age(stamp, rounded_up(30_000)) - 30_000) <= MIN_STEP_US
 
 
 def test_a_process_that_is_held_up_between_two_readings_sees_no_step(monkeypatch):
-    machine = Machine(monkeypatch)
+    machine = FakeClocks(monkeypatch)
     clock = WallClock()
     for machine.held_up in (0, 150_000, 0):
         assert clock.age(machine.wall() - 1000, rounded_up(1000)) is not None
-    assert len(clock.ahead) == 1
+    assert len(clock.offsets) == 1
 
 
 def test_a_stamp_of_no_known_setting_tells_nothing(monkeypatch):
-    machine = Machine(monkeypatch)
+    machine = FakeClocks(monkeypatch)
     clock = WallClock()
     assert clock.age(machine.wall() + SECOND, rounded_up(0)) is None
-    assert clock.age(machine.wall() - OLDEST - SECOND, rounded_up(0)) is None
+    assert clock.age(machine.wall() - MAX_STAMP_AGE_US - SECOND, rounded_up(0)) is None
 
 
 HOUR = 3600 * SECOND
@@ -91,28 +92,29 @@
 @pytest.mark.parametrize("step", [-HOUR, -5 * SECOND, 5 * SECOND, HOUR])
 @pytest.mark.parametrize("of_all", [False, True])
 def test_an_endpoint_that_starts_after_a_step_is_cold_whichever_clock_was_set(step, of_all, monkeypatch):
-    """Guards slow start: by a clock that was set back an hour, a start of now is one of an hour ago."""
-    machine = Machine(monkeypatch)
+    """Guards slow start: by a clock that was set back an hour, a start just now looks an hour old."""
+    machine = FakeClocks(monkeypatch)
     clock = WallClock()
-    starts, ours = Starts(clock), machine.wall_ahead
+    starts, ours = StartTimes(clock), machine.wall_ahead
     machine.wall_ahead += step
-    clock.look()
+    clock.update()
     now = machine.steady + ours
     told = machine.wall() if of_all else now
-    understood = starts.understand(listed(told), now).started
-    assert now - 2 * STEP <= understood <= now or understood > now
+    understood = starts.resolve(listed(told), now).started
+    assert now - 2 * MIN_STEP_US <= understood <= now or understood > now
     machine.steady += SECOND
-    assert starts.understand(listed(told), now + SECOND).started == understood
+    assert starts.resolve(listed(told), now + SECOND).started == understood
 
 
 @pytest.mark.parametrize("step", [-HOUR, HOUR])
 def test_a_whole_program_goes_slow_to_what_starts_after_its_clock_was_set(step, monkeypatch):
-    """Seen: set back by an hour, all endpoints that started from then on counted as warm at once."""
+    """Guards against a clock set back by an hour: all endpoints that started from then on counted as warm at
+    once."""
     monkeypatch.setattr(wall_clock, "SHARED", WallClock())
     read_wall = time.time_ns
 
     async def check(net: Net):
-        await until(lambda: net.program.directory.takes("e0"))
+        await until(lambda: net.program.directory.accepts_attempts("e0"))
         monkeypatch.setattr(time, "time_ns", lambda: read_wall() + step * 1000)
         await until(lambda: "clock_set" in [event for event, _ in net.logs])
         net.discovery.change(net.discovery.rows[0], since_ms=(read_wall() // 1000 + step) // 1000)
@@ -125,21 +127,21 @@
 
 def test_a_start_that_was_heard_before_a_step_stays_what_it_was(monkeypatch):
     """Guards against a whole fleet that looks restarted, or cold, with the next whole list."""
-    machine = Machine(monkeypatch)
+    machine = FakeClocks(monkeypatch)
     clock = WallClock()
-    starts, started = Starts(clock), machine.wall() - HOUR - SECOND
-    assert starts.understand(listed(started), machine.wall()).started == started
+    starts, started = StartTimes(clock), machine.wall() - HOUR - SECOND
+    assert starts.resolve(listed(started), machine.wall()).started == started
     now = machine.wall()
     machine.wall_ahead -= HOUR
-    clock.look()
-    assert starts.understand(listed(started), now).started == started
-    starts.keep([])
-    assert not starts.read
+    clock.update()
+    assert starts.resolve(listed(started), now).started == started
+    starts.retain([])
+    assert not starts.resolved
 
 
 def test_while_no_clock_is_set_a_start_is_taken_as_it_is_told(monkeypatch):
-    machine = Machine(monkeypatch)
-    starts = Starts(WallClock())
+    machine = FakeClocks(monkeypatch)
+    starts = StartTimes(WallClock())
     for started in (0, 1, machine.wall(), machine.wall() + HOUR):
         entry = listed(started)
-        assert starts.understand(entry, machine.wall()) is entry
+        assert starts.resolve(entry, machine.wall()) is entry
