--- a/lupinmill/lab/config_rig.py
+++ b/lupinmill/lab/config_rig.py
@@ -190,8 +190,8 @@
     async def start(self, name: str) -> None:
         """First, or again: the log of its life before is read to its end, which would pass for a start."""
         process = self.processes[name]
-        if process.reader is not None:
-            await asyncio.gather(process.reader, return_exceptions=True)
+        if process.reader_task is not None:
+            await asyncio.gather(process.reader_task, return_exceptions=True)
         await process.start()
 
     async def kill(self, name: str) -> None:
@@ -208,9 +208,9 @@
         """Of each process's log."""
         lines = []
         for name, process in self.processes.items():
-            lines.append(f"-- {name}, life {process.lives}")
-            lines += [orjson.dumps(event).decode()[:400] for event in list(process.last)[-count:]]
-            lines += list(process.errors)[-count:]
+            lines.append(f"-- {name}, life {process.start_count}")
+            lines += [orjson.dumps(event).decode()[:400] for event in list(process.recent_events)[-count:]]
+            lines += list(process.error_lines)[-count:]
         return "\n".join(lines)
 
     async def close(self) -> None:
--- a/lupinmill/lab/fleet_sockets.py
+++ b/lupinmill/lab/fleet_sockets.py
@@ -23,7 +23,7 @@
 import orjson
 
 from lupinmill.lab.fleet import Event, Fault, Fleet, FleetResult, Weather, meant
-from lupinmill.lab.processes import Process, call_operator, last_lines
+from lupinmill.lab.processes import Process, call_operator, last_log_lines
 from lupinmill.peers.peer import REHEARSAL_TOPIC
 
 HOST = "127.0.0.1"
@@ -205,7 +205,7 @@
         self.event(name, "life", state="goes on")
 
     async def leave(self, name: str) -> int | None:
-        code = await self.members[name].leave(LEAVES)
+        code = await self.members[name].terminate(LEAVES)
         self.leases.pop(name, None)
         self.event(name, "life", state="left")
         return code
@@ -215,7 +215,7 @@
 
     async def call(self, name: str, path: str, method: str = "GET") -> tuple[int, bytes]:
         """An operator's call at that member: status and body."""
-        return await call_operator(self.members[name].operator, path, method)
+        return await call_operator(self.members[name].operator_address, path, method)
 
     async def show(self, name: str) -> dict[str, Any]:
         status, body = await self.call(name, "peers")
@@ -289,7 +289,7 @@
                 pass
 
     def last_lines(self, count: int = 12) -> str:
-        return last_lines(self.lines, count)
+        return last_log_lines(self.lines, count)
 
     def sees(self, who: str, status: str = "alive") -> set[str]:
         return {name for name, held in self.views.get(who, {}).items() if held == status}
@@ -341,8 +341,8 @@
         process = self.members[name]
         if process.process is not None:
             await process.process.wait()
-        if process.reader is not None:
-            await asyncio.gather(process.reader, return_exceptions=True)
+        if process.reader_task is not None:
+            await asyncio.gather(process.reader_task, return_exceptions=True)
         await self.start(name)
 
     def spawn(self, work: Any) -> None:
@@ -362,7 +362,9 @@
             do(fault)
         await asyncio.sleep(max(0.0, start + self.fleet.seconds - self.loop.time()))
         seconds = self.loop.time() - start
-        steady = [name for name, process in self.members.items() if process.alive() and process.lives == 1]
+        steady = [
+            name for name, process in self.members.items() if process.alive() and process.start_count == 1
+        ]
         used = sorted((self.members[name].cpu() - cpu[name]) / seconds for name in steady) or [0.0]
         memory = sorted(process.memory() for process in self.members.values() if process.alive()) or [0.0]
         datagrams = sum(relay.passed for relay in self.relays.values()) - passed
--- a/lupinmill/lab/processes.py
+++ b/lupinmill/lab/processes.py
@@ -14,30 +14,32 @@
 
 import orjson
 
-KEPT_LINES = 200
-START_LIMIT = 15.0  # seconds until the log must tell where it listens
-STARVED_TURN = 0.05  # seconds for which a starved one runs between two stops
+MAX_KEPT_EVENTS = 200
+START_TIMEOUT_S = 15.0  # seconds until the log must tell where it listens
+STARVED_RUN_S = 0.05  # seconds for which a starved one runs between two stops
 
 
 async def call_operator(
-    address: str, path: str, method: str = "GET", limit: float = 10.0
+    address: str, path: str, method: str = "GET", timeout_s: float = 10.0
 ) -> tuple[int, bytes]:
     """An operator's call: status and body. Raises TimeoutError without an answer in `limit` seconds."""
     host, _, port = address.rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     try:
         writer.write(f"{method} /admin/{path} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n".encode())
-        data = await asyncio.wait_for(reader.read(), limit)
+        data = await asyncio.wait_for(reader.read(), timeout_s)
     finally:
         writer.close()
     head, _, body = data.partition(b"\r\n\r\n")
     return int(head.split()[1]), body
 
 
-def last_lines(lines: Mapping[str, Iterable[dict[str, Any]]], count: int, longest: int | None = None) -> str:
+def last_log_lines(
+    lines: Mapping[str, Iterable[dict[str, Any]]], count: int, max_length: int | None = None
+) -> str:
     """The last log events of each process, one a line, cut to so many characters."""
     return "\n".join(
-        f"{name}: {orjson.dumps(event).decode()[:longest]}"
+        f"{name}: {orjson.dumps(event).decode()[:max_length]}"
         for name, events in lines.items()
         for event in list(events)[-count:]
     )
@@ -51,28 +53,28 @@
         name: str,
         tier: int,
         folder: Path,
-        told: Callable[[Process], dict[str, Any]],
-        heard: Callable[[Process, dict[str, Any]], None],
+        make_config: Callable[[Process], dict[str, Any]],
+        on_event: Callable[[Process, dict[str, Any]], None],
         environ: dict[str, str] | None = None,
     ) -> None:
-        self.name, self.tier, self.told, self.heard = name, tier, told, heard
+        self.name, self.tier, self.make_config, self.on_event = name, tier, make_config, on_event
         self.config = folder / f"{name}.json"
         self.environ = environ or {}
         self.arguments: list[str] = []  # of a command; none: it serves as a sidecar
-        self.address = self.operator = ""
-        self.last: deque[dict[str, Any]] = deque(maxlen=KEPT_LINES)  # of its log
+        self.address = self.operator_address = ""
+        self.recent_events: deque[dict[str, Any]] = deque(maxlen=MAX_KEPT_EVENTS)  # of its log
         self.process: asyncio.subprocess.Process | None = None
-        self.reader: asyncio.Task[None] | None = None
+        self.reader_task: asyncio.Task[None] | None = None
         self.started = asyncio.Event()
-        self.lives, self.killed, self.ready = 0, False, False
+        self.start_count, self.killed, self.ready = 0, False, False
         self.crashes: list[str] = []
-        self.errors: deque[str] = deque(maxlen=KEPT_LINES)
-        self.starving: asyncio.Task[None] | None = None
+        self.error_lines: deque[str] = deque(maxlen=MAX_KEPT_EVENTS)
+        self.starve_task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        self.lives += 1
+        self.start_count += 1
         self.killed, self.started = False, asyncio.Event()
-        self.config.write_bytes(orjson.dumps(self.told(self)))
+        self.config.write_bytes(orjson.dumps(self.make_config(self)))
         environ = {key: value for key, value in os.environ.items() if not key.startswith("BALANCER_")}
         environ |= {
             "BALANCER_CONFIG": str(self.config),
@@ -91,10 +93,10 @@
             stderr=asyncio.subprocess.PIPE,
             start_new_session=True,
         )
-        self.reader = asyncio.create_task(self.read(self.process))
-        await asyncio.wait_for(self.started.wait(), START_LIMIT)
+        self.reader_task = asyncio.create_task(self.read(self.process))
+        await asyncio.wait_for(self.started.wait(), START_TIMEOUT_S)
         if not self.address:
-            raise RuntimeError(f"{self.name} did not start: {' '.join(self.errors)[-300:]}")
+            raise RuntimeError(f"{self.name} did not start: {' '.join(self.error_lines)[-300:]}")
 
     async def read(self, process: asyncio.subprocess.Process) -> None:
         """The log, line by line, and the end: one that nobody asked for is a crash."""
@@ -102,33 +104,33 @@
         try:
             assert process.stdout is not None
             while line := await process.stdout.readline():
-                self.line(line)
+                self.handle_line(line)
             await errors
             code = await process.wait()
         finally:
             errors.cancel()
         if not self.killed and process is self.process:
-            last = " ".join(list(self.errors)[-3:])
+            last = " ".join(list(self.error_lines)[-3:])
             self.crashes.append(f"{self.name} ended by itself with {code}: {last}"[:400])
         self.started.set()
 
     async def read_errors(self, process: asyncio.subprocess.Process) -> None:
         assert process.stderr is not None
         while line := await process.stderr.readline():
-            self.errors.append(line.decode("utf-8", "replace").strip()[:300])
+            self.error_lines.append(line.decode("utf-8", "replace").strip()[:300])
 
-    def line(self, line: bytes) -> None:
+    def handle_line(self, line: bytes) -> None:
         try:
             event = orjson.loads(line)
         except orjson.JSONDecodeError:
-            self.errors.append(line.decode("utf-8", "replace").strip()[:300])
+            self.error_lines.append(line.decode("utf-8", "replace").strip()[:300])
             return
-        self.last.append(event)
+        self.recent_events.append(event)
         if event.get("event") == "started":
             self.address = str(event.get("listen", ""))
-            self.operator = str(event.get("operator") or "")
+            self.operator_address = str(event.get("operator") or "")
             self.started.set()
-        self.heard(self, event)
+        self.on_event(self, event)
 
     def alive(self) -> bool:
         return self.process is not None and self.process.returncode is None and not self.killed
@@ -139,28 +141,28 @@
         if self.process is not None and self.process.returncode is None:
             self.process.kill()
 
-    def starve(self, lag: float) -> None:
+    def starve(self, stop_s: float) -> None:
         """Stopped for `lag` seconds at a time, as by neighbours on its core; 0 ends it."""
-        if self.starving is not None:
-            self.starving.cancel()
-            self.starving = None
-        if lag > 0 and self.alive():
-            self.starving = asyncio.create_task(self.stop_and_go(lag))
+        if self.starve_task is not None:
+            self.starve_task.cancel()
+            self.starve_task = None
+        if stop_s > 0 and self.alive():
+            self.starve_task = asyncio.create_task(self.stop_repeatedly(stop_s))
 
-    async def stop_and_go(self, lag: float) -> None:
+    async def stop_repeatedly(self, stop_s: float) -> None:
         try:
             while self.alive():
                 self.signal(signal.SIGSTOP)
-                await asyncio.sleep(lag)
+                await asyncio.sleep(stop_s)
                 self.signal(signal.SIGCONT)
-                await asyncio.sleep(STARVED_TURN)
+                await asyncio.sleep(STARVED_RUN_S)
         finally:
             self.signal(signal.SIGCONT)
 
-    def signal(self, number: int) -> None:
+    def signal(self, signum: int) -> None:
         if self.process is not None and self.process.returncode is None:
             try:
-                self.process.send_signal(number)
+                self.process.send_signal(signum)
             except ProcessLookupError:
                 pass  # it ended a moment ago
 
@@ -180,13 +182,13 @@
             return 0.0
         return pages * os.sysconf("SC_PAGE_SIZE") / 2**20
 
-    async def leave(self, limit: float) -> int | None:
+    async def terminate(self, timeout_s: float) -> int | None:
         """SIGTERM, and its exit code; None: it had not ended by then, and was killed."""
         assert self.process is not None
         self.killed = True
         self.signal(signal.SIGTERM)
         try:
-            return await asyncio.wait_for(self.process.wait(), limit)
+            return await asyncio.wait_for(self.process.wait(), timeout_s)
         except TimeoutError:
             self.process.kill()
             await self.process.wait()
@@ -196,8 +198,8 @@
         self.kill()
         if self.process is not None:
             await self.process.wait()
-        if self.reader is not None:
-            await asyncio.gather(self.reader, return_exceptions=True)
+        if self.reader_task is not None:
+            await asyncio.gather(self.reader_task, return_exceptions=True)
 
 
 ROOT = Path(__file__).resolve().parents[2]
--- a/lupinmill/lab/scale/honest.py
+++ b/lupinmill/lab/scale/honest.py
@@ -33,7 +33,7 @@
 
 async def call(address: str, path: str) -> dict[str, Any]:
     """What an operator's call is answered with, read as JSON."""
-    _, body = await call_operator(address, path, limit=OPERATOR_LIMIT_S)
+    _, body = await call_operator(address, path, timeout_s=OPERATOR_LIMIT_S)
     return orjson.loads(body)
 
 
@@ -85,7 +85,7 @@
     async def shows(self, processes: list[Process]) -> list[tuple[float, float, dict[str, Any]]]:
         found = []
         for one in processes:
-            table = await call(one.operator, "peers")
+            table = await call(one.operator_address, "peers")
             found.append((time.monotonic(), cpu_of(one), table))
         return found
 
--- a/lupinmill/lab/sockets/front.py
+++ b/lupinmill/lab/sockets/front.py
@@ -41,7 +41,7 @@
         run.requests.remember(request_id, sent)
         left = (due - now) / SECOND
         request = request_for(request_id, request_class, left, wish.name, wish.tenant, repeated)
-        done = partial(self.answered, request_id, process, process.lives)
+        done = partial(self.answered, request_id, process, process.start_count)
         run.requests.send(process, request_id, request, done)
 
     def pick(self) -> int | None:
--- a/lupinmill/lab/sockets/inner.py
+++ b/lupinmill/lab/sockets/inner.py
@@ -63,7 +63,7 @@
         self.run.requests.remember(name, SentRequest(job.workload, work, key, process.name))
         overdue = self.timeline.at(due + referee.grace + 1, self.overdue, name, done)
         request = request_for(name, request_class, (due - now) / SECOND, key or name, "", False)
-        ended = partial(self.ended, name, process, process.lives, overdue, done)
+        ended = partial(self.ended, name, process, process.start_count, overdue, done)
         self.run.requests.send(process, name, request, ended)
         return name
 
--- a/lupinmill/lab/sockets/requests.py
+++ b/lupinmill/lab/sockets/requests.py
@@ -89,7 +89,7 @@
 
     def unanswered(self, request_id: str, process: Process, life: int) -> Outcome:
         """The connection ended: right where the process was killed, a broken rule where it lives."""
-        killed = process.killed or process.lives != life or not process.alive()
+        killed = process.killed or process.start_count != life or not process.alive()
         if not killed:
             self.referee.breaks(1, request_id, "its connection ended without an answer")
         self.referee.released(request_id)
--- a/lupinmill/lab/sockets/run.py
+++ b/lupinmill/lab/sockets/run.py
@@ -199,7 +199,7 @@
         """The platform's configuration, with the list as it is published."""
         found, registry = self.scenario.sidecars, self.world.registries[process.tier]
         instances = len(self.fronts) if process.tier == 0 else len(self.world.tiers[process.tier - 1])
-        chance = chance_for(self.seed, "seat", process.name, process.lives)
+        chance = chance_for(self.seed, "seat", process.name, process.start_count)
         return {
             "name": process.name,
             "listen": process.address or f"{HOST}:0",
--- a/lupinmill/lab/zones_sockets.py
+++ b/lupinmill/lab/zones_sockets.py
@@ -22,7 +22,7 @@
 
 from lupinmill.lab.fleet_sockets import HOST, LARGEST, TAKEN, free_port
 from lupinmill.lab.fleet_streams import LOOK_AT_CUT, PIECE, Way
-from lupinmill.lab.processes import Process, call_operator, last_lines
+from lupinmill.lab.processes import Process, call_operator, last_log_lines
 from lupinmill.lab.registry import Entry
 from lupinmill.lab.scenario import Scenario, check, find, over, raw
 from lupinmill.lab.sockets import SocketRun
@@ -171,7 +171,7 @@
 
     def configuration_of(self, process: Process) -> dict[str, Any]:
         table = super().configuration_of(process)
-        table["operator"] = process.operator or f"{HOST}:0"
+        table["operator"] = process.operator_address or f"{HOST}:0"
         table["known"]["endpoints"] = [
             self.endpoint_row_for(process.name, row) for row in table["known"]["endpoints"]
         ]
@@ -257,7 +257,7 @@
         return [p.name for p in self.run.fronts if self.run.net.zone_of[p.name] in zones]
 
     async def call(self, name: str, path: str, method: str = "GET") -> tuple[int, bytes]:
-        return await call_operator(self.process(name).operator, path, method, OPERATOR_TIMEOUT_S)
+        return await call_operator(self.process(name).operator_address, path, method, OPERATOR_TIMEOUT_S)
 
     async def zones_status(self, name: str) -> dict[str, Any]:
         status, body = await self.call(name, "zones")
@@ -338,8 +338,8 @@
     async def restart(self, name: str) -> None:
         """After a kill, once the end of the process has been observed."""
         process = self.process(name)
-        if process.reader is not None:
-            await asyncio.gather(process.reader, return_exceptions=True)
+        if process.reader_task is not None:
+            await asyncio.gather(process.reader_task, return_exceptions=True)
         await self.run.restart(process)
 
     def pause(self, name: str) -> None:
@@ -389,4 +389,4 @@
         return found.sidecar if found is not None else ""
 
     def last_lines(self, count: int = 8) -> str:
-        return last_lines(self.run.lines, count, MAX_LOG_LINE_CHARS)
+        return last_log_lines(self.run.lines, count, MAX_LOG_LINE_CHARS)
--- a/tests/test_config_processes.py
+++ b/tests/test_config_processes.py
@@ -158,7 +158,7 @@
         rig = self.rig
         await self.push({FLEET: {"instances": 9}})  # affects all, so all get the version
         await rig.at_version(self.results.indexes[-1])
-        assert await rig.processes["source"].leave(20.0) == 0
+        assert await rig.processes["source"].terminate(20.0) == 0
         before = len(self.results.answers)
         name = self.rng.choice(rig.relays)
         await self.kept_at(name, self.results.indexes[-1])
--- a/tests/test_lab_sockets.py
+++ b/tests/test_lab_sockets.py
@@ -96,7 +96,7 @@
 def test_sidecars_killed_by_the_scenario_come_back_under_their_address() -> None:
     run = SocketRun(short(trouble=[{"kind": "sidecar_kill", "at_s": 1, "lasts_s": 0.3, "part": 1.0}]), 1)
     run.play()
-    assert run.fronts[0].lives == 2 and run.crashes == []
+    assert run.fronts[0].start_count == 2 and run.crashes == []
 
 
 def test_a_starved_sidecar_goes_on_afterwards() -> None:
