--- a/lupinmill/cli/lab.py
+++ b/lupinmill/cli/lab.py
@@ -343,12 +343,12 @@
         exit_with_error(error)
 
     def play(label: str, root: Path) -> None:
-        with loads.Site(root, memory_mb) as site:
+        with loads.OverloadRig(root, memory_mb) as site:
             click.echo(f"{label}: closed loops\n{loads.table(loads.closed_loops(site, counts, seconds))}")
-            carries = loads.capacity(site)
+            carries = loads.measure_capacity(site)
             click.echo(f"{label}: open loops; it carries {carries:.0f} a second")
             click.echo(loads.table(loads.open_loops(site, carries, multiples, seconds)))
-            click.echo(f"{label}: resident {site.resident():.1f} MB, {site.cpu():.1f} s of CPU\n")
+            click.echo(f"{label}: resident {site.resident_mb():.1f} MB, {site.cpu_seconds():.1f} s of CPU\n")
 
     try:
         if against:
--- a/lupinmill/lab/flood.py
+++ b/lupinmill/lab/flood.py
@@ -1,7 +1,8 @@
-"""Load that one process can make or serve without being the bottleneck: bare connections, heads written once,
-answers read by their length. Run as `python -m lupinmill.lab.flood`, told by one JSON line on standard input;
-tells one JSON line at its end. It speaks to this program only, so it reads just the answers that this program
-writes."""
+"""Load generator and endpoint that are cheap enough not to be the bottleneck of a measurement.
+
+Run as `python -m lupinmill.lab.flood`. It reads one line on standard input, a JSON `LoadSpec` or `serve N`, and
+writes one JSON line: the results at the end of the load, or the addresses of the N endpoints. The HTTP reader
+handles only messages that this program writes."""
 
 from __future__ import annotations
 
@@ -16,12 +17,12 @@
 import msgspec
 from hdrh.histogram import HdrHistogram
 
-LONGEST = 60_000_000
-MOST_OPEN = 230  # connections of one process: a sidecar takes some 700 at most
+MAX_LATENCY_US = 60_000_000
+MAX_CONNECTIONS = 230  # per load process; a sidecar accepts some 700 at most
 
 
-class Mix(msgspec.Struct):
-    """One workload of the load. Times in seconds."""
+class WorkloadLoad(msgspec.Struct):
+    """One workload and its share of the load. Times in seconds."""
 
     name: str
     share: float
@@ -32,7 +33,7 @@
 
 
 class Phase(msgspec.Struct):
-    """`rate` a second in an open loop; or `clients` that ask again as soon as they are answered."""
+    """An open loop of `rate` requests a second, or a closed loop of `clients`."""
 
     name: str
     seconds: float
@@ -41,17 +42,17 @@
     measured: bool = True
 
 
-class Order(msgspec.Struct):
+class LoadSpec(msgspec.Struct):
     address: str
-    mixes: list[Mix]
+    mixes: list[WorkloadLoad]
     phases: list[Phase]
     start: float  # Unix time
     seed: int = 1
     prefix: str = "f"
 
 
-class Told(msgspec.Struct):
-    """What came of one workload in one phase. Milliseconds; latency from when a submission was due."""
+class LoadResult(msgspec.Struct):
+    """Results of one workload in one phase. Latencies in milliseconds, from when the request was due."""
 
     phase: str
     workload: str
@@ -62,7 +63,7 @@
     denied: int = 0
     broken: int = 0
     unanswered: int = 0
-    not_sent: int = 0  # no connection was free: the process, not the program, was short
+    not_sent: int = 0  # no connection was free: a limit of the load generator, not of the sidecar
     handled_p50: float = 0.0
     handled_p99: float = 0.0
     denied_p50: float = 0.0
@@ -72,243 +73,261 @@
 
 class Tally:
     def __init__(self, phase: str, workload: str, seconds: float) -> None:
-        self.told = Told(phase, workload, seconds)
-        self.handled = HdrHistogram(1, LONGEST, 3)
-        self.denied = HdrHistogram(1, LONGEST, 3)
+        self.result = LoadResult(phase, workload, seconds)
+        self.handled = HdrHistogram(1, MAX_LATENCY_US, 3)
+        self.denied = HdrHistogram(1, MAX_LATENCY_US, 3)
 
-    def sum_up(self) -> Told:
-        told = self.told
+    def summarize(self) -> LoadResult:
+        result = self.result
         for name, histogram in (("handled", self.handled), ("denied", self.denied)):
             if histogram.get_total_count():
-                for part in (50, 99):
-                    setattr(told, f"{name}_p{part}", histogram.get_value_at_percentile(part) / 1000)
+                for percentile in (50, 99):
+                    setattr(
+                        result, f"{name}_p{percentile}", histogram.get_value_at_percentile(percentile) / 1000
+                    )
         if self.denied.get_total_count():
-            told.denied_most = self.denied.get_max_value() / 1000
-        return told
+            result.denied_most = self.denied.get_max_value() / 1000
+        return result
 
 
-class Ask:
-    """One submission on its way."""
+class PendingRequest:
+    """A request that is due or under way."""
 
-    __slots__ = ("mix", "tally", "due", "limit", "done", "wire", "then")
+    __slots__ = ("workload", "tally", "due", "deadline", "done", "connection", "on_done")
 
-    def __init__(self, mix: Mix, tally: Tally, due: float, then: Callable[[], None] | None = None) -> None:
-        self.mix, self.tally, self.due, self.limit = mix, tally, due, due + mix.hard_limit
-        self.done, self.then = False, then
-        self.wire: Wire | None = None
+    def __init__(
+        self, workload: WorkloadLoad, tally: Tally, due: float, on_done: Callable[[], None] | None = None
+    ) -> None:
+        self.workload, self.tally, self.due, self.deadline = workload, tally, due, due + workload.hard_limit
+        self.done, self.on_done = False, on_done
+        self.connection: ClientConnection | None = None
 
     def end(self) -> None:
-        """Once, whatever came of it; a client of a closed loop then asks again."""
+        """Called once, with any outcome. A client of a closed loop then sends its next request."""
         self.done = True
-        if self.then is not None:
-            asyncio.get_running_loop().call_soon(self.then)
+        if self.on_done is not None:
+            asyncio.get_running_loop().call_soon(self.on_done)
 
 
-class Wire(asyncio.Protocol):
-    """A client's connection; one request at a time."""
+class ClientConnection(asyncio.Protocol):
+    """A client connection, with one request at a time."""
 
-    def __init__(self, flood: Flood) -> None:
-        self.flood, self.transport, self.ask = flood, None, None
-        self.got = bytearray()
+    def __init__(self, generator: LoadGenerator) -> None:
+        self.generator, self.transport, self.request = generator, None, None
+        self.buffer = bytearray()
 
     def connection_made(self, transport: Any) -> None:
         self.transport = transport
 
     def data_received(self, data: bytes) -> None:
-        self.got += data
-        end = self.got.find(b"\r\n\r\n")
+        self.buffer += data
+        end = self.buffer.find(b"\r\n\r\n")
         if end < 0:
             return
-        head = bytes(self.got[:end]).lower()
-        at = head.find(b"content-length:")
-        length = int(head[at + 15 : head.find(b"\r\n", at) if b"\r\n" in head[at:] else end].strip() or 0)
-        if len(self.got) < end + 4 + length:
+        head = bytes(self.buffer[:end]).lower()
+        length_at = head.find(b"content-length:")
+        length = int(
+            head[
+                length_at + 15 : head.find(b"\r\n", length_at) if b"\r\n" in head[length_at:] else end
+            ].strip()
+            or 0
+        )
+        if len(self.buffer) < end + 4 + length:
             return
-        del self.got[: end + 4 + length]
-        ask, self.ask = self.ask, None
+        del self.buffer[: end + 4 + length]
+        request, self.request = self.request, None
         closes = b"connection: close" in head
         if closes and self.transport is not None:
             self.transport.close()
-        self.flood.answered(self, ask, int(head[9:12]), closes)
+        self.generator.answered(self, request, int(head[9:12]), closes)
 
     def connection_lost(self, error: Exception | None) -> None:
-        ask, self.ask = self.ask, None
-        self.flood.lost(self, ask)
+        request, self.request = self.request, None
+        self.generator.connection_lost(self, request)
 
 
-class Flood:
-    def __init__(self, order: Order) -> None:
-        self.order, self.chance, self.serial = order, random.Random(order.seed), 0
-        self.idle: deque[Wire] = deque()
-        self.open = 0
+class LoadGenerator:
+    def __init__(self, spec: LoadSpec) -> None:
+        self.spec, self.random_source, self.sent_count = spec, random.Random(spec.seed), 0
+        self.idle: deque[ClientConnection] = deque()
+        self.open_count = 0
         self.tallies: dict[tuple[str, str], Tally] = {}
-        self.deadlines: deque[Ask] = deque()
+        self.pending: deque[PendingRequest] = deque()
         self.closed: dict[str, bool] = {}
         self.tasks: set[asyncio.Task[None]] = set()
 
-    def tally(self, phase: Phase, mix: Mix) -> Tally:
-        key = (phase.name, mix.name)
+    def tally(self, phase: Phase, workload: WorkloadLoad) -> Tally:
+        key = (phase.name, workload.name)
         if key not in self.tallies:
-            self.tallies[key] = Tally(phase.name, mix.name, phase.seconds)
+            self.tallies[key] = Tally(phase.name, workload.name, phase.seconds)
         return self.tallies[key]
 
-    def draw(self) -> Mix:
-        at = self.chance.random() * sum(mix.share for mix in self.order.mixes)
-        for mix in self.order.mixes:
-            at -= mix.share
-            if at < 0:
-                return mix
-        return self.order.mixes[-1]
-
-    def head(self, ask: Ask, left: float) -> bytes:
-        self.serial += 1
-        mix, name = ask.mix, f"{self.order.prefix}{self.serial}"
-        method = "POST" if mix.keyed else "GET"
-        lines = f"{method} /{mix.name} HTTP/1.1\r\nHost: site\r\nReq-Id: {name}\r\nReq-Kind: {mix.name}\r\n"
-        lines += f"Req-Deadline: {max(0.001, left):.6f}\r\n"
-        if mix.keyed:
-            lines += f"Idempotency-Key: k{name}\r\nContent-Length: {mix.body}\r\n"
-        return lines.encode() + b"\r\n" + b"x" * (mix.body if mix.keyed else 0)
-
-    def send(self, ask: Ask) -> None:
-        ask.tally.told.asked += 1
+    def draw_workload(self) -> WorkloadLoad:
+        remaining_share = self.random_source.random() * sum(workload.share for workload in self.spec.mixes)
+        for workload in self.spec.mixes:
+            remaining_share -= workload.share
+            if remaining_share < 0:
+                return workload
+        return self.spec.mixes[-1]
+
+    def encode_request(self, request: PendingRequest, left_s: float) -> bytes:
+        self.sent_count += 1
+        workload, request_id = request.workload, f"{self.spec.prefix}{self.sent_count}"
+        method = "POST" if workload.keyed else "GET"
+        lines = (
+            f"{method} /{workload.name} HTTP/1.1\r\nHost: site\r\nReq-Id: {request_id}\r\n"
+            f"Req-Kind: {workload.name}\r\n"
+        )
+        lines += f"Req-Deadline: {max(0.001, left_s):.6f}\r\n"
+        if workload.keyed:
+            lines += f"Idempotency-Key: k{request_id}\r\nContent-Length: {workload.body}\r\n"
+        return lines.encode() + b"\r\n" + b"x" * (workload.body if workload.keyed else 0)
+
+    def send(self, request: PendingRequest) -> None:
+        request.tally.result.asked += 1
         while self.idle:
-            wire = self.idle.pop()
-            if wire.transport is not None and not wire.transport.is_closing():
-                return self.write(wire, ask)
-        if self.open >= MOST_OPEN:
-            ask.tally.told.not_sent += 1
-            ask.end()
+            connection = self.idle.pop()
+            if connection.transport is not None and not connection.transport.is_closing():
+                return self.write(connection, request)
+        if self.open_count >= MAX_CONNECTIONS:
+            request.tally.result.not_sent += 1
+            request.end()
             return
-        task = asyncio.get_running_loop().create_task(self.connect(ask))
+        task = asyncio.get_running_loop().create_task(self.connect(request))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    def write(self, wire: Wire, ask: Ask) -> None:
-        wire.ask, ask.wire = ask, wire
-        if wire.transport is not None:
-            wire.transport.write(self.head(ask, ask.limit - time.time()))
-        self.deadlines.append(ask)
+    def write(self, connection: ClientConnection, request: PendingRequest) -> None:
+        connection.request, request.connection = request, connection
+        if connection.transport is not None:
+            connection.transport.write(self.encode_request(request, request.deadline - time.time()))
+        self.pending.append(request)
 
-    async def connect(self, ask: Ask) -> None:
-        self.open += 1
-        host, _, port = self.order.address.partition(":")
+    async def connect(self, request: PendingRequest) -> None:
+        self.open_count += 1
+        host, _, port = self.spec.address.partition(":")
         try:
             loop = asyncio.get_running_loop()
-            _, wire = await loop.create_connection(lambda: Wire(self), host, int(port))
+            _, connection = await loop.create_connection(lambda: ClientConnection(self), host, int(port))
         except OSError:
-            self.open -= 1
-            ask.tally.told.broken += 1
-            ask.end()
+            self.open_count -= 1
+            request.tally.result.broken += 1
+            request.end()
             return
-        self.write(wire, ask)
+        self.write(connection, request)
 
-    def answered(self, wire: Wire, ask: Ask | None, status: int, closes: bool) -> None:
+    def answered(
+        self, connection: ClientConnection, request: PendingRequest | None, status: int, closes: bool
+    ) -> None:
         if not closes:
-            self.idle.append(wire)
-        if ask is None or ask.done:
+            self.idle.append(connection)
+        if request is None or request.done:
             return
-        ask.end()
-        told, now = ask.tally.told, time.time()
-        took = max(1, int((now - ask.due) * 1e6))
+        request.end()
+        result, now = request.tally.result, time.time()
+        latency_us = max(1, int((now - request.due) * 1e6))
         if status == 200:
-            told.handled += 1
-            told.in_time += now - ask.due <= ask.mix.contract
-            ask.tally.handled.record_value(min(LONGEST, took))
+            result.handled += 1
+            result.in_time += now - request.due <= request.workload.contract
+            request.tally.handled.record_value(min(MAX_LATENCY_US, latency_us))
         elif status in (429, 503):
-            told.denied += 1
-            ask.tally.denied.record_value(min(LONGEST, took))
+            result.denied += 1
+            request.tally.denied.record_value(min(MAX_LATENCY_US, latency_us))
         else:
-            told.broken += 1
+            result.broken += 1
 
-    def lost(self, wire: Wire, ask: Ask | None) -> None:
-        self.open -= 1
-        if ask is not None and not ask.done:
-            ask.end()
-            ask.tally.told.broken += 1
+    def connection_lost(self, connection: ClientConnection, request: PendingRequest | None) -> None:
+        self.open_count -= 1
+        if request is not None and not request.done:
+            request.end()
+            request.tally.result.broken += 1
 
-    async def watch_limits(self) -> None:
-        """What has no answer at its hard limit has none; its client hangs up."""
+    async def watch_deadlines(self) -> None:
+        """Counts requests without an answer at the hard limit as unanswered and aborts their connections."""
         while True:
             now = time.time()
-            for _ in range(len(self.deadlines)):
-                ask = self.deadlines.popleft()
-                if ask.done:
+            for _ in range(len(self.pending)):
+                request = self.pending.popleft()
+                if request.done:
                     continue
-                if now < ask.limit + 0.05:
-                    self.deadlines.append(ask)
+                if now < request.deadline + 0.05:
+                    self.pending.append(request)
                     continue
-                ask.end()
-                ask.tally.told.unanswered += 1
-                if ask.wire is not None and ask.wire.transport is not None:
-                    ask.wire.transport.abort()
+                request.end()
+                request.tally.result.unanswered += 1
+                if request.connection is not None and request.connection.transport is not None:
+                    request.connection.transport.abort()
             await asyncio.sleep(0.05)
 
-    async def run(self) -> list[Told]:
-        watch = asyncio.create_task(self.watch_limits())
-        at = self.order.start
-        await asyncio.sleep(max(0.0, at - time.time()))
-        for phase in self.order.phases:
-            await (self.closed_loop(phase, at) if phase.clients else self.open_loop(phase, at))
-            at += phase.seconds
-        await asyncio.sleep(max(mix.hard_limit for mix in self.order.mixes) + 0.2)
-        watch.cancel()
-        return [tally.sum_up() for tally in self.tallies.values()]
+    async def run(self) -> list[LoadResult]:
+        watcher = asyncio.create_task(self.watch_deadlines())
+        phase_start = self.spec.start
+        await asyncio.sleep(max(0.0, phase_start - time.time()))
+        for phase in self.spec.phases:
+            await (
+                self.closed_loop(phase, phase_start) if phase.clients else self.open_loop(phase, phase_start)
+            )
+            phase_start += phase.seconds
+        await asyncio.sleep(max(workload.hard_limit for workload in self.spec.mixes) + 0.2)
+        watcher.cancel()
+        return [tally.summarize() for tally in self.tallies.values()]
 
     async def open_loop(self, phase: Phase, start: float) -> None:
         due, end = start, start + phase.seconds
         while phase.rate > 0:
-            due += self.chance.expovariate(phase.rate)
+            due += self.random_source.expovariate(phase.rate)
             if due >= end:
                 break
             if (wait := due - time.time()) > 0.001:
                 await asyncio.sleep(wait)
-            mix = self.draw()
-            self.send(Ask(mix, self.tally(phase, mix), due))
-            if self.serial % 20 == 0:
-                await asyncio.sleep(0)  # answers are read, however far behind
+            workload = self.draw_workload()
+            self.send(PendingRequest(workload, self.tally(phase, workload), due))
+            if self.sent_count % 20 == 0:
+                await asyncio.sleep(0)  # lets answers be read even if the generator is behind schedule
         await asyncio.sleep(max(0.0, end - time.time()))
 
     async def closed_loop(self, phase: Phase, start: float) -> None:
         end = start + phase.seconds
 
-        def ask_again() -> None:
+        def send_next() -> None:
             now = time.time()
             if now < end:
-                mix = self.draw()
-                self.send(Ask(mix, self.tally(phase, mix), now, ask_again))
+                workload = self.draw_workload()
+                self.send(PendingRequest(workload, self.tally(phase, workload), now, send_next))
 
         for _ in range(phase.clients):
-            ask_again()
+            send_next()
         await asyncio.sleep(max(0.0, end - time.time()))
 
 
-class Idle(asyncio.Protocol):
-    """An endpoint that answers at once."""
+class ImmediateEndpoint(asyncio.Protocol):
+    """The server side of an endpoint that answers every request at once."""
 
     def __init__(self) -> None:
         self.transport: Any = None
-        self.got = bytearray()
+        self.buffer = bytearray()
 
     def connection_made(self, transport: Any) -> None:
         self.transport = transport
 
     def data_received(self, data: bytes) -> None:
-        self.got += data
-        while (end := self.got.find(b"\r\n\r\n")) >= 0:
-            head = bytes(self.got[:end]).lower()
-            at = head.find(b"content-length:")
-            length = int(head[at + 15 :].split(b"\r\n", 1)[0]) if at >= 0 else 0
-            if len(self.got) < end + 4 + length:
+        self.buffer += data
+        while (end := self.buffer.find(b"\r\n\r\n")) >= 0:
+            head = bytes(self.buffer[:end]).lower()
+            length_at = head.find(b"content-length:")
+            length = int(head[length_at + 15 :].split(b"\r\n", 1)[0]) if length_at >= 0 else 0
+            if len(self.buffer) < end + 4 + length:
                 return
-            del self.got[: end + 4 + length]
+            del self.buffer[: end + 4 + length]
             self.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 
 
 async def serve(count: int) -> None:
-    """Tells the addresses, and serves until standard input ends."""
+    """Prints the addresses of the endpoints and serves until standard input ends."""
     loop = asyncio.get_running_loop()
-    servers = [await loop.create_server(Idle, "127.0.0.1", 0, backlog=1024) for _ in range(count)]
+    servers = [
+        await loop.create_server(ImmediateEndpoint, "127.0.0.1", 0, backlog=1024) for _ in range(count)
+    ]
     addresses = ["%s:%d" % server.sockets[0].getsockname()[:2] for server in servers]
     print(msgspec.json.encode(addresses).decode(), flush=True)
     await loop.run_in_executor(None, sys.stdin.read)
@@ -319,8 +338,8 @@
     if line.startswith("serve"):
         asyncio.run(serve(int(line.split()[1])))
         return
-    told = asyncio.run(Flood(msgspec.json.decode(line, type=Order)).run())
-    print(msgspec.json.encode(told).decode(), flush=True)
+    results = asyncio.run(LoadGenerator(msgspec.json.decode(line, type=LoadSpec)).run())
+    print(msgspec.json.encode(results).decode(), flush=True)
 
 
 if __name__ == "__main__":
--- a/lupinmill/lab/processes.py
+++ b/lupinmill/lab/processes.py
@@ -1,5 +1,6 @@
-"""Sidecars, and commands that serve, as real processes of `python -m lupinmill`. Owns each process and its
-files; `end` leaves none behind."""
+"""Sidecars, and long-running commands, as real processes of `python -m lupinmill`.
+
+Each `Process` owns its operating system process and its configuration file; `end` leaves none behind."""
 
 from __future__ import annotations
 
@@ -15,14 +16,14 @@
 import orjson
 
 MAX_KEPT_EVENTS = 200
-START_TIMEOUT_S = 15.0  # seconds until the log must tell where it listens
-STARVED_RUN_S = 0.05  # seconds for which a starved one runs between two stops
+START_TIMEOUT_S = 15.0  # seconds within which the log must name the listening address
+STARVED_RUN_S = 0.05  # running time of a starved process between two stops
 
 
 async def call_operator(
     address: str, path: str, method: str = "GET", timeout_s: float = 10.0
 ) -> tuple[int, bytes]:
-    """An operator's call: status and body. Raises TimeoutError without an answer in `limit` seconds."""
+    """Calls the admin interface; status and body. Raises TimeoutError without an answer in `timeout_s`."""
     host, _, port = address.rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     try:
@@ -37,7 +38,7 @@
 def last_log_lines(
     lines: Mapping[str, Iterable[dict[str, Any]]], count: int, max_length: int | None = None
 ) -> str:
-    """The last log events of each process, one a line, cut to so many characters."""
+    """The last `count` log events of each process, one per line, cut to `max_length` characters."""
     return "\n".join(
         f"{name}: {orjson.dumps(event).decode()[:max_length]}"
         for name, events in lines.items()
@@ -46,7 +47,7 @@
 
 
 class Process:
-    """One sidecar's process, over its restarts: the same name and address, a fresh seed."""
+    """The process of one sidecar, across restarts, which keep its name and address."""
 
     def __init__(
         self,
@@ -60,9 +61,9 @@
         self.name, self.tier, self.make_config, self.on_event = name, tier, make_config, on_event
         self.config = folder / f"{name}.json"
         self.environ = environ or {}
-        self.arguments: list[str] = []  # of a command; none: it serves as a sidecar
+        self.arguments: list[str] = []  # of a subcommand; empty for a sidecar
         self.address = self.operator_address = ""
-        self.recent_events: deque[dict[str, Any]] = deque(maxlen=MAX_KEPT_EVENTS)  # of its log
+        self.recent_events: deque[dict[str, Any]] = deque(maxlen=MAX_KEPT_EVENTS)  # of the log
         self.process: asyncio.subprocess.Process | None = None
         self.reader_task: asyncio.Task[None] | None = None
         self.started = asyncio.Event()
@@ -99,7 +100,7 @@
             raise RuntimeError(f"{self.name} did not start: {' '.join(self.error_lines)[-300:]}")
 
     async def read(self, process: asyncio.subprocess.Process) -> None:
-        """The log, line by line, and the end: one that nobody asked for is a crash."""
+        """Reads the log until the process ends; an end that was not requested is recorded as a crash."""
         errors = asyncio.create_task(self.read_errors(process))
         try:
             assert process.stdout is not None
@@ -142,7 +143,7 @@
             self.process.kill()
 
     def starve(self, stop_s: float) -> None:
-        """Stopped for `lag` seconds at a time, as by neighbours on its core; 0 ends it."""
+        """Stops the process for `stop_s` at a time, as if other processes held its core; 0 ends this."""
         if self.starve_task is not None:
             self.starve_task.cancel()
             self.starve_task = None
@@ -164,10 +165,10 @@
             try:
                 self.process.send_signal(signum)
             except ProcessLookupError:
-                pass  # it ended a moment ago
+                pass  # the process has just ended
 
     def cpu(self) -> float:
-        """Seconds of processor time that it has used; 0 where it has ended."""
+        """Seconds of CPU time used so far; 0 if the process has ended."""
         try:
             fields = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()
         except (OSError, AttributeError):
@@ -175,7 +176,7 @@
         return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
     def memory(self) -> float:
-        """MiB in memory; 0 where it has ended."""
+        """Resident memory in MiB; 0 if the process has ended."""
         try:
             pages = int(Path(f"/proc/{self.process.pid}/statm").read_text().split()[1])
         except (OSError, AttributeError):
@@ -183,7 +184,7 @@
         return pages * os.sysconf("SC_PAGE_SIZE") / 2**20
 
     async def terminate(self, timeout_s: float) -> int | None:
-        """SIGTERM, and its exit code; None: it had not ended by then, and was killed."""
+        """Sends SIGTERM and returns the exit code; after the timeout kills the process and returns None."""
         assert self.process is not None
         self.killed = True
         self.signal(signal.SIGTERM)
