--- a/lupinmill/cli/faults.py
+++ b/lupinmill/cli/faults.py
@@ -36,5 +36,5 @@
     for one in range(seed, seed + seeds):
         verdict = run.play(one, processes, seconds, soak=soak)
         click.echo(reports.verdict_text(verdict))
-        broken |= bool(verdict.breaks)
+        broken |= bool(verdict.violations)
     sys.exit(EXIT_BROKEN if broken else 0)
--- a/lupinmill/lab/faults/__init__.py
+++ b/lupinmill/lab/faults/__init__.py
@@ -1,2 +1,3 @@
-"""The fault campaign: real processes of the program among stand-ins, drawn faults, and a referee.
-None of it imports from the program, which it knows by its documents alone."""
+"""The fault campaign: real processes of the program among stand-ins, random faults, and a referee.
+
+It imports nothing from the program, of which it assumes only what the documentation says."""
--- a/lupinmill/lab/faults/clients.py
+++ b/lupinmill/lab/faults/clients.py
@@ -1,5 +1,6 @@
-"""Stand-ins for clients: ordinary ones, such that leave, and hostile ones. Each request is written down
-before its first byte goes out, and what came of it."""
+"""Stand-ins for clients: well-behaved ones, ones that leave early, and malicious ones.
+
+Each request is recorded before its first byte is sent, and its outcome later."""
 
 from __future__ import annotations
 
@@ -10,15 +11,22 @@
 from urllib.parse import quote
 
 from lupinmill.lab.faults.customers import Customer, Workload
-from lupinmill.lab.faults.records import Answered, Ending, Life, Records, Sent
-from lupinmill.lab.faults.wire import BadMessage, Cut, Wire, connect, read_answer, status_of
-
-PATIENCE = 8.0  # seconds beyond its deadline for which a client waits, lest a busy machine fail a request
-CONNECT_PATIENCE = 10.0
-LAST_NEW_CONNECTION = 0.15  # seconds after SIGTERM up to which clients open new connections
-QUIET_AFTER_ANSWER = 0.03  # seconds in which a client looks for a second answer
-MOST_REQUESTS = 2_000  # on one connection
-LARGE_BODIES = (3_000, 70_000, 1_300_000)
+from lupinmill.lab.faults.records import Answer, ConnectionEnd, ProcessRecord, RunRecords, SentRequest
+from lupinmill.lab.faults.connection import (
+    MalformedMessage,
+    ConnectionCut,
+    Connection,
+    connect,
+    read_answer,
+    status_of,
+)
+
+ANSWER_TIMEOUT_S = 8.0  # beyond the deadline of a request, so that a busy machine fails none
+CONNECT_TIMEOUT_S = 10.0
+CONNECT_AFTER_TERM_S = 0.15  # clients open new connections this long after SIGTERM
+SECOND_ANSWER_WAIT_S = 0.03  # time in which a client looks for a second answer
+MAX_REQUESTS = 2_000  # on one connection
+LARGE_BODY_BYTES = (3_000, 70_000, 1_300_000)
 MALFORMED = (
     "bad request line",
     "space before a colon",
@@ -44,38 +52,38 @@
     "two deadlines",
     "two kinds",
 )
-NAMED = (b"Idempotency-Key", b"Req-Id", b"close, Idempotency-Key, req-id", b"Req-Kind")
-LEAVINGS = ("close", "reset", "half-close")
+CONNECTION_VALUES = (b"Idempotency-Key", b"Req-Id", b"close, Idempotency-Key, req-id", b"Req-Kind")
+LEAVE_METHODS = ("close", "reset", "half-close")
 
 
 class Sidecar:
-    """What clients see of one: where it listens, and the process that is there now."""
+    """A sidecar as its clients see it: its address and the process that currently listens there."""
 
-    def __init__(self, name: str, address: tuple[str, int]) -> None:
-        self.name, self.address = name, address
-        self.life: Life | None = None
-        self.over = False  # the campaign ends: no further request
+    def __init__(self, request_id: str, address: tuple[str, int]) -> None:
+        self.name, self.address = request_id, address
+        self.process: ProcessRecord | None = None
+        self.closing = False  # the campaign ends, no further requests are sent
 
-    def takes(self) -> bool:
-        """May a client open a connection to it?"""
-        life = self.life
+    def accepts_connections(self) -> bool:
+        """Whether a client may open a connection."""
+        process = self.process
         if (
-            life is None
-            or life.ready is None
-            or life.ended is not None
-            or life.killed is not None
-            or self.over
+            process is None
+            or process.ready_at is None
+            or process.ended_at is not None
+            or process.killed_at is not None
+            or self.closing
         ):
             return False
-        return life.terminated is None or time.time() - life.terminated < LAST_NEW_CONNECTION
+        return process.terminated_at is None or time.time() - process.terminated_at < CONNECT_AFTER_TERM_S
 
 
 class Clients:
-    """All of one sidecar's. Each task draws from a random sequence of its own."""
+    """The clients of one sidecar. Each task draws from a random sequence of its own."""
 
-    def __init__(self, customer: Customer, sidecar: Sidecar, seed: str, records: Records) -> None:
+    def __init__(self, customer: Customer, sidecar: Sidecar, seed: str, records: RunRecords) -> None:
         self.customer, self.sidecar, self.seed, self.records = customer, sidecar, seed, records
-        self.serial = 0
+        self.request_count = 0
 
     def tasks(self) -> list[Callable[[], object]]:
         kinds = (
@@ -90,13 +98,13 @@
             self.odd,
         )
         return [
-            lambda at=at, kind=kind: self.keep_on(kind, Random(f"{self.seed} {at}"))
+            lambda at=at, kind=kind: self.run_repeatedly(kind, Random(f"{self.seed} {at}"))
             for at, kind in enumerate(kinds)
         ]
 
-    async def keep_on(self, kind: Callable[[Random], object], random: Random) -> None:
-        while not self.sidecar.over:
-            if not self.sidecar.takes():
+    async def run_repeatedly(self, kind: Callable[[Random], object], random: Random) -> None:
+        while not self.sidecar.closing:
+            if not self.sidecar.accepts_connections():
                 await asyncio.sleep(0.02)
                 continue
             try:
@@ -107,36 +115,38 @@
 
     # Requests.
 
-    def draw(
-        self, random: Random, how: str, workload: Workload | None = None, body: int | None = None
-    ) -> Sent:
-        one = workload or random.choice(self.customer.workloads)
-        self.serial += 1
-        name = f"{self.sidecar.name}-{self.serial}-{random.getrandbits(32):08x}".encode()
-        get = one.effect == "repeatable" and random.random() < 0.7
-        size = 0 if get else random.choice((0, 1, 200, 200)) if body is None else body
-        keyed = one.effect == "by_key" and random.random() < 0.9
+    def draw_request(
+        self, random: Random, description: str, workload: Workload | None = None, body: int | None = None
+    ) -> SentRequest:
+        chosen = workload or random.choice(self.customer.workloads)
+        self.request_count += 1
+        request_id = f"{self.sidecar.name}-{self.request_count}-{random.getrandbits(32):08x}".encode()
+        is_get = chosen.effect == "repeatable" and random.random() < 0.7
+        size = 0 if is_get else random.choice((0, 1, 200, 200)) if body is None else body
+        keyed = chosen.effect == "by_key" and random.random() < 0.9
         query = random.choice((b"", b"?a=1&b=%2F", b"/further/part?q=%C3%A9"))
-        life = self.sidecar.life
-        assert life is not None
-        sent = Sent(
-            id=name,
+        process = self.sidecar.process
+        assert process is not None
+        sent = SentRequest(
+            id=request_id,
             customer=self.customer.name,
-            life=life,
-            kind=one.name,
-            effect=one.effect,
-            method=b"GET" if get else b"POST",
-            target=b"/" + quote(one.name).encode() + query,
+            process=process,
+            workload=chosen.name,
+            effect=chosen.effect,
+            method=b"GET" if is_get else b"POST",
+            target=b"/" + quote(chosen.name).encode() + query,
             body=random.randbytes(size),
-            ids=[name],
-            keys=[b"key-" + name] if keyed else [],
-            deadline=round(one.deadline * random.choice((1, 1, 0.7)), 3),
-            how=how,
+            ids=[request_id],
+            keys=[b"key-" + request_id] if keyed else [],
+            deadline=round(chosen.deadline * random.choice((1, 1, 0.7)), 3),
+            description=description,
         )
-        self.records.sent[name] = sent
+        self.records.requests[request_id] = sent
         return sent
 
-    def head(self, sent: Sent, random: Random, more: tuple[bytes, ...] = (), length: bool = True) -> bytes:
+    def encode_head(
+        self, sent: SentRequest, random: Random, more: tuple[bytes, ...] = (), length: bool = True
+    ) -> bytes:
         deadline = (
             random.choice((b"%.3f", b"%.6f", b"%.1f") if sent.deadline >= 1 else (b"%.3f",)) % sent.deadline
         )
@@ -144,252 +154,265 @@
         lines = [b"%b %b HTTP/1.1" % (sent.method, sent.target), b"Host: app.svc"]
         lines += [b"Req-Id: " + one for one in sent.ids]
         lines += [b"Idempotency-Key: " + one for one in sent.keys]
-        lines += [b"Req-Kind: " + sent.kind.encode(), b"Req-Deadline: " + deadline, *more]
+        lines += [b"Req-Kind: " + sent.workload.encode(), b"Req-Deadline: " + deadline, *more]
         if length and (sent.body or sent.method == b"POST"):
             lines.append(b"Content-Length: %d" % len(sent.body))
         return b"\r\n".join(lines) + b"\r\n\r\n"
 
     # Waiting for answers.
 
-    async def open(self) -> Wire:
-        async with asyncio.timeout(CONNECT_PATIENCE):
+    async def open_connection(self) -> Connection:
+        async with asyncio.timeout(CONNECT_TIMEOUT_S):
             return await connect(self.sidecar.address)
 
-    async def hear(self, wire: Wire, sent: Sent) -> bool:
-        """The one answer, or what came in its place. True where the connection can go on."""
-        if sent.first_on_connection or sent.behind is not None:
-            sent.opened = wire.opened
+    async def receive_answer(self, connection: Connection, sent: SentRequest) -> bool:
+        """Records the answer, or why there is none. True if the connection can be used further."""
+        if sent.first_on_connection or sent.previous is not None:
+            sent.opened_at = connection.opened_at
         try:
-            async with asyncio.timeout(None) as limit:
-                patience = asyncio.create_task(self.be_patient(sent, limit))
+            async with asyncio.timeout(None) as timeout:
+                timer = asyncio.create_task(self.expire(sent, timeout))
                 try:
-                    message = await read_answer(wire)
+                    message = await read_answer(connection)
                 finally:
-                    patience.cancel()
+                    timer.cancel()
         except TimeoutError:
-            sent.over = time.time()
+            sent.finished_at = time.time()
             return False
-        except Cut as error:
-            await self.ended(wire, sent, error.reset)
-            if wire.inside:
-                sent.broken = "cut inside an answer"
+        except ConnectionCut as error:
+            await self.record_end(connection, sent, error.reset)
+            if connection.in_message:
+                sent.broken_answer = "cut inside an answer"
             return False
         except OSError:
-            await self.ended(wire, sent, True)
-            if wire.inside:
-                sent.broken = "reset inside an answer"
+            await self.record_end(connection, sent, True)
+            if connection.in_message:
+                sent.broken_answer = "reset inside an answer"
             return False
-        except BadMessage as error:
-            sent.over, sent.extra = time.time(), str(error).encode()
+        except MalformedMessage as error:
+            sent.finished_at, sent.extra_bytes = time.time(), str(error).encode()
             return False
         if message is None:
-            await self.ended(wire, sent, False)
+            await self.record_end(connection, sent, False)
             return False
-        sent.over = time.time()
+        sent.finished_at = time.time()
         closes = b"close" in message.value(b"connection").lower()
-        sent.answers.append(Answered(wire.stamp, status_of(message), message.body, closes))
+        sent.answers.append(Answer(connection.received_at, status_of(message), message.body, closes))
         return not closes
 
-    async def ended(self, wire: Wire, sent: Sent, reset: bool) -> None:
-        sent.over = time.time()
-        sent.ending = Ending.RESET if reset or await wire.was_reset() else Ending.CLOSED
+    async def record_end(self, connection: Connection, sent: SentRequest, reset: bool) -> None:
+        sent.finished_at = time.time()
+        sent.connection_end = (
+            ConnectionEnd.RESET if reset or await connection.was_reset() else ConnectionEnd.CLOSED
+        )
 
-    async def be_patient(self, sent: Sent, limit: asyncio.Timeout) -> None:
-        """Ends the wait once its time, and that in which the process was stopped, is long over."""
+    async def expire(self, sent: SentRequest, timeout: asyncio.Timeout) -> None:
+        """Ends the wait `ANSWER_TIMEOUT_S` after the deadline, without the time in which it was stopped."""
         waited, last = 0.0, time.monotonic()
-        while waited < sent.deadline + PATIENCE:
+        while waited < sent.deadline + ANSWER_TIMEOUT_S:
             await asyncio.sleep(0.1)
             now = time.monotonic()
-            held = any(begin <= time.time() <= end for begin, end in sent.life.stops)
+            held = any(begin <= time.time() <= end for begin, end in sent.process.stop_spans)
             waited, last = waited + (0.0 if held else min(0.2, now - last)), now
-        limit.reschedule(asyncio.get_running_loop().time())
+        timeout.reschedule(asyncio.get_running_loop().time())
 
-    async def hear_silence(self, wire: Wire, sent: Sent) -> bool:
-        """Nothing may come behind an answer. False where the connection has ended."""
+    async def nothing_follows(self, connection: Connection, sent: SentRequest) -> bool:
+        """Checks that nothing follows an answer. False if bytes came or the connection has ended."""
         try:
-            async with asyncio.timeout(QUIET_AFTER_ANSWER):
-                if not wire.buffer and not await wire.fill():
+            async with asyncio.timeout(SECOND_ANSWER_WAIT_S):
+                if not connection.buffer and not await connection.read_more():
                     return False
         except TimeoutError:
             return True
         except OSError:
             return False
-        sent.extra = bytes(wire.buffer[:200])
+        sent.extra_bytes = bytes(connection.buffer[:200])
         return False
 
     # Kinds of clients.
 
     async def ordinary(self, random: Random) -> None:
-        wire = await self.open()
-        life = self.sidecar.life
+        connection = await self.open_connection()
+        process = self.sidecar.process
         try:
             for at in range(random.randint(1, 12)):
-                if self.sidecar.over or self.sidecar.life is not life:
+                if self.sidecar.closing or self.sidecar.process is not process:
                     return
-                sent = self.draw(random, "ordinary")
+                sent = self.draw_request(random, "ordinary")
                 sent.first_on_connection = at == 0
-                data = self.head(sent, random) + sent.body
-                await wire.send(data)
-                sent.written = time.time()
-                if not await self.hear(wire, sent) or not await self.hear_silence(wire, sent):
+                data = self.encode_head(sent, random) + sent.body
+                await connection.send(data)
+                sent.written_at = time.time()
+                if not await self.receive_answer(connection, sent) or not await self.nothing_follows(
+                    connection, sent
+                ):
                     return
                 await asyncio.sleep(random.choice((0, 0.02, 0.1, 0.3)))
         finally:
-            wire.close()
+            connection.close()
 
     async def staying(self, random: Random) -> None:
-        """Uses its connection for as long as that stays open, also behind SIGTERM and up to the kill."""
-        wire = await self.open()
+        """Uses one connection for as long as it stays open, even after SIGTERM and until the kill."""
+        connection = await self.open_connection()
         try:
-            for at in range(MOST_REQUESTS):
-                if self.sidecar.over:
+            for at in range(MAX_REQUESTS):
+                if self.sidecar.closing:
                     return
-                sent = self.draw(random, "staying")
+                sent = self.draw_request(random, "staying")
                 sent.first_on_connection = at == 0
-                await wire.send(self.head(sent, random) + sent.body)
-                sent.written = time.time()
-                if not await self.hear(wire, sent):
+                await connection.send(self.encode_head(sent, random) + sent.body)
+                sent.written_at = time.time()
+                if not await self.receive_answer(connection, sent):
                     return
                 await asyncio.sleep(random.choice((0, 0.02, 0.1, 0.8)))
         finally:
-            wire.close()
+            connection.close()
 
     async def leaving(self, random: Random) -> None:
-        """Closes, resets or half-closes after a while, also right behind the request."""
-        wire = await self.open()
+        """Closes, resets or half-closes the connection at once or soon after sending a request."""
+        connection = await self.open_connection()
         try:
-            sent = self.draw(random, "leaving")
-            how = random.choice(LEAVINGS)
-            data = self.head(sent, random) + sent.body
-            if random.random() < 0.3:  # bytes of a next one behind it
-                data += b"GET /" + quote(sent.kind).encode()
-            await wire.send(data)
-            sent.written = time.time()
+            sent = self.draw_request(random, "leaving")
+            method = random.choice(LEAVE_METHODS)
+            data = self.encode_head(sent, random) + sent.body
+            if random.random() < 0.3:  # followed by the first bytes of another request
+                data += b"GET /" + quote(sent.workload).encode()
+            await connection.send(data)
+            sent.written_at = time.time()
             await asyncio.sleep(random.choice((0, 0, 0.001, 0.01, 0.1)))
-            if how == "half-close":
-                wire.end_sending()
-                sent.left = time.time()
-                await self.hear(wire, sent)
+            if method == "half-close":
+                connection.shutdown_send()
+                sent.left_at = time.time()
+                await self.receive_answer(connection, sent)
             else:
-                wire.close(reset=how == "reset")
-                sent.left = sent.over = time.time()
+                connection.close(reset=method == "reset")
+                sent.left_at = sent.finished_at = time.time()
         finally:
-            wire.close()
+            connection.close()
 
     async def pipelining(self, random: Random) -> None:
-        """Several requests at once, cut into pieces anywhere; answers in their order."""
-        wire = await self.open()
+        """Sends several requests at once, split at random places, and reads the answers in order."""
+        connection = await self.open_connection()
         try:
-            batch = [self.draw(random, "pipelining") for _ in range(random.randint(2, 4))]
+            batch = [self.draw_request(random, "pipelining") for _ in range(random.randint(2, 4))]
             for at, sent in enumerate(batch):
                 sent.first_on_connection = at == 0
-                sent.behind = batch[at - 1] if at else None
+                sent.previous = batch[at - 1] if at else None
             empty = random.choice((b"", b"", b"\r\n", b"\r\n\r\n"))
-            texts = [self.head(sent, random) + sent.body for sent in batch]
-            await self.send_batch(wire, random, batch, texts, empty)
+            texts = [self.encode_head(sent, random) + sent.body for sent in batch]
+            await self.send_batch(connection, random, batch, texts, empty)
             for at, sent in enumerate(batch):  # noqa: B007
-                if not await self.hear(wire, sent):
+                if not await self.receive_answer(connection, sent):
                     break
-            for sent in batch[at + 1 :]:  # the connection ended before its turn
-                sent.over, sent.ending, sent.opened = time.time(), batch[at].ending, wire.opened
+            for sent in batch[at + 1 :]:  # the connection ended before their answers
+                sent.finished_at, sent.connection_end, sent.opened_at = (
+                    time.time(),
+                    batch[at].connection_end,
+                    connection.opened_at,
+                )
         finally:
-            wire.close()
+            connection.close()
 
     async def send_batch(
-        self, wire: Wire, random: Random, batch: list[Sent], texts: list[bytes], empty: bytes
+        self,
+        connection: Connection,
+        random: Random,
+        batch: list[SentRequest],
+        texts: list[bytes],
+        empty: bytes,
     ) -> None:
-        """Cut into pieces anywhere, with empty lines between the requests."""
+        """Sends the requests split at random places, with empty lines between them."""
         data = empty.join(texts)
         cuts = sorted(random.randint(0, len(data)) for _ in range(random.randint(0, 3)))
         ends = [sum(map(len, texts[: at + 1])) + at * len(empty) for at in range(len(texts))]
         for begin, end in zip([0, *cuts], [*cuts, len(data)]):
             try:
-                await wire.send(data[begin:end])
+                await connection.send(data[begin:end])
             except OSError:
-                return  # what it answered before it closed may lie here to be read
+                return  # answers sent before the close may still be readable
             for sent, its_end in zip(batch, ends):
                 if begin < its_end <= end:
-                    sent.written = time.time()
+                    sent.written_at = time.time()
             await asyncio.sleep(random.choice((0, 0.001, 0.02)))
 
     async def odd(self, random: Random) -> None:
-        """Valid, and not what most clients write; or cut off by its client before its end."""
+        """Sends a valid but unusual request, or one that it breaks off before its end."""
         kind = random.choice(("cut", "trickling", "expects", "large", "chunked", "absolute", "named", "1.0"))
         workload = random.choice([one for one in self.customer.workloads if one.effect != "repeatable"])
-        wire = await self.open()
+        connection = await self.open_connection()
         try:
             if kind == "cut":
-                await self.cut_off(wire, random, workload)
+                await self.cut_off(connection, random, workload)
                 return
             if kind == "trickling":
-                sent = self.draw(random, "trickling", workload, 20)
-                data = self.head(sent, random) + sent.body
+                sent = self.draw_request(random, "trickling", workload, 20)
+                data = self.encode_head(sent, random) + sent.body
                 for at in range(0, len(data), 12):
-                    await wire.send(data[at : at + 12])
+                    await connection.send(data[at : at + 12])
                     await asyncio.sleep(0.01)
             elif kind == "expects":
-                sent = self.draw(random, "expects 100", workload, 50)
-                await wire.send(self.head(sent, random, (b"Expect: 100-continue",)))
+                sent = self.draw_request(random, "expects 100", workload, 50)
+                await connection.send(self.encode_head(sent, random, (b"Expect: 100-continue",)))
                 await asyncio.sleep(0.01)
-                await wire.send(sent.body)
+                await connection.send(sent.body)
             else:
-                sent, data = self.odd_text(kind, random, workload)
-                await wire.send(data)
-            sent.written = time.time()
-            await self.hear(wire, sent)
+                sent, data = self.encode_odd(kind, random, workload)
+                await connection.send(data)
+            sent.written_at = time.time()
+            await self.receive_answer(connection, sent)
         finally:
-            wire.close()
+            connection.close()
 
-    def odd_text(self, kind: str, random: Random, workload: Workload) -> tuple[Sent, bytes]:
-        """A request that is written at once, and its bytes."""
+    def encode_odd(self, kind: str, random: Random, workload: Workload) -> tuple[SentRequest, bytes]:
+        """An unusual request that is written in one piece, and its bytes."""
         if kind == "large":
-            sent = self.draw(random, "large", workload, random.choice(LARGE_BODIES))
-            return sent, self.head(sent, random) + sent.body
+            sent = self.draw_request(random, "large", workload, random.choice(LARGE_BODY_BYTES))
+            return sent, self.encode_head(sent, random) + sent.body
         if kind == "chunked":
-            sent = self.draw(random, "chunked", workload, 500)
-            head = self.head(sent, random, (b"Transfer-Encoding: chunked",), length=False)
+            sent = self.draw_request(random, "chunked", workload, 500)
+            head = self.encode_head(sent, random, (b"Transfer-Encoding: chunked",), length=False)
             body = b"%x\r\n%b\r\n%X;a=b\r\n%b\r\n0\r\n\r\n" % (100, sent.body[:100], 400, sent.body[100:])
             return sent, head + body
         if kind == "absolute":
-            sent = self.draw(random, "absolute", workload)
-            return sent, self.head(sent, random).replace(b" /", b" http://app.svc/", 1) + sent.body
+            sent = self.draw_request(random, "absolute", workload)
+            return sent, self.encode_head(sent, random).replace(b" /", b" http://app.svc/", 1) + sent.body
         if kind == "named":
-            # `Connection` names headers that identity or repeat safety hang on: refused, or kept.
-            sent = self.draw(random, "named in Connection", workload)
-            named = random.choice(NAMED)
-            return sent, self.head(sent, random, (b"Connection: " + named,)) + sent.body
-        sent = self.draw(random, "HTTP/1.0", workload)
-        return sent, self.head(sent, random).replace(b"HTTP/1.1", b"HTTP/1.0", 1) + sent.body
-
-    async def cut_off(self, wire: Wire, random: Random, workload: Workload) -> None:
-        sent = self.draw(random, "cut off", workload, random.choice((10, 3000)))
-        data = self.head(sent, random) + sent.body
-        await wire.send(data[: random.randint(1, len(data) - 1)])
+            # `Connection` names headers needed for identity or safe repeats: to be kept, or refused.
+            sent = self.draw_request(random, "named in Connection", workload)
+            named = random.choice(CONNECTION_VALUES)
+            return sent, self.encode_head(sent, random, (b"Connection: " + named,)) + sent.body
+        sent = self.draw_request(random, "HTTP/1.0", workload)
+        return sent, self.encode_head(sent, random).replace(b"HTTP/1.1", b"HTTP/1.0", 1) + sent.body
+
+    async def cut_off(self, connection: Connection, random: Random, workload: Workload) -> None:
+        sent = self.draw_request(random, "cut off", workload, random.choice((10, 3000)))
+        data = self.encode_head(sent, random) + sent.body
+        await connection.send(data[: random.randint(1, len(data) - 1)])
         await asyncio.sleep(random.choice((0, 0.01, 0.1)))
         if random.random() < 0.5:
-            wire.end_sending()
+            connection.shutdown_send()
             await asyncio.sleep(0.05)
-        wire.close(reset=random.random() < 0.5)
-        sent.left = sent.over = time.time()
+        connection.close(reset=random.random() < 0.5)
+        sent.left_at = sent.finished_at = time.time()
 
     async def hostile(self, random: Random) -> None:
-        """What no sidecar can take for a request, with a good one behind it that must not be read as one."""
-        wire = await self.open()
+        """Sends a malformed request, whose bytes must not be read as any request by the sidecar."""
+        connection = await self.open_connection()
         try:
             kind = random.choice(MALFORMED)
-            sent = self.draw(random, f"malformed: {kind}")
+            sent = self.draw_request(random, f"malformed: {kind}")
             sent.effect = "malformed"
-            await wire.send(self.malformed(sent, random, kind))
-            sent.written = time.time()
-            await self.hear(wire, sent)
+            await connection.send(self.encode_malformed(sent, random, kind))
+            sent.written_at = time.time()
+            await self.receive_answer(connection, sent)
         finally:
-            wire.close()
+            connection.close()
 
-    def malformed(self, sent: Sent, random: Random, kind: str) -> bytes:
+    def encode_malformed(self, sent: SentRequest, random: Random, kind: str) -> bytes:
         sent.method, sent.body = b"POST", b"0123456789"
-        head = self.head(sent, random)
+        head = self.encode_head(sent, random)
         length = b"Content-Length: 10"
-        name, kind_line = b"Req-Id: " + sent.id, b"Req-Kind: " + sent.kind.encode()
+        request_id, kind_line = b"Req-Id: " + sent.id, b"Req-Kind: " + sent.workload.encode()
         changes: dict[str, tuple[bytes, bytes]] = {
             "bad request line": (b"POST /", b"PO ST  /"),
             "space before a colon": (b"Host:", b"Host :"),
@@ -401,17 +424,20 @@
             "bad chunk": (length, b"Transfer-Encoding: chunked"),
             "bad chunk, cut": (length, b"Transfer-Encoding: chunked"),
             "nul in a header": (b"Host: app", b"Host: a\x00pp"),
-            "no id": (name + b"\r\n", b""),
-            "empty id": (name, b"Req-Id: "),
+            "no id": (request_id + b"\r\n", b""),
+            "empty id": (request_id, b"Req-Id: "),
             "no deadline": (b"Req-Deadline", b"Req-Other"),
             "deadline no number": (b"Req-Deadline: ", b"Req-Deadline: soon"),
             "deadline below zero": (b"Req-Deadline: ", b"Req-Deadline: -"),
             "unknown class": (kind_line, b"Req-Kind: nobody-knows-it"),
-            "two classes": (kind_line, b"Req-Kind: " + self.other_class(sent)),
+            "two classes": (kind_line, b"Req-Kind: " + self.other_workload(sent)),
             "endless head": (b"Host: app.svc", b"Host: app.svc\r\nX-Pad: " + b"x" * 400_000),
             "bad version": (b"HTTP/1.1", b"HTTP/one"),
-            "two ids": (name, name + b"\r\nReq-Id: another-one"),
-            "two keys": (name, name + b"\r\nIdempotency-Key: one-key\r\nIdempotency-Key: another-key"),
+            "two ids": (request_id, request_id + b"\r\nReq-Id: another-one"),
+            "two keys": (
+                request_id,
+                request_id + b"\r\nIdempotency-Key: one-key\r\nIdempotency-Key: another-key",
+            ),
             "two deadlines": (b"Req-Deadline: ", b"Req-Deadline: 0.7\r\nReq-Deadline: 1"),
             "two kinds": (kind_line, kind_line + b"\r\nReq-Kind: nobody-knows-it"),
         }
@@ -420,5 +446,5 @@
         body = b"no size\r\n0\r\n\r\n" if kind == "bad chunk" else sent.body
         return head.replace(before, after, 1) + body
 
-    def other_class(self, sent: Sent) -> bytes:
-        return next(one.name for one in self.customer.workloads if one.name != sent.kind).encode()
+    def other_workload(self, sent: SentRequest) -> bytes:
+        return next(one.name for one in self.customer.workloads if one.name != sent.workload).encode()
--- a/lupinmill/lab/faults/customers.py
+++ b/lupinmill/lab/faults/customers.py
@@ -1,4 +1,4 @@
-"""Imaginary customers: settings drawn within what the documents allow, and configurations outside of that."""
+"""Draws simulated customers with settings that the documentation allows, and makes invalid configurations."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 GROUPS = ("all", "zone", "cell")
 ZONES = ("north", "south")
 TYPES = ("m2", "m8")
-NAMES = (
+WORKLOAD_NAMES = (
     "view",
     "order",
     "bid-2",
@@ -25,26 +25,30 @@
     "a,b",
     "two words",
 )
-SHORT_DEADLINES = (0.15, 0.3, 0.5)  # seconds
+SHORT_DEADLINES = (0.15, 0.3, 0.5)  # seconds, as the next
 DEADLINES = (0.8, 1.0, 2.0, 3.0)
-SOCKETS = (1024, 256, 256, 96, 64, 56)  # descriptors that a sidecar may hold
+SOCKET_LIMITS = (1024, 256, 256, 96, 64, 56)  # file descriptors that a sidecar may use
 
 
 @dataclass(slots=True)
 class Workload:
+    """A workload, and how its requests may be repeated."""
+
     name: str
     effect: str
-    deadline: float  # seconds
+    deadline: float  # seconds, as `window`
     group: str = "cell"
     window: float = 0.0
 
 
 @dataclass(slots=True)
 class Customer:
+    """The settings, workloads and endpoints that a customer's sidecars share."""
+
     name: str
     settings: dict[str, Any]
     workloads: list[Workload]
-    rows: list[dict[str, Any]]  # endpoints as discovery lists them, without addresses
+    rows: list[dict[str, Any]]  # endpoints as listed by discovery, without addresses
     sockets: int
     limits: dict[str, Any] = field(default_factory=dict)
 
@@ -53,33 +57,33 @@
         return float(self.settings["invariants"]["stop-sending-within-s"])
 
     @property
-    def longest(self) -> float:
+    def longest_deadline(self) -> float:
         return max(workload.deadline for workload in self.workloads)
 
 
 def draw_workloads(random: Random) -> list[Workload]:
-    """All effects among them, in any order."""
-    names = random.sample(NAMES, random.randint(3, 5))
+    """Draws workloads that together have all effects, in any order."""
+    names = random.sample(WORKLOAD_NAMES, random.randint(3, 5))
     effects = [*EFFECTS, *(random.choice(EFFECTS) for _ in names[3:])]
     random.shuffle(effects)
-    found = []
+    workloads = []
     for name, effect in zip(names, effects):
         deadline = random.choice(SHORT_DEADLINES if random.random() < 0.25 else DEADLINES)
         window = random.choice((0.2, 0.5, 2.0))
-        found.append(Workload(name, effect, deadline, random.choice(GROUPS), window))
-    return found
+        workloads.append(Workload(name, effect, deadline, random.choice(GROUPS), window))
+    return workloads
 
 
-def workload_table(one: Workload, random: Random) -> dict[str, Any]:
+def workload_table(workload: Workload, random: Random) -> dict[str, Any]:
     table: dict[str, Any] = {
-        "name": one.name,
-        "contract-time-s": one.deadline * random.choice((0.5, 0.9, 1)),
-        "hard-limit-s": one.deadline,
-        "repeat": one.effect,
+        "name": workload.name,
+        "contract-time-s": workload.deadline * random.choice((0.5, 0.9, 1)),
+        "hard-limit-s": workload.deadline,
+        "repeat": workload.effect,
         "value": random.choice((1, 0.5, 4.0)),
     }
-    if one.effect == "by_key":
-        table |= {"group": one.group, "window-s": one.window}
+    if workload.effect == "by_key":
+        table |= {"group": workload.group, "window-s": workload.window}
     return table
 
 
@@ -96,7 +100,7 @@
     }
 
 
-def draw(name: str, random: Random) -> Customer:
+def draw_customer(name: str, random: Random) -> Customer:
     mesh = random.random() < 0.3
     workloads = draw_workloads(random)
     settings: dict[str, Any] = {
@@ -106,7 +110,7 @@
         "discovery": random.choice(("ask", "push")),
         "round-s": random.choice((0.001, 0.005)),
         "random-seed": str(random.randrange(2**31)),
-        "workloads": [workload_table(one, random) for one in workloads],
+        "workloads": [workload_table(workload, random) for workload in workloads],
         "limits": draw_limits(random, mesh),
         "invariants": {
             "ask-within-s": random.choice((1.0, 2.0, 4)),
@@ -129,7 +133,7 @@
     if random.random() < 0.3:
         settings["accounts"] = [{"name": "blue", "quota-per-s": 30}, {"name": "green", "quota-per-s": 2.5}]
     rows = [draw_row(f"{name}-e{at}", random) for at in range(random.randint(3, 6))]
-    limits: dict[str, Any] = {"sockets": random.choice(SOCKETS)}
+    limits: dict[str, Any] = {"sockets": random.choice(SOCKET_LIMITS)}
     if random.random() < 0.5:
         limits["memory_mb"] = random.choice((48, 64, 192))
     return Customer(name, settings, workloads, rows, limits["sockets"], limits)
@@ -147,23 +151,23 @@
     }
 
 
-def spoilt(kind: str, config: dict[str, Any]) -> bytes | None:
-    """A configuration that can't be served, as it would stand in its file; None where there is no file."""
-    return SPOILERS[kind](copy.deepcopy(config))
+def invalid_config(kind: str, config: dict[str, Any]) -> bytes | None:
+    """The file content of an invalid configuration; None if the file is missing."""
+    return INVALID_CONFIGS[kind](copy.deepcopy(config))
 
 
-SEEDS: tuple[Any, ...] = (None, 0, 7, "7", "8c1f30d27a5be964", "not hexadecimal", 3.0)
-WITHOUT_USE = {  # where clients share sidecars, and where each has its own
+CONFIG_SEEDS: tuple[Any, ...] = (None, 0, 7, "7", "8c1f30d27a5be964", "not hexadecimal", 3.0)
+UNUSED_SETTINGS = {  # settings without effect, by whether the family is mesh
     False: {"weights": "nominal", "prices": {"connection": 0.05}, "family-info": {"warm-keys": True}},
     True: {"load-report": {"how": "on_probe", "fields": ["waiting"]}},
 }
 
 
-def dressed(config: dict[str, Any], random: Random) -> dict[str, Any]:
-    """The same in other words that the documents allow: it starts, and serves as before."""
-    made = copy.deepcopy(config)
-    made["seed"] = random.choice(SEEDS)
-    settings = made["settings"]
+def equivalent_config(config: dict[str, Any], random: Random) -> dict[str, Any]:
+    """An equivalent configuration, written in other ways that the documentation allows."""
+    config_copy = copy.deepcopy(config)
+    config_copy["seed"] = random.choice(CONFIG_SEEDS)
+    settings = config_copy["settings"]
     limits = settings["limits"]
     for key, value in limits.items():
         if isinstance(value, bool) and random.random() < 0.3:
@@ -172,56 +176,58 @@
             limits[key] = random.choice((float(value), str(value)))
     limits["not-known-either"] = random.choice((None, [], {}, "x"))
     if random.random() < 0.3:
-        settings |= WITHOUT_USE[settings["family"] == "mesh"]
+        settings |= UNUSED_SETTINGS[settings["family"] == "mesh"]
     if random.random() < 0.3 and "accounts" not in settings:
         settings["accounts"] = random.choice((None, []))
-    return made
+    return config_copy
 
 
-def encoded(config: Any) -> bytes:
+def encode(config: Any) -> bytes:
     return json.dumps(config).encode()
 
 
-def changed(*path: str | int, value: Any) -> Any:
-    """A spoiler that sets the value at a path of the configuration."""
+def with_value(*path: str | int, value: Any) -> Any:
+    """A function that makes a configuration invalid by setting the value at a path."""
 
-    def spoil_it(config: dict[str, Any]) -> bytes:
+    def spoil(config: dict[str, Any]) -> bytes:
         inner: Any = config
         for key in path[:-1]:
             inner = inner[key]
         inner[path[-1]] = value
-        return encoded(config)
+        return encode(config)
+
+    return spoil
 
-    return spoil_it
 
+def without_key(*path: str | int) -> Any:
+    """A function that makes a configuration invalid by removing the key at a path."""
 
-def without(*path: str | int) -> Any:
-    def spoil_it(config: dict[str, Any]) -> bytes:
+    def spoil(config: dict[str, Any]) -> bytes:
         inner: Any = config
         for key in path[:-1]:
             inner = inner[key]
         del inner[path[-1]]
-        return encoded(config)
+        return encode(config)
 
-    return spoil_it
+    return spoil
 
 
-SPOILERS: dict[str, Any] = {
+INVALID_CONFIGS: dict[str, Any] = {
     "no file": lambda config: None,
     "empty file": lambda config: b"",
-    "half a file": lambda config: encoded(config)[: len(encoded(config)) // 2],
+    "half a file": lambda config: encode(config)[: len(encode(config)) // 2],
     "a list": lambda config: b"[1, 2]",
-    "no settings": without("settings"),
-    "settings null": changed("settings", value=None),
-    "no workloads": changed("settings", "workloads", value=[]),
-    "workload without a limit": without("settings", "workloads", 0, "hard-limit-s"),
-    "a limit below zero": changed("settings", "workloads", 0, "hard-limit-s", value=-1),
-    "a limit that is no number": changed("settings", "workloads", 0, "hard-limit-s", value="soon"),
-    "an unknown effect": changed("settings", "workloads", 0, "repeat", value="perhaps"),
-    "an unknown mode of discovery": changed("settings", "discovery", value="guess"),
-    "no attempt allowed": changed("settings", "limits", "most-launches", value=0),
-    "a listening address that is none": changed("listen", value="nowhere"),
-    "a discovery address that is none": changed("discovery", value="127.0.0.1"),
-    "listening at all ports": changed("listen", value="127.0.0.1:http"),
-    "descriptors that are no number": changed("limits", "sockets", value="many"),
+    "no settings": without_key("settings"),
+    "settings null": with_value("settings", value=None),
+    "no workloads": with_value("settings", "workloads", value=[]),
+    "workload without a limit": without_key("settings", "workloads", 0, "hard-limit-s"),
+    "a limit below zero": with_value("settings", "workloads", 0, "hard-limit-s", value=-1),
+    "a limit that is no number": with_value("settings", "workloads", 0, "hard-limit-s", value="soon"),
+    "an unknown effect": with_value("settings", "workloads", 0, "repeat", value="perhaps"),
+    "an unknown mode of discovery": with_value("settings", "discovery", value="guess"),
+    "no attempt allowed": with_value("settings", "limits", "most-launches", value=0),
+    "a listening address that is none": with_value("listen", value="nowhere"),
+    "a discovery address that is none": with_value("discovery", value="127.0.0.1"),
+    "listening at all ports": with_value("listen", value="127.0.0.1:http"),
+    "descriptors that are no number": with_value("limits", "sockets", value="many"),
 }
--- a/lupinmill/lab/faults/discovery.py
+++ b/lupinmill/lab/faults/discovery.py
@@ -1,4 +1,4 @@
-"""A stand-in for discovery: the whole list, watches, and the ways in which both fail."""
+"""A stand-in for the discovery service, with full lists, watches and the ways in which both can fail."""
 
 from __future__ import annotations
 
@@ -10,92 +10,98 @@
 from typing import Any
 from urllib.parse import parse_qs
 
-from lupinmill.lab.faults.records import Change, Records
-from lupinmill.lab.faults.wire import BadMessage, Cut, Wire, read_request, wait_for_socket
+from lupinmill.lab.faults.records import StatusChange, RunRecords
+from lupinmill.lab.faults.connection import (
+    MalformedMessage,
+    ConnectionCut,
+    Connection,
+    read_request,
+    wait_for_socket,
+)
 
-LONGEST_WAIT = 60.0  # seconds
-REFUSAL = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
-UP, SLOW = "up", "in pieces"
-# Slow in ways in which every call still gets its answer, but for watches in the last one.
+MAX_WAIT_S = 60.0
+REFUSAL_ANSWER = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
+UP, IN_PIECES = "up", "in pieces"
+# Slow modes in which every call is still answered, except watches in the last one.
 LATE, TRICKLED, CROWDED, WATCHES_SILENT = "late", "trickled", "crowded", "watches silent"
 SLOW_MODES = (LATE, TRICKLED, CROWDED, WATCHES_SILENT)
 MIXED = "late, some refused"
-TELLS = (UP, SLOW, *SLOW_MODES, MIXED)
-TROUBLES = ("down", "silent", "503", "garbage", "bad rows", "nothing", "endless")
-LATENESS = 4.0  # seconds after it is due at which a late answer is written
-TRICKLE_PAUSE, TRICKLE_PIECES = 0.7, 5  # seconds between two pieces of an answer
-CROWDED_ROUND = 1.8  # seconds in which one worker gets through a call of each sidecar, in turn
-REFUSED_SHARE = 0.2  # of calls, where some are refused or reset
+ANSWERING_MODES = (UP, IN_PIECES, *SLOW_MODES, MIXED)
+FAILING_MODES = ("down", "silent", "503", "garbage", "bad rows", "nothing", "endless")
+LATE_ANSWER_S = 4.0  # delay of a late answer
+TRICKLE_PAUSE_S, TRICKLE_PIECES = 0.7, 5  # pause between two pieces of an answer, and their number
+CROWDED_ROUND_S = 1.8  # time in which the single worker serves one call of each sidecar
+REFUSED_SHARE = 0.2  # of calls that are refused or reset in the mixed mode
 
 
 class Discovery:
-    """One customer's, at two addresses for each sidecar. `mode` is what it does now; `set_mode` ends open
-    watches."""
+    """The discovery service of one customer, with two addresses for each sidecar. `mode` is its current
+    behaviour; `set_mode` ends open watches."""
 
-    def __init__(self, customer: str, host: str, records: Records) -> None:
+    def __init__(self, customer: str, host: str, records: RunRecords) -> None:
         self.customer, self.host, self.records = customer, host, records
         self.rows: dict[str, dict[str, Any]] = {}
-        self.gone: dict[str, tuple[int, dict[str, Any]]] = {}
+        self.deleted: dict[str, tuple[int, dict[str, Any]]] = {}
         self.versions: dict[str, int] = {}
         self.index, self.mode = 1, UP
         self.reachable_since: float | None = time.time()
-        self.news = asyncio.Event()
-        self.worker = asyncio.Lock()  # of the crowded service: it takes calls in turn
+        self.changed = asyncio.Event()
+        self.worker_lock = asyncio.Lock()  # in the crowded mode calls are served one at a time
         self.random = Random(f"{customer} discovery")
-        self.socks: list[socket.socket] = []
+        self.sockets: list[socket.socket] = []
         self.tasks: set[asyncio.Task[None]] = set()
-        records.changes[customer], records.reachable[customer] = [], []
+        records.status_changes[customer], records.reachable_spans[customer] = [], []
 
-    def addresses_for_a_sidecar(self) -> list[str]:
-        """Its own two, of which its configuration names one."""
-        socks = [listening(self.host) for _ in range(2)]
-        self.socks += socks
-        return [address_of(sock) for sock in socks]
+    def reserve_addresses(self) -> list[str]:
+        """Opens the two addresses of a sidecar, one of which its configuration names at a time."""
+        sockets = [listening_socket(self.host) for _ in range(2)]
+        self.sockets += sockets
+        return [socket_address(sock) for sock in sockets]
 
     def change(self, name: str, /, **values: Any) -> None:
-        """An endpoint's row; `status` DELETED takes it out."""
+        """Changes the row of an endpoint; the status DELETED removes it."""
         row = self.rows.get(name, {}) | values
         self.index += 1
         self.versions[name] = self.index
         if row["status"] == "DELETED":
             self.rows.pop(name, None)
-            self.gone[name] = (self.index, row)
+            self.deleted[name] = (self.index, row)
         else:
             self.rows[name] = row
-            self.gone.pop(name, None)
-        self.records.changes[self.customer].append(Change(time.time(), name, row["status"]))
-        self.wake()
+            self.deleted.pop(name, None)
+        self.records.status_changes[self.customer].append(StatusChange(time.time(), name, row["status"]))
+        self.wake_watches()
 
-    def wake(self) -> None:
-        self.news.set()
-        self.news = asyncio.Event()
+    def wake_watches(self) -> None:
+        self.changed.set()
+        self.changed = asyncio.Event()
 
     def set_mode(self, mode: str) -> None:
         if mode == self.mode:
             return
-        if mode not in TELLS:
-            self.close_span()
+        if mode not in ANSWERING_MODES:
+            self.end_reachable_span()
         elif self.reachable_since is None:
             self.reachable_since = time.time()
         self.mode = mode
         if mode == "silent":
-            return  # open watches stay open
-        self.wake()
-        if mode not in TELLS:
+            return  # open watches stay open, without an answer
+        self.wake_watches()
+        if mode not in ANSWERING_MODES:
             for task in list(self.tasks):
                 task.cancel()
 
-    def close_span(self) -> None:
+    def end_reachable_span(self) -> None:
         if self.reachable_since is not None:
-            self.records.reachable[self.customer].append((self.reachable_since, time.time()))
+            self.records.reachable_spans[self.customer].append((self.reachable_since, time.time()))
             self.reachable_since = None
 
     async def run(self) -> None:
         try:
-            await asyncio.gather(*(self.accept(sock) for sock in self.socks))
+            await asyncio.gather(*(self.accept(sock) for sock in self.sockets))
         finally:
-            self.close_span()
-            for sock in self.socks:
+            self.end_reachable_span()
+            for sock in self.sockets:
                 sock.close()
             for task in list(self.tasks):
                 task.cancel()
@@ -108,98 +114,98 @@
             except OSError:
                 continue
             if self.mode == "down":
-                Wire(sock).close(reset=True)
+                Connection(sock).close(reset=True)
                 continue
-            task = asyncio.create_task(self.serve(Wire(sock), address_of(listener)))
+            task = asyncio.create_task(self.serve(Connection(sock), socket_address(listener)))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
 
-    async def serve(self, wire: Wire, address: str) -> None:
+    async def serve(self, connection: Connection, address: str) -> None:
         try:
-            while (message := await read_request(wire)) is not None:
-                target = message.start.split(b" ")[1].decode("latin-1")
+            while (message := await read_request(connection)) is not None:
+                target = message.start_line.split(b" ")[1].decode("latin-1")
                 path, _, query = target.partition("?")
-                if path != "/v1/endpoints" or not message.start.startswith(b"GET "):
-                    raise BadMessage(f"not a call of discovery: {message.start[:80]!r}")
-                self.records.calls.setdefault(address, []).append(time.time())
-                await self.tell(wire, {key: values[0] for key, values in parse_qs(query).items()})
-        except (Cut, OSError):
+                if path != "/v1/endpoints" or not message.start_line.startswith(b"GET "):
+                    raise MalformedMessage(f"not a call of discovery: {message.start_line[:80]!r}")
+                self.records.discovery_calls.setdefault(address, []).append(time.time())
+                await self.answer(connection, {key: values[0] for key, values in parse_qs(query).items()})
+        except (ConnectionCut, OSError):
             pass
-        except BadMessage as error:
-            self.records.strangers.append((self.customer, f"discovery: {error}"))
+        except MalformedMessage as error:
+            self.records.unexpected.append((self.customer, f"discovery: {error}"))
         finally:
-            wire.close()
+            connection.close()
 
-    async def tell(self, wire: Wire, query: dict[str, str]) -> None:
+    async def answer(self, connection: Connection, query: dict[str, str]) -> None:
         if self.mode == MIXED and self.random.random() < REFUSED_SHARE:
-            await self.refuse(wire)
-        elif self.mode in TELLS:
-            await self.tell_well(wire, query)
+            await self.refuse(connection)
+        elif self.mode in ANSWERING_MODES:
+            await self.answer_list(connection, query)
         elif self.mode == "503":
-            await wire.send(REFUSAL)
+            await connection.send(REFUSAL_ANSWER)
         elif self.mode == "garbage":
-            await wire.send(b'HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{"index":')
+            await connection.send(b'HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{"index":')
         elif self.mode == "bad rows":
-            await wire.send(answer_of(self.spoilt_list()))
+            await connection.send(encode_answer(self.malformed_list()))
         elif self.mode == "nothing":
-            await wire.send(answer_of({"index": None, "snapshot": True, "endpoints": None}))
+            await connection.send(encode_answer({"index": None, "snapshot": True, "endpoints": None}))
         elif self.mode == "endless":
-            await wire.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+            await connection.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
             while True:
-                await wire.send(b"1\r\n \r\n")
+                await connection.send(b"1\r\n \r\n")
                 await asyncio.sleep(0.05)
         else:
-            await asyncio.sleep(LONGEST_WAIT)
+            await asyncio.sleep(MAX_WAIT_S)
 
-    async def refuse(self, wire: Wire) -> None:
-        """A reset, or a 503 at once."""
+    async def refuse(self, connection: Connection) -> None:
+        """Resets the connection or answers 503."""
         if self.random.random() < 0.5:
-            wire.close(reset=True)
-            raise Cut(reset=True)
-        await wire.send(REFUSAL)
+            connection.close(reset=True)
+            raise ConnectionCut(reset=True)
+        await connection.send(REFUSAL_ANSWER)
 
-    async def tell_well(self, wire: Wire, query: dict[str, str]) -> None:
+    async def answer_list(self, connection: Connection, query: dict[str, str]) -> None:
         if self.mode == CROWDED:
-            async with self.worker:  # also for a caller that has given up meanwhile
-                await asyncio.sleep(2 * CROWDED_ROUND / len(self.socks))
+            async with self.worker_lock:  # a caller that has given up meanwhile takes its turn as well
+                await asyncio.sleep(2 * CROWDED_ROUND_S / len(self.sockets))
         if self.mode == WATCHES_SILENT and "index" in query:
-            await asyncio.sleep(LONGEST_WAIT)
+            await asyncio.sleep(MAX_WAIT_S)
         if "index" in query:
-            index, wait = int(query["index"]), min(LONGEST_WAIT, int(query.get("wait", "0")) / 1000)
+            index, wait = int(query["index"]), min(MAX_WAIT_S, int(query.get("wait", "0")) / 1000)
             if index >= self.index:
                 try:
                     async with asyncio.timeout(wait):
-                        await self.news.wait()
+                        await self.changed.wait()
                 except TimeoutError:
                     pass
-                if self.mode not in TELLS:
-                    await asyncio.sleep(LONGEST_WAIT)
+                if self.mode not in ANSWERING_MODES:
+                    await asyncio.sleep(MAX_WAIT_S)
             table = self.changes_since(index)
         else:
             table = {"index": self.index, "snapshot": True, "endpoints": list(self.rows.values())}
-        data = answer_of(table, indented=self.mode == SLOW)
+        data = encode_answer(table, indented=self.mode == IN_PIECES)
         if self.mode in (LATE, MIXED):
-            await asyncio.sleep(LATENESS)
-        if self.mode == SLOW:
-            await self.send_in_pieces(wire, data, 7, 0.01)
+            await asyncio.sleep(LATE_ANSWER_S)
+        if self.mode == IN_PIECES:
+            await self.send_in_pieces(connection, data, 7, 0.01)
         elif self.mode == TRICKLED:
-            await self.send_in_pieces(wire, data, TRICKLE_PIECES, TRICKLE_PAUSE)
+            await self.send_in_pieces(connection, data, TRICKLE_PIECES, TRICKLE_PAUSE_S)
         else:
-            await wire.send(data)
+            await connection.send(data)
 
-    async def send_in_pieces(self, wire: Wire, data: bytes, pieces: int, pause: float) -> None:
+    async def send_in_pieces(self, connection: Connection, data: bytes, pieces: int, pause: float) -> None:
         step = max(1, -(-len(data) // pieces))
-        for at in range(0, len(data), step):
-            await wire.send(data[at : at + step])
+        for offset in range(0, len(data), step):
+            await connection.send(data[offset : offset + step])
             await asyncio.sleep(pause)
 
     def changes_since(self, index: int) -> dict[str, Any]:
         rows = [row for name, row in self.rows.items() if self.versions[name] > index]
-        rows += [row for version, row in self.gone.values() if version > index]
+        rows += [row for version, row in self.deleted.values() if version > index]
         return {"index": self.index, "snapshot": False, "endpoints": rows}
 
-    def spoilt_list(self) -> dict[str, Any]:
-        """Good rows with bad ones between them."""
+    def malformed_list(self) -> dict[str, Any]:
+        """A list of valid rows and one malformed row."""
         bad: list[Any] = [
             {"name": None, "address": "127.0.0.1:1", "status": "SERVING"},
             {"name": "no-address", "status": "SERVING"},
@@ -211,11 +217,11 @@
         return {"index": self.index, "snapshot": True, "endpoints": [*self.rows.values(), chosen]}
 
 
-def address_of(sock: socket.socket) -> str:
+def socket_address(sock: socket.socket) -> str:
     return "%s:%d" % sock.getsockname()
 
 
-def listening(host: str) -> socket.socket:
+def listening_socket(host: str) -> socket.socket:
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     sock.bind((host, 0))
@@ -224,7 +230,7 @@
     return sock
 
 
-def answer_of(table: dict[str, Any], indented: bool = False) -> bytes:
+def encode_answer(table: dict[str, Any], indented: bool = False) -> bytes:
     body = json.dumps(table, indent=2 if indented else None).encode()
     return b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%b" % (
         len(body),
@@ -233,24 +239,26 @@
 
 
 def draw_slow_modes(random: Random, seconds: float) -> list[tuple[float, str]]:
-    """Slow for most of the time, after a while in which it is prompt, with short troubles between."""
-    found, at = [(0.0, UP)], random.uniform(2.0, 8.0)
-    while at < seconds:
-        found.append((round(at, 2), random.choice((*SLOW_MODES, MIXED))))
-        at += random.uniform(7.0, 14.0)
-        found.append((round(at, 2), random.choice((UP, SLOW, "down", "silent", "503"))))
-        at += random.uniform(0.5, 4.0)
-    return found
+    """Draws modes that are slow for most of the time, after a prompt start, with short failures between."""
+    modes, start_s = [(0.0, UP)], random.uniform(2.0, 8.0)
+    while start_s < seconds:
+        modes.append((round(start_s, 2), random.choice((*SLOW_MODES, MIXED))))
+        start_s += random.uniform(7.0, 14.0)
+        modes.append((round(start_s, 2), random.choice((UP, IN_PIECES, "down", "silent", "503"))))
+        start_s += random.uniform(0.5, 4.0)
+    return modes
 
 
 def draw_modes(random: Random, seconds: float) -> list[tuple[float, str]]:
-    """When it changes to which mode. For most of the time it tells, also while it is slow."""
-    calm = (UP, SLOW)
-    found = [(0.0, random.choice(calm) if random.random() < 0.8 else random.choice((*calm, *TROUBLES)))]
-    at = 0.0
+    """Draws the times of mode changes and the modes. Most of the time discovery answers, if slowly."""
+    calm = (UP, IN_PIECES)
+    modes = [(0.0, random.choice(calm) if random.random() < 0.8 else random.choice((*calm, *FAILING_MODES)))]
+    start_s = 0.0
     while True:
-        at += random.uniform(1.0, 4.0) if found[-1][1] in TROUBLES else random.uniform(4.0, 11.0)
-        if at >= seconds:
-            return found
-        was_calm = found[-1][1] in calm
-        found.append((round(at, 2), random.choice((*TROUBLES, *SLOW_MODES, MIXED) if was_calm else calm)))
+        start_s += random.uniform(1.0, 4.0) if modes[-1][1] in FAILING_MODES else random.uniform(4.0, 11.0)
+        if start_s >= seconds:
+            return modes
+        was_calm = modes[-1][1] in calm
+        modes.append(
+            (round(start_s, 2), random.choice((*FAILING_MODES, *SLOW_MODES, MIXED) if was_calm else calm))
+        )
--- a/lupinmill/lab/faults/endpoints.py
+++ b/lupinmill/lab/faults/endpoints.py
@@ -1,7 +1,7 @@
-"""Stand-ins for endpoints: each writes down every whole request and then answers as drawn, well or badly.
+"""Stand-ins for endpoints, which record each complete request and then give a random answer, faulty or not.
 
-What is drawn hangs on the run's seed, the request's id and the number of the attempt alone, so that it is the
-same in a replay whatever the order of arrival."""
+The answer depends only on the seed of the run, the endpoint, the request id and the number of the attempt, so
+that a replay draws the same one in any order of arrival."""
 
 from __future__ import annotations
 
@@ -10,25 +10,25 @@
 import time
 from random import Random
 
-from lupinmill.lab.faults.records import Attempt, Records
-from lupinmill.lab.faults.wire import (
+from lupinmill.lab.faults.records import Attempt, RunRecords
+from lupinmill.lab.faults.connection import (
     TCP_ESTABLISHED,
     TIMESTAMP_OPTION,
-    BadMessage,
-    Cut,
+    MalformedMessage,
+    ConnectionCut,
     Message,
-    Wire,
+    Connection,
     read_body,
     read_head,
     wait_for_socket,
 )
 
-PROBES = (b"/health", b"/status/load")
-HANG = 30.0  # seconds
-SECOND_AFTER, SECOND_AT_MOST = 0.008, 0.012  # seconds between two answers to one request
-COMES_UP = 2.0  # seconds behind a lateness in which the kernels try again what was dropped
-LARGE = (70_000, 200_000)  # bytes of a large answer
-# What may be wrong with an endpoint's answer, and with its connections.
+PROBE_PATHS = (b"/health", b"/status/load")
+HANG_S = 30.0
+SECOND_ANSWER_AFTER_S, SECOND_ANSWER_WITHIN_S = 0.008, 0.012  # between two answers to one request
+SYN_RETRY_S = 2.0  # after a delay, time in which kernels retransmit what was dropped
+LARGE_BODY_BYTES = (70_000, 200_000)
+# Faults of an endpoint's answers, and of its connections.
 BEHAVIOURS = (
     "error",
     "declined",
@@ -58,7 +58,7 @@
 
 
 class Endpoint:
-    """One endpoint's server. `bad` is the share of its answers that are drawn from the faults."""
+    """The server of one endpoint. `fault_share` is the share of its answers that are faulty."""
 
     def __init__(
         self,
@@ -66,26 +66,26 @@
         row: dict,
         host: str,
         seed: str,
-        bad: float,
-        idle: float,
-        probes: bool,
-        records: Records,
+        fault_share: float,
+        idle_timeout_s: float,
+        probes_allowed: bool,
+        records: RunRecords,
     ) -> None:
-        self.customer, self.row, self.seed, self.bad = customer, row, seed, bad
-        self.idle, self.probes, self.records = idle, probes, records
-        self.sock = socket.socket()
-        self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        self.sock.setsockopt(socket.SOL_SOCKET, TIMESTAMP_OPTION, 1)  # what it accepts inherits it
-        self.sock.bind((host, 0))
-        self.address = "%s:%d" % self.sock.getsockname()
+        self.customer, self.row, self.seed, self.fault_share = customer, row, seed, fault_share
+        self.idle_timeout_s, self.probes_allowed, self.records = idle_timeout_s, probes_allowed, records
+        self.listener = socket.socket()
+        self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        self.listener.setsockopt(socket.SOL_SOCKET, TIMESTAMP_OPTION, 1)  # inherited by accepted connections
+        self.listener.bind((host, 0))
+        self.address = "%s:%d" % self.listener.getsockname()
         self.backlog = 256
-        self.sock.listen(self.backlog)
-        self.sock.setblocking(False)
-        self.counts: dict[bytes, int] = {}
-        self.connections = 0
+        self.listener.listen(self.backlog)
+        self.listener.setblocking(False)
+        self.attempt_counts: dict[bytes, int] = {}
+        self.connection_count = 0
         self.tasks: set[asyncio.Task[None]] = set()
-        self.accepting = asyncio.Event()
-        self.accepting.set()
+        self.accept_enabled = asyncio.Event()
+        self.accept_enabled.set()
 
     @property
     def name(self) -> str:
@@ -94,104 +94,104 @@
     async def run(self) -> None:
         try:
             while True:
-                await self.accepting.wait()
-                await wait_for_socket(self.sock, False)
+                await self.accept_enabled.wait()
+                await wait_for_socket(self.listener, False)
                 self.accept_all()
         finally:
-            self.sock.close()
+            self.listener.close()
             for task in list(self.tasks):
                 task.cancel()
 
     def accept_all(self) -> None:
         while True:
             try:
-                sock, _ = self.sock.accept()
+                sock, _ = self.listener.accept()
             except OSError:
                 return
-            task = asyncio.create_task(self.serve(Wire(sock)))
+            task = asyncio.create_task(self.serve(Connection(sock)))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
 
-    async def come_up_late(self, seconds: float) -> None:
-        """New connections stay unanswered for so long: they lie in a queue that is too short for them."""
-        self.accepting.clear()
+    async def delay_connections(self, seconds: float) -> None:
+        """Accepts no connections for so long, with a backlog too short for those that arrive."""
+        self.accept_enabled.clear()
         begin = time.time()
-        spans = self.records.late.setdefault(self.name, [])
+        spans = self.records.late_spans.setdefault(self.name, [])
         spans.append((begin, float("inf")))
-        self.sock.listen(1)
+        self.listener.listen(1)
         await asyncio.sleep(seconds)
-        self.sock.listen(self.backlog)
-        self.accepting.set()
-        spans[spans.index((begin, float("inf")))] = (begin, time.time() + COMES_UP)
+        self.listener.listen(self.backlog)
+        self.accept_enabled.set()
+        spans[spans.index((begin, float("inf")))] = (begin, time.time() + SYN_RETRY_S)
 
-    async def serve(self, wire: Wire) -> None:
-        self.connections += 1
-        random = Random(f"{self.seed} {self.name} connection {self.connections}")
-        fault = random.choice(CONNECTION_FAULTS) if random.random() < self.bad / 6 else ""
+    async def serve(self, connection: Connection) -> None:
+        self.connection_count += 1
+        random = Random(f"{self.seed} {self.name} connection {self.connection_count}")
+        fault = random.choice(CONNECTION_FAULTS) if random.random() < self.fault_share / 6 else ""
         try:
             if fault == "reset at once":
-                wire.close(reset=True)
+                connection.close(reset=True)
             elif fault == "silent":
-                await asyncio.sleep(HANG)
+                await asyncio.sleep(HANG_S)
             elif fault == "cut at a byte":
-                await self.cut_at(wire, random.randint(1, 400))
+                await self.cut_at(connection, random.randint(1, 400))
             else:
-                while await self.serve_one(wire):
+                while await self.serve_one(connection):
                     pass
-        except (Cut, OSError, TimeoutError):
+        except (ConnectionCut, OSError, TimeoutError):
             pass
-        except BadMessage as error:
-            self.records.strangers.append((self.customer, f"{self.name} read no request: {error}"))
+        except MalformedMessage as error:
+            self.records.unexpected.append((self.customer, f"{self.name} read no request: {error}"))
         finally:
-            wire.close()
+            connection.close()
 
-    async def cut_at(self, wire: Wire, count: int) -> None:
-        """Resets the connection once so many bytes have come."""
-        while len(wire.buffer) < count:
-            if b"\r\n\r\n" in wire.buffer:
+    async def cut_at(self, connection: Connection, count: int) -> None:
+        """Resets the connection after so many bytes, if they arrive before the end of a head."""
+        while len(connection.buffer) < count:
+            if b"\r\n\r\n" in connection.buffer:
                 return
-            if not await wire.fill():
+            if not await connection.read_more():
                 return
-        wire.close(reset=True)
+        connection.close(reset=True)
 
-    async def serve_one(self, wire: Wire) -> bool:
-        """One request; True where the connection goes on."""
-        async with asyncio.timeout(self.idle):
-            message = await read_head(wire)
+    async def serve_one(self, connection: Connection) -> bool:
+        """Serves one request. True if the connection can be used further."""
+        async with asyncio.timeout(self.idle_timeout_s):
+            message = await read_head(connection)
         if message is None:
             return False
-        method, _, rest = message.start.partition(b" ")
+        method, _, rest = message.start_line.partition(b" ")
         target, _, version = rest.rpartition(b" ")
         if version != b"HTTP/1.1":
-            raise BadMessage(f"request line {message.start[:80]!r}")
-        if target in PROBES and not message.values(b"req-id"):
-            return await self.probe(wire, target)
-        name = message.value(b"req-id")
-        number = self.counts[name] = self.counts.get(name, 0) + 1
-        random = Random(f"{self.seed} {self.name} {name!r} {number}")
-        behaviour = random.choice(BEHAVIOURS) if random.random() < self.bad else "well"
+            raise MalformedMessage(f"request line {message.start_line[:80]!r}")
+        if target in PROBE_PATHS and not message.values(b"req-id"):
+            return await self.probe(connection, target)
+        request_id = message.value(b"req-id")
+        attempt_number = self.attempt_counts[request_id] = self.attempt_counts.get(request_id, 0) + 1
+        random = Random(f"{self.seed} {self.name} {request_id!r} {attempt_number}")
+        behaviour = random.choice(BEHAVIOURS) if random.random() < self.fault_share else "well"
         if behaviour == "early error" and message.value(b"content-length") not in (b"", b"0"):
-            await wire.send(
+            await connection.send(
                 b"HTTP/1.1 503 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
             )
             return False
-        await read_body(wire, message, False)
-        attempt = self.write_down(message, method, target)
-        attempt.stamped = wire.state() == TCP_ESTABLISHED
+        await read_body(connection, message, False)
+        attempt = self.record_attempt(message, method, target)
+        attempt.timestamps_valid = connection.tcp_state() == TCP_ESTABLISHED
         if behaviour == "well":
             await asyncio.sleep(random.choice((0, 0.002, 0.02, 0.1)))
-        return await self.answer(wire, attempt, behaviour, random)
+        return await self.answer(connection, attempt, behaviour, random)
 
-    async def probe(self, wire: Wire, target: bytes) -> bool:
-        if not self.probes:
-            self.records.strangers.append((self.customer, f"{self.name} got a probe that is not allowed"))
+    async def probe(self, connection: Connection, target: bytes) -> bool:
+        if not self.probes_allowed:
+            self.records.unexpected.append((self.customer, f"{self.name} got a probe that is not allowed"))
         body = b"waiting=1,cpu=0.5"
-        await wire.send(
+        await connection.send(
             b"HTTP/1.1 200 OK\r\nSrv-Load: %b\r\nContent-Length: %d\r\n\r\n%b" % (body, len(body), body)
         )
         return True
 
-    def write_down(self, message: Message, method: bytes, target: bytes) -> Attempt:
+    def record_attempt(self, message: Message, method: bytes, target: bytes) -> Attempt:
         attempt = Attempt(
             endpoint=self.name,
             group=str(self.row["group"]),
@@ -203,52 +203,56 @@
             ids=message.values(b"req-id"),
             keys=message.values(b"idempotency-key"),
             deadline=message.value(b"req-deadline"),
-            first_byte=message.first_byte,
-            last_byte=message.last_byte,
+            first_byte_at=message.first_byte_at,
+            last_byte_at=message.last_byte_at,
         )
         self.records.attempts.append(attempt)
         return attempt
 
-    def made(self, attempt: Attempt, random: Random, size: int = 0) -> bytes:
-        name = attempt.ids[0] if attempt.ids else b"-"
-        body = b"%b made this for %b, %08x;" % (self.name.encode(), name, random.getrandbits(32))
+    def make_body(self, attempt: Attempt, random: Random, size: int = 0) -> bytes:
+        request_id = attempt.ids[0] if attempt.ids else b"-"
+        body = b"%b made this for %b, %08x;" % (self.name.encode(), request_id, random.getrandbits(32))
         if size:
             body += random.randbytes(size)
-        attempt.made = body
+        attempt.answer_body = body
         return body
 
-    async def answer(self, wire: Wire, attempt: Attempt, behaviour: str, random: Random) -> bool:
+    async def answer(self, connection: Connection, attempt: Attempt, behaviour: str, random: Random) -> bool:
         if behaviour in ("declined", "declined 504"):
-            attempt.turned_away = True
+            attempt.declined = True
             status = b"503" if behaviour == "declined" else b"504"
-            await wire.send(b"HTTP/1.1 %b No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n" % status)
+            await connection.send(b"HTTP/1.1 %b No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n" % status)
             return True
         if behaviour == "error":
-            await wire.send(b"HTTP/1.1 500 Error\r\nContent-Length: 5\r\n\r\nerror")
+            await connection.send(b"HTTP/1.1 500 Error\r\nContent-Length: 5\r\n\r\nerror")
             return True
         if behaviour == "hang":
-            await asyncio.sleep(HANG)
+            await asyncio.sleep(HANG_S)
             return False
         if behaviour in ("reset", "close"):
             await asyncio.sleep(random.choice((0, 0.01, 0.3)))
-            wire.close(reset=behaviour == "reset")
+            connection.close(reset=behaviour == "reset")
             return False
         if behaviour == "garbage":
-            await wire.send(
+            await connection.send(
                 random.choice((b"200 fine, thanks\r\n\r\n", b"\x00\xff\x80" * 40, b"HTTP/1.1 two OK\r\n\r\n"))
             )
             return False
-        return await self.answer_made(wire, attempt, behaviour, random)
+        return await self.answer_made(connection, attempt, behaviour, random)
 
-    async def answer_made(self, wire: Wire, attempt: Attempt, behaviour: str, random: Random) -> bool:
-        """An answer of 200, whole or not."""
-        body = self.made(attempt, random, random.choice(LARGE) if behaviour.startswith("large") else 0)
-        whole = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
+    async def answer_made(
+        self, connection: Connection, attempt: Attempt, behaviour: str, random: Random
+    ) -> bool:
+        """Sends an answer of 200, complete or not."""
+        body = self.make_body(
+            attempt, random, random.choice(LARGE_BODY_BYTES) if behaviour.startswith("large") else 0
+        )
+        answer = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
         if behaviour == "ahead of it 103":
-            whole = b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + whole
+            answer = b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + answer
         elif behaviour.startswith("chunked"):
             middle = len(body) // 2
-            whole = (
+            answer = (
                 b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%b\r\n%x;a=b\r\n%b\r\n0\r\n\r\n"
                 % (
                     middle,
@@ -258,45 +262,45 @@
                 )
             )
         elif behaviour == "close behind it":
-            whole = whole.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n", 1)
+            answer = answer.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n", 1)
         if behaviour in ("well", "ahead of it 103", "chunked", "large"):
-            await wire.send(whole)
+            await connection.send(answer)
             return True
         if behaviour == "close behind it":
-            await wire.send(whole)
+            await connection.send(answer)
             return False
         if behaviour in ("twice", "twice, late"):
-            return await self.answer_twice(wire, whole, behaviour == "twice, late")
+            return await self.answer_twice(connection, answer, behaviour == "twice, late")
         if behaviour == "in drops":
-            for at in range(len(whole)):
-                await wire.send(whole[at : at + 1])
+            for at in range(len(answer)):
+                await connection.send(answer[at : at + 1])
                 await asyncio.sleep(0.001)
             return True
         if behaviour.startswith("no length"):
-            await wire.send(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n")
-            await wire.send(body if behaviour == "no length, closed" else body[: len(body) // 2])
-            wire.close(reset=behaviour == "no length, reset")
+            await connection.send(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n")
+            await connection.send(body if behaviour == "no length, closed" else body[: len(body) // 2])
+            connection.close(reset=behaviour == "no length, reset")
             return False
-        return await self.answer_cut(wire, whole, behaviour, random)
+        return await self.answer_cut(connection, answer, behaviour, random)
 
-    async def answer_cut(self, wire: Wire, whole: bytes, behaviour: str, random: Random) -> bool:
-        cut = random.randint(1, 12) if behaviour == "half a head" else random.randint(40, len(whole) - 1)
-        await wire.send(whole[:cut])
+    async def answer_cut(self, connection: Connection, answer: bytes, behaviour: str, random: Random) -> bool:
+        cut = random.randint(1, 12) if behaviour == "half a head" else random.randint(40, len(answer) - 1)
+        await connection.send(answer[:cut])
         if behaviour in ("half, then nothing", "half a head"):
-            await asyncio.sleep(HANG)
+            await asyncio.sleep(HANG_S)
         await asyncio.sleep(0.01)
-        wire.close(reset=behaviour in ("half, then reset", "large, cut"))
+        connection.close(reset=behaviour in ("half, then reset", "large, cut"))
         return False
 
-    async def answer_twice(self, wire: Wire, whole: bytes, late: bool) -> bool:
-        """The second one says that it was made for nobody. On a busy machine it may come so late that nobody
-        can tell it from the next one's answer: then it is left out."""
+    async def answer_twice(self, connection: Connection, answer: bytes, late: bool) -> bool:
+        """Sends a second answer that belongs to no request. On a busy machine it could arrive so late that it
+        cannot be told from the answer to the next request; then it is left out."""
         second = b"HTTP/1.1 200 OK\r\nContent-Length: 16\r\n\r\nmade for nobody."
         began = time.monotonic()
-        await wire.send(whole if late else whole + second)
+        await connection.send(answer if late else answer + second)
         if late:
-            await asyncio.sleep(SECOND_AFTER)
-            if time.monotonic() - began > SECOND_AT_MOST:
+            await asyncio.sleep(SECOND_ANSWER_AFTER_S)
+            if time.monotonic() - began > SECOND_ANSWER_WITHIN_S:
                 return False
-            await wire.send(second)
+            await connection.send(second)
         return True
--- a/lupinmill/lab/faults/processes.py
+++ b/lupinmill/lab/faults/processes.py
@@ -1,4 +1,4 @@
-"""Processes of the program: started, signalled, stopped and ended by their own ids, and what they wrote."""
+"""Processes of the program: starts, signals and ends them by their own ids, and records their output."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 from collections.abc import Sequence
 from pathlib import Path
 
-from lupinmill.lab.faults.records import KEPT_LOG_LINES, Life
+from lupinmill.lab.faults.records import MAX_LOG_LINES, ProcessRecord
 
 ROOT = Path(__file__).parents[3]
-DEFECTS = ("task_failed",)  # events of the log that tell of a defect
+DEFECT_EVENTS = ("task_failed",)  # log events that report a defect of the program
 PROGRAM = (sys.executable, "-m", "lupinmill")
-OF_THE_PROGRAM = ("orjson", "_socket")  # libraries that the interpreter itself doesn't load
+PROGRAM_LIBRARIES = ("orjson", "_socket")  # libraries that the bare interpreter does not load
 CLOSED, STUCK, READ = "closed", "stuck", "read"
-WITHOUT_OUTPUT = ("/bin/sh", "-c", 'exec "$@" >&-', "sh")  # standard output is closed
+CLOSED_OUTPUT_SHELL = ("/bin/sh", "-c", 'exec "$@" >&-', "sh")  # runs a command with standard output closed
 
 
 class Process:
-    """One process, which ends before `end` returns. `life` is its record."""
+    """One process and its record. It has ended when `end` returns."""
 
     def __init__(self, command: Sequence[str], environ: dict[str, str], output: str) -> None:
         self.command, self.output = list(command), output
@@ -30,19 +30,19 @@
         path = os.pathsep.join(filter(None, [str(ROOT), inherited.get("PYTHONPATH")]))
         self.environ = inherited | {"PYTHONPATH": path} | environ
         self.process: asyncio.subprocess.Process | None = None
-        self.life: Life | None = None
+        self.record: ProcessRecord | None = None
         self.readers: list[asyncio.Task[None]] = []
-        self.stuck: list[int] = []
+        self.full_pipe: list[int] = []
 
-    async def start(self, sidecar: str, number: int, script: str) -> Life:
+    async def start(self, sidecar: str, number: int, plan_text: str) -> ProcessRecord:
         stdout: int = asyncio.subprocess.PIPE
         command = self.command
         if self.output == STUCK:
-            self.stuck = list(os.pipe())
-            fill_pipe(self.stuck[1])
-            stdout = self.stuck[1]
+            self.full_pipe = list(os.pipe())
+            fill_pipe(self.full_pipe[1])
+            stdout = self.full_pipe[1]
         elif self.output == CLOSED:
-            command = [*WITHOUT_OUTPUT, *command]
+            command = [*CLOSED_OUTPUT_SHELL, *command]
         self.process = await asyncio.create_subprocess_exec(
             *command,
             env=self.environ,
@@ -51,88 +51,88 @@
             stderr=asyncio.subprocess.PIPE,
             start_new_session=True,
         )
-        self.life = life = Life(sidecar, number, self.process.pid, time.time(), script)
-        life.logged = self.output == READ
-        self.readers = [asyncio.create_task(self.read(self.process.stderr, self.error))]
+        self.record = record = ProcessRecord(sidecar, number, self.process.pid, time.time(), plan_text)
+        record.stdout_read = self.output == READ
+        self.readers = [asyncio.create_task(self.read(self.process.stderr, self.handle_error))]
         if self.process.stdout is not None:
-            self.readers.append(asyncio.create_task(self.read(self.process.stdout, self.line)))
+            self.readers.append(asyncio.create_task(self.read(self.process.stdout, self.handle_line)))
         self.readers.append(asyncio.create_task(self.wait()))
-        return life
+        return record
 
-    async def read(self, stream: asyncio.StreamReader | None, heard) -> None:
+    async def read(self, stream: asyncio.StreamReader | None, handle) -> None:
         assert stream is not None
         while line := await stream.readline():
-            heard(line.decode("utf-8", "replace").rstrip())
+            handle(line.decode("utf-8", "replace").rstrip())
 
-    def line(self, text: str) -> None:
-        assert self.life is not None
-        self.life.lines.append(text)
+    def handle_line(self, text: str) -> None:
+        assert self.record is not None
+        self.record.log_lines.append(text)
         try:
             event = json.loads(text).get("event")
         except (ValueError, AttributeError):
             event = None
         if event == "started":
-            self.life.listens = True
-        if event in DEFECTS and len(self.life.defects) < KEPT_LOG_LINES:
-            self.life.defects.append(text)
+            self.record.listening = True
+        if event in DEFECT_EVENTS and len(self.record.defect_lines) < MAX_LOG_LINES:
+            self.record.defect_lines.append(text)
 
-    def error(self, text: str) -> None:
-        assert self.life is not None
-        if len(self.life.errors) < 2 * KEPT_LOG_LINES:
-            self.life.errors.append(text)
+    def handle_error(self, text: str) -> None:
+        assert self.record is not None
+        if len(self.record.stderr_lines) < 2 * MAX_LOG_LINES:
+            self.record.stderr_lines.append(text)
 
     async def wait(self) -> None:
-        assert self.process is not None and self.life is not None
-        self.life.exit_code = await self.process.wait()
-        self.life.ended = time.time()
+        assert self.process is not None and self.record is not None
+        self.record.exit_code = await self.process.wait()
+        self.record.ended_at = time.time()
 
     @property
     def alive(self) -> bool:
         return self.process is not None and self.process.returncode is None
 
     def signal(self, signum: signal.Signals) -> None:
-        """Written down before it is sent: what follows from it is never earlier."""
-        assert self.life is not None
+        """Sends a signal. The time is recorded before, so that no effect of the signal can precede it."""
+        assert self.record is not None
         if not self.alive:
             return
-        if signum in (signal.SIGHUP, signal.SIGTERM) and not program_begun(self.process.pid):
-            self.life.signalled_before_program = True
+        if signum in (signal.SIGHUP, signal.SIGTERM) and not program_started(self.process.pid):
+            self.record.signalled_before_startup = True
         now = time.time()
-        if signum is signal.SIGTERM and self.life.terminated is None:
-            self.life.terminated = now
+        if signum is signal.SIGTERM and self.record.terminated_at is None:
+            self.record.terminated_at = now
         elif signum is signal.SIGKILL:
-            self.life.killed = now
+            self.record.killed_at = now
         try:
             os.kill(self.process.pid, signum)
         except ProcessLookupError:
-            pass  # it has just ended
+            pass  # the process has just ended
 
-    async def hold(self, seconds: float) -> None:
-        """Stopped for so long. The span is open while it lasts."""
-        assert self.life is not None
+    async def stop_for(self, seconds: float) -> None:
+        """Stops the process for so long. The recorded span has no end until the process continues."""
+        assert self.record is not None
         begin = time.time()
-        self.life.stops.append((begin, float("inf")))
+        self.record.stop_spans.append((begin, float("inf")))
         self.signal(signal.SIGSTOP)
         try:
             await asyncio.sleep(seconds)
         finally:
             self.signal(signal.SIGCONT)
-            self.life.stops[-1] = (begin, time.time())
-
-    async def ended(self, limit: float) -> bool:
-        """Has it ended by itself within so many seconds? Time in which it waited for a core doesn't count."""
-        assert self.life is not None
-        waited, last = 0.0, time.monotonic()
-        while self.life.ended is None:
-            if waited > limit:
+            self.record.stop_spans[-1] = (begin, time.time())
+
+    async def ends_within(self, limit_s: float) -> bool:
+        """Whether the process ends by itself in so many seconds, not counting delays of the campaign."""
+        assert self.record is not None
+        waited, last_check = 0.0, time.monotonic()
+        while self.record.ended_at is None:
+            if waited > limit_s:
                 return False
             await asyncio.sleep(0.02)
             now = time.monotonic()
-            waited, last = waited + min(0.1, now - last), now
+            waited, last_check = waited + min(0.1, now - last_check), now
         return True
 
     async def end(self) -> None:
-        """Killed, if it has not ended by itself."""
+        """Kills the process if it still runs, and collects its output."""
         if self.alive:
             self.signal(signal.SIGKILL)
         if self.process is not None:
@@ -141,18 +141,18 @@
             await asyncio.wait(self.readers, timeout=5)
         for reader in self.readers:
             reader.cancel()
-        for descriptor in self.stuck:
+        for descriptor in self.full_pipe:
             os.close(descriptor)
-        self.stuck = []
+        self.full_pipe = []
 
 
-def program_begun(pid: int) -> bool:
-    """Has the process begun to load what the program imports? Before that it is the bare interpreter."""
+def program_started(pid: int) -> bool:
+    """Whether the process has begun to load the program's imports; before that it is the bare interpreter."""
     try:
         maps = Path(f"/proc/{pid}/maps").read_text()
     except OSError:
         return False
-    return any(name in maps for name in OF_THE_PROGRAM)
+    return any(name in maps for name in PROGRAM_LIBRARIES)
 
 
 def fill_pipe(descriptor: int) -> None:
--- a/lupinmill/lab/faults/records.py
+++ b/lupinmill/lab/faults/records.py
@@ -1,4 +1,4 @@
-"""What the stand-ins write down, and all that the referee judges by. Times are Unix seconds."""
+"""Records that the stand-ins keep of a run, the only input of the referee. Times are Unix seconds."""
 
 from __future__ import annotations
 
@@ -9,123 +9,129 @@
 from enum import Enum
 from pathlib import Path
 
-HEARTBEAT, LEAST_LAG = 0.05, 0.01  # seconds
-KEPT_LOG_LINES = 400
+HEARTBEAT_S, MIN_LAG_S = 0.05, 0.01
+MAX_LOG_LINES = 400
 
 
 class Fault(Enum):
-    """The kinds of failure that operators see."""
+    """Kinds of failure, as operators see them."""
 
     CRASHED = "crashed"
     HUNG = "hung"
     NOT_STARTED = "did not start"
-    SENT = "sent what no client had sent"
+    NOT_FROM_CLIENT = "sent what no client had sent"
     UNANSWERED = "a request without its one answer"
     UNSAFE = "an effect that may come twice, or a refusal that is not harmless"
     TOO_LATE = "sent after its end"
-    DEFECT = "a defect, logged"
+    LOGGED_DEFECT = "a defect, logged"
 
 
-class Ending(Enum):
-    """How a connection ended, by what its client's kernel saw."""
+class ConnectionEnd(Enum):
+    """How a connection ended without an answer, as seen by the client's kernel."""
 
     NONE = "never answered"
     CLOSED = "closed, with all read"
-    RESET = "reset"  # with the request unread, or closed before it came
+    RESET = "reset"  # with the request unread, or closed before it arrived
 
 
 @dataclass(slots=True)
-class Break:
+class Violation:
+    """A rule that was broken, once."""
+
     fault: Fault
-    rule: str  # what was broken, the same for all breaks of one kind
+    rule: str  # the same text for all violations of one kind
     sidecar: str
     text: str
 
 
 @dataclass(slots=True)
-class Life:
-    """One process of a sidecar, from its start to its end."""
+class ProcessRecord:
+    """One process of a sidecar, from its start to its exit."""
 
     sidecar: str
     number: int
     pid: int
-    started: float
-    script: str
-    valid: bool = True  # its configuration
-    logged: bool = True  # its standard output can be read
-    listens: bool = False  # by its log
-    hands_over: bool = True  # its TMPDIR can be used: two processes of an upgrade find each other
-    ready: float | None = None
-    terminated: float | None = None  # when SIGTERM was sent first
-    killed: float | None = None
-    killed_after_term: bool = False  # at the earliest that the page allows: that excuses nothing
-    ended: float | None = None
+    started_at: float
+    plan_text: str
+    config_valid: bool = True
+    stdout_read: bool = True
+    listening: bool = False  # according to its log
+    can_hand_over: bool = True  # its TMPDIR is usable, so that the processes of an upgrade find each other
+    ready_at: float | None = None
+    terminated_at: float | None = None  # when the first SIGTERM was sent
+    killed_at: float | None = None
+    killed_after_term: bool = (
+        False  # at the earliest time that the documentation allows: no excuse for a violation
+    )
+    ended_at: float | None = None
     exit_code: int | None = None
-    stops: list[tuple[float, float]] = field(default_factory=list)
-    crowded: list[tuple[float, float]] = field(
-        default_factory=list
-    )  # idle connections filled its descriptors
-    hung: list[str] = field(default_factory=list)
-    errors: list[str] = field(default_factory=list)  # lines of its standard error
-    lines: deque[str] = field(default_factory=lambda: deque(maxlen=KEPT_LOG_LINES))
-    defects: list[str] = field(default_factory=list)
-    moves: list[tuple[float, str]] = field(default_factory=list)  # SIGHUP, with discovery at another address
-    signalled_before_program: bool = False  # while the interpreter itself started: no program can help it
-    waits: list[tuple[float, float]] = field(default_factory=list)  # when, seconds it has waited for a core
+    stop_spans: list[tuple[float, float]] = field(default_factory=list)
+    # While idle connections used up its file descriptors.
+    crowded_spans: list[tuple[float, float]] = field(default_factory=list)
+    hangs: list[str] = field(default_factory=list)
+    stderr_lines: list[str] = field(default_factory=list)
+    log_lines: deque[str] = field(default_factory=lambda: deque(maxlen=MAX_LOG_LINES))
+    defect_lines: list[str] = field(default_factory=list)
+    # Time of each SIGHUP after which discovery has another address, and the address.
+    discovery_moves: list[tuple[float, str]] = field(default_factory=list)
+    # While the interpreter itself was starting, when no program can handle signals.
+    signalled_before_startup: bool = False
+    # Time, and seconds for which the process has waited for a core so far.
+    cpu_waits: list[tuple[float, float]] = field(default_factory=list)
 
     def starved_between(self, begin: float, end: float) -> float:
-        """Seconds of that span, and a heartbeat on each side, in which it was ready to run without a core."""
-        before = [wait for at, wait in self.waits if at < begin - HEARTBEAT]
-        within = [wait for at, wait in self.waits if at <= end + 2 * HEARTBEAT]
+        """Seconds for which it was ready to run without a core, in the span and a heartbeat on each side."""
+        before = [wait for at, wait in self.cpu_waits if at < begin - HEARTBEAT_S]
+        within = [wait for at, wait in self.cpu_waits if at <= end + 2 * HEARTBEAT_S]
         return within[-1] - (before[-1] if before else 0.0) if within else 0.0
 
     def stopped_between(self, begin: float, end: float) -> float:
-        """Seconds of that span in which SIGSTOP held it."""
-        return sum(max(0.0, min(end, b) - max(begin, a)) for a, b in self.stops)
+        """Seconds of the span in which the process was stopped by SIGSTOP."""
+        return sum(max(0.0, min(end, b) - max(begin, a)) for a, b in self.stop_spans)
 
     def crowded_between(self, begin: float, end: float) -> bool:
-        return any(a <= end and b >= begin for a, b in self.crowded)
+        return any(a <= end and b >= begin for a, b in self.crowded_spans)
 
 
 @dataclass(slots=True)
-class Answered:
-    at: float
+class Answer:
+    received_at: float
     status: int
     body: bytes
-    says_close: bool
+    closes: bool
 
 
 @dataclass(slots=True)
-class Sent:
-    """One request as a client wrote it."""
+class SentRequest:
+    """A request as a client wrote it, and its outcome."""
 
     id: bytes
     customer: str
-    life: Life
-    kind: str
-    effect: str  # repeatable, by_key, once; or malformed: it must reach no endpoint
+    process: ProcessRecord
+    workload: str
+    effect: str  # repeatable, by_key, once; or malformed, which must reach no endpoint
     method: bytes
     target: bytes
     body: bytes
     ids: list[bytes]
     keys: list[bytes]
     deadline: float
-    how: str  # of its client, for the report
+    description: str  # of the kind of client
     first_on_connection: bool = True
-    opened: float = 0.0  # its connection, where this one or a batch with it was the first
-    written: float | None = None  # its last byte; never, where its client cut it off
-    behind: Sent | None = None  # the one before it on its connection, if both were sent at once
-    left: float | None = None  # when its client closed, reset or half-closed
-    over: float | None = None  # when its client stopped waiting, in whatever way
-    ending: Ending = Ending.NONE  # of its connection, before an answer
-    broken: str = ""  # an answer that began and whose client could tell that it is not whole
-    answers: list[Answered] = field(default_factory=list)
-    extra: bytes = b""  # what came behind the answer
+    opened_at: float = 0.0  # of the connection, if this request or its batch was the first on it
+    written_at: float | None = None  # the last byte; None if the client broke off the request
+    previous: SentRequest | None = None  # on the connection, if both were pipelined
+    left_at: float | None = None  # when the client closed, reset or half-closed
+    finished_at: float | None = None  # when the client stopped waiting, for whatever reason
+    connection_end: ConnectionEnd = ConnectionEnd.NONE  # without an answer
+    broken_answer: str = ""  # how an answer broke off, if the client could tell
+    answers: list[Answer] = field(default_factory=list)
+    extra_bytes: bytes = b""  # received after the answer
 
 
 @dataclass(slots=True)
 class Attempt:
-    """One request as an endpoint read it, whole."""
+    """A complete request as an endpoint read it."""
 
     endpoint: str
     group: str
@@ -137,58 +143,63 @@
     ids: list[bytes]
     keys: list[bytes]
     deadline: bytes
-    first_byte: float
-    last_byte: float
-    stamped: bool = True  # its times are sure: an end behind it, which has come too, would be stamped instead
-    turned_away: bool = False  # with Srv-Declined: never ran
-    made: bytes = b""  # the body of the 200 answer that was made for it
+    first_byte_at: float
+    last_byte_at: float
+    # False if the connection had ended: the timestamps are then those of its end.
+    timestamps_valid: bool = True
+    declined: bool = False  # with Srv-Declined: the request did not run
+    answer_body: bytes = b""  # of the 200 answer that the endpoint made for it
 
 
 @dataclass(slots=True)
-class Change:
-    """Of an endpoint's status, at discovery."""
+class StatusChange:
+    """A change of an endpoint's status at discovery."""
 
     at: float
     endpoint: str
     status: str
 
 
-class Records:
-    """All that happened in a run, and how late the campaign's own loop was."""
+class RunRecords:
+    """Everything that happened in a run, including how late the campaign's own event loop was."""
 
     def __init__(self) -> None:
-        self.lives: list[Life] = []
-        self.sent: dict[bytes, Sent] = {}
+        self.processes: list[ProcessRecord] = []
+        self.requests: dict[bytes, SentRequest] = {}
         self.attempts: list[Attempt] = []
-        self.strangers: list[tuple[str, str]] = []  # customer, what came to an endpoint and is no request
-        self.changes: dict[str, list[Change]] = {}  # of a customer
-        self.reachable: dict[str, list[tuple[float, float]]] = {}  # spans of a customer's discovery
-        self.steps: list[tuple[float, float]] = []  # when the machine's clock was set, and by how much
-        self.calls: dict[str, list[float]] = {}  # of discovery, by its address
-        self.late: dict[str, list[tuple[float, float]]] = {}  # when connections to an endpoint came up late
-        self.lags: list[tuple[float, float]] = []  # when a heartbeat came, and how late
-
-    async def beat(self) -> None:
+        self.unexpected: list[tuple[str, str]] = []  # customer; what arrived that is not a valid request
+        self.status_changes: dict[str, list[StatusChange]] = {}  # by customer
+        self.reachable_spans: dict[str, list[tuple[float, float]]] = {}  # of a customer's discovery
+        self.clock_steps: list[tuple[float, float]] = []  # when the system clock was set, and by how much
+        self.discovery_calls: dict[str, list[float]] = {}  # times, by the address of discovery
+        # By endpoint, while new connections to it were delayed.
+        self.late_spans: dict[str, list[tuple[float, float]]] = {}
+        self.loop_lags: list[tuple[float, float]] = []  # time of a heartbeat, and how late it was
+
+    async def run_heartbeat(self) -> None:
         while True:
-            due, began = time.monotonic() + HEARTBEAT, time.time()
-            await asyncio.sleep(HEARTBEAT)
-            late, now = time.monotonic() - due, time.time()
-            step = abs((now - began) - (late + HEARTBEAT))  # of the machine's clock, by which all is stamped
-            if late + step > LEAST_LAG:
-                self.lags.append((now, late + step))
-            if step > LEAST_LAG:
-                self.steps.append((now, step))
-            for life in self.lives:
-                if life.ended is None and (waited := waited_for_a_core(life.pid)):
-                    life.waits.append((time.time(), waited))
-
-    def lag_between(self, begin: float, end: float) -> float:
-        """How late the campaign's own loop was at the most."""
-        return max((late for at, late in self.lags if begin <= at and at - late <= end), default=0.0)
-
-
-def waited_for_a_core(pid: int) -> float:
-    """Seconds for which the process was ready to run and another had the core; 0 where no kernel tells."""
+            due, began = time.monotonic() + HEARTBEAT_S, time.time()
+            await asyncio.sleep(HEARTBEAT_S)
+            late_s, now = time.monotonic() - due, time.time()
+            # Steps of the system clock count as lateness, as all timestamps come from that clock.
+            step_s = abs((now - began) - (late_s + HEARTBEAT_S))
+            if late_s + step_s > MIN_LAG_S:
+                self.loop_lags.append((now, late_s + step_s))
+            if step_s > MIN_LAG_S:
+                self.clock_steps.append((now, step_s))
+            for process in self.processes:
+                if process.ended_at is None and (wait_s := cpu_wait_s(process.pid)):
+                    process.cpu_waits.append((time.time(), wait_s))
+
+    def max_lag_between(self, begin: float, end: float) -> float:
+        """The longest delay of the campaign's own event loop in the span."""
+        return max(
+            (late_s for at, late_s in self.loop_lags if begin <= at and at - late_s <= end), default=0.0
+        )
+
+
+def cpu_wait_s(pid: int) -> float:
+    """Seconds for which the process was ready to run without a core; 0 if the kernel does not tell."""
     try:
         return int(Path(f"/proc/{pid}/schedstat").read_text().split()[1]) / 1e9
     except (OSError, ValueError, IndexError):
--- a/lupinmill/lab/faults/schedule.py
+++ b/lupinmill/lab/faults/schedule.py
@@ -1,21 +1,32 @@
-"""What is done to each sidecar's processes, drawn from the seed ahead of the run."""
+"""Draws, from the seed and ahead of the run, what happens to each sidecar's processes and to endpoints."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 from random import Random
 
-from lupinmill.lab.faults.customers import SPOILERS
+from lupinmill.lab.faults.customers import INVALID_CONFIGS
 
-# What a process does in a life: most serve; some get signals while they start, some can't be started.
-SERVE, SIGNALS_AT_START, SPOILT = "serve", "signals at its start", "spoilt configuration"
-START_SPAN = 0.5  # seconds in which signals at a start are drawn
+# Kinds of processes: most serve; some get signals during startup, some have a configuration that is refused.
+SERVE, SIGNALS_AT_START, INVALID_CONFIG = "serve", "signals at its start", "spoilt configuration"
+START_SIGNALS_WITHIN_S = 0.5  # after the start of the process
 START_SIGNALS = (("HUP",), ("TERM",), ("HUP", "TERM"), ("TERM", "HUP"), ("HUP", "HUP"), ("TERM", "TERM"))
-KILLED_IN_TIME = "TERM, KILL at the earliest"  # that the page allows; clients use their connections up to it
-ENDS = ("TERM", "TERM", "TERM", "TERM TERM", "TERM HUP", "HUP TERM", "KILL", KILLED_IN_TIME, KILLED_IN_TIME)
-SOAK_ENDS = (KILLED_IN_TIME, KILLED_IN_TIME, KILLED_IN_TIME, "HUP TERM HUP TERM", "KILL")
+# SIGKILL at the earliest time after SIGTERM that the documentation allows; clients stay connected until then.
+KILL_AT_EARLIEST = "TERM, KILL at the earliest"
+ENDS = (
+    "TERM",
+    "TERM",
+    "TERM",
+    "TERM TERM",
+    "TERM HUP",
+    "HUP TERM",
+    "KILL",
+    KILL_AT_EARLIEST,
+    KILL_AT_EARLIEST,
+)
+SOAK_ENDS = (KILL_AT_EARLIEST, KILL_AT_EARLIEST, KILL_AT_EARLIEST, "HUP TERM HUP TERM", "KILL")
 UPGRADES = ("clean", "clean", "the new one killed", "the new one held", "the old one killed")
-MOVES = "discovery moved again and again"
+REPEATED_MOVES = "discovery moved again and again"
 EVENTS = (
     "stop",
     "upgrade",
@@ -25,145 +36,163 @@
     "no file",
     "burst of HUP",
     "crowd",
-    MOVES,
+    REPEATED_MOVES,
+)
+SOAK_EVENTS = (
+    REPEATED_MOVES,
+    REPEATED_MOVES,
+    "move discovery",
+    "burst of HUP",
+    "upgrade",
+    "stop",
+    "spoilt reload",
 )
-SOAK_EVENTS = (MOVES, MOVES, "move discovery", "burst of HUP", "upgrade", "stop", "spoilt reload")
-MOVES_IN_A_ROW = (0.2, 0.4, 0.7)  # seconds between two of them
-SOAK_SHORTEST, SOAK_LONGEST = 9.0, 20.0  # seconds of a life
-PLACES = ("own", "own", "own", "absent", "a file", "none", "overlong")  # for TMPDIR
-USABLE = ("own", "overlong")
-OUTPUTS = ("read", "read", "read", "read", "closed", "stuck")
-SHORTEST, LONGEST = 3.0, 9.0  # seconds of a life that serves
+MOVE_INTERVALS_S = (0.2, 0.4, 0.7)  # between two moves
+SOAK_MIN_LIFE_S, SOAK_MAX_LIFE_S = 9.0, 20.0
+TMPDIR_KINDS = ("own", "own", "own", "absent", "a file", "none", "overlong")
+USABLE_TMPDIRS = ("own", "overlong")
+OUTPUT_KINDS = ("read", "read", "read", "read", "closed", "stuck")
+MIN_LIFE_S, MAX_LIFE_S = 3.0, 9.0
 
 
 @dataclass(slots=True)
 class Event:
+    """Something that happens to a process."""
+
     at: float  # seconds after the process is ready
     kind: str
-    seconds: float = 0.0  # of a stop, of a crowd, and into an upgrade
-    choice: str = ""  # what is wrong with a configuration, or befalls an upgrade
+    seconds: float = 0.0  # length of a stop or crowd, interval of moves, or time into an upgrade
+    detail: str = ""  # the defect of a configuration, or what happens during an upgrade
 
 
 @dataclass(slots=True)
-class LifePlan:
+class ProcessPlan:
+    """What happens to one process from its start to its end."""
+
     kind: str
     seconds: float
     end: str
-    place: str
+    tmpdir: str
     output: str
-    knows: bool  # the configuration tells the list
+    knows_list: bool  # the configuration contains the endpoint list
     signals: list[tuple[float, str]] = field(default_factory=list)  # seconds after the start
     events: list[Event] = field(default_factory=list)
-    spoilt: str = ""
-    moves: bool = False  # discovery, with the first SIGHUP at its start
+    invalid_kind: str = ""
+    moves_discovery: bool = False  # discovery has another address at the first SIGHUP during startup
 
     def text(self) -> str:
-        more = ["discovery moves with the first HUP"] * self.moves
-        more += [f"{name} at {at * 1000:.0f} ms" for at, name in self.signals]
+        more = ["discovery moves with the first HUP"] * self.moves_discovery
+        more += [f"{name} at {at_s * 1000:.0f} ms" for at_s, name in self.signals]
         more += [
-            " ".join(filter(None, [one.kind, one.choice, f"for {one.seconds:.2f} s" * bool(one.seconds)]))
-            + f" at {one.at:.2f} s"
-            for one in self.events
+            " ".join(
+                filter(None, [event.kind, event.detail, f"for {event.seconds:.2f} s" * bool(event.seconds)])
+            )
+            + f" at {event.at:.2f} s"
+            for event in self.events
         ]
-        what = f"{self.kind} {self.spoilt}".strip()
-        told = "knows the list" if self.knows else "knows no list"
+        what = f"{self.kind} {self.invalid_kind}".strip()
+        told = "knows the list" if self.knows_list else "knows no list"
         return (
-            f"{what}, {self.seconds:.1f} s, ends by {self.end}, TMPDIR {self.place}, output {self.output},"
-            f" {told}" + "".join(f"; {one}" for one in more)
+            f"{what}, {self.seconds:.1f} s, ends by {self.end}, TMPDIR {self.tmpdir}, output {self.output},"
+            f" {told}" + "".join(f"; {event}" for event in more)
         )
 
 
-def draw_life(random: Random) -> LifePlan:
-    kind = random.choices((SERVE, SIGNALS_AT_START, SPOILT), (60, 25, 15))[0]
-    plan = LifePlan(
+def draw_plan(random: Random) -> ProcessPlan:
+    kind = random.choices((SERVE, SIGNALS_AT_START, INVALID_CONFIG), (60, 25, 15))[0]
+    plan = ProcessPlan(
         kind=kind,
-        seconds=round(random.uniform(SHORTEST, LONGEST), 2),
+        seconds=round(random.uniform(MIN_LIFE_S, MAX_LIFE_S), 2),
         end=random.choice(ENDS),
-        place=random.choice(PLACES),
-        output=random.choice(OUTPUTS),
-        knows=random.random() < 0.8,
+        tmpdir=random.choice(TMPDIR_KINDS),
+        output=random.choice(OUTPUT_KINDS),
+        knows_list=random.random() < 0.8,
     )
-    if kind == SPOILT:
-        plan.spoilt, plan.output = random.choice(sorted(SPOILERS)), "read"
+    if kind == INVALID_CONFIG:
+        plan.invalid_kind, plan.output = random.choice(sorted(INVALID_CONFIGS)), "read"
     if kind == SIGNALS_AT_START:
         names = random.choice(START_SIGNALS)
-        plan.moves = names[0] == "HUP" and "TERM" not in names
-        at = random.uniform(0, START_SPAN)
+        plan.moves_discovery = names[0] == "HUP" and "TERM" not in names
+        at_s = random.uniform(0, START_SIGNALS_WITHIN_S)
         for name in names:
-            plan.signals.append((round(at, 4), name))
-            at += random.choice((0, 0.001, 0.02, 0.1))
-    if kind != SPOILT:
+            plan.signals.append((round(at_s, 4), name))
+            at_s += random.choice((0, 0.001, 0.02, 0.1))
+    if kind != INVALID_CONFIG:
         for _ in range(random.randint(0, 3)):
             plan.events.append(draw_event(random, plan.seconds))
-        plan.events.sort(key=lambda one: one.at)
+        plan.events.sort(key=lambda event: event.at)
     return plan
 
 
 def draw_event(random: Random, seconds: float, kinds: tuple[str, ...] = EVENTS) -> Event:
-    one = Event(round(random.uniform(0, seconds), 2), random.choice(kinds))
-    if one.kind == MOVES:
-        one.seconds = random.choice(MOVES_IN_A_ROW)
-    elif one.kind == "stop":
-        one.seconds = random.choice((0.05, 0.3, 1.2))
-    elif one.kind == "crowd":
-        one.seconds = random.choice((1.0, 3.0))
-    elif one.kind == "upgrade":
-        one.choice, one.seconds = random.choice(UPGRADES), round(random.uniform(0.02, 0.6), 3)
-    elif one.kind == "spoilt reload":
-        one.choice = random.choice(sorted(SPOILERS))
-    return one
-
-
-def draw_lives(random: Random, seconds: float) -> list[LifePlan]:
-    """Enough of them for so many seconds. The last one that serves stays to the end of the run."""
-    found: list[LifePlan] = []
-    at = 0.0
-    while at < seconds:
-        plan = draw_life(random)
-        found.append(plan)
-        at += 0.5 if plan.kind == SPOILT or any(name == "TERM" for _, name in plan.signals) else plan.seconds
-    return found
-
-
-def draw_soak_lives(random: Random, seconds: float, crowd: bool) -> list[LifePlan]:
-    """Long lives that serve, signals in series, and clients that stay up to the kill."""
-    found: list[LifePlan] = []
-    at = 0.0
-    while at < seconds:
-        length = round(random.uniform(SOAK_SHORTEST, SOAK_LONGEST), 2)
-        plan = LifePlan(SERVE, length, random.choice(SOAK_ENDS), "own", "read", random.random() < 0.8)
+    event = Event(round(random.uniform(0, seconds), 2), random.choice(kinds))
+    if event.kind == REPEATED_MOVES:
+        event.seconds = random.choice(MOVE_INTERVALS_S)
+    elif event.kind == "stop":
+        event.seconds = random.choice((0.05, 0.3, 1.2))
+    elif event.kind == "crowd":
+        event.seconds = random.choice((1.0, 3.0))
+    elif event.kind == "upgrade":
+        event.detail, event.seconds = random.choice(UPGRADES), round(random.uniform(0.02, 0.6), 3)
+    elif event.kind == "spoilt reload":
+        event.detail = random.choice(sorted(INVALID_CONFIGS))
+    return event
+
+
+def draw_plans(random: Random, seconds: float) -> list[ProcessPlan]:
+    """Draws enough consecutive processes for a run of so many seconds; a longer run starts over."""
+    plans: list[ProcessPlan] = []
+    at_s = 0.0
+    while at_s < seconds:
+        plan = draw_plan(random)
+        plans.append(plan)
+        at_s += (
+            0.5
+            if plan.kind == INVALID_CONFIG or any(name == "TERM" for _, name in plan.signals)
+            else plan.seconds
+        )
+    return plans
+
+
+def draw_soak_plans(random: Random, seconds: float, crowd: bool) -> list[ProcessPlan]:
+    """Long-lived processes, series of signals, and mostly kills at the earliest time after SIGTERM."""
+    plans: list[ProcessPlan] = []
+    at_s = 0.0
+    while at_s < seconds:
+        length = round(random.uniform(SOAK_MIN_LIFE_S, SOAK_MAX_LIFE_S), 2)
+        plan = ProcessPlan(SERVE, length, random.choice(SOAK_ENDS), "own", "read", random.random() < 0.8)
         plan.events = [draw_event(random, length, SOAK_EVENTS) for _ in range(random.randint(1, 4))]
         if crowd:
             plan.events.append(Event(round(random.uniform(0, length), 2), "crowd", 3.0))
-        plan.events.sort(key=lambda one: one.at)
-        found.append(plan)
-        at += length
-    return found
+        plan.events.sort(key=lambda event: event.at)
+        plans.append(plan)
+        at_s += length
+    return plans
 
 
 @dataclass(slots=True)
 class ListEvent:
-    """Something that happens to an endpoint."""
+    """Something that happens to an endpoint at discovery, or to connections to it."""
 
     at: float
-    endpoint: int  # of the customer's, by number
+    endpoint: int  # index among the customer's endpoints
     kind: str  # drain, delete, back, late
     seconds: float = 0.0
 
 
 def draw_list_events(random: Random, endpoints: int, seconds: float) -> list[ListEvent]:
-    """Endpoints drain, go and come back cold, and connections to some come up late. Two always serve."""
-    found = []
+    """Draws drains, deletions and cold returns of endpoints, and delays of connections. Two always serve."""
+    events = []
     for number in range(2, endpoints):
-        at = random.uniform(1.0, max(2.0, seconds / 2))
+        at_s = random.uniform(1.0, max(2.0, seconds / 2))
         if random.random() < 0.8:
-            found.append(ListEvent(round(at, 2), number, "drain"))
+            events.append(ListEvent(round(at_s, 2), number, "drain"))
             if random.random() < 0.5:
-                found.append(ListEvent(round(at + random.uniform(0.2, 3), 2), number, "delete"))
+                events.append(ListEvent(round(at_s + random.uniform(0.2, 3), 2), number, "delete"))
                 if random.random() < 0.4:
-                    found.append(ListEvent(round(at + 14, 2), number, "back"))
+                    events.append(ListEvent(round(at_s + 14, 2), number, "back"))
     for number in range(endpoints):
         if random.random() < 0.4:
-            at = random.uniform(0.5, seconds)
-            found.append(ListEvent(round(at, 2), number, "late", random.choice((0.3, 1.0, 1.5))))
-    return sorted(found, key=lambda one: one.at)
+            at_s = random.uniform(0.5, seconds)
+            events.append(ListEvent(round(at_s, 2), number, "late", random.choice((0.3, 1.0, 1.5))))
+    return sorted(events, key=lambda event: event.at)
--- a/lupinmill/lab/flood.py
+++ b/lupinmill/lab/flood.py
@@ -1,8 +1,8 @@
 """Load generator and endpoint that are cheap enough not to be the bottleneck of a measurement.
 
-Run as `python -m lupinmill.lab.flood`. It reads one line on standard input, a JSON `LoadSpec` or `serve N`, and
-writes one JSON line: the results at the end of the load, or the addresses of the N endpoints. The HTTP reader
-handles only messages that this program writes."""
+Run as `python -m lupinmill.lab.flood`. It reads one line on standard input, a JSON `LoadSpec` or "serve N".
+It writes one JSON line: the results at the end of the load, or the addresses of the N endpoints. The HTTP
+reader handles only messages that this program writes."""
 
 from __future__ import annotations
 
--- a/tests/test_fault_campaign.py
+++ b/tests/test_fault_campaign.py
@@ -1,5 +1,5 @@
-"""The fault campaign: real processes of the program under drawn faults, and the referee, which is shown to
-find faults planted in the program, one of each kind that operators see and some more."""
+"""The fault campaign: real processes of the program under random faults. The referee has to find faults that
+are planted in the program, at least one of each kind that operators see."""
 
 from __future__ import annotations
 
@@ -11,15 +11,23 @@
 import pytest
 
 from lupinmill.lab.faults import referee, reports, run, schedule
-from lupinmill.lab.faults.records import Answered, Attempt, Break, Fault, Life, Records, Sent
-from lupinmill.lab.faults.run import Campaign, Limits, Verdict
+from lupinmill.lab.faults.records import (
+    Answer,
+    Attempt,
+    Violation,
+    Fault,
+    ProcessRecord,
+    RunRecords,
+    SentRequest,
+)
+from lupinmill.lab.faults.run import Campaign, Timeouts, Verdict
 
 FAULTS = Path(run.__file__).parent
 SEED, PROCESSES, SECONDS = 11, 5, 14.0
-PLANTED_SEED, PLANTED_SECONDS = 111, 5.0  # a customer with all effects and six attempts
-SHORT = Limits(ready=8.0, alive=4.0, end=4.0)
+PLANTED_SEED, PLANTED_SECONDS = 111, 5.0  # draws a customer with all effects and six attempts
+SHORT = Timeouts(ready_s=8.0, responsive_s=4.0, exit_s=4.0)
 MOVE = schedule.Event(0.1, "move discovery")
-CALM = [schedule.LifePlan(schedule.SERVE, 60.0, "TERM", "own", "read", True, events=[MOVE])]
+CALM = [schedule.ProcessPlan(schedule.SERVE, 60.0, "TERM", "own", "read", True, events=[MOVE])]
 LONGER = {"reload missed": 9.0}  # seconds
 
 START = """
@@ -43,7 +51,7 @@
 launch = submission.launch
 """
 
-# By the text that plants it: the kind and the rule that the referee has to find.
+# The code that plants a fault, and the kind and rule of the violation that the referee has to find.
 PLANTED = {
     "crash": ("import os\ndef fault(): os._exit(1)" + AFTER_SOME, Fault.CRASHED, "ended unasked"),
     "hang": (
@@ -67,7 +75,7 @@
         "    made.body = made.body[::-1]\n"
         "    return made\n"
         "submission.launch = planted",
-        Fault.SENT,
+        Fault.NOT_FROM_CLIENT,
         "body changed",
     ),
     "key left out": (
@@ -76,7 +84,7 @@
         "    made.headers = [one for one in made.headers if one[0].lower() != b'idempotency-key']\n"
         "    return made\n"
         "submission.launch = planted",
-        Fault.SENT,
+        Fault.NOT_FROM_CLIENT,
         "keys changed",
     ),
     "another's answer": (
@@ -86,7 +94,7 @@
         "    kept.append(passed(answer))\n"
         "    return kept[0]\n"
         "submission.passed_on = planted",
-        Fault.SENT,
+        Fault.NOT_FROM_CLIENT,
         "served with what was not made",
     ),
     "unsafe to repeat, repeated": (
@@ -95,11 +103,11 @@
         "workload = settings.workload\n"
         "def planted(s):\n"
         "    made = workload(s)\n"
-        "    made.repeat = terms.Repeat.IDEMPOTENT\n"
+        "    made.repeat = terms.RepeatPolicy.IDEMPOTENT\n"
         "    return made\n"
         "settings.workload = planted",
         Fault.UNSAFE,
-        None,  # as it comes: twice, outside its group, or refused behind an attempt that may have run
+        None,  # varies: run twice, outside its group, or refused after an attempt that may have run
     ),
     "more time than is left": (
         LAUNCH + "submission.launch = lambda request, left: launch(request, left + 1_000_000)",
@@ -135,31 +143,31 @@
 }
 
 
-def command(planted: str) -> list[str]:
-    return [sys.executable, "-c", START + planted + END]
+def command(code: str) -> list[str]:
+    return [sys.executable, "-c", START + code + END]
 
 
 @pytest.fixture(scope="module")
 def verdicts(tmp_path_factory) -> dict[str, Verdict]:
-    """The drawn run of the program as it is, by "", and beside it a short one with each planted fault."""
+    """A run of the unchanged program under the key "", and a short one with each planted fault."""
 
     async def play_all() -> dict[str, Verdict]:
         def folder() -> Path:
             return tmp_path_factory.mktemp("faults")
 
         campaigns = {"": Campaign(SEED, PROCESSES, SECONDS, folder())}
-        for name, (text, _, _) in PLANTED.items():
+        for name, (code, _, _) in PLANTED.items():
             campaigns[name] = Campaign(
                 PLANTED_SEED,
                 1,
                 LONGER.get(name, PLANTED_SECONDS),
                 folder(),
-                command(text),
+                command(code),
                 SHORT,
                 CALM,
-                bad=0.4,
+                fault_share=0.4,
             )
-        found = await asyncio.gather(*(one.run() for one in campaigns.values()))
+        found = await asyncio.gather(*(campaign.run() for campaign in campaigns.values()))
         return dict(zip(campaigns, found))
 
     return asyncio.run(play_all())
@@ -167,7 +175,7 @@
 
 def test_the_program_stands_under_drawn_faults(verdicts):
     verdict = verdicts[""]
-    assert not verdict.breaks, reports.verdict_text(verdict)
+    assert not verdict.violations, reports.verdict_text(verdict)
     assert verdict.figures["served"] > 100 and verdict.figures["lives"] > PROCESSES, verdict.figures
 
 
@@ -183,17 +191,17 @@
 
 def test_nothing_that_a_campaign_started_is_left(verdicts):
     for verdict in verdicts.values():
-        for life in verdict.records.lives:
-            assert life.exit_code is not None and not Path(f"/proc/{life.pid}/exe").exists()
+        for process in verdict.records.processes:
+            assert process.exit_code is not None and not Path(f"/proc/{process.pid}/exe").exists()
 
 
 def test_schedule_and_settings_are_the_same_for_a_seed(tmp_path):
     def texts(seed: int, folder: str) -> list[str]:
         (tmp_path / folder).mkdir()
         campaign = Campaign(seed, 7, 30.0, tmp_path / folder)
-        found = [line for site in campaign.sites for line in site.text()]
-        for site in campaign.sites:
-            site.close()
+        found = [line for customer_run in campaign.customer_runs for line in customer_run.text()]
+        for customer_run in campaign.customer_runs:
+            customer_run.close()
         return found
 
     assert texts(5, "a") == texts(5, "b") != texts(6, "c")
@@ -201,35 +209,39 @@
 
 @pytest.mark.parametrize("path", sorted(FAULTS.glob("*.py")), ids=lambda path: path.name)
 def test_referee_and_stand_ins_share_no_code_with_the_program(path):
-    """They import from the standard library and their own package alone."""
+    """Checks that they import only from the standard library and their own package."""
     for node in ast.walk(ast.parse(path.read_text())):
-        names = [one.name for one in node.names] if isinstance(node, ast.Import) else []
+        names = [imported.name for imported in node.names] if isinstance(node, ast.Import) else []
         names += [node.module or ""] if isinstance(node, ast.ImportFrom) else []
         for name in names:
-            own = name.startswith("lupinmill.lab.faults")
-            assert own or name.split(".")[0] in sys.stdlib_module_names, name
+            own_package = name.startswith("lupinmill.lab.faults")
+            assert own_package or name.split(".")[0] in sys.stdlib_module_names, name
 
 
 def test_the_referee_knows_its_limits():
-    """The terms that bind, as numbers: a change of one has to be a change here too."""
-    assert (referee.AFTER_END, referee.TOLD_SLACK, referee.TOLD_WITHIN) == (0.1, 0.15, 6.0)
+    """Guards against an unnoticed change of the time limits that the documentation promises."""
+    assert (referee.ATTEMPT_AFTER_END_S, referee.DEADLINE_TOLERANCE_S, referee.CHANGE_KNOWN_WITHIN_S) == (
+        0.1,
+        0.15,
+        6.0,
+    )
 
 
 def failed_verdict(seed: int) -> Verdict:
-    records = Records()
-    records.lives.append(Life("c0-s0", 0, 1, 0.0, "serves"))
-    records.lives[0].lines.extend(f"line {number}" for number in range(40))
-    return Verdict(seed, 1, 1.0, [Break(Fault.HUNG, "planted", "c0-s0", "text")], ["life 0"], records)
+    records = RunRecords()
+    records.processes.append(ProcessRecord("c0-s0", 0, 1, 0.0, "serves"))
+    records.processes[0].log_lines.extend(f"line {number}" for number in range(40))
+    return Verdict(seed, 1, 1.0, [Violation(Fault.HUNG, "planted", "c0-s0", "text")], ["life 0"], records)
 
 
 def test_the_report_of_a_failed_run_is_kept_whole_and_the_newest_stay(tmp_path, monkeypatch):
-    """A run of the campaign once failed, and nothing but its name was known afterwards."""
-    monkeypatch.setenv(reports.FOLDER, str(tmp_path / "kept"))
-    monkeypatch.setattr(reports, "MOST_KEPT", 3)
+    """Guards against a failed run of which nothing but the name of the test is known afterwards."""
+    monkeypatch.setenv(reports.FOLDER_VARIABLE, str(tmp_path / "kept"))
+    monkeypatch.setattr(reports, "MAX_REPORTS", 3)
     monkeypatch.setattr(reports.time, "strftime", lambda _: f"20260101T0000{len(paths):02d}")
     paths = []
     for seed in (5, 4, 3, 2, 1):
-        paths.append(reports.keep(failed_verdict(seed)))
+        paths.append(reports.save_report(failed_verdict(seed)))
     assert [path.exists() for path in paths] == [False, False, True, True, True]
     text = paths[-1].read_text()
     assert (
@@ -240,29 +252,41 @@
 
 def test_a_report_that_can_not_be_kept_costs_no_verdict(tmp_path, monkeypatch):
     (tmp_path / "file").touch()
-    monkeypatch.setenv(reports.FOLDER, str(tmp_path / "file"))
+    monkeypatch.setenv(reports.FOLDER_VARIABLE, str(tmp_path / "file"))
     assert "BROKEN: " in reports.verdict_text(failed_verdict(1))
 
 
 def test_a_report_is_bounded(tmp_path, monkeypatch):
-    monkeypatch.setenv(reports.FOLDER, str(tmp_path))
-    monkeypatch.setattr(reports, "MOST_BYTES", 100)
-    assert reports.keep(failed_verdict(1)).stat().st_size < 130
+    monkeypatch.setenv(reports.FOLDER_VARIABLE, str(tmp_path))
+    monkeypatch.setattr(reports, "MAX_REPORT_BYTES", 100)
+    assert reports.save_report(failed_verdict(1)).stat().st_size < 130
 
 
 @pytest.mark.parametrize("after, broken", [(-1.0, False), (0.0, False), (1.0, True)])
 def test_an_attempt_before_its_answer_is_never_judged_as_begun_after_it(after, broken):
-    """Seen failing in the soak, seed 113, of a process without a core for a while: "begun -0.696 s after its
-    answer". The time without a core between the two counted against it."""
-    records = Records()
-    life = Life("c0-s0", 0, 1, 0.0, "serves", waits=[(11.0, 0.0), (12.6, 3.0)])
-    records.lives.append(life)
-    sent = Sent(
-        b"s1", "c0", life, "view", "repeatable", b"GET", b"/", b"", [b"s1"], [], 60.0, "staying", written=1.0
+    """Guards against judging the span between an answer and an earlier attempt backwards: time without a core
+    in it counted against the process ("begun -0.696 s after its answer", soak, seed 113)."""
+    records = RunRecords()
+    process = ProcessRecord("c0-s0", 0, 1, 0.0, "serves", cpu_waits=[(11.0, 0.0), (12.6, 3.0)])
+    records.processes.append(process)
+    sent = SentRequest(
+        b"s1",
+        "c0",
+        process,
+        "view",
+        "repeatable",
+        b"GET",
+        b"/",
+        b"",
+        [b"s1"],
+        [],
+        60.0,
+        "staying",
+        written_at=1.0,
     )
-    sent.answers.append(Answered(13.0, 503, b"", False))
+    sent.answers.append(Answer(13.0, 503, b"", False))
     begun = 13.0 + after
     attempt = Attempt("e0", "0", "z", "c0", b"GET", b"/", b"", [b"s1"], [], b"1.0", begun, begun)
-    judge = referee.Referee(records, {})
-    judge.judge_times(sent, attempt)
-    assert [one.rule for one in judge.breaks] == ["begun after its answer"] * broken
+    judging = referee.Referee(records, {})
+    judging.judge_times(sent, attempt)
+    assert [violation.rule for violation in judging.violations] == ["begun after its answer"] * broken
--- a/tests/test_fault_soak.py
+++ b/tests/test_fault_soak.py
@@ -1,5 +1,5 @@
-"""The soak in brief: real processes under slow discovery, signals in series, clients that use connections
-up to the kill. By hand: `lupinmill lab faults --soak --seeds 50`."""
+"""A short soak: real processes under slow discovery and series of signals, with clients that keep their
+connections until the kill. For longer runs: `lupinmill lab faults --soak --seeds 50`."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 import pytest
 
 from lupinmill.lab.faults import reports
-from lupinmill.lab.faults.run import CROWD_EACH, Campaign, Verdict
+from lupinmill.lab.faults.run import CROWD_EVERY, Campaign, Verdict
 
 SECONDS, PROCESSES = 40.0, 5
-SEEDS = {"plain": 1, "crowd": 2 * CROWD_EACH}
+SEEDS = {"plain": 1, "crowd": 2 * CROWD_EVERY}
 
 
 @pytest.fixture(scope="module")
@@ -30,7 +30,7 @@
 @pytest.mark.parametrize("name", list(SEEDS))
 def test_the_program_stands_in_a_soak(verdicts, name):
     verdict = verdicts[name]
-    assert not verdict.breaks, reports.verdict_text(verdict)
+    assert not verdict.violations, reports.verdict_text(verdict)
     assert verdict.figures["served"] > 100 and verdict.figures["lives"] > PROCESSES, verdict.figures
 
 
