--- a/lupinmill/lab/faults/clients.py
+++ b/lupinmill/lab/faults/clients.py
@@ -59,8 +59,8 @@
 class Sidecar:
     """A sidecar as its clients see it: its address and the process that currently listens there."""
 
-    def __init__(self, request_id: str, address: tuple[str, int]) -> None:
-        self.name, self.address = request_id, address
+    def __init__(self, name: str, address: tuple[str, int]) -> None:
+        self.name, self.address = name, address
         self.process: ProcessRecord | None = None
         self.closing = False  # the campaign ends, no further requests are sent
 
@@ -98,8 +98,8 @@
             self.odd,
         )
         return [
-            lambda at=at, kind=kind: self.run_repeatedly(kind, Random(f"{self.seed} {at}"))
-            for at, kind in enumerate(kinds)
+            lambda index=index, kind=kind: self.run_repeatedly(kind, Random(f"{self.seed} {index}"))
+            for index, kind in enumerate(kinds)
         ]
 
     async def run_repeatedly(self, kind: Callable[[Random], object], random: Random) -> None:
@@ -145,17 +145,21 @@
         return sent
 
     def encode_head(
-        self, sent: SentRequest, random: Random, more: tuple[bytes, ...] = (), length: bool = True
+        self,
+        sent: SentRequest,
+        random: Random,
+        extra_headers: tuple[bytes, ...] = (),
+        with_length: bool = True,
     ) -> bytes:
         deadline = (
             random.choice((b"%.3f", b"%.6f", b"%.1f") if sent.deadline >= 1 else (b"%.3f",)) % sent.deadline
         )
         sent.deadline = float(deadline)
         lines = [b"%b %b HTTP/1.1" % (sent.method, sent.target), b"Host: app.svc"]
-        lines += [b"Req-Id: " + one for one in sent.ids]
-        lines += [b"Idempotency-Key: " + one for one in sent.keys]
-        lines += [b"Req-Kind: " + sent.workload.encode(), b"Req-Deadline: " + deadline, *more]
-        if length and (sent.body or sent.method == b"POST"):
+        lines += [b"Req-Id: " + value for value in sent.ids]
+        lines += [b"Idempotency-Key: " + value for value in sent.keys]
+        lines += [b"Req-Kind: " + sent.workload.encode(), b"Req-Deadline: " + deadline, *extra_headers]
+        if with_length and (sent.body or sent.method == b"POST"):
             lines.append(b"Content-Length: %d" % len(sent.body))
         return b"\r\n".join(lines) + b"\r\n\r\n"
 
@@ -207,13 +211,14 @@
         )
 
     async def expire(self, sent: SentRequest, timeout: asyncio.Timeout) -> None:
-        """Ends the wait `ANSWER_TIMEOUT_S` after the deadline, without the time in which it was stopped."""
-        waited, last = 0.0, time.monotonic()
-        while waited < sent.deadline + ANSWER_TIMEOUT_S:
+        """Ends the wait `ANSWER_TIMEOUT_S` after the deadline, not counting time in which the process was
+        stopped."""
+        waited_s, last_check = 0.0, time.monotonic()
+        while waited_s < sent.deadline + ANSWER_TIMEOUT_S:
             await asyncio.sleep(0.1)
             now = time.monotonic()
-            held = any(begin <= time.time() <= end for begin, end in sent.process.stop_spans)
-            waited, last = waited + (0.0 if held else min(0.2, now - last)), now
+            stopped = any(begin <= time.time() <= end for begin, end in sent.process.stop_spans)
+            waited_s, last_check = waited_s + (0.0 if stopped else min(0.2, now - last_check)), now
         timeout.reschedule(asyncio.get_running_loop().time())
 
     async def nothing_follows(self, connection: Connection, sent: SentRequest) -> bool:
@@ -235,11 +240,11 @@
         connection = await self.open_connection()
         process = self.sidecar.process
         try:
-            for at in range(random.randint(1, 12)):
+            for index in range(random.randint(1, 12)):
                 if self.sidecar.closing or self.sidecar.process is not process:
                     return
                 sent = self.draw_request(random, "ordinary")
-                sent.first_on_connection = at == 0
+                sent.first_on_connection = index == 0
                 data = self.encode_head(sent, random) + sent.body
                 await connection.send(data)
                 sent.written_at = time.time()
@@ -255,11 +260,11 @@
         """Uses one connection for as long as it stays open, even after SIGTERM and until the kill."""
         connection = await self.open_connection()
         try:
-            for at in range(MAX_REQUESTS):
+            for index in range(MAX_REQUESTS):
                 if self.sidecar.closing:
                     return
                 sent = self.draw_request(random, "staying")
-                sent.first_on_connection = at == 0
+                sent.first_on_connection = index == 0
                 await connection.send(self.encode_head(sent, random) + sent.body)
                 sent.written_at = time.time()
                 if not await self.receive_answer(connection, sent):
@@ -295,19 +300,19 @@
         connection = await self.open_connection()
         try:
             batch = [self.draw_request(random, "pipelining") for _ in range(random.randint(2, 4))]
-            for at, sent in enumerate(batch):
-                sent.first_on_connection = at == 0
-                sent.previous = batch[at - 1] if at else None
-            empty = random.choice((b"", b"", b"\r\n", b"\r\n\r\n"))
+            for index, sent in enumerate(batch):
+                sent.first_on_connection = index == 0
+                sent.previous = batch[index - 1] if index else None
+            empty_lines = random.choice((b"", b"", b"\r\n", b"\r\n\r\n"))
             texts = [self.encode_head(sent, random) + sent.body for sent in batch]
-            await self.send_batch(connection, random, batch, texts, empty)
-            for at, sent in enumerate(batch):  # noqa: B007
+            await self.send_batch(connection, random, batch, texts, empty_lines)
+            for index, sent in enumerate(batch):  # noqa: B007
                 if not await self.receive_answer(connection, sent):
                     break
-            for sent in batch[at + 1 :]:  # the connection ended before their answers
+            for sent in batch[index + 1 :]:  # the connection ended before their answers
                 sent.finished_at, sent.connection_end, sent.opened_at = (
                     time.time(),
-                    batch[at].connection_end,
+                    batch[index].connection_end,
                     connection.opened_at,
                 )
         finally:
@@ -319,26 +324,28 @@
         random: Random,
         batch: list[SentRequest],
         texts: list[bytes],
-        empty: bytes,
+        empty_lines: bytes,
     ) -> None:
         """Sends the requests split at random places, with empty lines between them."""
-        data = empty.join(texts)
+        data = empty_lines.join(texts)
         cuts = sorted(random.randint(0, len(data)) for _ in range(random.randint(0, 3)))
-        ends = [sum(map(len, texts[: at + 1])) + at * len(empty) for at in range(len(texts))]
+        request_ends = [
+            sum(map(len, texts[: index + 1])) + index * len(empty_lines) for index in range(len(texts))
+        ]
         for begin, end in zip([0, *cuts], [*cuts, len(data)]):
             try:
                 await connection.send(data[begin:end])
             except OSError:
                 return  # answers sent before the close may still be readable
-            for sent, its_end in zip(batch, ends):
-                if begin < its_end <= end:
+            for sent, request_end in zip(batch, request_ends):
+                if begin < request_end <= end:
                     sent.written_at = time.time()
             await asyncio.sleep(random.choice((0, 0.001, 0.02)))
 
     async def odd(self, random: Random) -> None:
         """Sends a valid but unusual request, or one that it breaks off before its end."""
         kind = random.choice(("cut", "trickling", "expects", "large", "chunked", "absolute", "named", "1.0"))
-        workload = random.choice([one for one in self.customer.workloads if one.effect != "repeatable"])
+        workload = random.choice([each for each in self.customer.workloads if each.effect != "repeatable"])
         connection = await self.open_connection()
         try:
             if kind == "cut":
@@ -347,8 +354,8 @@
             if kind == "trickling":
                 sent = self.draw_request(random, "trickling", workload, 20)
                 data = self.encode_head(sent, random) + sent.body
-                for at in range(0, len(data), 12):
-                    await connection.send(data[at : at + 12])
+                for offset in range(0, len(data), 12):
+                    await connection.send(data[offset : offset + 12])
                     await asyncio.sleep(0.01)
             elif kind == "expects":
                 sent = self.draw_request(random, "expects 100", workload, 50)
@@ -370,7 +377,7 @@
             return sent, self.encode_head(sent, random) + sent.body
         if kind == "chunked":
             sent = self.draw_request(random, "chunked", workload, 500)
-            head = self.encode_head(sent, random, (b"Transfer-Encoding: chunked",), length=False)
+            head = self.encode_head(sent, random, (b"Transfer-Encoding: chunked",), with_length=False)
             body = b"%x\r\n%b\r\n%X;a=b\r\n%b\r\n0\r\n\r\n" % (100, sent.body[:100], 400, sent.body[100:])
             return sent, head + body
         if kind == "absolute":
@@ -411,21 +418,21 @@
     def encode_malformed(self, sent: SentRequest, random: Random, kind: str) -> bytes:
         sent.method, sent.body = b"POST", b"0123456789"
         head = self.encode_head(sent, random)
-        length = b"Content-Length: 10"
-        request_id, kind_line = b"Req-Id: " + sent.id, b"Req-Kind: " + sent.workload.encode()
-        changes: dict[str, tuple[bytes, bytes]] = {
+        length_line = b"Content-Length: 10"
+        id_line, kind_line = b"Req-Id: " + sent.id, b"Req-Kind: " + sent.workload.encode()
+        replacements: dict[str, tuple[bytes, bytes]] = {
             "bad request line": (b"POST /", b"PO ST  /"),
             "space before a colon": (b"Host:", b"Host :"),
-            "two lengths": (length, length + b"\r\nContent-Length: 3"),
-            "length and chunks": (length, length + b"\r\nTransfer-Encoding: chunked"),
-            "folded header": (length, b" : folded\r\n" + length + b"\r\n x: y\r\nA\x01b: c"),
-            "length no number": (length, b"Content-Length: ten"),
-            "negative length": (length, b"Content-Length: -10"),
-            "bad chunk": (length, b"Transfer-Encoding: chunked"),
-            "bad chunk, cut": (length, b"Transfer-Encoding: chunked"),
+            "two lengths": (length_line, length_line + b"\r\nContent-Length: 3"),
+            "length and chunks": (length_line, length_line + b"\r\nTransfer-Encoding: chunked"),
+            "folded header": (length_line, b" : folded\r\n" + length_line + b"\r\n x: y\r\nA\x01b: c"),
+            "length no number": (length_line, b"Content-Length: ten"),
+            "negative length": (length_line, b"Content-Length: -10"),
+            "bad chunk": (length_line, b"Transfer-Encoding: chunked"),
+            "bad chunk, cut": (length_line, b"Transfer-Encoding: chunked"),
             "nul in a header": (b"Host: app", b"Host: a\x00pp"),
-            "no id": (request_id + b"\r\n", b""),
-            "empty id": (request_id, b"Req-Id: "),
+            "no id": (id_line + b"\r\n", b""),
+            "empty id": (id_line, b"Req-Id: "),
             "no deadline": (b"Req-Deadline", b"Req-Other"),
             "deadline no number": (b"Req-Deadline: ", b"Req-Deadline: soon"),
             "deadline below zero": (b"Req-Deadline: ", b"Req-Deadline: -"),
@@ -433,18 +440,20 @@
             "two classes": (kind_line, b"Req-Kind: " + self.other_workload(sent)),
             "endless head": (b"Host: app.svc", b"Host: app.svc\r\nX-Pad: " + b"x" * 400_000),
             "bad version": (b"HTTP/1.1", b"HTTP/one"),
-            "two ids": (request_id, request_id + b"\r\nReq-Id: another-one"),
+            "two ids": (id_line, id_line + b"\r\nReq-Id: another-one"),
             "two keys": (
-                request_id,
-                request_id + b"\r\nIdempotency-Key: one-key\r\nIdempotency-Key: another-key",
+                id_line,
+                id_line + b"\r\nIdempotency-Key: one-key\r\nIdempotency-Key: another-key",
             ),
             "two deadlines": (b"Req-Deadline: ", b"Req-Deadline: 0.7\r\nReq-Deadline: 1"),
             "two kinds": (kind_line, kind_line + b"\r\nReq-Kind: nobody-knows-it"),
         }
-        before, after = changes[kind]
+        before, after = replacements[kind]
         assert before in head, (kind, head)
         body = b"no size\r\n0\r\n\r\n" if kind == "bad chunk" else sent.body
         return head.replace(before, after, 1) + body
 
     def other_workload(self, sent: SentRequest) -> bytes:
-        return next(one.name for one in self.customer.workloads if one.name != sent.workload).encode()
+        return next(
+            workload.name for workload in self.customer.workloads if workload.name != sent.workload
+        ).encode()
--- a/lupinmill/lab/faults/endpoints.py
+++ b/lupinmill/lab/faults/endpoints.py
@@ -272,8 +272,8 @@
         if behaviour in ("twice", "twice, late"):
             return await self.answer_twice(connection, answer, behaviour == "twice, late")
         if behaviour == "in drops":
-            for at in range(len(answer)):
-                await connection.send(answer[at : at + 1])
+            for offset in range(len(answer)):
+                await connection.send(answer[offset : offset + 1])
                 await asyncio.sleep(0.001)
             return True
         if behaviour.startswith("no length"):
--- a/lupinmill/lab/faults/records.py
+++ b/lupinmill/lab/faults/records.py
@@ -60,9 +60,8 @@
     ready_at: float | None = None
     terminated_at: float | None = None  # when the first SIGTERM was sent
     killed_at: float | None = None
-    killed_after_term: bool = (
-        False  # at the earliest time that the documentation allows: no excuse for a violation
-    )
+    # Killed at the earliest time that the documentation allows, which excuses no violation.
+    killed_after_term: bool = False
     ended_at: float | None = None
     exit_code: int | None = None
     stop_spans: list[tuple[float, float]] = field(default_factory=list)
@@ -87,10 +86,13 @@
 
     def stopped_between(self, begin: float, end: float) -> float:
         """Seconds of the span in which the process was stopped by SIGSTOP."""
-        return sum(max(0.0, min(end, b) - max(begin, a)) for a, b in self.stop_spans)
+        return sum(
+            max(0.0, min(end, continued_at) - max(begin, stopped_at))
+            for stopped_at, continued_at in self.stop_spans
+        )
 
     def crowded_between(self, begin: float, end: float) -> bool:
-        return any(a <= end and b >= begin for a, b in self.crowded_spans)
+        return any(crowd_begin <= end and crowd_end >= begin for crowd_begin, crowd_end in self.crowded_spans)
 
 
 @dataclass(slots=True)
@@ -177,12 +179,13 @@
         self.loop_lags: list[tuple[float, float]] = []  # time of a heartbeat, and how late it was
 
     async def run_heartbeat(self) -> None:
+        """Records how late the event loop is, steps of the system clock, and waits for a core."""
         while True:
-            due, began = time.monotonic() + HEARTBEAT_S, time.time()
+            due, started_at = time.monotonic() + HEARTBEAT_S, time.time()
             await asyncio.sleep(HEARTBEAT_S)
             late_s, now = time.monotonic() - due, time.time()
             # Steps of the system clock count as lateness, as all timestamps come from that clock.
-            step_s = abs((now - began) - (late_s + HEARTBEAT_S))
+            step_s = abs((now - started_at) - (late_s + HEARTBEAT_S))
             if late_s + step_s > MIN_LAG_S:
                 self.loop_lags.append((now, late_s + step_s))
             if step_s > MIN_LAG_S:
--- a/lupinmill/lab/faults/referee.py
+++ b/lupinmill/lab/faults/referee.py
@@ -308,7 +308,7 @@
         )
 
     def refused_at_exit(self, process: ProcessRecord, written: float, finished: float) -> bool:
-        """Whether the connection failed because the process was exiting: it no longer accepted connections, or
+        """Whether the connection failed because the process was exiting: it accepted no more connections, or
         could not hand over its listening socket."""
         if process.terminated_at is None or finished <= process.terminated_at:
             return False
@@ -444,7 +444,7 @@
             )
 
     def judge_listing(self, sent: SentRequest, attempt: Attempt) -> None:
-        """Checks that a draining or deleted endpoint gets no attempt once its change is known, after the grace."""
+        """Checks that a draining or deleted endpoint gets no attempt once that is known, after the grace."""
         changes = self.records.status_changes[attempt.customer]
         unwanted: StatusChange | None = None
         for change in changes:
--- a/lupinmill/lab/faults/run.py
+++ b/lupinmill/lab/faults/run.py
@@ -224,8 +224,8 @@
 
     async def send_start_signals(self, process: Process, plan: schedule.ProcessPlan) -> None:
         started_at = time.monotonic()
-        for at, name in plan.signals:
-            await asyncio.sleep(max(0.0, started_at + at - time.monotonic()))
+        for at_s, name in plan.signals:
+            await asyncio.sleep(max(0.0, started_at + at_s - time.monotonic()))
             if plan.moves_discovery and process.record is not None and not process.record.discovery_moves:
                 self.move_discovery(process)
             process.signal(signal.Signals[f"SIG{name}"])
@@ -493,14 +493,18 @@
             f"customer {self.name}: {self.fault_share:.0%} bad answers,"
             f" limits {self.customer.limits}: {settings}"
         ]
-        lines.append("  discovery: " + ", ".join(f"{mode} from {at:g} s" for at, mode in self.modes))
+        lines.append(
+            "  discovery: " + ", ".join(f"{mode} from {start_s:g} s" for start_s, mode in self.modes)
+        )
         lines += [
             f"  {self.endpoints[event.endpoint].name}: {event.kind} at {event.at:g} s"
             + f" for {event.seconds:g} s" * bool(event.seconds)
             for event in self.list_events
         ]
         for runner in self.runners:
-            lines += [f"  {runner.name} life {at}: {plan.text()}" for at, plan in enumerate(runner.plans)]
+            lines += [
+                f"  {runner.name} life {number}: {plan.text()}" for number, plan in enumerate(runner.plans)
+            ]
         return lines
 
     async def run(self) -> None:
@@ -536,8 +540,8 @@
             await asyncio.sleep(0.05)
 
     async def play_modes(self) -> None:
-        for at, mode in self.modes:
-            await self.campaign.sleep_until(at)
+        for at_s, mode in self.modes:
+            await self.campaign.sleep_until(at_s)
             self.discovery.set_mode(mode)
 
     async def play_list_events(self) -> None:
@@ -605,8 +609,8 @@
             enough or any(record.hangs for record in processes) or overtime_s > MAX_EXTENSION * self.seconds
         )
 
-    async def sleep_until(self, at: float) -> None:
-        await asyncio.sleep(max(0.0, self.started_at + at - time.monotonic()))
+    async def sleep_until(self, at_s: float) -> None:
+        await asyncio.sleep(max(0.0, self.started_at + at_s - time.monotonic()))
 
     async def run(self) -> Verdict:
         self.started_at = time.monotonic()
--- a/lupinmill/lab/faults/schedule.py
+++ b/lupinmill/lab/faults/schedule.py
@@ -81,20 +81,20 @@
     moves_discovery: bool = False  # discovery has another address at the first SIGHUP during startup
 
     def text(self) -> str:
-        more = ["discovery moves with the first HUP"] * self.moves_discovery
-        more += [f"{name} at {at_s * 1000:.0f} ms" for at_s, name in self.signals]
-        more += [
+        parts = ["discovery moves with the first HUP"] * self.moves_discovery
+        parts += [f"{name} at {at_s * 1000:.0f} ms" for at_s, name in self.signals]
+        parts += [
             " ".join(
                 filter(None, [event.kind, event.detail, f"for {event.seconds:.2f} s" * bool(event.seconds)])
             )
             + f" at {event.at:.2f} s"
             for event in self.events
         ]
-        what = f"{self.kind} {self.invalid_kind}".strip()
-        told = "knows the list" if self.knows_list else "knows no list"
+        kind = f"{self.kind} {self.invalid_kind}".strip()
+        list_text = "knows the list" if self.knows_list else "knows no list"
         return (
-            f"{what}, {self.seconds:.1f} s, ends by {self.end}, TMPDIR {self.tmpdir}, output {self.output},"
-            f" {told}" + "".join(f"; {event}" for event in more)
+            f"{kind}, {self.seconds:.1f} s, ends by {self.end}, TMPDIR {self.tmpdir}, output {self.output},"
+            f" {list_text}" + "".join(f"; {event}" for event in parts)
         )
 
 
@@ -183,16 +183,16 @@
 def draw_list_events(random: Random, endpoints: int, seconds: float) -> list[ListEvent]:
     """Draws drains, deletions and cold returns of endpoints, and delays of connections. Two always serve."""
     events = []
-    for number in range(2, endpoints):
+    for endpoint in range(2, endpoints):
         at_s = random.uniform(1.0, max(2.0, seconds / 2))
         if random.random() < 0.8:
-            events.append(ListEvent(round(at_s, 2), number, "drain"))
+            events.append(ListEvent(round(at_s, 2), endpoint, "drain"))
             if random.random() < 0.5:
-                events.append(ListEvent(round(at_s + random.uniform(0.2, 3), 2), number, "delete"))
+                events.append(ListEvent(round(at_s + random.uniform(0.2, 3), 2), endpoint, "delete"))
                 if random.random() < 0.4:
-                    events.append(ListEvent(round(at_s + 14, 2), number, "back"))
-    for number in range(endpoints):
+                    events.append(ListEvent(round(at_s + 14, 2), endpoint, "back"))
+    for endpoint in range(endpoints):
         if random.random() < 0.4:
             at_s = random.uniform(0.5, seconds)
-            events.append(ListEvent(round(at_s, 2), number, "late", random.choice((0.3, 1.0, 1.5))))
+            events.append(ListEvent(round(at_s, 2), endpoint, "late", random.choice((0.3, 1.0, 1.5))))
     return sorted(events, key=lambda event: event.at)
--- a/tests/test_fault_soak.py
+++ b/tests/test_fault_soak.py
@@ -21,7 +21,7 @@
             name: Campaign(seed, PROCESSES, SECONDS, tmp_path_factory.mktemp("soak"), soak=True)
             for name, seed in SEEDS.items()
         }
-        found = await asyncio.gather(*(one.run() for one in campaigns.values()))
+        found = await asyncio.gather(*(campaign.run() for campaign in campaigns.values()))
         return dict(zip(campaigns, found))
 
     return asyncio.run(play_all())
