--- a/lupinmill/routing/admission.py
+++ b/lupinmill/routing/admission.py
@@ -1,5 +1,5 @@
-"""Admission control: drives `limits.AdmissionGate`. Owns the heartbeat that measures event loop lag, which runs only
-while requests are admitted or held, and the held requests with their clients' tasks."""
+"""Admission control: drives `limits.AdmissionGate`. Owns the heartbeat that measures event loop lag,
+which runs only while requests are admitted or held, and the held requests with their clients' tasks."""
 
 from __future__ import annotations
 
@@ -114,7 +114,9 @@
         if offer is None:
             return not client.unwritable
         try:
-            with anyio.move_on_after(offer.time_left * HELD_TIMEOUT_FRACTION / 1_000_000) as offer.token.scope:
+            with anyio.move_on_after(
+                offer.time_left * HELD_TIMEOUT_FRACTION / 1_000_000
+            ) as offer.token.scope:
                 if not offer.token.granted:
                     await client.wait_disconnected()
         finally:
--- a/tests/test_engine_defects.py
+++ b/tests/test_engine_defects.py
@@ -221,9 +221,7 @@
         engine, dispatcher = net.program.engine, net.program.engine.sidecar.dispatcher
         due = engine.clock.now() + 8_000_000
         # of no client: the request table does not know it
-        engine.handle_event(
-            t.RequestArrived("ghost", "issue", due)
-        )
+        engine.handle_event(t.RequestArrived("ghost", "issue", due))
         await until(lambda: not dispatcher.requests)
         assert dispatcher.in_flight == 0 and not any(
             state.in_flight for state in dispatcher.endpoint_states.values()
