--- a/lupinmill/lab/virtual/run.py
+++ b/lupinmill/lab/virtual/run.py
@@ -18,6 +18,7 @@
 from lupinmill.lab.virtual.discovery import DiscoveryCalls
 from lupinmill.lab.virtual.front import Front
 from lupinmill.lab.virtual.inner import InnerCalls
+from lupinmill.lab.virtual.recorded import recorded_text
 from lupinmill.lab.virtual.sidecar import VirtualSidecar
 from lupinmill.lab.world import World, chance_for, draw
 from lupinmill.lab.world.troubles.plan import plan
@@ -116,7 +117,7 @@
     ) -> None:
         """Each step of each module, for the checksum by which runs are compared."""
         self.steps += 1
-        self.digest.update(f"{now} {sidecar.name} {len(events)} {commands}".encode())
+        self.digest.update(f"{now} {sidecar.name} {len(events)} {recorded_text(commands)}".encode())
         if self.trace is not None:
             self.trace(self.steps, sidecar, events, commands)
 
--- a/tests/test_lab_runs.py
+++ b/tests/test_lab_runs.py
@@ -8,6 +8,7 @@
 import sys
 from collections.abc import Iterator
 from pathlib import Path
+from typing import get_args
 
 import pytest
 
@@ -15,6 +16,7 @@
 from lupinmill.lab import experiments, policies, replay, report, result, scenario
 from lupinmill.lab.earlier import NoSuchVersion
 from lupinmill.lab.result import BadResult, Result
+from lupinmill.lab.virtual.recorded import recorded_text
 
 ONCE = {"name": "bid", "repeat": "unrepeatable"}
 
@@ -291,6 +293,29 @@
     assert replay.replay(found, told.append).differs_at == 3
 
 
+RECORDED_COMMANDS: list[tuple[t.Command, str]] = [
+    (t.StartAttempt("w1.1", "e0-001", 5), "Launch(submission='w1.1', endpoint='e0-001', until=5)"),
+    (t.CancelAttempt("w1.1", 2), "CallOff(submission='w1.1', launch=2)"),
+    (t.RejectRequest("w1.1", 7), "Deny(submission='w1.1', come_back=7)"),
+    (t.AbortResponse("w1.1"), "BreakOff(submission='w1.1')"),
+    (t.SetTimer(9, 3), "WakeMe(at=9, ref=3)"),
+    (t.StartProbe("e0-001"), "Probe(endpoint='e0-001')"),
+    (t.StartWatch(), "Watch()"),
+    (t.WriteLog("it's full"), 'Log(text="it\'s full")'),
+]
+
+
+def test_digests_spell_each_command_as_the_first_results_did() -> None:
+    """Guards against a rename in `terms` that changes the digests: a result of an earlier version would no
+    longer replay as the same."""
+    assert {type(command) for command, _ in RECORDED_COMMANDS} == set(get_args(t.Command))
+    for command, text in RECORDED_COMMANDS:
+        assert recorded_text([command]) == f"[{text}]"
+    commands, texts = zip(*RECORDED_COMMANDS)
+    assert recorded_text(list(commands)) == f"[{', '.join(texts)}]"
+    assert recorded_text([]) == "[]"
+
+
 def test_results_of_newer_formats_and_broken_ones_are_refused(tmp_path: Path) -> None:
     path = tmp_path / "r.json"
     result.write(path, day())
