--- a/lupinmill/cli/lab.py
+++ b/lupinmill/cli/lab.py
@@ -101,7 +101,7 @@
         click.echo(f"  VOID: {one.void}")
     if not one.complete:
         click.echo("  stopped before its end: these are the figures so far")
-    if one.kept():
+    if one.rules_kept():
         click.echo("  all four rules kept")
     pace = one.simulated_s / one.wall_s if one.wall_s else 0.0
     click.echo(
@@ -110,7 +110,7 @@
 
 
 def exit_code(one: Result) -> int:
-    if not one.kept():
+    if not one.rules_kept():
         return EXIT_BROKEN
     if one.void:
         return EXIT_VOID
@@ -207,7 +207,7 @@
             f"  {d.figure:24} {d.first:14.4f} {d.second:14.4f} {d.mean:+11.4f}   "
             f"[{d.low:+.4f}, {d.high:+.4f}]{sure}"
         )
-    broken = any(not r.kept() for results in found.results.values() for r in results.values())
+    broken = any(not r.rules_kept() for results in found.results.values() for r in results.values())
     sys.exit(EXIT_BROKEN if broken else 0)
 
 
@@ -259,7 +259,7 @@
         click.echo("stopped; run the same command again to resume", err=True)
         sys.exit(EXIT_STOPPED)
     print_sweep_table(variants, results, seeds)
-    sys.exit(EXIT_BROKEN if any(not one.kept() for one in results) else 0)
+    sys.exit(EXIT_BROKEN if any(not one.rules_kept() for one in results) else 0)
 
 
 def print_sweep_table(variants: list[Any], results: list[Result], seeds: int) -> None:
--- a/lupinmill/lab/commons.py
+++ b/lupinmill/lab/commons.py
@@ -13,7 +13,7 @@
 
 from lupinmill import terms as t
 from lupinmill.lab.timeline import SECOND
-from lupinmill.lab.world import chance_for
+from lupinmill.lab.world import random_stream
 from lupinmill.peers import peer, proposer, wire
 from lupinmill.peers.elector import Memory, Persist
 from lupinmill.peers.live_count import LiveCount
@@ -209,7 +209,7 @@
         self.run, self.live, self.loss = run, live, loss
         self.lease = int(lease * SECOND)
         self.map = map_of(run, **more)
-        self.chance = chance_for(run.world.seed, "commons")
+        self.chance = random_stream(run.world.seed, "commons")
         names = [seat.name for seat in run.sidecars]
         self.seats = tuple(
             RosterEntry(seat.name, f"127.0.0.1:{at + 1}", seat.zone) for at, seat in enumerate(run.sidecars)
@@ -296,13 +296,13 @@
             run.timeline.after(1, self.see)
 
     def started(self, seat: Any) -> None:
-        self.look(seat, seat.life)
+        self.look(seat, seat.incarnation)
 
     def killed(self, seat: Any) -> None:
         pass
 
     def look(self, seat: Any, life: int) -> None:
-        if not seat.alive or seat.life != life:
+        if not seat.alive or seat.incarnation != life:
             return
         now = self.run.timeline.now
         others = [zone for zone in self.run.world.zones if zone != seat.zone]
@@ -323,10 +323,10 @@
         comes."""
         run, world = self.run, self.run.world
         able = dict.fromkeys(world.zones, 0.0)
-        mean = sum(w.share * w.mean for w in world.classes) * world.tiers[0][0].shape.work
+        mean = sum(w.share * w.mean for w in world.classes) * world.tiers[0][0].spec.work
         for endpoint in world.tiers[0]:
             if endpoint.alive and not endpoint.silent and not endpoint.draining:
-                able[endpoint.shape.zone] += endpoint.capacity() / mean
+                able[endpoint.spec.zone] += endpoint.capacity() / mean
         parts = dict.fromkeys(world.zones, 0.0)
         alive = [seat for seat in run.sidecars if seat.alive]
         weights = run.front.weights or [1.0] * len(run.sidecars)
--- a/lupinmill/lab/endpoint.py
+++ b/lupinmill/lab/endpoint.py
@@ -14,16 +14,16 @@
 import numpy as np
 
 from lupinmill import terms as t
-from lupinmill.lab.timeline import SECOND, Due, Timeline
+from lupinmill.lab.timeline import SECOND, ScheduledEvent, Timeline
 
-COLD_STEP = 100_000  # microseconds between two looks at a cold endpoint's capacity
-JAM_STEP = 200_000
-DONE = 1e-9
-FALL_SLACK = 1.1  # chance alone may bring so much more than the multiple
+WARM_UP_INTERVAL = 100_000  # microseconds between two looks at a cold endpoint's capacity
+JAM_CHECK_INTERVAL = 200_000
+COMPLETION_TOLERANCE = 1e-9
+OVERLOAD_SLACK = 1.1  # chance alone may bring so much more than the multiple
 
 
 @dataclass(slots=True, frozen=True)
-class Shape:
+class EndpointSpec:
     """One machine's figures, drawn. Times in seconds; capacities in seconds of work a second."""
 
     name: str
@@ -64,7 +64,7 @@
 class Job:
     """One launch as the endpoint holds it. `reply` hears of its end once, unless it is lost in silence."""
 
-    submission: str
+    request_id: str
     key: str
     workload: str
     work: float  # seconds on a yardstick core, all of it that this endpoint does
@@ -79,22 +79,32 @@
 
 class Endpoint:
     def __init__(
-        self, shape: Shape, timeline: Timeline, chance: np.random.Generator, referee: Any, started: int = 0
+        self,
+        spec: EndpointSpec,
+        timeline: Timeline,
+        random_source: np.random.Generator,
+        rule_checker: Any,
+        started: int = 0,
     ) -> None:
-        self.shape, self.timeline, self.chance, self.referee = shape, timeline, chance, referee
-        self.caller: Callable[[Job, Callable[[bool], None]], Any] | None = (
+        self.spec, self.timeline, self.random_source, self.rule_checker = (
+            spec,
+            timeline,
+            random_source,
+            rule_checker,
+        )
+        self.make_call: Callable[[Job, Callable[[bool], None]], Any] | None = (
             None  # makes a call of the next tier
         )
-        self.hang_up: Callable[[Any], None] = lambda call: None
+        self.cancel_call: Callable[[Any], None] = lambda call: None
         self.waiting: deque[Job] = deque()
         self.held: dict[Job, None] = {}  # those in slots
         self.running: list[tuple[float, int, Job]] = []
-        self.stopped: set[Job] = set()  # in `running` still, but called off
-        self.serial, self.alive, self.draining, self.silent, self.fallen = 0, True, False, False, False
+        self.cancelled: set[Job] = set()  # in `running` still, but called off
+        self.serial, self.alive, self.draining, self.silent, self.collapsed = 0, True, False, False, False
         self.epoch = 0  # counts lives: what a past life had is not this one's
         self.started, self.worked = started, 0.0
-        self.slower: dict[str, float] = {}
-        self.taken, self.paused, self.hanging, self.failing, self.spoiling, self.resetting = (
+        self.slowdowns: dict[str, float] = {}
+        self.stolen_share, self.paused, self.hanging, self.failing, self.spoiling, self.resetting = (
             0.0,
             0,
             0,
@@ -102,40 +112,40 @@
             0.0,
             0.0,
         )
-        self.done_each, self.last, self.rate = 0.0, timeline.now, 0.0
-        self.due: Due | None = None
+        self.virtual_work, self.last, self.rate = 0.0, timeline.now, 0.0
+        self.next_completion: ScheduledEvent | None = None
         self.connections = 0
-        self.pressure: deque[tuple[int, float, bool]] = deque()
-        self.pressed = 0.0
+        self.recent_load: deque[tuple[int, float, bool]] = deque()
+        self.load_sum = 0.0
         self.busy_time, self.service, self.handled = 0.0, 0.0, 0
         self.reports: deque[tuple[int, t.LoadReport]] = deque()
-        self.report_late, self.told_busy, self.told_handled = 0.0, 0.0, 0
+        self.report_late, self.reported_busy, self.reported_handled = 0.0, 0.0, 0
         self.jammed, self.idle_since, self.jam_ends, self.jam_busy = False, 0, 0, 0.0
         self.jam_held: deque[int] = deque(maxlen=20)
         self.was_jammed = False
-        self.wasted, self.total = 0.0, 0.0  # beside requests; all work over all lives
-        self.begin(chance.uniform(0, shape.report_s))
+        self.overhead_work, self.total_work = 0.0, 0.0  # beside requests; all work over all lives
+        self.start_timers(random_source.uniform(0, spec.report_s))
 
-    def begin(self, first_report: float) -> None:
+    def start_timers(self, first_report: float) -> None:
         """What goes on by itself for as long as this life lasts."""
-        shape, timeline, epoch = self.shape, self.timeline, self.epoch
-        if shape.report_how != "none":
-            timeline.after(first_report * SECOND, self.refresh, epoch)
-        if shape.jam:
-            timeline.after(JAM_STEP, self.look_for_jam, epoch)
-        if shape.pause_s:
-            every = shape.pause_every_s
+        spec, timeline, epoch = self.spec, self.timeline, self.epoch
+        if spec.report_how != "none":
+            timeline.after(first_report * SECOND, self.refresh_report, epoch)
+        if spec.jam:
+            timeline.after(JAM_CHECK_INTERVAL, self.check_jam, epoch)
+        if spec.pause_s:
+            every = spec.pause_every_s
             timeline.after(
-                self.chance.exponential(every) * SECOND, self.pause, shape.pause_s, every, None, epoch
+                self.random_source.exponential(every) * SECOND, self.pause, spec.pause_s, every, None, epoch
             )
         if self.cold():
-            timeline.after(COLD_STEP, self.warm_up, epoch)
+            timeline.after(WARM_UP_INTERVAL, self.warm_up, epoch)
 
     # What it can do at the moment.
 
     def warmth(self) -> float:
         """Part of the full capacity; grows evenly with time, or sooner with work done."""
-        s = self.shape
+        s = self.spec
         if not self.started or s.cold_s <= 0:
             return 1.0
         grown = (self.timeline.now - self.started) / SECOND / s.cold_s
@@ -147,7 +157,7 @@
         return self.warmth() < 1.0
 
     def efficiency(self) -> float:
-        s = self.shape
+        s = self.spec
         if not s.crowding:
             return 1.0
         beyond = (len(self.held) + len(self.waiting)) / s.cores / s.crowding_at - 1
@@ -155,45 +165,45 @@
 
     def capacity(self) -> float:
         """Seconds of work a second, of all cores together."""
-        if self.paused or self.hanging or self.fallen or not self.alive:
+        if self.paused or self.hanging or self.collapsed or not self.alive:
             return 0.0
-        factor = self.warmth() * (1 - self.taken) * self.efficiency()
-        for slower in self.slower.values():
+        factor = self.warmth() * (1 - self.stolen_share) * self.efficiency()
+        for slower in self.slowdowns.values():
             factor /= slower
-        return self.shape.cores * self.shape.speed * factor
+        return self.spec.cores * self.spec.speed * factor
 
     def advance(self) -> None:
         """Work done since the last look, at the rate that held since then."""
         now = self.timeline.now
         span = (now - self.last) / SECOND
         if span > 0:
-            active = len(self.running) - len(self.stopped)
+            active = len(self.running) - len(self.cancelled)
             if active and self.rate > 0:
-                self.done_each += span * self.rate
+                self.virtual_work += span * self.rate
                 self.worked += span * self.rate * active
-                self.total += span * self.rate * active
+                self.total_work += span * self.rate * active
             if active:
-                self.busy_time += span * min(1.0, active / self.shape.cores)
+                self.busy_time += span * min(1.0, active / self.spec.cores)
             self.last = now
 
-    def settle(self) -> None:
+    def reschedule(self) -> None:
         """After any change: the rate anew, and when the next job ends."""
-        while self.running and self.running[0][2] in self.stopped:
-            self.stopped.discard(heappop(self.running)[2])
-        if self.done_each > 1e6:  # keeps the scale's figures exact over long runs
+        while self.running and self.running[0][2] in self.cancelled:
+            self.cancelled.discard(heappop(self.running)[2])
+        if self.virtual_work > 1e6:  # keeps the scale's figures exact over long runs
             for at, (end, serial, job) in enumerate(self.running):
-                job.end = end - self.done_each
+                job.end = end - self.virtual_work
                 self.running[at] = (job.end, serial, job)
             heapify(self.running)
-            self.done_each = 0.0
-        active = len(self.running) - len(self.stopped)
-        self.rate = self.capacity() / max(self.shape.cores, active) if active else 0.0
-        if self.due is not None:
-            self.due.cancel()
-            self.due = None
+            self.virtual_work = 0.0
+        active = len(self.running) - len(self.cancelled)
+        self.rate = self.capacity() / max(self.spec.cores, active) if active else 0.0
+        if self.next_completion is not None:
+            self.next_completion.cancel()
+            self.next_completion = None
         if self.running and self.rate > 0:
-            span = max(0.0, self.running[0][0] - self.done_each) / self.rate
-            self.due = self.timeline.after(min(span, 3600.0) * SECOND + 1, self.finish_parts)
+            span = max(0.0, self.running[0][0] - self.virtual_work) / self.rate
+            self.next_completion = self.timeline.after(min(span, 3600.0) * SECOND + 1, self.complete_parts)
 
     # Requests.
 
@@ -201,27 +211,27 @@
         """The last byte of a launch has come."""
         if self.silent or not self.alive:
             return  # nothing answers
-        self.press(job.work, informed)
-        if self.fallen:
+        self.add_load(job.work, informed)
+        if self.collapsed:
             return job.reply(t.Outcome.REFUSED, None)
-        s = self.shape
+        s = self.spec
         if self.draining or len(self.held) >= s.slots and len(self.waiting) >= s.queue:
             return job.reply(t.Outcome.REFUSED, self.report())
-        if self.resetting and self.chance.random() < self.resetting:
-            self.referee.accepted(self, job, True)
+        if self.resetting and self.random_source.random() < self.resetting:
+            self.rule_checker.accepted(self, job, True)
             return job.reply(t.Outcome.RESET, None)
-        if self.failing and self.chance.random() < self.failing:
-            self.referee.accepted(self, job, True)
+        if self.failing and self.random_source.random() < self.failing:
+            self.rule_checker.accepted(self, job, True)
             return job.reply(t.Outcome.ERROR, self.report())
-        self.referee.accepted(self, job, False)
-        now, window = self.timeline.now, self.referee.window(job.workload)
+        self.rule_checker.accepted(self, job, False)
+        now, window = self.timeline.now, self.rule_checker.window(job.workload)
         if window and job.key:
-            seen = self.referee.remembered(self, job.key, now)
+            seen = self.rule_checker.is_duplicate(self, job.key, now)
             if seen:
                 job.work = 0.0  # a repeat is answered from what is kept
                 job.calls = 0
             else:
-                self.referee.remember(self, job.key, now + window)
+                self.rule_checker.remember_key(self, job.key, now + window)
         share = job.work / (job.calls + 1)
         job.parts = [share] * (job.calls + 1)
         if len(self.held) < s.slots:
@@ -233,68 +243,71 @@
     def start(self, job: Job) -> None:
         self.advance()
         self.held[job] = None
-        self.run_part(job)
-        self.settle()
+        self.start_part(job)
+        self.reschedule()
 
-    def run_part(self, job: Job) -> None:
+    def start_part(self, job: Job) -> None:
         job.state = "running"
-        job.end = self.done_each + job.parts.pop(0)
+        job.end = self.virtual_work + job.parts.pop(0)
         self.serial += 1
         heappush(self.running, (job.end, self.serial, job))
 
-    def finish_parts(self) -> None:
-        self.due = None
+    def complete_parts(self) -> None:
+        self.next_completion = None
         self.advance()
         ended = []
         while self.running and (
-            self.running[0][0] <= self.done_each + DONE or self.running[0][2] in self.stopped
+            self.running[0][0] <= self.virtual_work + COMPLETION_TOLERANCE
+            or self.running[0][2] in self.cancelled
         ):
             job = heappop(self.running)[2]
-            if job in self.stopped:
-                self.stopped.discard(job)
+            if job in self.cancelled:
+                self.cancelled.discard(job)
             else:
                 ended.append(job)
         for job in ended:
-            if job.parts and self.caller is not None:
+            if job.parts and self.make_call is not None:
                 job.state = "calling"
                 epoch = self.epoch
-                job.call = self.caller(job, lambda good, job=job, epoch=epoch: self.called(job, epoch, good))
+                job.call = self.make_call(
+                    job, lambda good, job=job, epoch=epoch: self.call_ended(job, epoch, good)
+                )
             else:
                 self.finish(job)
-        self.settle()
+        self.reschedule()
 
-    def called(self, job: Job, epoch: int, good: bool) -> None:
+    def call_ended(self, job: Job, epoch: int, good: bool) -> None:
         """A call of the next tier has ended; the slot was held meanwhile."""
         if epoch != self.epoch or job.state != "calling":
             return
         job.call = None
         if not good:
-            self.give_back(job)
+            self.release_slot(job)
             return job.reply(t.Outcome.ERROR, self.report())
         self.advance()
-        self.run_part(job)
-        self.settle()
+        self.start_part(job)
+        self.reschedule()
 
     def finish(self, job: Job) -> None:
         self.handled += 1
-        self.service += 0.1 * (job.work / max(self.shape.speed, 1e-6) - self.service)
-        self.give_back(job)
-        self.referee.ran(self, job)
-        s = self.shape
-        if s.error_rate and self.chance.random() < s.error_rate:
+        self.service += 0.1 * (job.work / max(self.spec.speed, 1e-6) - self.service)
+        self.release_slot(job)
+        self.rule_checker.executed(self, job)
+        s = self.spec
+        if s.error_rate and self.random_source.random() < s.error_rate:
             job.reply(t.Outcome.ERROR, self.report())
-        elif self.spoiling and self.chance.random() < self.spoiling:
+        elif self.spoiling and self.random_source.random() < self.spoiling:
             job.reply(t.Outcome.SPOILT, None)
         else:
             job.reply(t.Outcome.HANDLED, self.report())
 
-    def give_back(self, job: Job) -> None:
+    def release_slot(self, job: Job) -> None:
         """The slot, in the one place; the next in the queue gets it."""
         job.state = "over"
         self.held.pop(job, None)
-        while self.waiting and len(self.held) < self.shape.slots and not self.hanging:
+        while self.waiting and len(self.held) < self.spec.slots and not self.hanging:
             following = self.waiting.popleft()
-            if self.shape.drops_expired and following.due <= self.timeline.now:
+            if self.spec.drops_expired and following.due <= self.timeline.now:
                 following.state = "over"
                 following.reply(t.Outcome.REFUSED, self.report())
             else:
@@ -302,32 +315,32 @@
 
     def cancel(self, job: Job) -> None:
         """Whoever asked has gone away; what that stops depends on the kind."""
-        if job.state == "over" or not self.alive or self.silent or self.shape.cancel == "none":
+        if job.state == "over" or not self.alive or self.silent or self.spec.cancel == "none":
             return
         if job.state == "waiting":
             self.waiting.remove(job)
             job.state = "over"
-        elif self.shape.cancel == "all":
+        elif self.spec.cancel == "all":
             self.advance()
             if job.state == "running":
-                self.stopped.add(job)
+                self.cancelled.add(job)
             elif job.call is not None:
-                self.hang_up(job.call)
+                self.cancel_call(job.call)
                 job.call = None
-            self.give_back(job)
-            self.settle()
+            self.release_slot(job)
+            self.reschedule()
 
     # Load reports and probes.
 
-    def refresh(self, epoch: int) -> None:
+    def refresh_report(self, epoch: int) -> None:
         if epoch != self.epoch:
             return
         self.advance()
-        s, now = self.shape, self.timeline.now
-        noise = 1 + s.report_noise * self.chance.standard_normal()
-        busy = min(1.0, (self.busy_time - self.told_busy) / s.report_s)
-        rate = (self.handled - self.told_handled) / s.report_s
-        self.told_busy, self.told_handled = self.busy_time, self.handled
+        s, now = self.spec, self.timeline.now
+        noise = 1 + s.report_noise * self.random_source.standard_normal()
+        busy = min(1.0, (self.busy_time - self.reported_busy) / s.report_s)
+        rate = (self.handled - self.reported_handled) / s.report_s
+        self.reported_busy, self.reported_handled = self.busy_time, self.handled
         held = len(self.held) + len(self.waiting)
         figures = {
             "queued": float(max(0, round(len(self.waiting) * noise))),
@@ -339,14 +352,14 @@
         self.reports.append((now, t.LoadReport(**{name: figures[name] for name in s.report_fields})))
         while len(self.reports) > 64:
             self.reports.popleft()
-        self.timeline.after(s.report_s * SECOND, self.refresh, epoch)
+        self.timeline.after(s.report_s * SECOND, self.refresh_report, epoch)
 
     def report(self) -> t.LoadReport | None:
         """What an answer may carry."""
-        return self.latest() if self.shape.report_how == "answers" else None
+        return self.latest() if self.spec.report_how == "answers" else None
 
     def latest(self) -> t.LoadReport | None:
-        before = self.timeline.now - int((self.shape.report_delay_s + self.report_late) * SECOND)
+        before = self.timeline.now - int((self.spec.report_delay_s + self.report_late) * SECOND)
         while len(self.reports) > 1 and self.reports[1][0] <= before:
             self.reports.popleft()
         return self.reports[0][1] if self.reports and self.reports[0][0] <= before else None
@@ -355,29 +368,29 @@
         """A shallow one: answered beside the queue. None where nothing answers."""
         if self.silent or not self.alive or self.paused:
             return None
-        self.press(self.shape.probe_work, True)
-        self.cost(self.shape.probe_work)
-        if self.draining or self.fallen:
+        self.add_load(self.spec.probe_work, True)
+        self.add_overhead(self.spec.probe_work)
+        if self.draining or self.collapsed:
             return t.Outcome.REFUSED, None
-        return t.Outcome.HANDLED, None if self.shape.report_how == "none" else self.latest()
+        return t.Outcome.HANDLED, None if self.spec.report_how == "none" else self.latest()
 
-    def cost(self, work: float) -> None:
+    def add_overhead(self, work: float) -> None:
         """Work beside requests, taken from all that run."""
-        self.wasted += work
-        active = len(self.running) - len(self.stopped)
+        self.overhead_work += work
+        active = len(self.running) - len(self.cancelled)
         if active and work:
             self.advance()
-            self.done_each -= work / active
-            self.settle()
+            self.virtual_work -= work / active
+            self.reschedule()
 
     # Connections.
 
     def connect(self) -> bool:
         """Whether one more is accepted."""
-        if self.connections >= self.shape.most_connections:
+        if self.connections >= self.spec.most_connections:
             return False
         self.connections += 1
-        self.cost(self.shape.connect_work)
+        self.add_overhead(self.spec.connect_work)
         return True
 
     def disconnect(self, epoch: int) -> None:
@@ -386,75 +399,75 @@
 
     # A cold one falls over under what is too much for it.
 
-    def press(self, work: float, informed: bool) -> None:
-        multiple, span = self.referee.fall
+    def add_load(self, work: float, informed: bool) -> None:
+        multiple, span = self.rule_checker.overload_limit
         if not self.started or not multiple or not self.cold():
             return
         now = self.timeline.now
-        self.pressure.append((now, work, informed))
-        self.pressed += work
-        while self.pressure and self.pressure[0][0] <= now - span:
-            self.pressed -= self.pressure.popleft()[1]
-        able = self.shape.cores * self.shape.speed * self.warmth() * span / SECOND
-        if self.pressed > multiple * able * FALL_SLACK + 3 * work and not self.fallen:
-            self.fallen = True
-            told = sum(amount for _, amount, knew in self.pressure if knew)
-            self.referee.fell(self, told / max(1e-9, self.pressed))
+        self.recent_load.append((now, work, informed))
+        self.load_sum += work
+        while self.recent_load and self.recent_load[0][0] <= now - span:
+            self.load_sum -= self.recent_load.popleft()[1]
+        able = self.spec.cores * self.spec.speed * self.warmth() * span / SECOND
+        if self.load_sum > multiple * able * OVERLOAD_SLACK + 3 * work and not self.collapsed:
+            self.collapsed = True
+            told = sum(amount for _, amount, knew in self.recent_load if knew)
+            self.rule_checker.endpoint_collapsed(self, told / max(1e-9, self.load_sum))
             self.advance()
-            self.settle()
+            self.reschedule()
 
     def warm_up(self, epoch: int) -> None:
         if epoch != self.epoch:
             return
         self.advance()
-        self.settle()
+        self.reschedule()
         if self.cold():
-            self.timeline.after(COLD_STEP, self.warm_up, epoch)
+            self.timeline.after(WARM_UP_INTERVAL, self.warm_up, epoch)
 
     # Troubles.
 
-    def look_for_jam(self, epoch: int) -> None:
+    def check_jam(self, epoch: int) -> None:
         """More than so many held for a while: slower, and so until it has been mostly idle."""
         if epoch != self.epoch:
             return
-        at, over, slower, rest, below, most = self.shape.jam or (0, 0, 1, 0, 0, 0)
+        at, over, slower, rest, below, most = self.spec.jam or (0, 0, 1, 0, 0, 0)
         self.advance()
         now, held = self.timeline.now, len(self.held) + len(self.waiting)
-        busy, self.jam_busy = (self.busy_time - self.jam_busy) / (JAM_STEP / SECOND), self.busy_time
+        busy, self.jam_busy = (self.busy_time - self.jam_busy) / (JAM_CHECK_INTERVAL / SECOND), self.busy_time
         if self.jammed:
             self.idle_since = (self.idle_since or now) if busy < below else 0
             if now >= self.jam_ends or self.idle_since and now - self.idle_since >= rest * SECOND:
                 self.jammed = False
-                self.slower.pop("jam", None)
-                self.settle()
+                self.slowdowns.pop("jam", None)
+                self.reschedule()
         elif not self.was_jammed:
-            steps = max(1, round(over * SECOND / JAM_STEP))
+            steps = max(1, round(over * SECOND / JAM_CHECK_INTERVAL))
             self.jam_held.append(held)
             recent = list(self.jam_held)[-steps:]
             if len(recent) == steps and sum(recent) / steps > self.jam_limit(at):
                 self.jammed = self.was_jammed = True
                 self.idle_since, self.jam_ends = 0, now + int(most * SECOND)
-                self.slower["jam"] = slower
-                self.settle()
-        self.timeline.after(JAM_STEP, self.look_for_jam, epoch)
+                self.slowdowns["jam"] = slower
+                self.reschedule()
+        self.timeline.after(JAM_CHECK_INTERVAL, self.check_jam, epoch)
 
     def jam_limit(self, at: float) -> float:
-        cores = self.shape.cores
-        return min(cores + at * sqrt(cores), 0.7 * (self.shape.slots + self.shape.queue))
+        cores = self.spec.cores
+        return min(cores + at * sqrt(cores), 0.7 * (self.spec.slots + self.spec.queue))
 
-    def slow_by(self, why: str, slower: float) -> None:
+    def set_slowdown(self, why: str, slower: float) -> None:
         self.advance()
         if slower <= 1:
-            self.slower.pop(why, None)
+            self.slowdowns.pop(why, None)
         else:
-            self.slower[why] = slower
-        self.settle()
+            self.slowdowns[why] = slower
+        self.reschedule()
 
-    def take(self, part: float) -> None:
+    def set_stolen_share(self, part: float) -> None:
         """A neighbour on the same machine takes this part of it."""
         self.advance()
-        self.taken = part
-        self.settle()
+        self.stolen_share = part
+        self.reschedule()
 
     def pause(self, span: float, every: float, ends: int | None, epoch: int) -> None:
         """Stands still for `span`, and again and again until `ends` (or for good)."""
@@ -463,22 +476,22 @@
             return
         self.advance()
         self.paused += 1
-        self.settle()
+        self.reschedule()
         self.timeline.after(span * SECOND, self.resume, epoch)
-        gap = span + self.chance.exponential(every)
+        gap = span + self.random_source.exponential(every)
         self.timeline.after(gap * SECOND, self.pause, span, every, ends, epoch)
 
     def resume(self, epoch: int) -> None:
         if epoch == self.epoch and self.paused:
             self.advance()
             self.paused -= 1
-            self.settle()
+            self.reschedule()
 
     def hang(self, on: bool) -> None:
         self.advance()
         self.hanging = max(0, self.hanging + (1 if on else -1))
-        self.settle()
-        if not self.hanging and len(self.held) < self.shape.slots and self.waiting:
+        self.reschedule()
+        if not self.hanging and len(self.held) < self.spec.slots and self.waiting:
             self.start(self.waiting.popleft())
 
     def crash(self, silently: bool = False) -> None:
@@ -489,25 +502,25 @@
         lost = list(self.held) + list(self.waiting)
         for job in lost:
             job.state = "over"
-        self.running, self.stopped, self.held, self.connections = [], set(), {}, 0
+        self.running, self.cancelled, self.held, self.connections = [], set(), {}, 0
         self.waiting.clear()
-        self.settle()
+        self.reschedule()
         for job in lost:
             if job.call is not None:
-                self.hang_up(job.call)  # its sidecar goes with it
+                self.cancel_call(job.call)  # its sidecar goes with it
             if not silently:
                 job.reply(t.Outcome.RESET, None)
 
-    def come_back(self) -> None:
+    def restart(self) -> None:
         """A new process, cold."""
-        self.alive, self.silent, self.fallen, self.draining = True, False, False, False
+        self.alive, self.silent, self.collapsed, self.draining = True, False, False, False
         self.started, self.worked, self.last = self.timeline.now, 0.0, self.timeline.now
         self.paused = self.hanging = 0
         self.jammed = False
         self.jam_held.clear()
-        self.slower.pop("jam", None)
-        self.pressure.clear()
-        self.pressed = 0.0
+        self.slowdowns.pop("jam", None)
+        self.recent_load.clear()
+        self.load_sum = 0.0
         self.reports.clear()
-        self.begin(0.0)
-        self.settle()
+        self.start_timers(0.0)
+        self.reschedule()
--- a/lupinmill/lab/experiments.py
+++ b/lupinmill/lab/experiments.py
@@ -23,7 +23,7 @@
 from lupinmill.lab.sockets import SocketRun
 from lupinmill.lab.virtual import VirtualRun
 
-MOST_RUNS = 100_000
+MAX_RUNS = 100_000
 
 
 @dataclass(frozen=True)
@@ -38,16 +38,16 @@
 
     def table(self) -> dict[str, Any]:
         path = scenario.find(self.scenario)
-        table = scenario.raw(path)
+        table = scenario.read_tables(path)
         for key, value in self.changes:
-            table = scenario.over(table, nested(table, key, value, str(path)))
+            table = scenario.merge_tables(table, nested_table(table, key, value, str(path)))
         return table
 
     def read(self) -> Scenario:
         return scenario.check(self.table(), f"{self.scenario} ({self.name})")
 
 
-def nested(table: dict[str, Any], key: str, text: str, where: str) -> dict[str, Any]:
+def nested_table(table: dict[str, Any], key: str, text: str, where: str) -> dict[str, Any]:
     """`load.part=0.6` as tables; a part of a list goes by its name: `tier.endpoints.count=8`."""
     value = plain_value(text)
     parts = key.split(".")
@@ -56,7 +56,7 @@
     while parts:
         part = parts.pop(0)
         rows = found.get(part) if isinstance(found, dict) else None
-        if isinstance(rows, list) and scenario.named(rows) and parts:
+        if isinstance(rows, list) and scenario.are_named_tables(rows) and parts:
             name = parts.pop(0)
             row = next((row for row in rows if row["name"] == name), None)
             if row is None:
@@ -111,7 +111,7 @@
     except KeyboardInterrupt:
         complete = False
     driver = "sockets" if sockets else "virtual"
-    return result.of(run, name, read, seed, policy, driver, time.monotonic() - began, complete)
+    return result.from_run(run, name, read, seed, policy, driver, time.monotonic() - began, complete)
 
 
 def play_variant(which: Variant, seed: int) -> tuple[Variant, int, Result]:
@@ -122,7 +122,7 @@
     return len(os.sched_getaffinity(0))
 
 
-def play_all(
+def play_in_processes(
     jobs: list[tuple[Variant, int]], folder: str = "", most: int = 0
 ) -> Iterator[tuple[Variant, int, Result]]:
     """All runs over all cores, as they end. With `folder`, processes take the decision module from that
@@ -164,7 +164,7 @@
         seeds = sorted(set(one) & set(two))
         for figure, value in FIGURES.items():
             pairs = [(value(one[seed]), value(two[seed])) for seed in seeds]
-            mean, low, high = interval([b - a for a, b in pairs])
+            mean, low, high = confidence_interval([b - a for a, b in pairs])
             first, second = (sum(pair[at] for pair in pairs) / max(1, len(pairs)) for at in (0, 1))
             found.append(Difference(figure, first, second, mean, low, high, len(pairs)))
         return found
@@ -181,7 +181,7 @@
 }
 
 
-def interval(values: list[float], level: float = 0.95) -> tuple[float, float, float]:
+def confidence_interval(values: list[float], level: float = 0.95) -> tuple[float, float, float]:
     """Mean and its confidence interval by Student's t; one value alone has none, and an endless interval says
     so."""
     from scipy import stats
@@ -202,7 +202,7 @@
     found = Comparison(first, second, {first.name: {}, second.name: {}})
 
     def gather(jobs: list[tuple[Variant, int]], folder: str = "") -> None:
-        for which, seed, one in play_all(jobs, folder, most):
+        for which, seed, one in play_in_processes(jobs, folder, most):
             found.results[which.name][seed] = one
             if heard is not None:
                 heard()
@@ -221,8 +221,8 @@
     combined: list[tuple[tuple[str, str], ...]] = [()]
     for key, values in settings.items():
         combined = [before + ((key, value),) for before in combined for value in values]
-        if len(combined) * len(policies) > MOST_RUNS:
-            raise BadScenario(f"the grid has more than {MOST_RUNS} variants")
+        if len(combined) * len(policies) > MAX_RUNS:
+            raise BadScenario(f"the grid has more than {MAX_RUNS} variants")
     return [
         Variant("; ".join([policy, *(f"{key}={value}" for key, value in changes)]), base, policy, changes)
         for changes in combined
@@ -245,7 +245,7 @@
     jobs = [job for job, path in paths.items() if not whole(path)]
     there = len(paths) - len(jobs)
     heard(there, len(paths))
-    for which, seed, one in play_all(jobs, most=most):
+    for which, seed, one in play_in_processes(jobs, most=most):
         result.write(paths[(which, seed)], one)
         there += 1
         heard(there, len(paths))
--- a/lupinmill/lab/measure.py
+++ b/lupinmill/lab/metrics.py
@@ -69,7 +69,7 @@
     latency_ms: dict[str, dict[str, float]]
 
 
-def observe_endpoints(entry: Second, tiers: list[list[Endpoint]]) -> None:
+def record_endpoints(entry: Second, tiers: list[list[Endpoint]]) -> None:
     """The endpoints' state at the end of a second, into its figures."""
     for name, endpoints in (("held", tiers[0]), ("held_inner", tiers[-1] if len(tiers) > 1 else [])):
         alive = [e for e in endpoints if e.alive]
@@ -79,7 +79,7 @@
     entry.jammed = sum(e.jammed for tier in tiers for e in tier)
 
 
-class Measure:
+class RunMetrics:
     def __init__(self, start: int, seconds: float, workloads: list[str]) -> None:
         self.start = start
         self.seconds = [Second() for _ in range(int(seconds) + 2)]
@@ -93,43 +93,47 @@
     def at(self, now: int) -> Second:
         return self.seconds[min(len(self.seconds) - 1, max(0, (now - self.start) // SECOND))]
 
-    def book(self, wish: Any, earned: float, worth: float) -> None:
-        window = (wish.began - self.start) // SECOND // WINDOW_S
-        for kind, name in (("all", ""), ("workload", wish.workload.name), ("tenant", wish.tenant)):
+    def book(self, client_request: Any, earned: float, worth: float) -> None:
+        window = (client_request.began - self.start) // SECOND // WINDOW_S
+        for kind, name in (
+            ("all", ""),
+            ("workload", client_request.workload.name),
+            ("tenant", client_request.tenant),
+        ):
             entry = self.worth.setdefault((kind, name, window), [0.0, 0.0])
             entry[0] += worth
             entry[1] += earned
 
-    def asked(self, wish: Any, now: int) -> None:
+    def asked(self, client_request: Any, now: int) -> None:
         second = self.at(now)
         second.asked += 1
-        second.worth += wish.worth
-        self.total_worth += wish.worth
-        self.offered_work += wish.work
-        self.book(wish, 0.0, wish.worth)
-        self.tail.setdefault(self.tail_key(wish), [0, 0])[0] += 1
+        second.worth += client_request.worth
+        self.total_worth += client_request.worth
+        self.offered_work += client_request.work
+        self.book(client_request, 0.0, client_request.worth)
+        self.tail.setdefault(self.tail_key(client_request), [0, 0])[0] += 1
 
-    def tail_key(self, wish: Any) -> tuple[str, int]:
-        return wish.workload.name, (wish.began - self.start) // SECOND // TAIL_S
+    def tail_key(self, client_request: Any) -> tuple[str, int]:
+        return client_request.workload.name, (client_request.began - self.start) // SECOND // TAIL_S
 
     def tried(self, now: int) -> None:
         self.at(now).tries += 1
 
-    def handled(self, wish: Any, now: int) -> None:
-        took, terms = now - wish.began, wish.workload.terms
+    def handled(self, client_request: Any, now: int) -> None:
+        took, terms = now - client_request.began, client_request.workload.terms
         in_time = took <= terms.contract
-        earned = wish.worth * (1.0 if in_time else terms.overdue_value)
+        earned = client_request.worth * (1.0 if in_time else terms.overdue_value)
         second = self.at(now)
         second.handled += 1
         second.in_time += in_time
-        self.at(wish.began).earned += earned
-        self.book(wish, earned, 0.0)
-        self.served_work += wish.work
-        self.latency[wish.workload.name].record_value(max(1, min(LONGEST, took)))
+        self.at(client_request.began).earned += earned
+        self.book(client_request, earned, 0.0)
+        self.served_work += client_request.work
+        self.latency[client_request.workload.name].record_value(max(1, min(LONGEST, took)))
         if not in_time:
-            self.tail[self.tail_key(wish)][1] += 1
+            self.tail[self.tail_key(client_request)][1] += 1
 
-    def turned(self, wish: Any, outcome: Outcome, now: int) -> None:
+    def turned(self, client_request: Any, outcome: Outcome, now: int) -> None:
         second = self.at(now)
         if outcome == Outcome.REJECTED:
             second.denied += 1
@@ -138,14 +142,14 @@
         else:
             second.broken += 1
 
-    def unanswered(self, wish: Any, now: int) -> None:
+    def unanswered(self, client_request: Any, now: int) -> None:
         self.unanswered_count += 1
 
-    def lost(self, wish: Any, now: int) -> None:
+    def lost(self, client_request: Any, now: int) -> None:
         """Given up for good."""
-        if now > wish.began + wish.workload.terms.contract:
-            self.late_worth += wish.worth
-            self.tail[self.tail_key(wish)][1] += 1
+        if now > client_request.began + client_request.workload.terms.contract:
+            self.late_worth += client_request.worth
+            self.tail[self.tail_key(client_request)][1] += 1
 
     # Sums.
 
--- a/lupinmill/lab/registry.py
+++ b/lupinmill/lab/registry.py
@@ -13,7 +13,7 @@
 from lupinmill import terms as t
 from lupinmill.lab.timeline import SECOND, Timeline
 
-MOST_CHANGES = 2000
+MAX_CHANGES = 2000
 
 
 @dataclass(slots=True, frozen=True)
@@ -32,40 +32,40 @@
     def __init__(
         self,
         timeline: Timeline,
-        chance: np.random.Generator,
+        random_source: np.random.Generator,
         notice: Callable[[], float],
         silent_notice: Callable[[], float],
         add: Callable[[], float],
     ) -> None:
-        self.timeline, self.chance = timeline, chance
+        self.timeline, self.random_source = timeline, random_source
         self.notice, self.silent_notice, self.add = notice, silent_notice, add
         self.entries: dict[str, Entry] = {}
         self.index = 1
-        self.changes: deque[tuple[int, Entry]] = deque(maxlen=MOST_CHANGES)
-        self.behind, self.down, self.silent = 0.0, False, False
-        self.turns: dict[
+        self.changes: deque[tuple[int, Entry]] = deque(maxlen=MAX_CHANGES)
+        self.extra_delay_s, self.down, self.silent = 0.0, False, False
+        self.latest_changes: dict[
             str, int
         ] = {}  # the newest change of each endpoint; older ones on their way are void
-        self.listeners: dict[str, Callable[[int, Entry], None]] = {}
-        self.broken: dict[str, Callable[[], None]] = {}
+        self.subscribers: dict[str, Callable[[int, Entry], None]] = {}
+        self.on_broken: dict[str, Callable[[], None]] = {}
 
-    def enlist(self, entry: Entry) -> None:
+    def add_initial(self, entry: Entry) -> None:
         """At the start of a run: known everywhere."""
         self.entries[entry.name] = entry
 
-    def learn(self, entry: Entry, how: str) -> None:
+    def publish_later(self, entry: Entry, how: str) -> None:
         """A change in the world, published after the delay of its kind: `gone`, `silent`, `add` or
         `drain`."""
         span = {"silent": self.silent_notice, "add": self.add}.get(how, self.notice)()
         if how == "drain":
             span *= 0.5  # announced by the platform itself, not found out
-        self.turns[entry.name] = turn = self.turns.get(entry.name, 0) + 1
-        self.timeline.after((span + self.behind) * SECOND, self.publish, entry, turn)
+        self.latest_changes[entry.name] = change = self.latest_changes.get(entry.name, 0) + 1
+        self.timeline.after((span + self.extra_delay_s) * SECOND, self.publish, entry, change)
 
-    def publish(self, entry: Entry, turn: int) -> None:
-        if self.turns.get(entry.name) != turn:
+    def publish(self, entry: Entry, change: int) -> None:
+        if self.latest_changes.get(entry.name) != change:
             return
-        self.turns.pop(entry.name)
+        self.latest_changes.pop(entry.name)
         if entry.state is t.EndpointStatus.GONE:
             if self.entries.pop(entry.name, None) is None:
                 return
@@ -74,8 +74,8 @@
         self.index += 1
         self.changes.append((self.index, entry))
         if not self.down and not self.silent:
-            for tell in list(self.listeners.values()):
-                tell(self.index, entry)
+            for notify in list(self.subscribers.values()):
+                notify(self.index, entry)
 
     def since(self, index: int | None) -> tuple[bool, list[Entry]]:
         """(whole list?, entries) for one who knows the list up to `index`."""
@@ -84,27 +84,29 @@
         newest = {entry.name: entry for at, entry in self.changes if at > index}
         return False, list(newest.values())
 
-    def listen(self, who: str, tell: Callable[[int, Entry], None], broke: Callable[[], None]) -> None:
-        self.listeners[who], self.broken[who] = tell, broke
+    def subscribe(
+        self, who: str, notify: Callable[[int, Entry], None], on_broken: Callable[[], None]
+    ) -> None:
+        self.subscribers[who], self.on_broken[who] = notify, on_broken
 
-    def leave(self, who: str) -> None:
-        self.listeners.pop(who, None)
-        self.broken.pop(who, None)
+    def unsubscribe(self, who: str) -> None:
+        self.subscribers.pop(who, None)
+        self.on_broken.pop(who, None)
 
     def go_down(self, silently: bool) -> None:
         """Watches end with it; a silent one lets them stand."""
         self.down, self.silent = not silently, silently
-        broken, self.listeners, self.broken = list(self.broken.values()), {}, {}
-        for broke in broken:
-            broke()
+        callbacks, self.subscribers, self.on_broken = list(self.on_broken.values()), {}, {}
+        for on_broken in callbacks:
+            on_broken()
 
     def come_up(self) -> None:
         self.down = self.silent = False
 
 
-def listing(entry: Entry) -> t.ListEntry:
+def list_entry(entry: Entry) -> t.ListEntry:
     return t.ListEntry(entry.name, entry.state, entry.zone, entry.kind, str(entry.cell), entry.started)
 
 
-def gone(entry: Entry) -> Entry:
+def as_gone(entry: Entry) -> Entry:
     return replace(entry, state=t.EndpointStatus.GONE)
--- a/lupinmill/lab/replay.py
+++ b/lupinmill/lab/replay.py
@@ -21,7 +21,7 @@
 
 
 def replay(
-    found: Result, tell: Callable[[str], None], step: int | None = None, submission: str = "", around: int = 0
+    found: Result, tell: Callable[[str], None], step: int | None = None, request_id: str = "", around: int = 0
 ) -> Replayed:
     """Plays it again and tells the asked step (and so many around it), or all that names a submission."""
     if found.driver != "virtual":
@@ -30,7 +30,7 @@
 
     def trace(number: int, seat: VirtualSidecar, events: list[t.Event], commands: list[t.Command]) -> None:
         wanted = step is not None and abs(number - step) <= around
-        if submission and any(names(one, submission) for one in (*events, *commands)):
+        if request_id and any(names(one, request_id) for one in (*events, *commands)):
             wanted = True
         if wanted:
             at = (seat.run.timeline.now - EPOCH) / SECOND
@@ -56,5 +56,5 @@
     return Replayed(not short, len(run.digests) if short else None, run.steps)
 
 
-def names(one: Any, submission: str) -> bool:
-    return getattr(one, "request", None) == submission
+def names(one: Any, request_id: str) -> bool:
+    return getattr(one, "request", None) == request_id
--- a/lupinmill/lab/result.py
+++ b/lupinmill/lab/result.py
@@ -10,19 +10,19 @@
 
 import msgspec
 
-from lupinmill.lab.measure import Figures, Second
-from lupinmill.lab.referee import Broken
+from lupinmill.lab.metrics import Figures, Second
+from lupinmill.lab.rule_checker import RuleViolation
 from lupinmill.lab.scenario import Scenario
 
 FORMAT = 1
-LARGEST = 256 * 2**20
+MAX_RESULT_BYTES = 256 * 2**20
 
 
 class BadResult(Exception):
     """The text is one line: file and reason."""
 
 
-class Shaded(msgspec.Struct):
+class TroublePeriod(msgspec.Struct):
     kind: str
     began: float
     ended: float
@@ -49,16 +49,16 @@
     endpoints: int
     figures: Figures
     rules: dict[str, int]
-    broken: list[Broken]
+    broken: list[RuleViolation]
     seconds: list[Second]
-    troubles: list[Shaded]
+    troubles: list[TroublePeriod]
     notes: list[tuple[float, str, str]]
     steps: int
     digests: list[str]
     wall_s: float
     simulated_s: float
 
-    def kept(self) -> bool:
+    def rules_kept(self) -> bool:
         return not any(self.rules.values())
 
 
@@ -83,7 +83,7 @@
     return f"{platform.machine()}, {cores} cores, Python {platform.python_version()}"
 
 
-def of(
+def from_run(
     run: Any, name: str, scenario: Scenario, seed: int, policy: str, driver: str, wall: float, complete: bool
 ) -> Result:
     """What a run has come to, whole or stopped in the middle."""
@@ -92,9 +92,9 @@
     per_submission, calls = 0.0, 1.0
     for at, tier in enumerate(world.tiers):
         calls *= world.calls[at] if at else 1.0
-        per_submission += tier[0].shape.work * calls
-    done = sum(e.total + e.wasted for e in world.by_endpoint.values())
-    referee = world.referee
+        per_submission += tier[0].spec.work * calls
+    done = sum(e.total_work + e.overhead_work for e in world.by_endpoint.values())
+    rule_checker = world.rule_checker
     simulated = max(0.0, (run.timeline.now - world.start) / 1e6)
     return Result(
         format=FORMAT,
@@ -111,12 +111,12 @@
         capacity=world.capacity(),
         sidecars=world.sidecars,
         endpoints=len(world.tiers[0]),
-        figures=run.measure.figures(scenario.goal, endpoints, referee.doubled, done, per_submission),
-        rules={str(rule): count for rule, count in referee.counts.items()},
-        broken=referee.broken,
-        seconds=run.measure.seconds[: max(1, int(simulated) + 1)],
+        figures=run.metrics.figures(scenario.goal, endpoints, rule_checker.doubled, done, per_submission),
+        rules={str(rule): count for rule, count in rule_checker.counts.items()},
+        broken=rule_checker.broken,
+        seconds=run.metrics.seconds[: max(1, int(simulated) + 1)],
         troubles=[
-            Shaded(s.kind, round(s.began, 2), round(s.ended, 2), s.what) for s in world.trouble_records
+            TroublePeriod(s.kind, round(s.began, 2), round(s.ended, 2), s.what) for s in world.trouble_records
         ],
         notes=run.notes,
         steps=run.steps,
@@ -126,7 +126,7 @@
     )
 
 
-def same(one: Result) -> bytes:
+def comparable_bytes(one: Result) -> bytes:
     """What two runs of one seed must have in common to the byte: all but the machine, the clock and the
     version."""
     table = msgspec.to_builtins(one)
@@ -146,7 +146,7 @@
 def read(path: str | Path) -> Result:
     """Raises BadResult with file and reason."""
     try:
-        if Path(path).stat().st_size > LARGEST:
+        if Path(path).stat().st_size > MAX_RESULT_BYTES:
             raise BadResult(f"{path}: larger than any result")
         found = msgspec.json.decode(Path(path).read_bytes(), type=Result)
     except OSError as error:
--- /dev/null
+++ b/lupinmill/lab/rule_checker.py
@@ -0,0 +1,261 @@
+"""Judges the four rules from what the endpoints and the clients see, never from what a sidecar says of
+itself. Owns a record for each submission until it can no longer matter."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+from typing import Any
+
+import msgspec
+
+from lupinmill import terms as t
+from lupinmill.lab.outcome import Outcome
+from lupinmill.lab.timeline import SECOND
+
+MAX_REPORTED = 50  # broken rules that are told one by one
+RECORD_RETENTION = 20 * SECOND  # how long a record outlives the submission's hard limit
+
+
+class RuleViolation(msgspec.Struct):
+    """One broken rule: the second of the run, the submission (or endpoint) and what was seen."""
+
+    rule: int
+    second: float
+    what: str
+    text: str
+
+
+@dataclass(slots=True)
+class AttemptRecord:
+    endpoint: str
+    cell: int
+    zone: str
+    at: int  # when it was sent
+    executed: bool = False  # accepted: it has run or may run
+    in_flight: bool = True
+
+
+@dataclass(slots=True)
+class RequestRecord:
+    request_id: str
+    workload: t.Workload
+    due: int
+    received: int
+    front: bool  # of the first tier: its client is a person
+    answer: str = ""
+    answered: int = 0
+    released: bool = False  # its client left, or its sidecar died: nothing is owed
+    attempts: list[AttemptRecord] = field(default_factory=list)
+
+
+class RuleChecker:
+    """`fall` is the multiple of its capacity and the span (microseconds) beyond which a cold endpoint
+    falls."""
+
+    def __init__(
+        self,
+        start: int,
+        workloads: list[t.Workload],
+        grace: int,
+        drain_grace: int,
+        overload_limit: tuple[float, int],
+        hedging_allowed: bool,
+    ) -> None:
+        self.start, self.grace, self.drain_grace, self.overload_limit, self.hedging_allowed = (
+            start,
+            grace,
+            drain_grace,
+            overload_limit,
+            hedging_allowed,
+        )
+        self.workloads = {workload.name: workload for workload in workloads}
+        self.records: dict[str, RequestRecord] = {}
+        self.broken: list[RuleViolation] = []
+        self.counts = {1: 0, 2: 0, 3: 0, 4: 0}
+        self.dedup_keys: dict[
+            tuple[str, str], int
+        ] = {}  # (group, mark) -> until when its repeats are dropped
+        self.effects: dict[str, int] = {}  # mark -> when its effect last came about, at the first tier
+        self.doubled = 0  # effects that came about twice, also by what clients sent again: no rule by itself
+        self.leaving_since: dict[
+            tuple[str, str], int
+        ] = {}  # (sidecar, endpoint) -> when it heard that it leaves
+        self.now = start
+        self.slack = 0  # on sockets the order of what two connections bring within this time says nothing
+        self.collapsed: list[str] = []
+
+    def violation(self, rule: int, what: str, text: str) -> None:
+        self.counts[rule] += 1
+        if len(self.broken) < MAX_REPORTED:
+            self.broken.append(RuleViolation(rule, round((self.now - self.start) / SECOND, 3), what, text))
+
+    def window(self, workload: str) -> int:
+        found = self.workloads.get(workload)
+        return found.window if found is not None and found.repeat is t.RepeatPolicy.DEDUPLICATED else 0
+
+    # Clients.
+
+    def request_received(self, now: int, request_id: str, workload: str, due: int, front: bool) -> None:
+        self.now = now
+        self.records[request_id] = RequestRecord(request_id, self.workloads[workload], due, now, front)
+
+    def answered(self, now: int, request_id: str, what: str) -> None:
+        """`what` is handled, denied or broken off, as it came to the client."""
+        self.now = now
+        record = self.records.get(request_id)
+        if record is None:
+            return self.violation(1, request_id, f"{what} without having been taken")
+        if record.answer:
+            return self.violation(1, request_id, f"{what} after it was {record.answer}")
+        record.answer, record.answered = what, now
+        if now > record.due + self.grace and not record.released:
+            self.violation(1, request_id, f"{what} {(now - record.due) / 1000:.0f} ms after its hard limit")
+        if what == Outcome.REJECTED:
+            self.check_rejection(record)
+
+    def check_rejection(self, record: RequestRecord) -> None:
+        workload = record.workload
+        safe = (
+            workload.repeat is t.RepeatPolicy.IDEMPOTENT
+            or workload.repeat is t.RepeatPolicy.DEDUPLICATED
+            and workload.group is t.DeduplicationScope.ALL
+        )
+        if not safe and any(attempt.executed for attempt in record.attempts):
+            self.violation(2, record.request_id, "denied, but a launch of it has run or may run")
+
+    def released(self, request_id: str) -> None:
+        """Its client has gone, or the sidecar that took it was killed."""
+        record = self.records.get(request_id)
+        if record is not None:
+            record.released = True
+
+    def overdue(self, now: int, request_id: str) -> None:
+        """To be called at the hard limit and the grace; what the client got no answer to until then is
+        lost."""
+        self.now = now
+        record = self.records.get(request_id)
+        if record is not None and not record.answer and not record.released:
+            self.violation(1, request_id, "no final answer before its hard limit")
+
+    def forget(self, request_id: str) -> None:
+        self.records.pop(request_id, None)
+
+    # Endpoints.
+
+    def sent(self, now: int, request_id: str, endpoint: Any, sidecar: str) -> AttemptRecord | None:
+        """A launch was sent, whatever comes of it. Rule 3 counts from here, and so does the end of rule 1."""
+        self.now = now
+        self.check_drain(now, request_id, endpoint.spec.name, sidecar)
+        record = self.records.get(request_id)
+        if record is None:
+            self.violation(
+                1, request_id, f"sent to {endpoint.spec.name} without having been taken, or long after"
+            )
+            return None
+        if record.answer and now > record.answered + self.slack:
+            self.violation(1, request_id, f"sent to {endpoint.spec.name} after it was {record.answer}")
+        attempt = AttemptRecord(endpoint.spec.name, endpoint.spec.cell, endpoint.spec.zone, now)
+        self.check_retry(record, attempt)
+        record.attempts.append(attempt)
+        return attempt
+
+    def check_retry(self, record: RequestRecord, attempt: AttemptRecord) -> None:
+        workload, earlier = record.workload, [old for old in record.attempts if old.executed]
+        if not self.hedging_allowed and any(old.in_flight for old in record.attempts):
+            self.violation(2, record.request_id, "two launches out together where copies are forbidden")
+        if not earlier or workload.repeat is t.RepeatPolicy.IDEMPOTENT:
+            return
+        first = earlier[0]
+        if workload.repeat is t.RepeatPolicy.UNREPEATABLE:
+            self.violation(
+                2, record.request_id, f"launched at {attempt.endpoint}, may have run at {first.endpoint}"
+            )
+        elif attempt.at > first.at + workload.window + self.grace:
+            self.violation(2, record.request_id, "launched again after its window")
+        elif not self.same_group(workload, first.cell, first.zone, attempt.cell, attempt.zone):
+            self.violation(
+                2, record.request_id, f"launched at {attempt.endpoint}, outside the group of {first.endpoint}"
+            )
+
+    def same_group(
+        self, workload: t.Workload, cell: int, zone: str, other_cell: int, other_zone: str
+    ) -> bool:
+        if workload.group is t.DeduplicationScope.ALL:
+            return True
+        return zone == other_zone if workload.group is t.DeduplicationScope.ZONE else cell == other_cell
+
+    def accepted(self, endpoint: Any, job: Any, ran: bool) -> None:
+        """The endpoint took it: from now on it has run or may run."""
+        record = self.records.get(job.request_id)
+        if record is None:
+            return
+        for attempt in reversed(record.attempts):
+            if attempt.endpoint == endpoint.spec.name and not attempt.executed:
+                attempt.executed = True
+                break
+        if record.answer == Outcome.REJECTED:
+            self.check_rejection(record)
+        if ran:
+            self.executed(endpoint, job)
+
+    def executed(self, endpoint: Any, job: Any) -> None:
+        """Its effect has come about, unless a repeat was dropped (whose work is nothing)."""
+        if job.key and job.work > 0 and endpoint.spec.tier == 0:
+            self.doubled += job.key in self.effects
+            self.effects[job.key] = self.now
+
+    def is_duplicate(self, endpoint: Any, key: str, now: int) -> bool:
+        return self.dedup_keys.get((self.dedup_group(endpoint), key), -1) > now
+
+    def remember_key(self, endpoint: Any, key: str, until: int) -> None:
+        self.dedup_keys[(self.dedup_group(endpoint), key)] = until
+
+    def dedup_group(self, endpoint: Any) -> str:
+        groups = {
+            workload.group
+            for workload in self.workloads.values()
+            if workload.repeat is t.RepeatPolicy.DEDUPLICATED
+        }
+        if t.DeduplicationScope.CELL in groups:
+            return f"{endpoint.spec.tier}/{endpoint.spec.zone}/{endpoint.spec.cell}"
+        return (
+            f"{endpoint.spec.tier}/{endpoint.spec.zone}"
+            if t.DeduplicationScope.ZONE in groups
+            else f"{endpoint.spec.tier}"
+        )
+
+    # The list, and cold endpoints.
+
+    def list_update(self, now: int, sidecar: str, endpoint: str, leaving: bool) -> None:
+        """What discovery has just told a sidecar."""
+        if leaving:
+            self.leaving_since.setdefault((sidecar, endpoint), now)
+        else:
+            self.leaving_since.pop((sidecar, endpoint), None)
+
+    def restarted(self, sidecar: str) -> None:
+        for key in [key for key in self.leaving_since if key[0] == sidecar]:
+            del self.leaving_since[key]
+
+    def check_drain(self, now: int, request_id: str, endpoint: str, sidecar: str) -> None:
+        leaving_since = self.leaving_since.get((sidecar, endpoint))
+        if leaving_since is not None and now > leaving_since + self.drain_grace:
+            late = (now - leaving_since) / SECOND
+            self.violation(
+                3, request_id, f"{sidecar} sent to {endpoint} {late:.2f} s after hearing that it leaves"
+            )
+
+    def endpoint_collapsed(self, endpoint: Any, informed: float) -> None:
+        self.collapsed.append(endpoint.spec.name)
+        if informed >= 2 / 3:
+            self.violation(4, endpoint.spec.name, "pushed over while cold")
+
+    def sweep(self, now: int) -> None:
+        """Forgets what can matter no longer, so that a day's length doesn't show in memory."""
+        old = [name for name, record in self.records.items() if record.due + RECORD_RETENTION < now]
+        for name in old:
+            del self.records[name]
+        for key in [key for key, until in self.dedup_keys.items() if until < now]:
+            del self.dedup_keys[key]
+        for key in [key for key, at in self.effects.items() if at + RECORD_RETENTION < now]:
+            del self.effects[key]
--- a/lupinmill/lab/scenario.py
+++ b/lupinmill/lab/scenario.py
@@ -9,9 +9,9 @@
 
 import msgspec
 
-Span = float | tuple[float, float]
+Range = float | tuple[float, float]
 SHIPPED = Path(__file__).parent / "scenarios"
-DEEPEST = 8  # bases of bases
+MAX_BASE_DEPTH = 8  # bases of bases
 Field = Literal["queued", "held", "busy", "service", "rate"]
 Trouble = Literal[
     "crash",
@@ -45,84 +45,86 @@
     """The text is one line: file, key and reason."""
 
 
-class Closed(msgspec.Struct, forbid_unknown_fields=True, kw_only=True, frozen=True):
+class StrictStruct(msgspec.Struct, forbid_unknown_fields=True, kw_only=True, frozen=True):
     pass
 
 
-class Kind(Closed):
+class Kind(StrictStruct):
     """Machines of one kind. Speeds are multiples of the yardstick core that `work_ms` is told for."""
 
     name: str
-    share: Span = 1.0
+    share: Range = 1.0
     cores: int = 1
-    speed: Span = 1.0
-    speed_cv: Span = 0.0
-    slots_per_core: Span = 4.0
-    queue_per_core: Span = 20.0
-    crowding: Span = 0.0  # part of the capacity lost for each multiple of `crowding_at` held a core beyond it
-    crowding_at: Span = 10.0
-    cold_from: Span = 1.0
-    cold_s: Span = 0.0
+    speed: Range = 1.0
+    speed_cv: Range = 0.0
+    slots_per_core: Range = 4.0
+    queue_per_core: Range = 20.0
+    crowding: Range = (
+        0.0  # part of the capacity lost for each multiple of `crowding_at` held a core beyond it
+    )
+    crowding_at: Range = 10.0
+    cold_from: Range = 1.0
+    cold_s: Range = 0.0
     warm_by: Literal["time", "requests"] = "time"
-    pause_every_s: Span = 10.0
-    pause_ms: Span = 0.0
-    error_rate: Span = 0.0
+    pause_every_s: Range = 10.0
+    pause_ms: Range = 0.0
+    error_rate: Range = 0.0
     cancel: Literal["none", "queued", "all"] = "all"  # what a cancel or a client gone stops
     drops_expired: bool = False
 
 
-class Report(Closed):
+class Report(StrictStruct):
     how: Literal["none", "probe", "answers"] = "none"
     fields: list[Field] = []
-    period_ms: Span = 200.0
-    delay_ms: Span = 0.0
-    noise: Span = 0.0
+    period_ms: Range = 200.0
+    delay_ms: Range = 0.0
+    noise: Range = 0.0
 
 
-class Jam(Closed):
+class Jam(StrictStruct):
     """Slowing under a deep queue: more held than the cores and `at` for the root of their number, in the mean
     of `over_s`, then `slower` until mostly idle (busy under `below`) for `rest_s`, or for `most_s`; once a
     run."""
 
-    share: Span = 1.0  # of the seeds, on which it can come about at all
-    at: Span = 7.0
-    over_s: Span = 2.0
-    slower: Span = 1.0
-    rest_s: Span = 3.0
-    below: Span = 0.35
-    most_s: Span = 20.0
+    share: Range = 1.0  # of the seeds, on which it can come about at all
+    at: Range = 7.0
+    over_s: Range = 2.0
+    slower: Range = 1.0
+    rest_s: Range = 3.0
+    below: Range = 0.35
+    most_s: Range = 20.0
 
 
-class Connections(Closed):
-    round_trips: Span = 1.0
-    work_us: Span = 100.0
+class Connections(StrictStruct):
+    round_trips: Range = 1.0
+    work_us: Range = 100.0
     idle_s: float = 30.0
     time_out_ms: float = 200.0
-    most_per_core: Span = 1000.0
+    most_per_core: Range = 1000.0
 
 
-class Tier(Closed):
+class Tier(StrictStruct):
     name: str
-    count: Span = 6.0
-    per_caller: Span = 0.0  # where above 0: so many machines for each of the tier before
-    work: Span = 1.0  # part of a submission's work that one call does here
-    calls: Span = 1.0  # that one request of the tier before makes here, one after another
+    count: Range = 6.0
+    per_caller: Range = 0.0  # where above 0: so many machines for each of the tier before
+    work: Range = 1.0  # part of a submission's work that one call does here
+    calls: Range = 1.0  # that one request of the tier before makes here, one after another
     call_work: Literal["own", "alike"] = "own"  # a call's work is drawn anew, or as large as its caller's
-    cell_size: Span = 4.0
-    probe_us: Span = 80.0
+    cell_size: Range = 4.0
+    probe_us: Range = 80.0
     kind: list[Kind] = msgspec.field(default_factory=lambda: [Kind(name="std")])
     report: Report = Report()
     connections: Connections = Connections()
     jam: Jam | None = None
 
 
-class Workload(Closed):
+class Workload(StrictStruct):
     name: str
-    share: Span = 1.0
-    work_ms: Span = 20.0
+    share: Range = 1.0
+    work_ms: Range = 20.0
     spread: Literal["fixed", "exponential", "lognormal"] = "exponential"
-    cv: Span = 1.0
-    launch_noise: Span = 0.0
+    cv: Range = 1.0
+    launch_noise: Range = 0.0
     contract_s: float = 0.5
     hard_limit_s: float = 1.0
     value: float = 1.0
@@ -132,66 +134,66 @@
     window_s: float = 5.0
 
 
-class Tenant(Closed):
+class Tenant(StrictStruct):
     name: str
     share: float
-    usage: Span = 1.0
+    usage: Range = 1.0
 
 
-class Load(Closed):
+class Load(StrictStruct):
     """Either `rate` a second, or `part` of what the whole site can do."""
 
-    rate: Span | None = None
-    part: Span | None = None
+    rate: Range | None = None
+    part: Range | None = None
     shape: list[Literal["steady", "wave", "bursty"]] = msgspec.field(default_factory=lambda: ["steady"])
-    swing: Span = 0.0
-    quota_of_capacity: Span = 1.0
+    swing: Range = 0.0
+    quota_of_capacity: Range = 1.0
     beyond_share_value: float = 1.0
 
 
-class Clients(Closed):
-    retries: Span = 0.0
-    try_share: Span = 1.0
+class Clients(StrictStruct):
+    retries: Range = 0.0
+    try_share: Range = 1.0
     wait: list[Literal["none", "fixed", "exponential"]] = msgspec.field(default_factory=lambda: ["none"])
-    wait_ms: Span = 100.0
+    wait_ms: Range = 100.0
     marks: bool = True
-    follows_advice: Span = 0.0  # the part of clients that come back when they are told to
-    impatient: Span = 0.0
+    follows_advice: Range = 0.0  # the part of clients that come back when they are told to
+    impatient: Range = 0.0
     slow: int = 0  # on sockets: connections that send a request byte by byte
     idle: int = 0  # on sockets: connections that say nothing
 
 
-class Discovery(Closed):
+class Discovery(StrictStruct):
     how: Literal["ask", "push"] = "push"
-    notice_s: Span = 1.0
-    silent_notice_s: Span = 8.0
-    add_s: Span = 1.0
-    spread_ms: Span = 100.0
-    calls_per_s: Span = 50.0
+    notice_s: Range = 1.0
+    silent_notice_s: Range = 8.0
+    add_s: Range = 1.0
+    spread_ms: Range = 100.0
+    calls_per_s: Range = 50.0
     time_out_s: float = 3.0
 
 
-class Net(Closed):
+class Net(StrictStruct):
     zones: list[str] = msgspec.field(default_factory=lambda: ["a"])
-    same_ms: Span = 0.2
-    cross_ms: Span = 1.0
-    client_ms: Span = 0.5
-    jitter: Span = 0.1
+    same_ms: Range = 0.2
+    cross_ms: Range = 1.0
+    client_ms: Range = 0.5
+    jitter: Range = 0.1
     regions: list[str] = []  # of the zones, in their order
     endpoints: list[float] = []  # parts of the endpoints, in the order of the zones; none: alike
     traffic: list[float] = []  # parts of what clients send, by the sidecar's zone; none: alike
 
 
-class Sidecars(Closed):
-    count: Span = 2.0
+class Sidecars(StrictStruct):
+    count: Range = 2.0
     round_ms: float = 5.0
-    notice_s: Span = 2.0  # for how long the front goes on sending to a dead one
+    notice_s: Range = 2.0  # for how long the front goes on sending to a dead one
     cores: float = 1.0
     memory_mb: int = 192
     sockets: int = 1024
 
 
-class Limits(Closed):
+class Limits(StrictStruct):
     launches: int = 4
     copies: bool = True
     cancel: bool = True
@@ -200,7 +202,7 @@
     passes_deadline: bool = True
 
 
-class Rules(Closed):
+class Rules(StrictStruct):
     drain_grace_s: float = 1.0
     fall_multiple: float = 3.0
     fall_s: float = 2.0
@@ -208,7 +210,7 @@
     answer_grace_ms: float = 20.0
 
 
-class Goal(Closed):
+class Goal(StrictStruct):
     """Weights, scaled to sum 1, and prices in parts of service."""
 
     whole: float = 1.0
@@ -224,16 +226,16 @@
     jammed: float = 0.0
 
 
-class Event(Closed):
+class Event(StrictStruct):
     """One trouble. `part` is the share of endpoints (or sidecars) that it meets, `size` and `extra` depend on
     its kind; see docs/lab.md."""
 
     kind: Trouble
-    at_s: Span = 0.0
-    lasts_s: Span = 10.0
-    part: Span = 0.1
-    size: Span = 1.0
-    extra: Span = 0.0
+    at_s: Range = 0.0
+    lasts_s: Range = 10.0
+    part: Range = 0.1
+    size: Range = 1.0
+    extra: Range = 0.0
     tier: str = ""
     tenant: str = ""
     zone: str = ""  # of a trouble of zones: this one, else one drawn
@@ -241,9 +243,9 @@
     then: list[Event] = []  # random troubles: what follows, `at_s` after the end of this one
 
 
-class Scenario(Closed):
+class Scenario(StrictStruct):
     title: str = ""
-    seconds: Span = 60.0
+    seconds: Range = 60.0
     sidecars: Sidecars = Sidecars()
     limits: Limits = Limits()
     rules: Rules = Rules()
@@ -256,7 +258,7 @@
     workload: list[Workload] = msgspec.field(default_factory=lambda: [Workload(name="view")])
     tenant: list[Tenant] = []
     trouble: list[Event] = []
-    random_count: Span = 0.0
+    random_count: Range = 0.0
     random: list[Event] = []
 
 
@@ -274,10 +276,10 @@
     return path
 
 
-def raw(path: Path, depth: int = 0) -> dict[str, Any]:
+def read_tables(path: Path, depth: int = 0) -> dict[str, Any]:
     """The file's tables over those of its base."""
-    if depth > DEEPEST:
-        raise BadScenario(f"{path}: base: more than {DEEPEST} files deep, or in a circle")
+    if depth > MAX_BASE_DEPTH:
+        raise BadScenario(f"{path}: base: more than {MAX_BASE_DEPTH} files deep, or in a circle")
     try:
         table = tomllib.loads(path.read_text(encoding="utf-8"))
     except OSError as error:
@@ -294,20 +296,24 @@
         below = beside if beside.is_file() else find(base)
     except BadScenario as error:
         raise BadScenario(f"{path}: base: {error}") from error
-    return over(raw(below, depth + 1), table)
+    return merge_tables(read_tables(below, depth + 1), table)
 
 
-def over(base: dict[str, Any], table: dict[str, Any]) -> dict[str, Any]:
+def merge_tables(base: dict[str, Any], table: dict[str, Any]) -> dict[str, Any]:
     """Tables key by key; a list stands in place of the base's, but lists of named tables that share a name go
     name by name."""
     merged = dict(base)
     for key, value in table.items():
         old = merged.get(key)
         if isinstance(value, dict) and isinstance(old, dict):
-            merged[key] = over(old, value)
-        elif named(value) and named(old) and {row["name"] for row in value} & {row["name"] for row in old}:
+            merged[key] = merge_tables(old, value)
+        elif (
+            are_named_tables(value)
+            and are_named_tables(old)
+            and {row["name"] for row in value} & {row["name"] for row in old}
+        ):
             rows = {row["name"]: row for row in old}
-            changed = {row["name"]: over(rows.get(row["name"], {}), row) for row in value}
+            changed = {row["name"]: merge_tables(rows.get(row["name"], {}), row) for row in value}
             merged[key] = [changed.pop(name, row) for name, row in rows.items()] + list(changed.values())
         else:
             merged[key] = value
@@ -318,7 +324,7 @@
     return merged
 
 
-def named(value: Any) -> bool:
+def are_named_tables(value: Any) -> bool:
     rows = isinstance(value, list) and value and all(isinstance(row, dict) for row in value)
     return bool(rows) and all(isinstance(row.get("name"), str) for row in value)
 
@@ -328,12 +334,12 @@
         found = msgspec.convert(table, Scenario)
     except msgspec.ValidationError as error:
         raise BadScenario(f"{where}: {error}") from error
-    for reason in faults(found):
+    for reason in problems(found):
         raise BadScenario(f"{where}: {reason}")
     return found
 
 
-def faults(s: Scenario) -> list[str]:
+def problems(s: Scenario) -> list[str]:
     """What types alone can't say, each with its key."""
     found = []
     for key, rows in (("tier", s.tier), ("workload", s.workload)):
@@ -365,18 +371,24 @@
     for workload in s.workload:
         if workload.contract_s > workload.hard_limit_s:
             found.append(f"workload {workload.name}: contract_s: beyond hard_limit_s")
-    found += [f"{path}: {reason}" for path, reason in spans(msgspec.to_builtins(s), "")]
+    found += [f"{path}: {reason}" for path, reason in invalid_ranges(msgspec.to_builtins(s), "")]
     return found
 
 
-def spans(value: Any, path: str) -> list[tuple[str, str]]:
+def invalid_ranges(value: Any, path: str) -> list[tuple[str, str]]:
     """Ranges the wrong way round, and figures below zero."""
     if isinstance(value, dict):
-        return [bad for key, inner in value.items() for bad in spans(inner, f"{path}.{key}" if path else key)]
+        return [
+            bad
+            for key, inner in value.items()
+            for bad in invalid_ranges(inner, f"{path}.{key}" if path else key)
+        ]
     if isinstance(value, (list, tuple)):
         pair = len(value) == 2 and all(isinstance(v, (int, float)) for v in value)
         found = [(path, "the range's end lies before its start")] if pair and value[1] < value[0] else []
-        return found + [bad for at, inner in enumerate(value) for bad in spans(inner, f"{path}[{at}]")]
+        return found + [
+            bad for at, inner in enumerate(value) for bad in invalid_ranges(inner, f"{path}[{at}]")
+        ]
     if isinstance(value, (int, float)) and not isinstance(value, bool) and not 0 <= value < 1e9:
         return [(path, "below 0, or absurdly large")]
     return []
@@ -385,4 +397,4 @@
 def load(name: str) -> Scenario:
     """Raises BadScenario with file, key and reason."""
     path = find(name)
-    return check(raw(path), str(path))
+    return check(read_tables(path), str(path))
--- a/lupinmill/lab/sockets/endpoints.py
+++ b/lupinmill/lab/sockets/endpoints.py
@@ -32,12 +32,12 @@
         """A socket for an endpoint that is new."""
         server = EndpointServer(endpoint, self.run)
         await server.listen()
-        self.servers[endpoint.shape.name] = server
-        self.names.setdefault(endpoint.shape.tier, set()).add(endpoint.shape.name)
+        self.servers[endpoint.spec.name] = server
+        self.names.setdefault(endpoint.spec.tier, set()).add(endpoint.spec.name)
 
     async def start(self, endpoint: Endpoint) -> None:
         """Under its old address, where it had one."""
-        if (server := self.servers.get(endpoint.shape.name)) is None:
+        if (server := self.servers.get(endpoint.spec.name)) is None:
             await self.serve(endpoint)
         else:
             server.close()
@@ -45,7 +45,7 @@
 
     def died(self, endpoint: Endpoint) -> None:
         """Its connections are reset, or say nothing any more."""
-        server = self.servers[endpoint.shape.name]
+        server = self.servers[endpoint.spec.name]
         if endpoint.silent:
             server.fall_silent()
         else:
--- a/lupinmill/lab/sockets/front.py
+++ b/lupinmill/lab/sockets/front.py
@@ -8,7 +8,7 @@
 import numpy as np
 
 from lupinmill import terms as t
-from lupinmill.lab.clients import Wish
+from lupinmill.lab.clients import ClientRequest
 from lupinmill.lab.outcome import Outcome
 from lupinmill.lab.processes import Process
 from lupinmill.lab.sockets.requests import SentRequest, advice_of, request_for
@@ -19,28 +19,32 @@
     from lupinmill.lab.sockets.run import SocketRun
 
 
-class Front:
+class FrontRouter:
     """Picks a sidecar for each try of a client. It notices a dead one only after a while."""
 
-    def __init__(self, run: SocketRun, chance: np.random.Generator) -> None:
-        self.run, self.world, self.timeline, self.chance = run, run.world, run.timeline, chance
+    def __init__(self, run: SocketRun, random_source: np.random.Generator) -> None:
+        self.run, self.world, self.timeline, self.random_source = run, run.world, run.timeline, random_source
         self.dead_until: dict[int, int] = {}  # sidecar -> when the front notices that it died
 
-    def ask(self, wish: Wish, request_id: str, due: int, repeated: bool) -> None:
+    def ask(self, client_request: ClientRequest, request_id: str, due: int, repeated: bool) -> None:
         """One try of a client."""
-        run, now, request_class = self.run, self.timeline.now, wish.workload
+        run, now, request_class = self.run, self.timeline.now, client_request.workload
         at = self.pick()
         if at is None or not run.fronts[at].alive():
-            span, ended = 2 * self.world.network.client_way, run.clients.ended
+            span, ended = 2 * self.world.network.client_delay, run.clients.ended
             self.timeline.after(span, ended, request_id, Outcome.UNREACHABLE, 0)
             return
-        process = wish.sidecar = run.fronts[at]
+        process = client_request.sidecar = run.fronts[at]
         keyed = request_class.terms.repeat is not t.RepeatPolicy.IDEMPOTENT
-        self.world.referee.taken(now, request_id, request_class.name, due, True)
-        sent = SentRequest(request_class.name, wish.work, wish.name if keyed else "", process.name)
+        self.world.rule_checker.request_received(now, request_id, request_class.name, due, True)
+        sent = SentRequest(
+            request_class.name, client_request.work, client_request.name if keyed else "", process.name
+        )
         run.requests.remember(request_id, sent)
         left = (due - now) / SECOND
-        request = request_for(request_id, request_class, left, wish.name, wish.tenant, repeated)
+        request = request_for(
+            request_id, request_class, left, client_request.name, client_request.tenant, repeated
+        )
         done = partial(self.answered, request_id, process, process.lives)
         run.requests.send(process, request_id, request, done)
 
@@ -52,22 +56,22 @@
             for at, p in enumerate(self.run.fronts)
             if p.alive() and p.ready or self.dead_until.get(at, 0) > now
         ]
-        return believed[int(self.chance.integers(len(believed)))] if believed else None
+        return believed[int(self.random_source.integers(len(believed)))] if believed else None
 
-    def answered(self, request_id: str, process: Process, life: int, answer: Answer | None) -> None:
+    def answered(self, request_id: str, process: Process, incarnation: int, answer: Answer | None) -> None:
         """The answer comes to the client; None: the connection ended without one."""
-        outcome = self.run.requests.outcome_of(request_id, process, life, answer)
+        outcome = self.run.requests.outcome_of(request_id, process, incarnation, answer)
         if answer is not None:
-            self.world.referee.answered(self.timeline.now, request_id, outcome)
+            self.world.rule_checker.answered(self.timeline.now, request_id, outcome)
         self.run.clients.ended(request_id, outcome, advice_of(answer))
 
-    def gave_up(self, wish: Wish, request_id: str) -> None:
+    def gave_up(self, client_request: ClientRequest, request_id: str) -> None:
         """The client has gone away."""
         self.run.requests.abandon(request_id)
 
     def any_address(self) -> str:
         """Of one of the sidecars, drawn."""
-        return self.run.fronts[int(self.chance.integers(len(self.run.fronts)))].address
+        return self.run.fronts[int(self.random_source.integers(len(self.run.fronts)))].address
 
     def died(self, at: int, down: int) -> None:
         """A sidecar was killed and is down for so many microseconds."""
--- a/lupinmill/lab/sockets/inner.py
+++ b/lupinmill/lab/sockets/inner.py
@@ -10,8 +10,8 @@
 from lupinmill.lab.outcome import Outcome
 from lupinmill.lab.processes import Process
 from lupinmill.lab.sockets.requests import SentRequest, request_for
-from lupinmill.lab.timeline import MS, SECOND, Due
-from lupinmill.lab.world import chance_for
+from lupinmill.lab.timeline import MS, SECOND, ScheduledEvent
+from lupinmill.lab.world import random_stream
 from lupinmill.protocol.http import Answer
 
 if TYPE_CHECKING:
@@ -26,29 +26,29 @@
 
     def __init__(self, run: SocketRun) -> None:
         self.run, self.world, self.timeline = run, run.world, run.timeline
-        self.chance = chance_for(run.seed, "calls")
+        self.random_source = random_stream(run.seed, "calls")
         self.processes: dict[str, Process] = {}
         self.serial = 0
 
     def calls_of(self, endpoint: Endpoint) -> int:
         """How many calls a request at this endpoint makes."""
-        return self.world.draw_calls(endpoint.shape.tier, self.chance)
+        return self.world.draw_calls(endpoint.spec.tier, self.random_source)
 
     async def add(self, endpoint: Endpoint) -> None:
         """A process for an endpoint that is new; it is not started yet."""
-        name = endpoint.shape.name
-        process = await self.run.make_process(f"i-{name}", endpoint.shape.tier + 1)
+        name = endpoint.spec.name
+        process = await self.run.make_process(f"i-{name}", endpoint.spec.tier + 1)
         self.processes[name] = process
-        endpoint.caller, endpoint.hang_up = partial(self.call, endpoint, process), self.hang_up
+        endpoint.make_call, endpoint.cancel_call = partial(self.call, endpoint, process), self.cancel_call
 
     def endpoint_died(self, endpoint: Endpoint) -> None:
         """Its sidecar dies with it."""
-        if (process := self.processes.get(endpoint.shape.name)) is not None:
+        if (process := self.processes.get(endpoint.spec.name)) is not None:
             process.kill()
 
     def call(self, endpoint: Endpoint, process: Process, job: Job, done: Done) -> str | None:
         """One call of a job; None where there is no time or no sidecar for it."""
-        now, referee = self.timeline.now, self.world.referee
+        now, rule_checker = self.timeline.now, self.world.rule_checker
         request_class = self.world.class_by_name[job.workload]
         passes = self.run.scenario.limits.passes_deadline
         due = job.due if passes else now + request_class.terms.hard_limit
@@ -57,33 +57,39 @@
             return None
         self.serial += 1
         name = f"c{self.serial}"
-        work = self.world.call_work(job, endpoint.shape, self.chance)
-        key = f"{job.submission}/{self.serial}" if job.key else ""
-        referee.taken(now, name, job.workload, due, False)
+        work = self.world.call_work(job, endpoint.spec, self.random_source)
+        key = f"{job.request_id}/{self.serial}" if job.key else ""
+        rule_checker.request_received(now, name, job.workload, due, False)
         self.run.requests.remember(name, SentRequest(job.workload, work, key, process.name))
-        overdue = self.timeline.at(due + referee.grace + 1, self.overdue, name, done)
+        overdue = self.timeline.at(due + rule_checker.grace + 1, self.overdue, name, done)
         request = request_for(name, request_class, (due - now) / SECOND, key or name, "", False)
         ended = partial(self.ended, name, process, process.lives, overdue, done)
         self.run.requests.send(process, name, request, ended)
         return name
 
     def ended(
-        self, name: str, process: Process, life: int, overdue: Due, done: Done, answer: Answer | None
+        self,
+        name: str,
+        process: Process,
+        incarnation: int,
+        overdue: ScheduledEvent,
+        done: Done,
+        answer: Answer | None,
     ) -> None:
         """The end of a call, for the endpoint that made it."""
         overdue.cancel()
-        outcome = self.run.requests.outcome_of(name, process, life, answer)
+        outcome = self.run.requests.outcome_of(name, process, incarnation, answer)
         if answer is not None:
-            self.world.referee.answered(self.timeline.now, name, outcome)
+            self.world.rule_checker.answered(self.timeline.now, name, outcome)
         done(outcome is Outcome.SUCCEEDED)
 
     def overdue(self, name: str, done: Done) -> None:
         """No answer until the deadline and its grace."""
-        self.world.referee.overdue(self.timeline.now, name)
+        self.world.rule_checker.overdue(self.timeline.now, name)
         self.run.requests.abandon(name)
         done(False)
 
-    def hang_up(self, name: str) -> None:
+    def cancel_call(self, name: str) -> None:
         """The endpoint wants a call's answer no more."""
-        self.world.referee.released(name)
+        self.world.rule_checker.released(name)
         self.run.requests.abandon(name)
--- a/lupinmill/lab/sockets/requests.py
+++ b/lupinmill/lab/sockets/requests.py
@@ -39,7 +39,7 @@
     """All exchanges that are out, and what was sent of late."""
 
     def __init__(self, run: SocketRun) -> None:
-        self.run, self.referee = run, run.world.referee
+        self.run, self.rule_checker = run, run.world.rule_checker
         self.sent: dict[str, SentRequest] = {}
         self.exchanges: dict[str, Exchange] = {}
         self.pools: dict[str, AskPool] = {}  # by the sidecar's name
@@ -72,27 +72,29 @@
         if (exchange := self.exchanges.pop(request_id, None)) is not None:
             exchange.abandon()
 
-    def outcome_of(self, request_id: str, process: Process, life: int, answer: Answer | None) -> Outcome:
+    def outcome_of(
+        self, request_id: str, process: Process, incarnation: int, answer: Answer | None
+    ) -> Outcome:
         """What an answer means; the body must be one that an endpoint made for this request."""
         self.exchanges.pop(request_id, None)
         if answer is None:
-            return self.unanswered(request_id, process, life)
+            return self.unanswered(request_id, process, incarnation)
         if answer.status == 200:
             try:
                 body = orjson.loads(answer.body)
             except orjson.JSONDecodeError:
                 body = {}
             if body.get("for") != request_id:
-                self.referee.breaks(1, request_id, "handled with what no endpoint made for it")
+                self.rule_checker.violation(1, request_id, "handled with what no endpoint made for it")
             return Outcome.SUCCEEDED
         return Outcome.REJECTED if answer.status in REJECTED else Outcome.FAILED
 
-    def unanswered(self, request_id: str, process: Process, life: int) -> Outcome:
+    def unanswered(self, request_id: str, process: Process, incarnation: int) -> Outcome:
         """The connection ended: right where the process was killed, a broken rule where it lives."""
-        killed = process.killed or process.lives != life or not process.alive()
+        killed = process.killed or process.lives != incarnation or not process.alive()
         if not killed:
-            self.referee.breaks(1, request_id, "its connection ended without an answer")
-        self.referee.released(request_id)
+            self.rule_checker.violation(1, request_id, "its connection ended without an answer")
+        self.rule_checker.released(request_id)
         return Outcome.UNREACHABLE if killed else Outcome.FAILED
 
 
--- a/lupinmill/lab/sockets/run.py
+++ b/lupinmill/lab/sockets/run.py
@@ -12,7 +12,7 @@
 from lupinmill.lab.clients import Clients
 from lupinmill.lab.endpoint import Endpoint
 from lupinmill.lab.fleet_sockets import TAKEN, free_port
-from lupinmill.lab.measure import Measure, observe_endpoints
+from lupinmill.lab.metrics import RunMetrics, record_endpoints
 from lupinmill.lab.processes import Process
 from lupinmill.lab.registry import Entry
 from lupinmill.lab.scenario import Scenario
@@ -20,13 +20,13 @@
 from lupinmill.lab.sockets.clock import Clock, now_us
 from lupinmill.lab.sockets.configuration import endpoint_row, operators_file
 from lupinmill.lab.sockets.endpoints import EndpointServers
-from lupinmill.lab.sockets.front import Front
+from lupinmill.lab.sockets.front import FrontRouter
 from lupinmill.lab.sockets.inner import InnerCalls
-from lupinmill.lab.sockets.sidecars import SetAside, until_ready
+from lupinmill.lab.sockets.sidecars import EjectedEndpoints, until_ready
 from lupinmill.lab.sockets.slow_clients import stay_idle, trickle
 from lupinmill.lab.stands import HOST, DiscoveryServer
 from lupinmill.lab.timeline import MS, SECOND, Timeline
-from lupinmill.lab.world import World, chance_for, draw
+from lupinmill.lab.world import World, random_stream, draw
 from lupinmill.lab.world.troubles.plan import plan
 
 T = TypeVar("T")
@@ -44,7 +44,7 @@
         self,
         scenario: Scenario,
         seed: int,
-        tick: Callable[[int, Measure], None] | None = None,
+        tick: Callable[[int, RunMetrics], None] | None = None,
         peers: bool = False,
     ) -> None:
         self.scenario, self.seed, self.tick = scenario, seed, tick
@@ -53,20 +53,20 @@
         self.timeline = Timeline(now_us())
         self.clock = Clock(self.timeline)
         self.world = World(scenario, seed, self.timeline)
-        self.world.referee.grace += SLACK
-        self.world.referee.drain_grace += SLACK
-        self.world.referee.slack = SLACK
-        self.measure = Measure(self.timeline.now, self.world.seconds, [w.name for w in self.world.classes])
-        chance = self.chance = chance_for(seed, "front")
-        self.spread_s = draw(chance, scenario.discovery.spread_ms) / 1000
+        self.world.rule_checker.grace += SLACK
+        self.world.rule_checker.drain_grace += SLACK
+        self.world.rule_checker.slack = SLACK
+        self.metrics = RunMetrics(self.timeline.now, self.world.seconds, [w.name for w in self.world.classes])
+        random_source = self.random_source = random_stream(seed, "front")
+        self.spread_s = draw(random_source, scenario.discovery.spread_ms) / 1000
         self.requests = Requests(self)
-        self.front = Front(self, chance)
-        self.clients = Clients(self.world, self.front, self.measure)
+        self.front = FrontRouter(self, random_source)
+        self.clients = Clients(self.world, self.front, self.metrics)
         self.inner = InnerCalls(self)
         self.fronts: list[Process] = []
         self.endpoints = EndpointServers(self)
         self.discoveries: dict[str, DiscoveryServer] = {}
-        self.set_aside = SetAside()
+        self.ejected = EjectedEndpoints()
         self.notes: list[tuple[float, str, str]] = []
         self.digests: list[str] = []
         self.steps = 0
@@ -126,7 +126,7 @@
         self.timeline.run_until(now_us())
         span = self.world.end - self.world.start
         self.world.start, self.world.end = start, start + span
-        self.world.referee.start = self.measure.start = start
+        self.world.rule_checker.start = self.metrics.start = start
         self.next_sample = start + SECOND
 
     async def pump(self) -> None:
@@ -157,13 +157,13 @@
     def sample(self, now: int) -> None:
         """The state at the end of each second that has passed, into its figures."""
         while self.began and now >= self.next_sample:
-            entry = self.measure.at(self.next_sample - SECOND)
-            observe_endpoints(entry, self.world.tiers)
-            self.set_aside.keep_listed(set(self.world.registries[0].entries))
-            entry.aside = self.set_aside.count({process.name for process in self.fronts})
-            self.world.referee.sweep(now)
+            entry = self.metrics.at(self.next_sample - SECOND)
+            record_endpoints(entry, self.world.tiers)
+            self.ejected.keep_listed(set(self.world.registries[0].entries))
+            entry.aside = self.ejected.count({process.name for process in self.fronts})
+            self.world.rule_checker.sweep(now)
             if self.tick is not None:
-                self.tick((self.next_sample - self.world.start) // SECOND, self.measure)
+                self.tick((self.next_sample - self.world.start) // SECOND, self.metrics)
             self.next_sample += SECOND
 
     async def tear_down(self) -> None:
@@ -199,12 +199,12 @@
         """The platform's configuration, with the list as it is published."""
         found, registry = self.scenario.sidecars, self.world.registries[process.tier]
         instances = len(self.fronts) if process.tier == 0 else len(self.world.tiers[process.tier - 1])
-        chance = chance_for(self.seed, "seat", process.name, process.lives)
+        random_source = random_stream(self.seed, "seat", process.name, process.lives)
         return {
             "name": process.name,
             "listen": process.address or f"{HOST}:0",
             "discovery": self.discoveries[process.name].address,
-            "seed": f"{int(chance.integers(2**62)):x}",
+            "seed": f"{int(random_source.integers(2**62)):x}",
             "limits": {"cores": found.cores, "memory_mb": found.memory_mb, "sockets": found.sockets},
             "known": {
                 "index": registry.index,
@@ -229,7 +229,7 @@
     def log_line(self, process: Process, event: dict[str, Any]) -> None:
         """One line of a sidecar's log."""
         name, text = event.get("event"), str(event.get("text", event.get("error", "")))
-        self.set_aside.heard(process.name, event, text)
+        self.ejected.heard(process.name, event, text)
         if len(self.notes) < MOST_NOTES and name != "started":
             at = (now_us() - self.world.start) / SECOND
             self.notes.append((round(at, 3), process.name, f"{name}: {text}" if text else str(name)))
@@ -244,8 +244,8 @@
         if not process.alive():
             return
         process.kill()
-        self.world.referee.restarted(process.name)
-        self.set_aside.forget_sidecar(process.name)
+        self.world.rule_checker.restarted(process.name)
+        self.ejected.forget_sidecar(process.name)
         down = int(down_s * SECOND)
         self.front.died(at, down)
         self.timeline.after(down, self.start_again, process)
@@ -265,7 +265,7 @@
         """One of the front comes to what has happened with this lag."""
         self.fronts[at].starve(lag_s)
 
-    def ways_changed(self) -> None:
+    def links_changed(self) -> None:
         """Whoever stands in a way looks at the world itself."""
 
     # Endpoints.
@@ -276,7 +276,7 @@
 
     def spread(self) -> float:
         """Microseconds that a published change takes to one sidecar."""
-        return self.spread_s * self.chance.uniform(0.2, 1.8) * SECOND
+        return self.spread_s * self.random_source.uniform(0.2, 1.8) * SECOND
 
     def endpoint_died(self, endpoint: Endpoint) -> None:
         """It, and its sidecar with it."""
@@ -289,10 +289,10 @@
 
     async def start_endpoint(self, endpoint: Endpoint) -> None:
         """Its socket, and its sidecar where it makes calls."""
-        name = endpoint.shape.name
+        name = endpoint.spec.name
         await self.endpoints.start(endpoint)
-        if endpoint.shape.tier + 1 < len(self.world.tiers):
+        if endpoint.spec.tier + 1 < len(self.world.tiers):
             if name not in self.inner.processes:
                 await self.inner.add(endpoint)
-            self.world.referee.restarted(f"i-{name}")
+            self.world.rule_checker.restarted(f"i-{name}")
             await self.start(self.inner.processes[name])
--- a/lupinmill/lab/sockets/sidecars.py
+++ b/lupinmill/lab/sockets/sidecars.py
@@ -28,7 +28,7 @@
     raise RuntimeError("not ready in time")
 
 
-class SetAside:
+class EjectedEndpoints:
     """Endpoints that sidecars have set aside, as they log it."""
 
     def __init__(self) -> None:
--- a/lupinmill/lab/stands.py
+++ b/lupinmill/lab/stands.py
@@ -179,7 +179,7 @@
         super().lost(served)
         self.endpoint.disconnect(served.epoch)
         if served.record is not None:
-            served.record.out = False
+            served.record.in_flight = False
         if served.job is not None:
             self.run.act(self.endpoint.cancel, served.job)
             served.job = None
@@ -199,8 +199,8 @@
         if sent is None:
             return served.answer(Answer(400 if name else 404, [], b"no client sent this"))
         now = run.timeline.now
-        served.record = run.world.referee.sent(now, name, endpoint, sent.sidecar)
-        run.measure.at(now).launches += 1 if endpoint.shape.tier == 0 else 0
+        served.record = run.world.rule_checker.sent(now, name, endpoint, sent.sidecar)
+        run.metrics.at(now).launches += 1 if endpoint.spec.tier == 0 else 0
         try:
             left = float(request.header(b"req-deadline") or 0)
         except ValueError:
@@ -209,16 +209,16 @@
         def reply(how: t.Outcome, load: t.LoadReport | None) -> None:
             served.job = None
             if served.record is not None:
-                served.record.out = False
+                served.record.in_flight = False
             self.reply(served, name, how, load)
 
         due, calls = now + int(left * SECOND), run.inner.calls_of(endpoint)
-        work = run.world.attempt_work(sent.request_class, sent.work, endpoint.shape.tier)
+        work = run.world.attempt_work(sent.request_class, sent.work, endpoint.spec.tier)
         served.job = Job(name, sent.key, sent.request_class, work, due, reply, calls=calls)
         endpoint.receive(served.job)
 
     def probed(self, served: Served, whole: bool) -> None:
-        self.run.measure.at(self.run.timeline.now).probes += 1
+        self.run.metrics.at(self.run.timeline.now).probes += 1
         got = self.endpoint.probe()
         if got is None:
             return  # nothing answers
@@ -230,7 +230,7 @@
         text = report_text(load)
         headers = [(b"Srv-Load", text.encode())] if text else []
         if how is t.Outcome.HANDLED:
-            served.answer(Answer(200, headers, orjson.dumps({"for": name, "by": self.endpoint.shape.name})))
+            served.answer(Answer(200, headers, orjson.dumps({"for": name, "by": self.endpoint.spec.name})))
         elif how is t.Outcome.REFUSED:
             served.answer(Answer(503, [*headers, (b"Srv-Declined", b"1")], b"declined"))
         elif how is t.Outcome.ERROR:
@@ -248,7 +248,7 @@
         super().__init__()
         self.registry, self.sidecar, self.run = registry, sidecar, run
         self.waiting: dict[Served, int] = {}
-        registry.listen(sidecar, self.published, self.broke)
+        registry.subscribe(sidecar, self.published, self.broke)
 
     def lost(self, served: Served) -> None:
         super().lost(served)
@@ -295,14 +295,14 @@
     def tell(self, served: Served, index: int | None) -> None:
         self.waiting.pop(served, None)
         whole, entries = self.registry.since(index)
-        now, referee = self.run.timeline.now, self.run.world.referee
+        now, rule_checker = self.run.timeline.now, self.run.world.rule_checker
         if whole:
             named = {entry.name for entry in entries}
             for name in self.run.endpoints.listed_names(self.registry):
                 if name not in named:
-                    referee.heard(now, self.sidecar, name, True)
+                    rule_checker.list_update(now, self.sidecar, name, True)
         for entry in entries:
-            referee.heard(now, self.sidecar, entry.name, entry.state is not t.EndpointStatus.READY)
+            rule_checker.list_update(now, self.sidecar, entry.name, entry.state is not t.EndpointStatus.READY)
         rows = [self.run.row(entry, self.sidecar) for entry in entries]
         body = {"index": self.registry.index, "snapshot": whole, "endpoints": rows}
         served.answer(Answer(200, [(b"Content-Type", b"application/json")], orjson.dumps(body)))
--- a/lupinmill/lab/timeline.py
+++ b/lupinmill/lab/timeline.py
@@ -10,7 +10,7 @@
 MS, SECOND = 1_000, 1_000_000
 
 
-class Due:
+class ScheduledEvent:
     """One event to come; `cancel` drops it."""
 
     __slots__ = ("at", "act", "args")
@@ -29,18 +29,18 @@
 
     def __init__(self, now: int) -> None:
         self.now, self.serial = now, 0
-        self.heap: list[tuple[int, int, Due]] = []
+        self.heap: list[tuple[int, int, ScheduledEvent]] = []
         self.woken: Callable[[], None] | None = None  # told when a new event is the next one
 
-    def at(self, when: int, act: Callable[..., Any], *args: Any) -> Due:
-        due = Due(max(when, self.now), act, args)
+    def at(self, when: int, act: Callable[..., Any], *args: Any) -> ScheduledEvent:
+        due = ScheduledEvent(max(when, self.now), act, args)
         self.serial += 1
         heappush(self.heap, (due.at, self.serial, due))
         if self.woken is not None and self.heap[0][2] is due:
             self.woken()
         return due
 
-    def after(self, span: float, act: Callable[..., Any], *args: Any) -> Due:
+    def after(self, span: float, act: Callable[..., Any], *args: Any) -> ScheduledEvent:
         return self.at(self.now + int(span), act, *args)
 
     def next_at(self) -> int | None:
--- a/lupinmill/lab/virtual/attempts.py
+++ b/lupinmill/lab/virtual/attempts.py
@@ -47,16 +47,16 @@
         endpoint = self.world.by_endpoint.get(command.endpoint)
         if request is None or endpoint is None or request.end_known:
             text = f"a launch of what is not open, to {command.endpoint}"
-            self.world.referee.breaks(1, command.request, text)
+            self.world.rule_checker.violation(1, command.request, text)
             return
-        second = self.run.measure.at(now)
+        second = self.run.metrics.at(now)
         second.launches += 1
-        second.crossed += sidecar.zone != endpoint.shape.zone
+        second.crossed += sidecar.zone != endpoint.spec.zone
         attempt = Attempt(len(request.attempts), endpoint, endpoint.epoch, now)
         request.attempts.append(attempt)
         if request.closed:  # it ended in the very batch that the module is answering
             return self.outcome(request, attempt, t.Outcome.UNSENT, None)
-        attempt.record = self.world.referee.sent(now, request.name, endpoint, sidecar.name)
+        attempt.record = self.world.rule_checker.sent(now, request.name, endpoint, sidecar.name)
         until = min(command.until or request.due, request.due)
         attempt.deadline = self.timeline.at(until, self.outcome, request, attempt, t.Outcome.TIMED_OUT, None)
         self.send(request, attempt)
@@ -64,48 +64,55 @@
     def send(self, request: Request, attempt: Attempt) -> None:
         """On an idle connection, or on a new one."""
         endpoint, timeline = attempt.endpoint, self.timeline
-        way = self.world.network.delay(self.sidecar.zone, endpoint.shape.zone)
+        way = self.world.network.delay(self.sidecar.zone, endpoint.spec.zone)
         if self.connections.reuse(endpoint):
-            timeline.after(way, self.arrive, request, attempt, self.sidecar.life)
+            timeline.after(way, self.arrive, request, attempt, self.sidecar.incarnation)
             return
         cut = self.cut_from(endpoint)
         if endpoint.silent or not endpoint.alive or cut:
-            span = endpoint.shape.connect_limit_s * SECOND if endpoint.silent or cut else 2 * way
+            span = endpoint.spec.connect_limit_s * SECOND if endpoint.silent or cut else 2 * way
             timeline.after(span, self.outcome, request, attempt, t.Outcome.UNCONNECTED, None)
             return
         if not endpoint.connect():
             timeline.after(2 * way, self.outcome, request, attempt, t.Outcome.UNCONNECTED, None)
             return
         attempt.new_connection = True
-        span = (1 + 2 * endpoint.shape.round_trips) * way
-        timeline.after(span, self.arrive, request, attempt, self.sidecar.life)
+        span = (1 + 2 * endpoint.spec.round_trips) * way
+        timeline.after(span, self.arrive, request, attempt, self.sidecar.incarnation)
 
     def cut_from(self, endpoint: Endpoint) -> bool:
         """Whether one of the two ways to and from it is cut."""
-        network, here, there = self.world.network, self.sidecar.zone, endpoint.shape.zone
+        network, here, there = self.world.network, self.sidecar.zone, endpoint.spec.zone
         return network.blocked(here, there) or network.blocked(there, here)
 
-    def arrive(self, request: Request, attempt: Attempt, life: int) -> None:
+    def arrive(self, request: Request, attempt: Attempt, incarnation: int) -> None:
         """At the endpoint, unless it was cancelled on the way or the endpoint has died meanwhile."""
         endpoint, sidecar, network = attempt.endpoint, self.sidecar, self.world.network
-        if attempt.over or life != sidecar.life or network.blocked(sidecar.zone, endpoint.shape.zone):
+        if (
+            attempt.over
+            or incarnation != sidecar.incarnation
+            or network.blocked(sidecar.zone, endpoint.spec.zone)
+        ):
             return  # what is lost behind a cut is a time-out
         if attempt.epoch != endpoint.epoch or not endpoint.alive:
             if not endpoint.silent:
                 self.timeline.after(network.delay(), self.outcome, request, attempt, t.Outcome.RESET, None)
             return
-        calls, reply = self.run.inner.calls_of(sidecar.tier), partial(self.reply, request, attempt, life)
+        calls, reply = (
+            self.run.inner.calls_of(sidecar.tier),
+            partial(self.reply, request, attempt, incarnation),
+        )
         name, key, request_class = request.name, request.key, request.request_class
         work = self.world.attempt_work(request_class, request.work, sidecar.tier)
         job = attempt.job = Job(name, key, request_class, work, request.due, reply, calls=calls)
         endpoint.receive(job, sidecar.directory.informed(endpoint))
 
     def reply(
-        self, request: Request, attempt: Attempt, life: int, how: t.Outcome, load: t.LoadReport | None
+        self, request: Request, attempt: Attempt, incarnation: int, how: t.Outcome, load: t.LoadReport | None
     ) -> None:
         """The endpoint's answer, on its way back."""
-        network, here, there = self.world.network, self.sidecar.zone, attempt.endpoint.shape.zone
-        if life == self.sidecar.life and not network.blocked(there, here):
+        network, here, there = self.world.network, self.sidecar.zone, attempt.endpoint.spec.zone
+        if incarnation == self.sidecar.incarnation and not network.blocked(there, here):
             self.timeline.after(network.delay(here, there), self.outcome, request, attempt, how, load)
 
     # Ending.
@@ -129,7 +136,7 @@
         if attempt.deadline is not None:
             attempt.deadline.cancel()
         if attempt.record is not None:
-            attempt.record.out = False
+            attempt.record.in_flight = False
         if how in KEEPS_CONNECTION:
             self.connections.keep(attempt.endpoint, attempt.epoch)
         elif how not in NO_CONNECTION:
@@ -155,22 +162,22 @@
     def probe(self, command: t.StartProbe) -> None:
         """Asks an endpoint how it is."""
         endpoint = self.world.by_endpoint[command.endpoint]
-        self.run.measure.at(self.timeline.now).probes += 1
-        way, sent = self.world.network.delay(self.sidecar.zone, endpoint.shape.zone), self.timeline.now
-        self.timeline.after(way, self.answer_probe, endpoint, way, sent, self.sidecar.life)
+        self.run.metrics.at(self.timeline.now).probes += 1
+        way, sent = self.world.network.delay(self.sidecar.zone, endpoint.spec.zone), self.timeline.now
+        self.timeline.after(way, self.answer_probe, endpoint, way, sent, self.sidecar.incarnation)
 
-    def answer_probe(self, endpoint: Endpoint, way: float, sent: int, life: int) -> None:
+    def answer_probe(self, endpoint: Endpoint, way: float, sent: int, incarnation: int) -> None:
         """The endpoint's answer, on its way back; where there is none, the time-out."""
         cut = self.cut_from(endpoint)
         got = endpoint.probe() if not cut else None
         how, load = got or (t.Outcome.UNCONNECTED, None)
         waits = got is None and (endpoint.silent or endpoint.paused or cut)
-        span = endpoint.shape.connect_limit_s * SECOND if waits else way
-        self.timeline.after(span, self.probed, endpoint, sent, how, load, life)
+        span = endpoint.spec.connect_limit_s * SECOND if waits else way
+        self.timeline.after(span, self.probed, endpoint, sent, how, load, incarnation)
 
     def probed(
-        self, endpoint: Endpoint, sent: int, how: t.Outcome, load: t.LoadReport | None, life: int
+        self, endpoint: Endpoint, sent: int, how: t.Outcome, load: t.LoadReport | None, incarnation: int
     ) -> None:
         """What came of a probe, for the module."""
-        if life == self.sidecar.life and self.sidecar.alive:
-            self.sidecar.tell(t.ProbeEnded(endpoint.shape.name, how, self.timeline.now - sent, load))
+        if incarnation == self.sidecar.incarnation and self.sidecar.alive:
+            self.sidecar.tell(t.ProbeEnded(endpoint.spec.name, how, self.timeline.now - sent, load))
--- a/lupinmill/lab/virtual/connections.py
+++ b/lupinmill/lab/virtual/connections.py
@@ -29,12 +29,12 @@
 
     def reuse(self, endpoint: Endpoint) -> bool:
         """An idle connection, the latest first; those of a past life of the endpoint are gone with it."""
-        idle, now = self.idle.get(endpoint.shape.name), self.timeline.now
+        idle, now = self.idle.get(endpoint.spec.name), self.timeline.now
         while idle:
             one = idle.pop()
             if one.epoch != endpoint.epoch and not endpoint.silent:
                 continue
-            if now - one.since > IDLE_SHARE * endpoint.shape.idle_s * SECOND:
+            if now - one.since > IDLE_SHARE * endpoint.spec.idle_s * SECOND:
                 endpoint.disconnect(one.epoch)
                 continue
             return True
@@ -44,7 +44,7 @@
         """A connection that has nothing to carry any more; closed where there are enough of them."""
         if epoch != endpoint.epoch:
             return
-        idle = self.idle.setdefault(endpoint.shape.name, deque())
+        idle = self.idle.setdefault(endpoint.spec.name, deque())
         if len(idle) < MOST_IDLE:
             idle.append(Idle(epoch, self.timeline.now))
         else:
--- a/lupinmill/lab/virtual/front.py
+++ b/lupinmill/lab/virtual/front.py
@@ -8,7 +8,7 @@
 import numpy as np
 
 from lupinmill import terms as t
-from lupinmill.lab.clients import Wish
+from lupinmill.lab.clients import ClientRequest
 from lupinmill.lab.outcome import Outcome
 from lupinmill.lab.timeline import SECOND
 from lupinmill.lab.virtual.request import Request
@@ -18,24 +18,26 @@
     from lupinmill.lab.virtual.run import VirtualRun
 
 
-class Front:
+class FrontRouter:
     """Picks a sidecar for each try of a client. It notices a dead one only after a while."""
 
-    def __init__(self, run: VirtualRun, chance: np.random.Generator) -> None:
-        self.run, self.world, self.timeline, self.chance = run, run.world, run.timeline, chance
+    def __init__(self, run: VirtualRun, random_source: np.random.Generator) -> None:
+        self.run, self.world, self.timeline, self.random_source = run, run.world, run.timeline, random_source
         self.dead_until: dict[int, int] = {}  # sidecar -> when the front notices that it died
         shares = dict(zip(run.world.zones, run.world.scenario.net.traffic))
         self.weights = [shares[sidecar.zone] for sidecar in run.sidecars] if shares else []
 
-    def ask(self, wish: Wish, request_id: str, due: int, repeated: bool) -> None:
+    def ask(self, client_request: ClientRequest, request_id: str, due: int, repeated: bool) -> None:
         """One try of a client."""
-        client_way, ended = self.world.network.client_way, self.run.clients.ended
+        client_delay, ended = self.world.network.client_delay, self.run.clients.ended
         sidecar = self.pick()
         if sidecar is None or not sidecar.alive:
-            self.timeline.after(2 * client_way, ended, request_id, Outcome.UNREACHABLE, 0)
+            self.timeline.after(2 * client_delay, ended, request_id, Outcome.UNREACHABLE, 0)
             return
-        wish.sidecar = sidecar
-        self.timeline.after(client_way, self.reach, wish, request_id, sidecar, sidecar.life, due, repeated)
+        client_request.sidecar = sidecar
+        self.timeline.after(
+            client_delay, self.reach, client_request, request_id, sidecar, sidecar.incarnation, due, repeated
+        )
 
     def pick(self) -> VirtualSidecar | None:
         """Any that the front believes alive, a dead one for a while too."""
@@ -44,38 +46,47 @@
         if self.weights and believed:
             parts = np.array([self.weights[s.position] for s in believed])
             if parts.sum() > 0:
-                return believed[int(self.chance.choice(len(believed), p=parts / parts.sum()))]
-        return believed[int(self.chance.integers(len(believed)))] if believed else None
+                return believed[int(self.random_source.choice(len(believed), p=parts / parts.sum()))]
+        return believed[int(self.random_source.integers(len(believed)))] if believed else None
 
     def reach(
-        self, wish: Wish, request_id: str, sidecar: VirtualSidecar, life: int, due: int, repeated: bool
+        self,
+        client_request: ClientRequest,
+        request_id: str,
+        sidecar: VirtualSidecar,
+        incarnation: int,
+        due: int,
+        repeated: bool,
     ) -> None:
         """The try comes to the sidecar."""
         clients = self.run.clients
         if request_id not in clients.open:
             return
-        if not sidecar.alive or sidecar.life != life:
+        if not sidecar.alive or sidecar.incarnation != incarnation:
             clients.ended(request_id, Outcome.UNREACHABLE, 0)
             return
-        keyed = wish.workload.terms.repeat is not t.RepeatPolicy.IDEMPOTENT
-        key, answer = wish.name if keyed else "", partial(self.answer, request_id)
+        keyed = client_request.workload.terms.repeat is not t.RepeatPolicy.IDEMPOTENT
+        key, answer = client_request.name if keyed else "", partial(self.answer, request_id)
         sidecar.accept(
-            Request(request_id, key, wish.workload.name, wish.work, due, answer), wish.tenant, repeated, True
+            Request(request_id, key, client_request.workload.name, client_request.work, due, answer),
+            client_request.tenant,
+            repeated,
+            True,
         )
 
     def answer(self, request_id: str, outcome: Outcome, advice: int) -> None:
         """The answer, on its way to the client."""
-        self.timeline.after(self.world.network.client_way, self.answered, request_id, outcome, advice)
+        self.timeline.after(self.world.network.client_delay, self.answered, request_id, outcome, advice)
 
     def answered(self, request_id: str, outcome: Outcome, advice: int) -> None:
         """The answer comes to the client."""
         if outcome is not Outcome.UNREACHABLE:
-            self.world.referee.answered(self.timeline.now, request_id, outcome)
+            self.world.rule_checker.answered(self.timeline.now, request_id, outcome)
         self.run.clients.ended(request_id, outcome, advice)
 
-    def gave_up(self, wish: Wish, request_id: str) -> None:
+    def gave_up(self, client_request: ClientRequest, request_id: str) -> None:
         """The client has gone away."""
-        sidecar = wish.sidecar
+        sidecar = client_request.sidecar
         if sidecar is not None and sidecar.alive:
             sidecar.cancel(request_id)
 
--- a/lupinmill/lab/virtual/inner.py
+++ b/lupinmill/lab/virtual/inner.py
@@ -12,7 +12,7 @@
 from lupinmill.lab.timeline import MS
 from lupinmill.lab.virtual.request import Request
 from lupinmill.lab.virtual.sidecar import VirtualSidecar
-from lupinmill.lab.world import chance_for
+from lupinmill.lab.world import random_stream
 
 if TYPE_CHECKING:
     from lupinmill.lab.virtual.run import VirtualRun
@@ -33,32 +33,30 @@
 
     def __init__(self, run: VirtualRun) -> None:
         self.run, self.world, self.timeline = run, run.world, run.timeline
-        self.chance = chance_for(run.world.seed, "calls")
+        self.random_source = random_stream(run.world.seed, "calls")
         self.sidecars: dict[str, VirtualSidecar] = {}
         self.serial = 0
 
     def calls_of(self, tier: int) -> int:
         """How many calls a request of an endpoint of this tier makes."""
-        return self.world.draw_calls(tier, self.chance)
+        return self.world.draw_calls(tier, self.random_source)
 
     def endpoint_started(self, endpoint: Endpoint) -> None:
         """Its sidecar starts with it, where it makes calls."""
-        if endpoint.shape.tier + 1 >= len(self.world.tiers):
+        if endpoint.spec.tier + 1 >= len(self.world.tiers):
             return
-        name = endpoint.shape.name
+        name = endpoint.spec.name
         sidecar = self.sidecars.get(name)
         if sidecar is None:
-            tier = endpoint.shape.tier + 1
-            sidecar = self.sidecars[name] = VirtualSidecar(
-                self.run, f"i-{name}", tier, endpoint.shape.zone, 0
-            )
-        endpoint.caller, endpoint.hang_up = partial(self.call, endpoint, sidecar), self.hang_up
+            tier = endpoint.spec.tier + 1
+            sidecar = self.sidecars[name] = VirtualSidecar(self.run, f"i-{name}", tier, endpoint.spec.zone, 0)
+        endpoint.make_call, endpoint.cancel_call = partial(self.call, endpoint, sidecar), self.cancel_call
         if not sidecar.alive:
             sidecar.start()
 
     def endpoint_died(self, endpoint: Endpoint) -> None:
         """Its sidecar dies with it."""
-        if (sidecar := self.sidecars.get(endpoint.shape.name)) is not None:
+        if (sidecar := self.sidecars.get(endpoint.spec.name)) is not None:
             sidecar.kill()
 
     def call(self, endpoint: Endpoint, sidecar: VirtualSidecar, job: Job, done: Done) -> Call | None:
@@ -71,28 +69,28 @@
             return None
         self.serial += 1
         name = f"c{self.serial}"
-        work = self.world.call_work(job, endpoint.shape, self.chance)
-        key = f"{job.submission}/{job.calls}/{self.serial}" if job.key else ""
+        work = self.world.call_work(job, endpoint.spec, self.random_source)
+        key = f"{job.request_id}/{job.calls}/{self.serial}" if job.key else ""
         request = Request(name, key, job.workload, work, due, partial(self.answer, name, done))
         sidecar.accept(request, "", False, False)
-        limit = due + self.world.referee.grace + 1
-        self.timeline.at(limit, self.overdue, sidecar, sidecar.life, name, done)
+        limit = due + self.world.rule_checker.grace + 1
+        self.timeline.at(limit, self.overdue, sidecar, sidecar.incarnation, name, done)
         return Call(sidecar, name)
 
     def answer(self, name: str, done: Done, outcome: Outcome, advice: int) -> None:
         """The end of a call, for the endpoint that made it."""
         if outcome is not Outcome.UNREACHABLE:
-            self.world.referee.answered(self.timeline.now, name, outcome)
+            self.world.rule_checker.answered(self.timeline.now, name, outcome)
             self.timeline.at(self.timeline.now, done, outcome is Outcome.SUCCEEDED)
 
-    def overdue(self, sidecar: VirtualSidecar, life: int, name: str, done: Done) -> None:
+    def overdue(self, sidecar: VirtualSidecar, incarnation: int, name: str, done: Done) -> None:
         """No answer until the deadline and its grace."""
-        if life == sidecar.life:
-            self.world.referee.overdue(self.timeline.now, name)
+        if incarnation == sidecar.incarnation:
+            self.world.rule_checker.overdue(self.timeline.now, name)
             done(False)
 
-    def hang_up(self, call: Call) -> None:
+    def cancel_call(self, call: Call) -> None:
         """The endpoint wants a call's answer no more."""
-        self.world.referee.released(call.name)
+        self.world.rule_checker.released(call.name)
         if call.sidecar.alive:
             call.sidecar.cancel(call.name)
--- a/lupinmill/lab/virtual/recorded.py
+++ b/lupinmill/lab/virtual/recorded.py
@@ -27,7 +27,8 @@
 
 
 def recorded_command(command: t.Command) -> str:
-    name, recorded_fields = recorded_names(type(command))
+    command_type: type = type(command)
+    name, recorded_fields = recorded_names(command_type)
     values = [f"{recorded}={getattr(command, field)!r}" for field, recorded in recorded_fields]
     return f"{name}({', '.join(values)})"
 
--- a/lupinmill/lab/virtual/request.py
+++ b/lupinmill/lab/virtual/request.py
@@ -7,8 +7,8 @@
 
 from lupinmill.lab.endpoint import Endpoint, Job
 from lupinmill.lab.outcome import Outcome
-from lupinmill.lab.referee import Launched
-from lupinmill.lab.timeline import Due
+from lupinmill.lab.rule_checker import AttemptRecord
+from lupinmill.lab.timeline import ScheduledEvent
 
 
 @dataclass(slots=True, eq=False)
@@ -21,8 +21,8 @@
     sent: int  # microseconds of the timeline
     job: Job | None = None
     over: bool = False
-    deadline: Due | None = None
-    record: Launched | None = None
+    deadline: ScheduledEvent | None = None
+    record: AttemptRecord | None = None
     new_connection: bool = False  # opened for it
 
 
--- a/lupinmill/lab/virtual/run.py
+++ b/lupinmill/lab/virtual/run.py
@@ -12,15 +12,15 @@
 from lupinmill.lab import policies
 from lupinmill.lab.clients import Clients
 from lupinmill.lab.endpoint import Endpoint
-from lupinmill.lab.measure import Measure, observe_endpoints
+from lupinmill.lab.metrics import RunMetrics, record_endpoints
 from lupinmill.lab.scenario import Scenario
 from lupinmill.lab.timeline import MS, SECOND, Timeline
 from lupinmill.lab.virtual.discovery import DiscoveryCalls
-from lupinmill.lab.virtual.front import Front
+from lupinmill.lab.virtual.front import FrontRouter
 from lupinmill.lab.virtual.inner import InnerCalls
 from lupinmill.lab.virtual.recorded import recorded_text
 from lupinmill.lab.virtual.sidecar import VirtualSidecar
-from lupinmill.lab.world import World, chance_for, draw
+from lupinmill.lab.world import World, random_stream, draw
 from lupinmill.lab.world.troubles.plan import plan
 
 EPOCH = 1_000 * SECOND  # when every virtual day begins
@@ -39,42 +39,42 @@
         seed: int,
         policy: str = "lupinmill",
         trace: Trace | None = None,
-        tick: Callable[[int, Measure], None] | None = None,
+        tick: Callable[[int, RunMetrics], None] | None = None,
         commons: Callable[[VirtualRun], Any] | None = None,
     ) -> None:
         self.timeline = Timeline(EPOCH)
         self.commons: Any = None  # what its front sidecars hold in common, where they do
         self.world = World(scenario, seed, self.timeline)
         self.policy = policies.find(policy)
-        self.measure = Measure(EPOCH, self.world.seconds, [w.name for w in self.world.classes])
+        self.metrics = RunMetrics(EPOCH, self.world.seconds, [w.name for w in self.world.classes])
         self.round = max(1, int(scenario.sidecars.round_ms * MS))
         self.trace, self.tick = trace, tick
         self.steps, self.digest = 0, xxhash.xxh64()
         self.digests: list[str] = []
         self.notes: list[tuple[float, str, str]] = []
         self.stop = False
-        chance = chance_for(seed, "front")
-        self.spread_s = draw(chance, scenario.discovery.spread_ms) / 1000
-        self.calls = self.discovery_calls(chance)
+        random_source = random_stream(seed, "front")
+        self.spread_s = draw(random_source, scenario.discovery.spread_ms) / 1000
+        self.calls = self.discovery_calls(random_source)
         self.sidecars = [
             VirtualSidecar(self, f"s{at}", 0, self.world.zones[at % len(self.world.zones)], at)
             for at in range(self.world.sidecars)
         ]
         self.instances = [len(self.sidecars)] + [len(tier) for tier in self.world.tiers[:-1]]
-        self.front = Front(self, chance)
-        self.clients = Clients(self.world, self.front, self.measure)
+        self.front = FrontRouter(self, random_source)
+        self.clients = Clients(self.world, self.front, self.metrics)
         self.inner = InnerCalls(self)
         if commons is not None:
             self.commons = commons(self)
         for endpoint in [e for tier in self.world.tiers[:-1] for e in tier]:
             self.endpoint_started(endpoint)
 
-    def discovery_calls(self, chance: np.random.Generator) -> list[DiscoveryCalls]:
+    def discovery_calls(self, random_source: np.random.Generator) -> list[DiscoveryCalls]:
         """Of each tier's list."""
         found = self.world.scenario.discovery
         time_out = int(found.time_out_s * SECOND)
         return [
-            DiscoveryCalls(self.timeline, registry, draw(chance, found.calls_per_s), time_out)
+            DiscoveryCalls(self.timeline, registry, draw(random_source, found.calls_per_s), time_out)
             for registry in self.world.registries
         ]
 
@@ -93,17 +93,17 @@
             second += SECOND
             timeline.run_until(min(second, end))
             self.sample()
-            world.referee.sweep(timeline.now)
+            world.rule_checker.sweep(timeline.now)
             self.digests.append(self.digest.hexdigest())
             if self.tick is not None:
-                self.tick((timeline.now - EPOCH) // SECOND, self.measure)
+                self.tick((timeline.now - EPOCH) // SECOND, self.metrics)
             if timeline.now >= world.end and not self.clients.open:
                 break
 
     def sample(self) -> None:
         """The state at the end of a second, into its figures."""
-        entry = self.measure.at(self.timeline.now - SECOND)
-        observe_endpoints(entry, self.world.tiers)
+        entry = self.metrics.at(self.timeline.now - SECOND)
+        record_endpoints(entry, self.world.tiers)
         caps = []
         for sidecar in self.sidecars:
             dispatcher = getattr(sidecar.module, "dispatcher", None)
@@ -126,9 +126,9 @@
         if len(self.notes) < MOST_NOTES:
             self.notes.append((round((self.timeline.now - EPOCH) / SECOND, 3), sidecar.name, text))
 
-    def spread(self, chance: np.random.Generator) -> float:
+    def spread(self, random_source: np.random.Generator) -> float:
         """Microseconds that a published change takes to one sidecar."""
-        return self.spread_s * chance.uniform(0.2, 1.8) * SECOND
+        return self.spread_s * random_source.uniform(0.2, 1.8) * SECOND
 
     # What troubles do.
 
@@ -144,7 +144,7 @@
         """Of the front."""
         return len(self.sidecars)
 
-    def ways_changed(self) -> None:
+    def links_changed(self) -> None:
         """Each message looks for itself."""
 
     def kill_sidecar(self, at: int, down_s: float) -> None:
--- a/lupinmill/lab/virtual/sidecar.py
+++ b/lupinmill/lab/virtual/sidecar.py
@@ -10,7 +10,7 @@
 from lupinmill.lab.virtual.attempts import Attempts
 from lupinmill.lab.virtual.discovery import Directory
 from lupinmill.lab.virtual.request import Request
-from lupinmill.lab.world import chance_for
+from lupinmill.lab.world import random_stream
 
 if TYPE_CHECKING:
     from lupinmill.lab.virtual.run import VirtualRun
@@ -21,13 +21,13 @@
 
     def __init__(self, run: VirtualRun, name: str, tier: int, zone: str, position: int) -> None:
         self.run, self.name, self.tier, self.zone, self.position = run, name, tier, zone, position
-        self.alive, self.lag, self.life = False, 0, 0
+        self.alive, self.lag, self.incarnation = False, 0, 0
         self.module: Any = None
         self.inbox: list[t.Event] = []
         self.stepping = False
         self.requests: dict[str, Request] = {}
         self.unreported: dict[str, Request] = {}  # those whose end the module hears of in its next step
-        self.chance = chance_for(run.world.seed, "seat", name)
+        self.random_source = random_stream(run.world.seed, "seat", name)
         self.attempts = Attempts(self)
         self.directory = Directory(self)
         self.handlers: dict[type, Callable[[Any], None]] = {
@@ -48,7 +48,7 @@
         run = self.run
         self.alive, self.inbox, self.requests, self.unreported = True, [], {}, {}
         self.stepping = False
-        seed = int(self.chance.integers(2**62))
+        seed = int(self.random_source.integers(2**62))
         self.module = run.policy(run.world.deployment(self.tier, run.instances[self.tier], seed))
         if run.commons is not None and self.tier == 0:
             run.commons.started(self)
@@ -60,17 +60,17 @@
             return
         run = self.run
         self.alive = False
-        self.life += 1
+        self.incarnation += 1
         if run.commons is not None:
             run.commons.killed(self)
         self.directory.stop()
-        run.world.referee.restarted(self.name)
+        run.world.rule_checker.restarted(self.name)
         requests, self.requests = self.requests, {}
         for one in requests.values():
             self.attempts.close(one)
             if not one.closed:
-                run.world.referee.released(one.name)
-                run.timeline.after(run.world.network.client_way, one.answer, Outcome.UNREACHABLE, 0)
+                run.world.rule_checker.released(one.name)
+                run.timeline.after(run.world.network.client_delay, one.answer, Outcome.UNREACHABLE, 0)
         self.attempts.connections.close(run.world.by_endpoint)
 
     # Events in, commands out.
@@ -83,12 +83,12 @@
             round_, now = self.run.round, self.run.timeline.now
             at = now if round_ <= 1 else -(-now // round_) * round_
             if self.lag:
-                at += int(self.lag * self.chance.uniform(0.5, 1.5))
-            self.run.timeline.at(at, self.step, self.life)
+                at += int(self.lag * self.random_source.uniform(0.5, 1.5))
+            self.run.timeline.at(at, self.step, self.incarnation)
 
-    def step(self, life: int) -> None:
+    def step(self, incarnation: int) -> None:
         """One step of the module over all events since the last one."""
-        if life != self.life or not self.alive:
+        if incarnation != self.incarnation or not self.alive:
             return
         self.stepping = False
         run, events, self.inbox = self.run, self.inbox, []
@@ -107,7 +107,9 @@
     def accept(self, request: Request, tenant: str, repeated: bool, front: bool) -> None:
         """A request has come; `front`: from a client, not from an endpoint."""
         now = self.run.timeline.now
-        self.run.world.referee.taken(now, request.name, request.request_class, request.due, front)
+        self.run.world.rule_checker.request_received(
+            now, request.name, request.request_class, request.due, front
+        )
         self.requests[request.name] = request
         self.tell(t.RequestArrived(request.name, request.request_class, request.due, tenant, repeated))
 
@@ -127,7 +129,7 @@
         """Ended by the module."""
         request = self.requests.get(name)
         if request is None or request.closed:
-            self.run.world.referee.answered(self.run.timeline.now, name, outcome)
+            self.run.world.rule_checker.answered(self.run.timeline.now, name, outcome)
             return
         request.closed = request.end_known = True
         self.unreported.pop(name, None)
@@ -151,11 +153,11 @@
 
     def wake_at(self, command: t.SetTimer) -> None:
         """The module wants a step at that time."""
-        self.run.timeline.at(command.at, self.woken, command.ref, self.life)
+        self.run.timeline.at(command.at, self.woken, command.ref, self.incarnation)
 
-    def woken(self, ref: int, life: int) -> None:
+    def woken(self, ref: int, incarnation: int) -> None:
         """That time has come."""
-        if life == self.life and self.alive:
+        if incarnation == self.incarnation and self.alive:
             self.tell(t.TimerFired(ref))
 
     def watch(self, _: t.StartWatch) -> None:
--- a/lupinmill/lab/world/__init__.py
+++ b/lupinmill/lab/world/__init__.py
@@ -5,8 +5,8 @@
 sidecars are configured with; `troubles` plans and carries out what goes wrong.
 """
 
-from lupinmill.lab.world.chance import chance_for, draw
+from lupinmill.lab.world.random_streams import draw, random_stream
 from lupinmill.lab.world.request_class import RequestClass
 from lupinmill.lab.world.site import SILENT_WATCH_S, Driver, World
 
-__all__ = ["SILENT_WATCH_S", "RequestClass", "Driver", "World", "chance_for", "draw"]
+__all__ = ["SILENT_WATCH_S", "RequestClass", "Driver", "World", "draw", "random_stream"]
--- a/lupinmill/lab/world/configuration.py
+++ b/lupinmill/lab/world/configuration.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from lupinmill.lab.scenario import Scenario, Span, Tier
+from lupinmill.lab.scenario import Scenario, Range, Tier
 
 FIELD_NAMES = {"queued": "waiting", "held": "active", "busy": "cpu", "service": "avg_ms", "rate": "rps"}
 REPEAT_NAMES = {"idempotent": "repeatable", "deduplicated": "by_key", "unrepeatable": "once"}
@@ -91,6 +91,6 @@
     }
 
 
-def bound(span: Span, end: int) -> float:
+def bound(span: Range, end: int) -> float:
     """The lower (0) or upper (1) end of a range; a figure by itself is both."""
     return span if isinstance(span, (int, float)) else span[end]
--- a/lupinmill/lab/world/request_class.py
+++ b/lupinmill/lab/world/request_class.py
@@ -9,7 +9,7 @@
 from lupinmill import terms as t
 from lupinmill.lab import scenario
 from lupinmill.lab.timeline import SECOND
-from lupinmill.lab.world.chance import draw
+from lupinmill.lab.world.random_streams import draw
 
 
 LEAST_NOISE = 0.1
@@ -27,32 +27,34 @@
     noise: float  # of attempts
     terms: t.Workload
 
-    def draw_noise(self, chance: np.random.Generator) -> float:
+    def draw_noise(self, random_source: np.random.Generator) -> float:
         """By what factor the work of one attempt differs from that of its request."""
-        return max(LEAST_NOISE, 1 + self.noise * float(chance.standard_normal())) if self.noise else 1.0
+        return (
+            max(LEAST_NOISE, 1 + self.noise * float(random_source.standard_normal())) if self.noise else 1.0
+        )
 
-    def work(self, chance: np.random.Generator) -> float:
+    def work(self, random_source: np.random.Generator) -> float:
         """Seconds of work of one request, on a core of speed 1."""
         if self.spread == "fixed" or not self.cv:
             return self.mean
         if self.spread == "exponential":
-            return float(chance.exponential(self.mean))
+            return float(random_source.exponential(self.mean))
         sigma2 = np.log(1 + self.cv**2)
-        return float(chance.lognormal(np.log(self.mean) - sigma2 / 2, sigma2**0.5))
+        return float(random_source.lognormal(np.log(self.mean) - sigma2 / 2, sigma2**0.5))
 
 
 def draw_request_classes(
-    specified: list[scenario.Workload], chance: np.random.Generator
+    specified: list[scenario.Workload], random_source: np.random.Generator
 ) -> list[RequestClass]:
     """All classes of a scenario; their shares add up to 1."""
-    found = [draw_request_class(one, chance) for one in specified]
+    found = [draw_request_class(one, random_source) for one in specified]
     total = sum(one.share for one in found)
     for one in found:
         one.share /= total
     return found
 
 
-def draw_request_class(one: scenario.Workload, chance: np.random.Generator) -> RequestClass:
+def draw_request_class(one: scenario.Workload, random_source: np.random.Generator) -> RequestClass:
     """One class of a scenario, its ranges drawn."""
     terms = t.Workload(
         one.name,
@@ -66,10 +68,10 @@
     )
     return RequestClass(
         one.name,
-        draw(chance, one.share),
-        draw(chance, one.work_ms) / 1000,
+        draw(random_source, one.share),
+        draw(random_source, one.work_ms) / 1000,
         one.spread,
-        draw(chance, one.cv),
-        draw(chance, one.launch_noise),
+        draw(random_source, one.cv),
+        draw(random_source, one.launch_noise),
         terms,
     )
--- a/lupinmill/lab/world/troubles/discovery.py
+++ b/lupinmill/lab/world/troubles/discovery.py
@@ -10,13 +10,13 @@
 def list_late(world: World, trouble: Trouble) -> None:
     """News is `size` seconds later."""
     for registry in world.registries:
-        registry.behind += trouble.size
+        registry.extra_delay_s += trouble.size
         world.timeline.after(trouble.lasts, catch_up, registry, trouble.size)
 
 
 def catch_up(registry: Registry, seconds: float) -> None:
     """Ends what one trouble added to the delay."""
-    registry.behind = max(0.0, registry.behind - seconds)
+    registry.extra_delay_s = max(0.0, registry.extra_delay_s - seconds)
 
 
 def list_silent(world: World, trouble: Trouble) -> None:
--- a/lupinmill/lab/world/troubles/endpoints.py
+++ b/lupinmill/lab/world/troubles/endpoints.py
@@ -16,15 +16,15 @@
 def crash(world: World, trouble: Trouble) -> None:
     """They end, and come back cold."""
     for endpoint in some_endpoints(world, trouble):
-        world.die(endpoint, False)
-        world.timeline.after(trouble.lasts, world.revive, endpoint)
+        world.crash_endpoint(endpoint, False)
+        world.timeline.after(trouble.lasts, world.restart_endpoint, endpoint)
 
 
 def vanish(world: World, trouble: Trouble) -> None:
     """They fall silent, and come back cold."""
     for endpoint in some_endpoints(world, trouble):
-        world.die(endpoint, True)
-        world.timeline.after(trouble.lasts, world.revive, endpoint)
+        world.crash_endpoint(endpoint, True)
+        world.timeline.after(trouble.lasts, world.restart_endpoint, endpoint)
 
 
 def hang(world: World, trouble: Trouble) -> None:
@@ -53,8 +53,8 @@
 def slow_down(world: World, trouble: Trouble, endpoints: list[Endpoint]) -> None:
     """Slows these for as long as the trouble lasts."""
     for endpoint in endpoints:
-        endpoint.slow_by(trouble.name, trouble.size)
-        world.timeline.after(trouble.lasts, endpoint.slow_by, trouble.name, 1.0)
+        endpoint.set_slowdown(trouble.name, trouble.size)
+        world.timeline.after(trouble.lasts, endpoint.set_slowdown, trouble.name, 1.0)
 
 
 def errors(world: World, trouble: Trouble) -> None:
@@ -110,7 +110,7 @@
 ) -> None:
     """One turn of a neighbour, and the next one set."""
     now = world.timeline.now
-    endpoint.take(size if on and now < ends else 0.0)
+    endpoint.set_stolen_share(size if on and now < ends else 0.0)
     if now < ends:
         until = min(ends, now + int(stream.uniform(0.5, 1.5) * each * SECOND))
         world.timeline.at(until, take_cores, world, endpoint, stream, size, each, ends, not on)
@@ -131,4 +131,4 @@
     for endpoint in endpoints:
         if endpoint.alive:
             world.drain(endpoint)
-            world.timeline.after(drain_s * SECOND, world.succeed, endpoint)
+            world.timeline.after(drain_s * SECOND, world.replace_endpoint, endpoint)
--- a/lupinmill/lab/world/troubles/plan.py
+++ b/lupinmill/lab/world/troubles/plan.py
@@ -6,7 +6,7 @@
 
 from lupinmill.lab.scenario import Event
 from lupinmill.lab.timeline import SECOND
-from lupinmill.lab.world.chance import chance_for, draw
+from lupinmill.lab.world.random_streams import random_stream, draw
 from lupinmill.lab.world.site import TroubleRecord, Driver, World
 from lupinmill.lab.world.troubles import discovery, endpoints, load, sidecars, zones
 from lupinmill.lab.world.troubles.trouble import Act, Trouble
@@ -43,25 +43,25 @@
 def plan(world: World, driver: Driver | None) -> None:
     """Puts all troubles on the world's timeline; `driver` carries out those of sidecars."""
     world.driver = driver
-    chance, scenario = chance_for(world.seed, "troubles"), world.scenario
+    random_source, scenario = random_stream(world.seed, "troubles"), world.scenario
     for event in scenario.trouble:
-        schedule(world, chance, event, draw(chance, event.at_s))
-    count = draw(chance, scenario.random_count)
+        schedule(world, random_source, event, draw(random_source, event.at_s))
+    count = draw(random_source, scenario.random_count)
     for _ in range(int(count) if scenario.random else 0):
         weights = np.array([event.weight for event in scenario.random])
-        event = scenario.random[int(chance.choice(len(weights), p=weights / weights.sum()))]
-        at = draw(chance, event.at_s) or chance.uniform(RANDOM_FROM, RANDOM_TO) * world.seconds
-        end = schedule(world, chance, event, at)
+        event = scenario.random[int(random_source.choice(len(weights), p=weights / weights.sum()))]
+        at = draw(random_source, event.at_s) or random_source.uniform(RANDOM_FROM, RANDOM_TO) * world.seconds
+        end = schedule(world, random_source, event, at)
         for follower in event.then:
-            end = schedule(world, chance, follower, end + draw(chance, follower.at_s))
+            end = schedule(world, random_source, follower, end + draw(random_source, follower.at_s))
 
 
-def schedule(world: World, chance: np.random.Generator, event: Event, at_s: float) -> float:
+def schedule(world: World, random_source: np.random.Generator, event: Event, at_s: float) -> float:
     """Draws one trouble's figures and sets it; returns the second at which it is over."""
-    lasts_s, part = draw(chance, event.lasts_s), draw(chance, event.part)
-    size, extra = draw(chance, event.size), draw(chance, event.extra)
+    lasts_s, part = draw(random_source, event.lasts_s), draw(random_source, event.part)
+    size, extra = draw(random_source, event.size), draw(random_source, event.extra)
     tier = next((n for n, found in enumerate(world.scenario.tier) if found.name == event.tier), 0)
-    stream = np.random.Generator(np.random.PCG64(chance.integers(2**62)))
+    stream = np.random.Generator(np.random.PCG64(random_source.integers(2**62)))
     name = f"{event.kind}{len(world.trouble_records)}"
     world.trouble_records.append(
         TroubleRecord(event.kind, at_s, at_s + lasts_s, f"part {part:.2f}, size {size:.2f}")
--- a/lupinmill/lab/world/troubles/zones.py
+++ b/lupinmill/lab/world/troubles/zones.py
@@ -17,10 +17,10 @@
 def zone_cut(world: World, trouble: Trouble) -> None:
     """All endpoints of one zone fall silent and come back cold."""
     zone = zone_of(world, trouble)
-    there = [e for tier in world.tiers for e in tier if e.shape.zone == zone and e.alive]
+    there = [e for tier in world.tiers for e in tier if e.spec.zone == zone and e.alive]
     for endpoint in there:
-        world.die(endpoint, True)
-        world.timeline.after(trouble.lasts, world.revive, endpoint)
+        world.crash_endpoint(endpoint, True)
+        world.timeline.after(trouble.lasts, world.restart_endpoint, endpoint)
 
 
 def zone_apart(world: World, trouble: Trouble) -> None:
@@ -37,19 +37,19 @@
     """`part` of one zone's endpoints is `size` times slower, reached over `extra` seconds one by one; the
     list says that all is well."""
     zone = zone_of(world, trouble)
-    there = [e for e in world.tiers[trouble.tier] if e.shape.zone == zone and e.alive]
+    there = [e for e in world.tiers[trouble.tier] if e.spec.zone == zone and e.alive]
     count = max(1, round(trouble.part * len(there)))
     chosen = [there[at] for at in trouble.stream.permutation(len(there))[:count]]
     for number, endpoint in enumerate(chosen):
         begins = trouble.extra * SECOND * number / len(chosen)
-        world.timeline.after(begins, endpoint.slow_by, trouble.name, trouble.size)
-        world.timeline.after(trouble.lasts, endpoint.slow_by, trouble.name, 1.0)
+        world.timeline.after(begins, endpoint.set_slowdown, trouble.name, trouble.size)
+        world.timeline.after(trouble.lasts, endpoint.set_slowdown, trouble.name, 1.0)
 
 
 def zone_link(world: World, trouble: Trouble) -> None:
     """All ways to and from one zone take `size` times as long."""
     zone = zone_of(world, trouble)
     for other in world.zones:
-        for way in ((zone, other), (other, zone)):
-            world.network.slower[way] = trouble.size
-            world.timeline.after(trouble.lasts, world.network.slower.pop, way, None)
+        for link in ((zone, other), (other, zone)):
+            world.network.slowdowns[link] = trouble.size
+            world.timeline.after(trouble.lasts, world.network.slowdowns.pop, link, None)
--- a/lupinmill/lab/zones_measure.py
+++ b/lupinmill/lab/zones_measure.py
@@ -11,8 +11,8 @@
 from typing import Any
 
 from lupinmill.lab import commons
-from lupinmill.lab.experiments import interval, nested
-from lupinmill.lab.scenario import check, find, over, raw
+from lupinmill.lab.experiments import confidence_interval, nested_table
+from lupinmill.lab.scenario import check, find, merge_tables, read_tables
 from lupinmill.lab.timeline import SECOND
 from lupinmill.lab.virtual import VirtualRun
 
@@ -35,24 +35,24 @@
 
 
 def run_trial(trial: Trial) -> TrialResult:
-    table = raw(find(trial.scenario))
+    table = read_tables(find(trial.scenario))
     for key, value in trial.changes:
-        table = over(table, nested(table, key, value, trial.scenario))
+        table = merge_tables(table, nested_table(table, key, value, trial.scenario))
     scenario = check(table, trial.scenario)
     run = VirtualRun(scenario, trial.seed, commons=commons.of(trial.mode))
     run.play()
     endpoints = [e for tier in run.world.tiers for e in tier]
-    found = run.measure.figures(scenario.goal, endpoints, 0, 1.0, 1.0)
-    seconds, referee = run.measure.seconds, run.world.referee
+    found = run.metrics.figures(scenario.goal, endpoints, 0, 1.0, 1.0)
+    seconds, rule_checker = run.metrics.seconds, run.world.rule_checker
     figures = {
         "service": found.service,
         "worst 10 s": found.worst_window,
         "crossing": sum(s.crossed for s in seconds) / max(1, sum(s.launches for s in seconds)),
         "denied": sum(s.denied for s in seconds) / max(1, sum(s.tries for s in seconds)),
-        "fallen": float(len(referee.fallen)),
+        "fallen": float(len(rule_checker.collapsed)),
         **{f"service of {name}": part for name, part in found.by_workload.items()},
     }
-    broken = [f"rule {b.rule}, second {b.second}, {b.what}: {b.text}" for b in referee.broken]
+    broken = [f"rule {b.rule}, second {b.second}, {b.what}: {b.text}" for b in rule_checker.broken]
     if isinstance(run.commons, commons.Together):
         figures |= run.commons.figures()
         cuts = [record for record in run.world.trouble_records if record.kind == "zone_cut"]
@@ -105,7 +105,7 @@
                 parts = []
                 for key in COMPARED_FIGURES:
                     pairs = [b.figures[key] - a.figures[key] for a, b in zip(found[mode], found["plan"])]
-                    mean_difference, low, high = interval(pairs)
+                    mean_difference, low, high = confidence_interval(pairs)
                     marker = "*" if low > 0 or high < 0 else ""
                     parts.append(f"{key} {mean_difference:+.3f} ({low:+.3f} to {high:+.3f}){marker}")
                 echo(f"plan less {mode}, {len(seeds)} pairs: " + "  ".join(parts))
--- a/lupinmill/lab/zones_sockets.py
+++ b/lupinmill/lab/zones_sockets.py
@@ -24,7 +24,7 @@
 from lupinmill.lab.fleet_streams import LOOK_AT_CUT, PIECE, Way
 from lupinmill.lab.processes import Process, call_operator, last_lines
 from lupinmill.lab.registry import Entry
-from lupinmill.lab.scenario import Scenario, check, find, over, raw
+from lupinmill.lab.scenario import Scenario, check, find, merge_tables, read_tables
 from lupinmill.lab.sockets import SocketRun
 from lupinmill.lab.timeline import SECOND
 
@@ -160,7 +160,7 @@
         process = await super().make_process(name, tier)
         process.environ = {"BALANCER_OPERATOR_FILE": str(self.folder / f"{name}.toml")}
         for endpoint in (e for tier_ in self.world.tiers for e in tier_):
-            await self.open_proxy(name, endpoint.shape.name, endpoint.shape.zone)
+            await self.open_proxy(name, endpoint.spec.name, endpoint.spec.zone)
         return process
 
     async def open_proxy(self, sidecar: str, endpoint: str, zone: str) -> None:
@@ -214,11 +214,11 @@
     for their effects."""
 
     def __init__(self, title: str, seed: int, extra_config: str = "", **changes: Any) -> None:
-        table = over(raw(find("zones-calm")), {"title": title, "seconds": 900.0, **changes})
+        table = merge_tables(read_tables(find("zones-calm")), {"title": title, "seconds": 900.0, **changes})
         self.run = ZoneRun(check(table, title), seed, extra_config)
-        self.run.world.referee.grace += EXTRA_TIME
-        self.run.world.referee.drain_grace += EXTRA_TIME
-        self.run.world.referee.slack = EXTRA_TIME
+        self.run.world.rule_checker.grace += EXTRA_TIME
+        self.run.world.rule_checker.drain_grace += EXTRA_TIME
+        self.run.world.rule_checker.slack = EXTRA_TIME
         self.seed = seed
         self.paused: dict[str, None] = {}
 
@@ -318,20 +318,20 @@
     async def count_attempts(self, seconds: float = 2.0) -> dict[tuple[str, str], int]:
         """Attempts that start at endpoints within some seconds, by the zones of the sidecar and the
         endpoint."""
-        referee, found = self.run.world.referee, {}
+        rule_checker, found = self.run.world.rule_checker, {}
         seen: dict[tuple[str, str], int] = {}
-        sent = referee.sent
+        sent = rule_checker.sent
 
         def watched(now: int, request_id: str, endpoint: Any, sidecar: str) -> Any:
-            key = (self.run.net.zone_of[sidecar], endpoint.shape.zone)
+            key = (self.run.net.zone_of[sidecar], endpoint.spec.zone)
             seen[key] = seen.get(key, 0) + 1
             return sent(now, request_id, endpoint, sidecar)
 
-        referee.sent = watched  # type: ignore[method-assign]
+        rule_checker.sent = watched  # type: ignore[method-assign]
         try:
             await asyncio.sleep(seconds)
         finally:
-            referee.sent = sent  # type: ignore[method-assign]
+            rule_checker.sent = sent  # type: ignore[method-assign]
         found.update(seen)
         return found
 
@@ -356,14 +356,12 @@
 
     def fail_zone(self, zone: str) -> None:
         """All endpoints of the zone stop responding; the endpoint list does not show it for a while."""
-        for endpoint in [
-            e for tier in self.run.world.tiers for e in tier if e.shape.zone == zone and e.alive
-        ]:
-            self.run.act(self.run.world.die, endpoint, True)
+        for endpoint in [e for tier in self.run.world.tiers for e in tier if e.spec.zone == zone and e.alive]:
+            self.run.act(self.run.world.crash_endpoint, endpoint, True)
 
     def revive_zone(self, zone: str) -> None:
-        for endpoint in [e for tier in self.run.world.tiers for e in tier if e.shape.zone == zone]:
-            self.run.act(self.run.world.revive, endpoint)
+        for endpoint in [e for tier in self.run.world.tiers for e in tier if e.spec.zone == zone]:
+            self.run.act(self.run.world.restart_endpoint, endpoint)
 
     def set_partition(self, zone: str, active: bool, directions: tuple[bool, bool] = (True, True)) -> None:
         """Blocks the traffic between a zone and the others, or lets it pass again. `directions`: out of it,
@@ -376,7 +374,7 @@
         """Fails if a rule was broken, an epoch was taken twice or a process crashed."""
         broken = [
             (b.rule, b.second, b.what, b.text)
-            for b in self.run.world.referee.broken
+            for b in self.run.world.rule_checker.broken
             if not ("hard limit" in b.text and self.sidecar_of(b.what) in self.paused)
         ]
         crashes = [crash for process in self.run.fronts for crash in process.crashes]
--- a/tests/test_lab_model.py
+++ b/tests/test_lab_model.py
@@ -9,23 +9,23 @@
 import pytest
 
 from lupinmill import terms as t
-from lupinmill.lab.endpoint import Endpoint, Job, Shape
-from lupinmill.lab.referee import Referee
-from lupinmill.lab.registry import Entry, Registry, gone
+from lupinmill.lab.endpoint import Endpoint, Job, EndpointSpec
+from lupinmill.lab.rule_checker import RuleChecker
+from lupinmill.lab.registry import Entry, Registry, as_gone
 from lupinmill.lab.timeline import SECOND, Timeline
 
 VIEW = t.Workload("view", SECOND, 2 * SECOND)
 BID = t.Workload("bid", SECOND, 3 * SECOND, repeat=t.RepeatPolicy.DEDUPLICATED, window=2 * SECOND)
-SHAPE = Shape("e1", 0, cores=1, slots=1, queue=10**9)
+SPEC = EndpointSpec("e1", 0, cores=1, slots=1, queue=10**9)
 
 
 class Stand:
     """One endpoint on a timeline of its own; `ended` holds what was answered, by submission."""
 
-    def __init__(self, shape: Shape = SHAPE, started: int = 0, seed: int = 1) -> None:
+    def __init__(self, spec: EndpointSpec = SPEC, started: int = 0, seed: int = 1) -> None:
         self.timeline = Timeline(SECOND)
-        self.referee = Referee(SECOND, [VIEW, BID], 0, 0, (3.0, 2 * SECOND), True)
-        self.endpoint = Endpoint(shape, self.timeline, np.random.default_rng(seed), self.referee, started)
+        self.rule_checker = RuleChecker(SECOND, [VIEW, BID], 0, 0, (3.0, 2 * SECOND), True)
+        self.endpoint = Endpoint(spec, self.timeline, np.random.default_rng(seed), self.rule_checker, started)
         self.ended: dict[str, tuple[t.Outcome, int, t.LoadReport | None]] = {}
         self.jobs: dict[str, Job] = {}
 
@@ -51,11 +51,11 @@
 
 def mean_wait(cores: int, load: float, jobs: int, shared: bool = False) -> float:
     """Mean time beyond the work itself, of exponential work of 10 ms arriving at random."""
-    shape = replace(SHAPE, cores=cores, slots=10**9 if shared else cores)
-    stand, chance = Stand(shape), np.random.default_rng(3)
+    spec = replace(SPEC, cores=cores, slots=10**9 if shared else cores)
+    stand, random_source = Stand(spec), np.random.default_rng(3)
     arrived: dict[str, int] = {}
-    works: list[float] = list(chance.exponential(0.01, jobs))
-    gaps = chance.exponential(0.01 / cores / load, jobs)
+    works: list[float] = list(random_source.exponential(0.01, jobs))
+    gaps = random_source.exponential(0.01 / cores / load, jobs)
 
     def arrive(at: int) -> None:
         arrived[str(at)] = stand.timeline.now
@@ -89,7 +89,7 @@
 
 
 def test_two_on_one_core_take_twice_as_long_and_one_alone_its_work() -> None:
-    stand = Stand(replace(SHAPE, slots=4))
+    stand = Stand(replace(SPEC, slots=4))
     stand.send("a", 0.1)
     stand.send("b", 0.1)
     stand.run(0.3)
@@ -97,7 +97,7 @@
 
 
 def test_beyond_slots_and_queue_it_turns_away_unseen() -> None:
-    stand = Stand(replace(SHAPE, queue=1))
+    stand = Stand(replace(SPEC, queue=1))
     for name in "abc":
         stand.send(name, 0.1)
     assert stand.how("c") is t.Outcome.REFUSED and stand.how("a") is None
@@ -106,7 +106,7 @@
 
 
 def test_a_crash_resets_all_it_held_and_comes_back_cold() -> None:
-    stand = Stand(replace(SHAPE, cold_from=0.5, cold_s=4.0))
+    stand = Stand(replace(SPEC, cold_from=0.5, cold_s=4.0))
     stand.send("a", 0.2)
     stand.send("b", 0.2)
     stand.endpoint.crash()
@@ -114,7 +114,7 @@
     stand.send("late", 0.1)
     stand.run(1)
     assert stand.how("late") is None
-    stand.endpoint.come_back()
+    stand.endpoint.restart()
     assert stand.endpoint.warmth() == pytest.approx(0.5)
     stand.run(2)
     assert stand.endpoint.warmth() == pytest.approx(0.75)
@@ -132,7 +132,7 @@
 
 def test_warm_sooner_by_work_done() -> None:
     by_time, by_work = (
-        Stand(replace(SHAPE, cold_from=0.5, cold_s=10.0, warm_by_work=by), started=SECOND)
+        Stand(replace(SPEC, cold_from=0.5, cold_s=10.0, warm_by_work=by), started=SECOND)
         for by in (False, True)
     )
     for stand in (by_time, by_work):
@@ -143,7 +143,7 @@
 
 
 def test_a_hang_takes_work_and_goes_on_afterwards() -> None:
-    stand = Stand(replace(SHAPE, slots=2))
+    stand = Stand(replace(SPEC, slots=2))
     stand.endpoint.hang(True)
     stand.send("a", 0.1)
     stand.run(3)
@@ -156,11 +156,11 @@
 @pytest.mark.parametrize(
     "change, expected",
     [
-        (lambda e: e.slow_by("x", 4.0), 0.4),
-        (lambda e: e.take(0.5), 0.2),
+        (lambda e: e.set_slowdown("x", 4.0), 0.4),
+        (lambda e: e.set_stolen_share(0.5), 0.2),
         (lambda e: None, 0.1),
-        (lambda e: (e.slow_by("x", 2.0), e.slow_by("y", 3.0)), 0.6),
-        (lambda e: (e.slow_by("x", 2.0), e.slow_by("x", 1.0)), 0.1),
+        (lambda e: (e.set_slowdown("x", 2.0), e.set_slowdown("y", 3.0)), 0.6),
+        (lambda e: (e.set_slowdown("x", 2.0), e.set_slowdown("x", 1.0)), 0.1),
     ],
 )
 def test_slow_ones_and_neighbours_take_longer(change, expected: float) -> None:
@@ -193,7 +193,7 @@
 
 
 def test_a_jam_comes_of_a_deep_queue_and_ends_when_idle() -> None:
-    stand = Stand(replace(SHAPE, slots=4, queue=100, jam=(5.0, 1.0, 3.0, 1.0, 0.3, 60.0)))
+    stand = Stand(replace(SPEC, slots=4, queue=100, jam=(5.0, 1.0, 3.0, 1.0, 0.3, 60.0)))
     for at in range(40):
         stand.send(str(at), 0.1)
     stand.run(1.5)
@@ -206,7 +206,7 @@
 
 
 def test_a_jam_that_goes_on_being_fed_stays_until_its_longest_time() -> None:
-    stand = Stand(replace(SHAPE, slots=4, queue=20, jam=(5.0, 1.0, 3.0, 1.0, 0.3, 12.0)))
+    stand = Stand(replace(SPEC, slots=4, queue=20, jam=(5.0, 1.0, 3.0, 1.0, 0.3, 12.0)))
 
     def feed(at: int) -> None:
         stand.send(str(at), 0.1)
@@ -222,17 +222,17 @@
 
 
 def test_crowding_costs_capacity() -> None:
-    stand = Stand(replace(SHAPE, slots=100, crowding=1.0, crowding_at=10.0))
+    stand = Stand(replace(SPEC, slots=100, crowding=1.0, crowding_at=10.0))
     for at in range(20):
         stand.send(str(at), 0.1)
     assert stand.endpoint.efficiency() == pytest.approx(0.5)
 
 
 def test_a_cold_one_under_too_much_falls_over_and_stays_down() -> None:
-    stand = Stand(replace(SHAPE, slots=4, cold_from=0.2, cold_s=100.0), started=SECOND)
+    stand = Stand(replace(SPEC, slots=4, cold_from=0.2, cold_s=100.0), started=SECOND)
     for at in range(30):
         stand.send(str(at), 0.1)
-    assert stand.endpoint.fallen and stand.referee.counts[4] == 1
+    assert stand.endpoint.collapsed and stand.rule_checker.counts[4] == 1
     stand.run(60)
     stand.send("after", 0.1)
     assert stand.how("after") is t.Outcome.REFUSED
@@ -242,7 +242,7 @@
     stand = Stand()
     for at in range(200):
         stand.send(str(at), 0.1)
-    assert not stand.endpoint.fallen
+    assert not stand.endpoint.collapsed
 
 
 @pytest.mark.parametrize(
@@ -250,7 +250,7 @@
     [("none", True, True), ("queued", False, True), ("all", False, False)],
 )
 def test_what_a_cancel_stops_depends_on_the_kind(cancel: str, waiting_runs: bool, running_runs: bool) -> None:
-    stand = Stand(replace(SHAPE, cancel=cancel))
+    stand = Stand(replace(SPEC, cancel=cancel))
     running, waiting = stand.send("running", 0.1), stand.send("waiting", 0.1)
     stand.send("behind", 0.1)
     stand.run(0.05)
@@ -271,7 +271,7 @@
     stand.run(2)
     assert stand.send("c", 0.1, "bid", key="k").work == 0.1
     elsewhere = Endpoint(
-        replace(SHAPE, name="e2", cell=7), stand.timeline, np.random.default_rng(1), stand.referee
+        replace(SPEC, name="e2", cell=7), stand.timeline, np.random.default_rng(1), stand.rule_checker
     )
     job = Job("d", "k", "bid", 0.1, 0, lambda how, load: None)
     elsewhere.receive(job)
@@ -281,7 +281,7 @@
 def test_calls_hold_the_slot_and_a_failed_one_fails_the_job() -> None:
     stand = Stand()
     calls: list = []
-    stand.endpoint.caller = lambda job, done: calls.append(done) or "call"
+    stand.endpoint.make_call = lambda job, done: calls.append(done) or "call"
     stand.send("a", 0.2, calls=1)
     stand.send("b", 0.2, calls=1)
     stand.run(0.5)
@@ -294,10 +294,10 @@
 
 
 def test_reports_are_refreshed_delayed_and_only_of_the_told_fields() -> None:
-    shape = replace(
-        SHAPE, slots=1, report_how="answers", report_fields=("queued",), report_s=0.1, report_delay_s=0.5
+    spec = replace(
+        SPEC, slots=1, report_how="answers", report_fields=("queued",), report_s=0.1, report_delay_s=0.5
     )
-    stand = Stand(shape)
+    stand = Stand(spec)
     for at in range(5):
         stand.send(str(at), 10.0)
     stand.run(0.3)
@@ -316,11 +316,11 @@
 
 
 def test_connections_are_counted_by_life() -> None:
-    stand = Stand(replace(SHAPE, most_connections=1))
+    stand = Stand(replace(SPEC, most_connections=1))
     assert stand.endpoint.connect() and not stand.endpoint.connect()
     epoch = stand.endpoint.epoch
     stand.endpoint.crash()
-    stand.endpoint.come_back()
+    stand.endpoint.restart()
     assert stand.endpoint.connect()
     stand.endpoint.disconnect(epoch)  # of the past life
     assert not stand.endpoint.connect()
@@ -331,9 +331,9 @@
 
 def registry(timeline: Timeline) -> tuple[Registry, list]:
     found = Registry(timeline, np.random.default_rng(1), lambda: 2.0, lambda: 8.0, lambda: 1.0)
-    found.enlist(Entry("e1", "a", "k", 0, t.EndpointStatus.READY, 0))
+    found.add_initial(Entry("e1", "a", "k", 0, t.EndpointStatus.READY, 0))
     heard: list = []
-    found.listen(
+    found.subscribe(
         "s",
         lambda index, entry: heard.append((timeline.now / SECOND, entry.name, entry.state)),
         lambda: heard.append("broke"),
@@ -344,13 +344,13 @@
 def test_the_list_comes_late_later_when_behind_and_the_newest_wins() -> None:
     timeline = Timeline(0)
     found, heard = registry(timeline)
-    found.learn(gone(found.entries["e1"]), "gone")
+    found.publish_later(as_gone(found.entries["e1"]), "gone")
     timeline.run_until(2 * SECOND)
     assert heard == [(2.0, "e1", t.EndpointStatus.GONE)]
-    found.behind = 5.0
+    found.extra_delay_s = 5.0
     entry = Entry("e1", "a", "k", 0, t.EndpointStatus.READY, 3 * SECOND)
-    found.learn(gone(entry), "silent")  # published after 13 s, unless something newer comes
-    found.learn(entry, "add")
+    found.publish_later(as_gone(entry), "silent")  # published after 13 s, unless something newer comes
+    found.publish_later(entry, "add")
     timeline.run_until(30 * SECOND)
     assert heard[1:] == [(8.0, "e1", t.EndpointStatus.READY)]
 
@@ -360,7 +360,7 @@
     found, _ = registry(timeline)
     known = found.index
     for at in range(5):
-        found.learn(Entry(f"n{at}", "a", "k", 0, t.EndpointStatus.READY, 0), "add")
+        found.publish_later(Entry(f"n{at}", "a", "k", 0, t.EndpointStatus.READY, 0), "add")
     timeline.run_until(3 * SECOND)
     whole, entries = found.since(known)
     assert not whole and [entry.name for entry in entries] == [f"n{at}" for at in range(5)]
@@ -373,8 +373,8 @@
     timeline = Timeline(0)
     found, heard = registry(timeline)
     found.go_down(silently=False)
-    found.learn(gone(found.entries["e1"]), "gone")
+    found.publish_later(as_gone(found.entries["e1"]), "gone")
     timeline.run_until(3 * SECOND)
     assert heard == ["broke"] and found.entries == {}
     found.come_up()
-    assert found.since(1) == (False, [gone(Entry("e1", "a", "k", 0, t.EndpointStatus.READY, 0))])
+    assert found.since(1) == (False, [as_gone(Entry("e1", "a", "k", 0, t.EndpointStatus.READY, 0))])
--- a/tests/test_lab_runs.py
+++ b/tests/test_lab_runs.py
@@ -23,8 +23,8 @@
 
 def table(**more) -> dict:
     """A short day: two sidecars, six endpoints."""
-    base = scenario.raw(scenario.find("calm"))
-    return scenario.over(base, {"seconds": 8, "tier": [{"name": "endpoints", "count": 6}], **more})
+    base = scenario.read_tables(scenario.find("calm"))
+    return scenario.merge_tables(base, {"seconds": 8, "tier": [{"name": "endpoints", "count": 6}], **more})
 
 
 def read(**more) -> scenario.Scenario:
@@ -47,9 +47,9 @@
 class Forgets(policies.FewestInFlight):
     """Rule 1: each tenth submission gets no answer."""
 
-    def launch(self, name: str) -> None:
+    def start_attempt(self, name: str) -> None:
         if int(name[1:].split(".")[0]) % 10:
-            super().launch(name)
+            super().start_attempt(name)
 
 
 class AnswersTwice(policies.FewestInFlight):
@@ -71,26 +71,26 @@
 class LaunchesAgain(policies.FewestInFlight):
     """Rule 2: takes every workload for idempotent."""
 
-    def allowed(self, s: policies.Open) -> list[str]:
+    def allowed_endpoints(self, s: policies.OpenRequest) -> list[str]:
         return self.ready
 
 
 class DeniesAll(policies.FewestInFlight):
     """Rule 2: denies what may have run."""
 
-    def maybe(self, s: policies.Open) -> list[int]:
+    def possibly_executed(self, s: policies.OpenRequest) -> list[int]:
         return []
 
-    def allowed(self, s: policies.Open) -> list[str]:
-        return super().allowed(s) if not s.endpoints else []
+    def allowed_endpoints(self, s: policies.OpenRequest) -> list[str]:
+        return super().allowed_endpoints(s) if not s.endpoints else []
 
 
 class IgnoresDrains(policies.FewestInFlight):
     """Rule 3: goes on sending to what drains or is gone."""
 
-    def listed(self, event: t.ListReceived) -> None:
+    def update_list(self, event: t.ListReceived) -> None:
         before = list(self.ready)
-        super().listed(event)
+        super().update_list(event)
         self.ready = sorted(set(before) | set(self.ready))
         for name in self.ready:
             self.entries.setdefault(name, t.ListEntry(name, t.EndpointStatus.READY))
@@ -99,7 +99,7 @@
 class PushesOver(policies.Baseline):
     """Rule 4: all to the endpoint that started last."""
 
-    def warm_enough(self, name: str) -> bool:
+    def passes_slow_start(self, name: str) -> bool:
         return True
 
     def choose(self, names: list[str]) -> str:
@@ -131,7 +131,7 @@
     assert found.rules[rule] > 0
     first = next(b for b in found.broken if b.rule == int(rule))
     assert first.what and 0 <= first.second <= found.simulated_s
-    assert not found.kept()
+    assert not found.rules_kept()
 
 
 @pytest.mark.parametrize("policy", list(policies.POLICIES))
@@ -154,7 +154,9 @@
 @pytest.mark.parametrize("seed", range(1, 7))
 def test_random_days_break_no_rule(seed: int) -> None:
     found = experiments.play(
-        scenario.check(scenario.over(scenario.raw(scenario.find("random-day")), {"seconds": 25}), "test"),
+        scenario.check(
+            scenario.merge_tables(scenario.read_tables(scenario.find("random-day")), {"seconds": 25}), "test"
+        ),
         "random-day",
         seed,
     )
@@ -216,7 +218,10 @@
 def test_two_tiers_call_through_sidecars_of_their_own() -> None:
     found = experiments.play(
         scenario.check(
-            scenario.over(scenario.raw(scenario.find("two-tiers")), {"seconds": 10, "trouble": []}), "test"
+            scenario.merge_tables(
+                scenario.read_tables(scenario.find("two-tiers")), {"seconds": 10, "trouble": []}
+            ),
+            "test",
         ),
         "x",
         1,
@@ -267,9 +272,9 @@
         check=True,
         env={"PYTHONHASHSEED": "77", "PYTHONPATH": str(root), "PATH": "/usr/bin:/bin"},
     )
-    mine = [hashlib.sha256(result.same(day())).hexdigest() for _ in range(2)]
+    mine = [hashlib.sha256(result.comparable_bytes(day())).hexdigest() for _ in range(2)]
     assert mine[0] == mine[1] == other.stdout.strip()
-    assert result.same(play(6, seconds=6)) != result.same(play(7, seconds=6))
+    assert result.comparable_bytes(play(6, seconds=6)) != result.comparable_bytes(play(7, seconds=6))
 
 
 def test_arrivals_are_the_same_whatever_the_policy() -> None:
@@ -287,7 +292,7 @@
     assert again.same and again.steps == found.steps
     assert told[0].startswith("step 20 ") and any("note" in line or "order" in line for line in told[1:])
     named: list[str] = []
-    replay.replay(found, named.append, submission="w3.1")
+    replay.replay(found, named.append, request_id="w3.1")
     assert sum("RequestArrived(request='w3.1'" in line for line in named) == 1
     found.digests[3] = "0" * 16
     assert replay.replay(found, told.append).differs_at == 3
@@ -358,9 +363,9 @@
 
 
 def test_an_interval_is_students_and_one_value_has_none() -> None:
-    mean, low, high = experiments.interval([1.0, 2.0, 3.0, 4.0])
+    mean, low, high = experiments.confidence_interval([1.0, 2.0, 3.0, 4.0])
     assert mean == 2.5 and (high - mean) == pytest.approx(2.0541, abs=1e-3) and low == pytest.approx(5 - high)
-    assert experiments.interval([1.0])[1:] == (float("-inf"), float("inf"))
+    assert experiments.confidence_interval([1.0])[1:] == (float("-inf"), float("inf"))
 
 
 def test_an_earlier_version_of_the_module_plays_under_todays_lab() -> None:
--- a/tests/test_lab_scenario.py
+++ b/tests/test_lab_scenario.py
@@ -13,7 +13,7 @@
 from lupinmill.lab.experiments import Variant, grid, variant
 from lupinmill.lab.scenario import BadScenario
 from lupinmill.lab.timeline import SECOND, Timeline
-from lupinmill.lab.world import World, chance_for, draw
+from lupinmill.lab.world import World, random_stream, draw
 from lupinmill.lab.world.troubles.plan import KINDS, plan
 
 
@@ -116,7 +116,7 @@
         plan(world, world.driver)
     assert 0.4 <= one.rate / one.capacity() <= 0.6 + 1e-9
     assert 2 <= len(one.trouble_records) <= 4
-    assert [(e.shape, e.started) for e in one.tiers[0]] == [(e.shape, e.started) for e in two.tiers[0]]
+    assert [(e.spec, e.started) for e in one.tiers[0]] == [(e.spec, e.started) for e in two.tiers[0]]
     assert one.trouble_records == two.trouble_records
 
 
@@ -125,8 +125,8 @@
 
 
 def test_draws_over_a_wide_range_count_each_part_of_the_scale_alike() -> None:
-    chance = chance_for(5, "x")
-    drawn = sorted(draw(chance, (0.01, 1.0)) for _ in range(2001))
+    random_source = random_stream(5, "x")
+    drawn = sorted(draw(random_source, (0.01, 1.0)) for _ in range(2001))
     assert 0.05 < drawn[1000] < 0.2 and 0.01 <= drawn[0] and drawn[-1] <= 1.0
 
 
--- a/tests/test_lab_sockets.py
+++ b/tests/test_lab_sockets.py
@@ -27,8 +27,8 @@
 
 def short(**more) -> Scenario:
     base = {"seconds": 4, "load": {"rate": 15}, "tier": [{"name": "endpoints", "count": 4}]}
-    table = scenario.over(scenario.raw(scenario.find("calm")), base)
-    return scenario.check(scenario.over(table, {"sidecars": {"count": 1}, **more}), "test")
+    table = scenario.merge_tables(scenario.read_tables(scenario.find("calm")), base)
+    return scenario.check(scenario.merge_tables(table, {"sidecars": {"count": 1}, **more}), "test")
 
 
 def told(pids: list[int]) -> list[int]:
@@ -65,8 +65,8 @@
 
 
 def test_two_tiers_on_sockets_call_through_processes_of_their_own() -> None:
-    table = scenario.over(
-        scenario.raw(scenario.find("two-tiers")),
+    table = scenario.merge_tables(
+        scenario.read_tables(scenario.find("two-tiers")),
         {
             "seconds": 3, "trouble": [], "load": {"rate": 8}, "sidecars": {"count": 1},
             "tier": [{"name": "front", "count": 2}],
@@ -75,7 +75,7 @@
     run = SocketRun(scenario.check(table, "test"), 1)
     run.play()
     assert len(run.inner.processes) == 2 and run.inner.serial > 10  # calls of the inner tier
-    assert sum(second.handled for second in run.measure.seconds) > 5
+    assert sum(second.handled for second in run.metrics.seconds) > 5
     assert run.crashes == []
 
 
@@ -109,7 +109,7 @@
 def test_a_machine_too_slow_voids_the_run() -> None:
     """Seen: a pause of the core went unseen where an answer, not the pump, came first after it."""
     run = SocketRun(short(load={"rate": 100}), 1)
-    run.tick = lambda second, measure: time.sleep(0.4)  # as if its core were taken
+    run.tick = lambda second, metrics: time.sleep(0.4)  # as if its core were taken
     run.play()
     assert run.void.startswith("this machine is too slow")
 
