--- a/lupinmill/lab/world/__init__.py
+++ b/lupinmill/lab/world/__init__.py
@@ -1,8 +1,9 @@
-"""The simulated site: what a scenario and a seed draw, and the troubles on its timeline.
+"""The simulated site, as drawn from a scenario and a seed, and the troubles that are injected into it.
 
-`site` holds the endpoints, the lists of discovery and the load; `machines` draws the endpoints' figures;
-`request_class` the classes of requests; `network` the ways between zones; `configuration` writes what
-sidecars are configured with; `troubles` plans and carries out what goes wrong.
+`site` holds the endpoints, the discovery registries and the load; `machines` draws the parameters of the
+endpoints; `request_class` those of the classes of requests; `network` simulates the links between zones;
+`configuration` builds the settings of sidecars; `troubles` schedules and injects faults; `random_streams`
+seeds all random draws.
 """
 
 from lupinmill.lab.world.random_streams import draw, random_stream
--- a/lupinmill/lab/world/configuration.py
+++ b/lupinmill/lab/world/configuration.py
@@ -1,4 +1,4 @@
-"""What the platform configures a sidecar of the site with: the protocol's settings, as nested JSON."""
+"""Builds the settings that the platform passes to a sidecar of the site, as nested JSON."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 def sidecar_settings(
     scenario: Scenario, quotas: dict[str, float], tier: int, instances: int
 ) -> dict[str, Any]:
-    """All settings of a sidecar that sends to `tier`, one of so many instances."""
+    """Returns all settings of a sidecar that sends to `tier`; `instances` sidecars share that tier."""
     s, report = scenario, scenario.tier[tier].report
     return {
         "tier": tier,
@@ -35,7 +35,7 @@
 
 
 def blend(scenario: Scenario) -> dict[str, float]:
-    """What the site's goal is made of."""
+    """Returns the weights of the parts of the site's goal."""
     goal = scenario.goal
     return {
         "whole": goal.whole,
@@ -47,7 +47,7 @@
 
 
 def workloads(scenario: Scenario) -> list[dict[str, Any]]:
-    """The classes of requests, with their terms."""
+    """Returns the terms of each workload."""
     return [
         {
             "name": one.name,
@@ -64,7 +64,7 @@
 
 
 def limits(scenario: Scenario, tier: Tier) -> dict[str, Any]:
-    """What a sidecar may do."""
+    """Returns which actions a sidecar may take, and their limits."""
     allowed = scenario.limits
     return {
         "most-launches": allowed.launches,
@@ -79,7 +79,8 @@
 
 
 def invariants(scenario: Scenario, tier: Tier) -> dict[str, float]:
-    """The rules that a sidecar must keep; the slowest start that any kind of the tier may draw counts."""
+    """Returns the rules that a sidecar must keep. The cold start settings are the worst case over the ranges
+    of all kinds in the tier."""
     rules = scenario.rules
     return {
         "ask-within-s": rules.ask_within_s,
@@ -92,5 +93,5 @@
 
 
 def bound(span: Range, end: int) -> float:
-    """The lower (0) or upper (1) end of a range; a figure by itself is both."""
+    """Returns the lower (`end` 0) or upper (1) bound of a range; for a fixed value both are the value."""
     return span if isinstance(span, (int, float)) else span[end]
--- a/lupinmill/lab/world/machines.py
+++ b/lupinmill/lab/world/machines.py
@@ -1,4 +1,4 @@
-"""Draws the figures of a tier's endpoints: what all have in common, what each kind has, what one has."""
+"""Draws the parameters of a tier's endpoints, in three levels: tier, kind of machine, single machine."""
 
 from __future__ import annotations
 
@@ -11,44 +11,45 @@
 from lupinmill.lab.scenario import Jam, Kind, Tier
 from lupinmill.lab.world.random_streams import draw
 
-T = TypeVar("T")
-SLOWEST = 0.3  # of its kind's speed: the least that one machine has
+Choice = TypeVar("Choice")
+MIN_SPEED_FACTOR = 0.3  # lower bound of a machine's speed, as a multiple of its kind's mean speed
 
 
 @dataclass(frozen=True)
-class TierFigures:
-    """What all endpoints of a tier have in common."""
+class TierParameters:
+    """Parameters that all endpoints of a tier share."""
 
     spec: EndpointSpec
     connections_per_core: float
 
 
 @dataclass(frozen=True)
-class KindFigures:
-    """What all endpoints of one kind have in common; `shape.speed` is their mean."""
+class KindParameters:
+    """Parameters that all endpoints of one kind share; `spec.speed` is their mean speed."""
 
     spec: EndpointSpec
     speed_cv: float
 
 
-def spread(choices: list[T], shares: list[float], count: int) -> list[T]:
-    """So many of the choices, each by its share and spread evenly over the numbers."""
-    total, given = sum(shares), [0] * len(shares)
+def spread_evenly(choices: list[Choice], shares: list[float], count: int) -> list[Choice]:
+    """Returns `count` items, each choice as often as its share says, interleaved evenly."""
+    total, assigned = sum(shares), [0] * len(shares)
     found = []
     for number in range(1, count + 1):
-        at = max(range(len(shares)), key=lambda k: shares[k] / total * number - given[k])
-        given[at] += 1
+        at = max(range(len(shares)), key=lambda k: shares[k] / total * number - assigned[k])
+        assigned[at] += 1
         found.append(choices[at])
     return found
 
 
-def kinds_of(tier: Tier, count: int, random_source: np.random.Generator) -> list[Kind]:
-    """The kind of each of a tier's endpoints."""
-    return spread(tier.kind, [draw(random_source, kind.share) for kind in tier.kind], count)
+def draw_kinds(tier: Tier, count: int, random_source: np.random.Generator) -> list[Kind]:
+    """Returns the kind of each endpoint of a tier."""
+    return spread_evenly(tier.kind, [draw(random_source, kind.share) for kind in tier.kind], count)
 
 
-def tier_figures(at: int, tier: Tier, random_source: np.random.Generator) -> TierFigures:
-    """Draws what a tier's endpoints have in common; the order of the draws is part of what a seed means."""
+def draw_tier_parameters(at: int, tier: Tier, random_source: np.random.Generator) -> TierParameters:
+    """Draws the parameters that a tier's endpoints share. The order of the draws must not change: results are
+    reproducible by seed."""
     report, connections = tier.report, tier.connections
     spec = EndpointSpec(
         name="",
@@ -66,11 +67,11 @@
         connect_limit_s=connections.time_out_ms / 1000,
     )
     per_core = draw(random_source, connections.most_per_core)
-    return TierFigures(replace(spec, jam=jam_figures(tier.jam, random_source)), per_core)
+    return TierParameters(replace(spec, jam=draw_jam_parameters(tier.jam, random_source)), per_core)
 
 
-def jam_figures(jam: Jam | None, random_source: np.random.Generator) -> tuple[float, ...] | None:
-    """How a deep queue slows the endpoints, where it does with this seed."""
+def draw_jam_parameters(jam: Jam | None, random_source: np.random.Generator) -> tuple[float, ...] | None:
+    """Draws how a deep queue slows the endpoints down; None if jams do not occur with this seed."""
     if jam is None or random_source.random() >= draw(random_source, jam.share):
         return None
     spans = (jam.at, jam.over_s, jam.slower, jam.rest_s, jam.below, jam.most_s)
@@ -78,8 +79,10 @@
     return figures if figures[2] > 1 else None
 
 
-def kind_figures(tier: TierFigures, kind: Kind, random_source: np.random.Generator) -> KindFigures:
-    """Draws what one kind's endpoints have in common."""
+def draw_kind_parameters(
+    tier: TierParameters, kind: Kind, random_source: np.random.Generator
+) -> KindParameters:
+    """Draws the parameters that the endpoints of one kind share."""
     speed, speed_cv = draw(random_source, kind.speed), draw(random_source, kind.speed_cv)
     spec = replace(
         tier.spec,
@@ -100,12 +103,12 @@
         drops_expired=kind.drops_expired,
         most_connections=round(tier.connections_per_core * kind.cores),
     )
-    return KindFigures(spec, speed_cv)
+    return KindParameters(spec, speed_cv)
 
 
-def machine(
-    kind: KindFigures, name: str, zone: str, cell: int, random_source: np.random.Generator
+def draw_machine(
+    kind: KindParameters, name: str, zone: str, cell: int, random_source: np.random.Generator
 ) -> EndpointSpec:
-    """One endpoint, with a speed of its own."""
-    factor = max(SLOWEST, 1 + kind.speed_cv * float(random_source.standard_normal()))
+    """Draws the speed of one machine around the mean of its kind."""
+    factor = max(MIN_SPEED_FACTOR, 1 + kind.speed_cv * float(random_source.standard_normal()))
     return replace(kind.spec, name=name, zone=zone, cell=cell, speed=kind.spec.speed * factor)
--- a/lupinmill/lab/world/network.py
+++ b/lupinmill/lab/world/network.py
@@ -1,4 +1,4 @@
-"""The network of the site: how long a message takes between zones, and which ways are cut."""
+"""The simulated network: message delays between zones, and links that are cut."""
 
 from __future__ import annotations
 
@@ -10,7 +10,8 @@
 
 
 class Network:
-    """Delays are in microseconds, one way. `chance` draws the means of the site; `seed` gives the delays."""
+    """Delays are one-way, in microseconds. The mean delays are drawn from `random_source`; the delay of each
+    message comes from a stream of its own, derived from `seed`."""
 
     def __init__(self, net: Net, seed: int, random_source: np.random.Generator) -> None:
         self.zones = net.zones
@@ -20,21 +21,21 @@
         self.client_delay = draw(random_source, net.client_ms) * MS
         self.jitter = draw(random_source, net.jitter)
         self.random_source = random_stream(seed, "net")
-        self.blocked_links: dict[
-            tuple[str, str], int
-        ] = {}  # from zone, to zone: how many troubles block it now
-        self.slowdowns: dict[tuple[str, str], float] = {}  # how many times longer a way between zones takes
+        # (from zone, to zone): number of troubles that block the link
+        self.blocked_links: dict[tuple[str, str], int] = {}
+        # (from zone, to zone): factor on the delay
+        self.slowdowns: dict[tuple[str, str], float] = {}
 
     def delay(self, zone: str = "", other: str = "") -> float:
-        """Microseconds that one message takes between two zones."""
+        """Draws the delay of one message between two zones, in microseconds."""
         mean = self.one_way if zone == other else self.cross_zone * self.slowdowns.get((zone, other), 1.0)
         return mean * (1 + self.jitter * float(self.random_source.exponential(1.0)))
 
     def blocked(self, zone: str, other: str) -> bool:
-        """Whether nothing passes that way now."""
+        """Returns whether messages from `zone` to `other` are lost."""
         return self.blocked_links.get((zone, other), 0) > 0
 
     def block(self, links: list[tuple[str, str]], by: int) -> None:
-        """Counts a cut of each of these ways up (1) or down (-1)."""
+        """Adds (`by` 1) or removes (-1) one cut of each of these links."""
         for link in links:
             self.blocked_links[link] = self.blocked_links.get(link, 0) + by
--- a/lupinmill/lab/world/request_class.py
+++ b/lupinmill/lab/world/request_class.py
@@ -1,4 +1,4 @@
-"""Classes of requests as a run has them: their terms, their share of the load, the work of each request."""
+"""Classes of requests in a run: terms, share of the load, and distribution of the work per request."""
 
 from __future__ import annotations
 
@@ -12,29 +12,31 @@
 from lupinmill.lab.world.random_streams import draw
 
 
-LEAST_NOISE = 0.1
+MIN_NOISE_FACTOR = 0.1
 
 
 @dataclass(slots=True)
 class RequestClass:
-    """One class of requests with its figures drawn."""
+    """One class of requests, with its parameters drawn."""
 
     name: str
     share: float
-    mean: float  # seconds of work
+    mean: float  # seconds of work per request
     spread: str
     cv: float
-    noise: float  # of attempts
+    noise: float  # relative standard deviation of the work of an attempt
     terms: t.Workload
 
     def draw_noise(self, random_source: np.random.Generator) -> float:
-        """By what factor the work of one attempt differs from that of its request."""
+        """Draws the factor between the work of one attempt and that of its request."""
         return (
-            max(LEAST_NOISE, 1 + self.noise * float(random_source.standard_normal())) if self.noise else 1.0
+            max(MIN_NOISE_FACTOR, 1 + self.noise * float(random_source.standard_normal()))
+            if self.noise
+            else 1.0
         )
 
     def work(self, random_source: np.random.Generator) -> float:
-        """Seconds of work of one request, on a core of speed 1."""
+        """Draws the work of one request, in seconds on a core of speed 1."""
         if self.spread == "fixed" or not self.cv:
             return self.mean
         if self.spread == "exponential":
@@ -46,7 +48,7 @@
 def draw_request_classes(
     specified: list[scenario.Workload], random_source: np.random.Generator
 ) -> list[RequestClass]:
-    """All classes of a scenario; their shares add up to 1."""
+    """Draws all classes of a scenario; their shares are normalized to a sum of 1."""
     found = [draw_request_class(one, random_source) for one in specified]
     total = sum(one.share for one in found)
     for one in found:
@@ -55,7 +57,7 @@
 
 
 def draw_request_class(one: scenario.Workload, random_source: np.random.Generator) -> RequestClass:
-    """One class of a scenario, its ranges drawn."""
+    """Draws the parameters of one class of requests."""
     terms = t.Workload(
         one.name,
         int(one.contract_s * SECOND),
--- a/lupinmill/lab/world/site.py
+++ b/lupinmill/lab/world/site.py
@@ -1,5 +1,5 @@
-"""The site of a run: endpoints, the lists that discovery publishes of them, and the load. Everything but the
-sidecars, the clients and the troubles; those act on it."""
+"""The site of a run: endpoints, discovery registries, network and load. Sidecars, clients and troubles are
+separate and act on it."""
 
 from __future__ import annotations
 
@@ -23,34 +23,34 @@
 from lupinmill.lab.world.request_class import draw_request_classes
 from lupinmill.protocol import settings
 
-SILENT_WATCH_S = 4.5  # a watch that hears nothing, not even that there is no news, has failed after this
+SILENT_WATCH_S = 4.5  # time-out of a watch that receives nothing, not even an empty answer
 
 
 class Driver(Protocol):
-    """What a driver can do to its sidecars, and what it must hear of the site."""
+    """Operations of a run that troubles and the site call: control of sidecars, and notifications."""
 
     def sidecar_count(self) -> int:
-        """How many front sidecars there are."""
+        """Returns the number of front sidecars."""
 
     def kill_sidecar(self, at: int, down_s: float) -> None:
-        """Kills one; it starts again after so many seconds."""
+        """Kills front sidecar number `at`; it is restarted after `down_s` seconds."""
 
     def starve_sidecar(self, at: int, lag_s: float) -> None:
-        """From now on one comes to what has happened with this lag; 0 ends it."""
+        """Delays the processing of front sidecar number `at` by `lag_s` seconds from now on; 0 ends this."""
 
     def endpoint_died(self, endpoint: Endpoint) -> None:
-        """An endpoint has died."""
+        """An endpoint has crashed."""
 
     def endpoint_started(self, endpoint: Endpoint) -> None:
-        """An endpoint starts, or starts again."""
+        """An endpoint was started or restarted."""
 
     def links_changed(self) -> None:
-        """Ways between zones were cut, or a cut has ended."""
+        """Links between zones were cut or restored."""
 
 
 @dataclass(slots=True)
 class TroubleRecord:
-    """A trouble as it was, for the report; times in seconds of the run."""
+    """A trouble, for the report; times in seconds since the start of the run."""
 
     kind: str
     began: float
@@ -59,8 +59,8 @@
 
 
 class World:
-    """One site, drawn whole from a scenario and a seed. Streams of chance are drawn from in a fixed order:
-    the same seed gives the same site in every process."""
+    """One site, drawn from a scenario and a seed. The order of draws from each random stream is fixed, so
+    that a seed gives the same site in every process."""
 
     def __init__(self, scenario: Scenario, seed: int, timeline: Timeline) -> None:
         self.scenario, self.seed, self.timeline = scenario, seed, timeline
@@ -77,10 +77,10 @@
         self.by_endpoint: dict[str, Endpoint] = {}
         self.registries: list[Registry] = []
         self.entries: dict[str, Entry] = {}
-        self.calls: list[float] = []  # by tier: those that one request of the tier before makes
-        self.serial = 0  # of endpoints' names
+        self.calls: list[float] = []  # by tier: mean number of calls per request of the tier before
+        self.serial = 0  # of the latest endpoint name
         self.trouble_records: list[TroubleRecord] = []
-        self.factors: dict[str, float] = {}  # of the load, by trouble
+        self.factors: dict[str, float] = {}  # on the load, by trouble
         self.tenant_factors: dict[str, float] = {}
         self.driver: Driver | None = None
         self.build_tiers()
@@ -89,7 +89,7 @@
         self.rate = self.base_rate()
 
     def make_rule_checker(self) -> RuleChecker:
-        """The judge of this site's rules."""
+        """Creates the checker of this scenario's rules."""
         rules = self.scenario.rules
         return RuleChecker(
             self.start,
@@ -103,27 +103,27 @@
     # Endpoints and lists.
 
     def build_tiers(self) -> None:
-        """Draws all tiers."""
-        before = 0
+        """Draws the endpoints and the registry of each tier."""
+        callers = 0
         for at, tier in enumerate(self.scenario.tier):
-            before = self.draw_count(tier, before)
+            callers = self.draw_count(tier, callers)
             self.calls.append(draw(self.random_source, tier.calls) if at else 0.0)
             self.registries.append(self.make_registry(at))
-            self.tiers.append(self.make_endpoints(at, tier, before))
+            self.tiers.append(self.make_endpoints(at, tier, callers))
 
-    def draw_count(self, tier: Tier, before: int) -> int:
-        """How many endpoints a tier has, where the tier before has so many (0: there is none)."""
+    def draw_count(self, tier: Tier, callers: int) -> int:
+        """Draws the number of endpoints in a tier; `before` is that of the tier before (0: there is none)."""
         count = max(1, round(draw(self.random_source, tier.count)))
-        if before and (each := draw(self.random_source, tier.per_caller)):
-            count = max(1, round(before * each))
+        if callers and (per_caller := draw(self.random_source, tier.per_caller)):
+            count = max(1, round(callers * per_caller))
         return count
 
     def make_registry(self, tier: int) -> Registry:
-        """The list of one tier, with the delays of its kinds of news."""
+        """Creates the registry of one tier, with the publication delay of each kind of change."""
         random_source, found = random_stream(self.seed, "list", tier), self.scenario.discovery
 
         def delay(mean: float) -> Callable[[], float]:
-            """Draws one delay in seconds."""
+            """Returns a function that draws a delay around `mean`, in seconds."""
             return lambda: mean * random_source.uniform(0.8, 1.2)
 
         notice = delay(draw(self.random_source, found.notice_s))
@@ -132,30 +132,33 @@
         return Registry(self.timeline, random_source, notice, silent_notice, add)
 
     def make_endpoints(self, at: int, tier: Tier, count: int) -> list[Endpoint]:
-        """So many endpoints, spread over kinds, zones and cells."""
+        """Creates `count` endpoints, spread over kinds, zones and cells."""
         random_source, net = self.random_source, self.scenario.net
         cell_size = max(1, round(draw(random_source, tier.cell_size)))
-        common = machines.tier_figures(at, tier, random_source)
-        kinds = machines.kinds_of(tier, count, random_source)
-        figures = {kind.name: machines.kind_figures(common, kind, random_source) for kind in tier.kind}
-        zones = machines.spread(self.zones, net.endpoints or [1.0] * len(self.zones), count)
+        common = machines.draw_tier_parameters(at, tier, random_source)
+        kinds = machines.draw_kinds(tier, count, random_source)
+        parameters = {
+            kind.name: machines.draw_kind_parameters(common, kind, random_source) for kind in tier.kind
+        }
+        zones = machines.spread_evenly(self.zones, net.endpoints or [1.0] * len(self.zones), count)
         members = dict.fromkeys(self.zones, 0)
         endpoints = []
         for kind, zone in zip(kinds, zones):
             cell = 1000 * self.zones.index(zone) + members[zone] // cell_size
             members[zone] += 1
-            spec = machines.machine(figures[kind.name], self.new_name(at), zone, cell, random_source)
+            spec = machines.draw_machine(parameters[kind.name], self.new_name(at), zone, cell, random_source)
             endpoints.append(self.add_endpoint(spec, 0, True))
         return endpoints
 
     def new_name(self, tier: int) -> str:
-        """A name that no endpoint of this run had before."""
+        """Returns a name that no endpoint of this run has had."""
         self.serial += 1
-        mark = xxhash.xxh32_hexdigest(f"{self.seed}/{self.serial}".encode())[:4]
-        return f"e{tier}-{self.serial:03d}-{mark}"
+        suffix = xxhash.xxh32_hexdigest(f"{self.seed}/{self.serial}".encode())[:4]
+        return f"e{tier}-{self.serial:03d}-{suffix}"
 
     def add_endpoint(self, spec: EndpointSpec, started: int, listed: bool) -> Endpoint:
-        """A new endpoint; one that is not `listed` is published after the delay of such news."""
+        """Adds an endpoint. Unless it is `listed` from the start, it is published with the delay of
+        additions."""
         random_source = random_stream(self.seed, "endpoint", spec.name)
         endpoint = Endpoint(spec, self.timeline, random_source, self.rule_checker, started)
         self.by_endpoint[spec.name] = endpoint
@@ -169,7 +172,7 @@
         return endpoint
 
     def crash_endpoint(self, endpoint: Endpoint, silently: bool) -> None:
-        """A crash; of a silent one nothing comes any more, not even a refusal."""
+        """Crashes an endpoint. If `silently`, peers get no reset or refusal and have to time out."""
         if not endpoint.alive:
             return
         endpoint.crash(silently)
@@ -181,7 +184,7 @@
         )
 
     def restart_endpoint(self, endpoint: Endpoint) -> None:
-        """A dead endpoint starts again, cold, under its name."""
+        """Restarts a crashed endpoint under the same name; it is cold."""
         if endpoint.alive:
             return
         endpoint.restart()
@@ -193,26 +196,26 @@
         self.registries[spec.tier].publish_later(entry, "add")
 
     def drain(self, endpoint: Endpoint) -> None:
-        """The list says that it drains; it still takes what comes."""
+        """Publishes that the endpoint drains; it still accepts requests."""
         name = endpoint.spec.name
         self.entries[name] = replace(self.entries[name], state=t.EndpointStatus.DRAINING)
         self.registries[endpoint.spec.tier].publish_later(self.entries[name], "drain")
 
     def replace_endpoint(self, endpoint: Endpoint) -> None:
-        """The drained one ends; its successor, under a new name, starts cold."""
+        """Stops a drained endpoint and starts its replacement, cold and under a new name."""
         if endpoint.alive:
             endpoint.draining = True
             self.crash_endpoint(endpoint, False)
         spec = replace(endpoint.spec, name=self.new_name(endpoint.spec.tier))
         tier = self.tiers[spec.tier]
         tier.remove(endpoint)
-        fresh = self.add_endpoint(spec, self.timeline.now, False)
-        tier.append(fresh)
+        replacement = self.add_endpoint(spec, self.timeline.now, False)
+        tier.append(replacement)
         if self.driver is not None:
-            self.driver.endpoint_started(fresh)
+            self.driver.endpoint_started(replacement)
 
     def block(self, links: list[tuple[str, str]], by: int) -> None:
-        """Cuts ways between zones (1), or ends a cut (-1)."""
+        """Adds (`by` 1) or removes (-1) one cut of each of these links between zones."""
         self.network.block(links, by)
         if self.driver is not None:
             self.driver.links_changed()
@@ -220,31 +223,32 @@
     # Load.
 
     def capacity(self) -> float:
-        """Requests a second that the whole site can do, by the tier that runs out first."""
+        """Returns the requests per second that the site can handle; the tier with the least capacity limits
+        it."""
         mean = sum(w.share * w.mean for w in self.classes)
         found, calls = float("inf"), 1.0
         for at, endpoints in enumerate(self.tiers):
             calls *= self.calls[at] if at else 1.0
-            able = sum(e.spec.cores * e.spec.speed for e in endpoints)
-            found = min(found, able / (mean * endpoints[0].spec.work * max(calls, 1e-9)))
+            tier_capacity = sum(e.spec.cores * e.spec.speed for e in endpoints)
+            found = min(found, tier_capacity / (mean * endpoints[0].spec.work * max(calls, 1e-9)))
         return found
 
     def base_rate(self) -> float:
-        """Requests a second, before any trouble or wave."""
+        """Draws the mean rate in requests per second, without troubles and load shape."""
         load = self.scenario.load
         if load.rate is not None:
             return draw(self.random_source, load.rate)
         return draw(self.random_source, load.part) * self.capacity()
 
     def rate_now(self) -> float:
-        """Requests a second, with the troubles of the load."""
+        """Returns the current mean rate in requests per second, including bursts."""
         rate = self.rate
         for factor in self.factors.values():
             rate *= factor
         return rate
 
     def quotas(self) -> dict[str, float]:
-        """Of each tenant, requests a second."""
+        """Returns the quota of each tenant in requests per second."""
         if not self.scenario.tenant:
             return {}
         whole = (
@@ -254,7 +258,7 @@
         return {tenant.name: whole * tenant.share / total for tenant in self.scenario.tenant}
 
     def draw_calls(self, tier: int, random_source: np.random.Generator) -> int:
-        """How many calls of the next tier one request makes at an endpoint of this tier."""
+        """Draws how many calls to the next tier a request makes at an endpoint of `tier`."""
         if tier + 1 >= len(self.tiers):
             return 0
         mean = self.calls[tier + 1]
@@ -262,25 +266,26 @@
         return whole + (random_source.random() < mean - whole)
 
     def call_work(self, job: Job, spec: EndpointSpec, random_source: np.random.Generator) -> float:
-        """Seconds of work of a call that this job makes of the next tier, before that tier's part of it."""
+        """Returns the work in seconds of a call that this job makes to the next tier, before it is scaled by
+        that tier's share."""
         if self.scenario.tier[spec.tier + 1].call_work == "own":
             return self.class_by_name[job.workload].work(random_source)
         return job.work / spec.work if spec.work else 0.0
 
     def attempt_work(self, request_class: str, work: float, tier: int) -> float:
-        """Seconds of work of one attempt at an endpoint of `tier`: its part of the request's work, with this
-        attempt's noise."""
+        """Returns the work in seconds of one attempt at an endpoint of `tier`: the tier's share of the
+        request's work, with the noise of this attempt."""
         noise = self.class_by_name[request_class].draw_noise(self.network.random_source)
         return work * self.tiers[tier][0].spec.work * noise
 
-    # What sidecars are configured with.
+    # Configuration of sidecars.
 
     def settings(self, tier: int, instances: int) -> dict[str, Any]:
-        """The settings of the platform's protocol, as nested JSON."""
+        """Returns the settings of the platform's protocol, as nested JSON."""
         return sidecar_settings(self.scenario, self.quotas(), tier, instances)
 
     def deployment(self, tier: int, instances: int, seed: int) -> t.Deployment:
-        """The same as the decision module has it."""
+        """Returns the same settings as input of the decision module."""
         found = settings.deployment(settings.flatten(self.settings(tier, instances)))
         found.seed = seed
         return found
--- a/lupinmill/lab/world/troubles/discovery.py
+++ b/lupinmill/lab/world/troubles/discovery.py
@@ -1,4 +1,4 @@
-"""Troubles of discovery: lists that fall behind, fall silent or cannot be reached."""
+"""Troubles of discovery: registries that lag behind, stop answering or refuse connections."""
 
 from __future__ import annotations
 
@@ -8,29 +8,29 @@
 
 
 def list_late(world: World, trouble: Trouble) -> None:
-    """News is `size` seconds later."""
+    """Changes are published `size` seconds later."""
     for registry in world.registries:
         registry.extra_delay_s += trouble.size
-        world.timeline.after(trouble.lasts, catch_up, registry, trouble.size)
+        world.timeline.after(trouble.lasts, reduce_delay, registry, trouble.size)
 
 
-def catch_up(registry: Registry, seconds: float) -> None:
-    """Ends what one trouble added to the delay."""
+def reduce_delay(registry: Registry, seconds: float) -> None:
+    """Takes back the delay that one trouble added."""
     registry.extra_delay_s = max(0.0, registry.extra_delay_s - seconds)
 
 
 def list_silent(world: World, trouble: Trouble) -> None:
-    """Calls and watches hear nothing."""
+    """Calls and watches get no answer."""
     go_down(world, trouble, True)
 
 
 def list_down(world: World, trouble: Trouble) -> None:
-    """Calls are refused and watches end."""
+    """Calls are refused and watches are closed."""
     go_down(world, trouble, False)
 
 
 def go_down(world: World, trouble: Trouble, silently: bool) -> None:
-    """All lists, for as long as the trouble lasts."""
+    """Takes all registries down for the duration of the trouble."""
     for registry in world.registries:
         registry.go_down(silently)
         world.timeline.after(trouble.lasts, registry.come_up)
--- a/lupinmill/lab/world/troubles/plan.py
+++ b/lupinmill/lab/world/troubles/plan.py
@@ -1,4 +1,4 @@
-"""Draws a scenario's troubles, those that are told and those at random, and puts them on the timeline."""
+"""Draws the troubles of a scenario, specified and random ones, and schedules them on the timeline."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from lupinmill.lab.world.troubles import discovery, endpoints, load, sidecars, zones
 from lupinmill.lab.world.troubles.trouble import Act, Trouble
 
-RANDOM_FROM, RANDOM_TO = 0.15, 0.7  # parts of the run between which random troubles begin
+RANDOM_FROM, RANDOM_TO = 0.15, 0.7  # shares of the run between which random troubles begin
 KINDS: dict[str, Act] = {
     "crash": endpoints.crash,
     "vanish": endpoints.vanish,
@@ -41,7 +41,7 @@
 
 
 def plan(world: World, driver: Driver | None) -> None:
-    """Puts all troubles on the world's timeline; `driver` carries out those of sidecars."""
+    """Schedules all troubles on the world's timeline; `driver` carries out those of sidecars."""
     world.driver = driver
     random_source, scenario = random_stream(world.seed, "troubles"), world.scenario
     for event in scenario.trouble:
@@ -57,7 +57,8 @@
 
 
 def schedule(world: World, random_source: np.random.Generator, event: Event, at_s: float) -> float:
-    """Draws one trouble's figures and sets it; returns the second at which it is over."""
+    """Draws the parameters of one trouble and schedules it; returns the second of the run at which it
+    ends."""
     lasts_s, part = draw(random_source, event.lasts_s), draw(random_source, event.part)
     size, extra = draw(random_source, event.size), draw(random_source, event.extra)
     tier = next((n for n, found in enumerate(world.scenario.tier) if found.name == event.tier), 0)
--- a/lupinmill/lab/world/troubles/trouble.py
+++ b/lupinmill/lab/world/troubles/trouble.py
@@ -1,4 +1,4 @@
-"""One trouble with its figures drawn, and the endpoints that it meets."""
+"""One trouble with its parameters drawn, and the selection of endpoints that it affects."""
 
 from __future__ import annotations
 
@@ -15,8 +15,9 @@
 
 @dataclass(frozen=True)
 class Trouble:
-    """`part` is the share of endpoints or sidecars that it meets; what `size` and `extra` say depends on the
-    kind. `stream` is its own chance, `name` its own in this run."""
+    """One trouble of a run. `part` is the share of endpoints or sidecars that it affects; the meaning of
+    `size` and `extra` depends on the kind. `name` is unique in the run, and `stream` is its own random
+    stream."""
 
     event: Event
     name: str
@@ -29,26 +30,26 @@
 
     @property
     def lasts(self) -> float:
-        """In microseconds."""
+        """Duration in microseconds."""
         return self.lasts_s * SECOND
 
 
-Act = Callable[[World, Trouble], None]  # begins a trouble; what ends it is put on the timeline
+Act = Callable[[World, Trouble], None]  # starts a trouble and schedules its end
 
 
 def some_endpoints(world: World, trouble: Trouble) -> list[Endpoint]:
-    """Its part of the tier, at least one, of those that live and do not drain."""
+    """Draws the affected endpoints of the tier, at least one, among those that are alive and not draining."""
     alive = [e for e in world.tiers[trouble.tier] if e.alive and not e.draining]
     count = min(len(alive), max(1, round(trouble.part * len(alive))))
     return [alive[at] for at in sorted(trouble.stream.permutation(len(alive))[:count])]
 
 
 def tier_or_all(world: World, trouble: Trouble) -> list[Endpoint]:
-    """All endpoints of the tier that it names; of the site, where it names none."""
+    """Returns all endpoints of the tier that the trouble names, or of the whole site if it names none."""
     tiers = [trouble.tier] if trouble.event.tier else range(len(world.tiers))
     return [e for at in tiers for e in world.tiers[at]]
 
 
 def batches(chosen: list[int], size: int) -> list[list[int]]:
-    """One after another, each of `size`, the last with what is left."""
+    """Splits the numbers into batches of `size`; the last may be smaller."""
     return [chosen[at : at + size] for at in range(0, len(chosen), size)]
--- a/lupinmill/lab/world/troubles/zones.py
+++ b/lupinmill/lab/world/troubles/zones.py
@@ -1,4 +1,4 @@
-"""Troubles of whole zones and of the ways between them."""
+"""Troubles of whole zones and of the links between them."""
 
 from __future__ import annotations
 
@@ -10,21 +10,22 @@
 
 
 def zone_of(world: World, trouble: Trouble) -> str:
-    """The zone that it names, else one drawn."""
+    """Returns the zone that the trouble names, or draws one."""
     return trouble.event.zone or world.zones[int(trouble.stream.integers(len(world.zones)))]
 
 
 def zone_cut(world: World, trouble: Trouble) -> None:
-    """All endpoints of one zone fall silent and come back cold."""
+    """All endpoints of one zone stop answering, and restart cold."""
     zone = zone_of(world, trouble)
-    there = [e for tier in world.tiers for e in tier if e.spec.zone == zone and e.alive]
-    for endpoint in there:
+    in_zone = [e for tier in world.tiers for e in tier if e.spec.zone == zone and e.alive]
+    for endpoint in in_zone:
         world.crash_endpoint(endpoint, True)
         world.timeline.after(trouble.lasts, world.restart_endpoint, endpoint)
 
 
 def zone_apart(world: World, trouble: Trouble) -> None:
-    """Nothing passes between one zone and the others; `extra` 1: nothing out of it, 2: nothing into it."""
+    """Messages between one zone and the others are lost; `extra` 1: only those out of it, 2: only those into
+    it."""
     zone = zone_of(world, trouble)
     others = [other for other in world.zones if other != zone]
     out_of = [(zone, other) for other in others if trouble.extra != ONLY_IN]
@@ -34,12 +35,12 @@
 
 
 def zone_slow(world: World, trouble: Trouble) -> None:
-    """`part` of one zone's endpoints is `size` times slower, reached over `extra` seconds one by one; the
-    list says that all is well."""
+    """The share `part` of one zone's endpoints becomes `size` times slower, one by one over `extra` seconds.
+    Discovery goes on to list them as ready."""
     zone = zone_of(world, trouble)
-    there = [e for e in world.tiers[trouble.tier] if e.spec.zone == zone and e.alive]
-    count = max(1, round(trouble.part * len(there)))
-    chosen = [there[at] for at in trouble.stream.permutation(len(there))[:count]]
+    in_zone = [e for e in world.tiers[trouble.tier] if e.spec.zone == zone and e.alive]
+    count = max(1, round(trouble.part * len(in_zone)))
+    chosen = [in_zone[at] for at in trouble.stream.permutation(len(in_zone))[:count]]
     for number, endpoint in enumerate(chosen):
         begins = trouble.extra * SECOND * number / len(chosen)
         world.timeline.after(begins, endpoint.set_slowdown, trouble.name, trouble.size)
@@ -47,7 +48,7 @@
 
 
 def zone_link(world: World, trouble: Trouble) -> None:
-    """All ways to and from one zone take `size` times as long."""
+    """The delay of all links to and from one zone is multiplied by `size`."""
     zone = zone_of(world, trouble)
     for other in world.zones:
         for link in ((zone, other), (other, zone)):
