--- a/lupinmill/cli/lab.py
+++ b/lupinmill/cli/lab.py
@@ -146,7 +146,7 @@
     if peers and not sockets:
         exit_with_error(BadScenario("--peers requires --sockets; `lab fleet` runs peers in virtual time"))
     try:
-        which = experiments.variant(";".join(changes), name)
+        which = experiments.parse_variant(";".join(changes), name)
         read = which.read()
     except BadScenario as error:
         exit_with_error(error)
@@ -185,9 +185,9 @@
     if bool(second) == bool(against):
         exit_with_error(BadScenario("either B or --against REV is required"))
     try:
-        one = experiments.variant(first, name)
+        one = experiments.parse_variant(first, name)
         two = (
-            experiments.variant(second, name)
+            experiments.parse_variant(second, name)
             if second
             else experiments.Variant(f"{against}", name, one.policy, one.changes, str(against))
         )
--- a/lupinmill/lab/endpoint.py
+++ b/lupinmill/lab/endpoint.py
@@ -1,6 +1,6 @@
-"""One simulated endpoint: cores shared among the requests in its slots, a queue before them, and what can go
-wrong. Pure: time comes from a Timeline, chance from the Generator that it is given. Owns its jobs until they
-are answered, called off or lost."""
+"""A simulated endpoint: processor sharing among the requests in its slots, a queue before them, and injected
+faults. Time comes from a Timeline and randomness from the generator that it is given. It keeps its jobs until
+they are answered, cancelled or lost."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 from lupinmill import terms as t
 from lupinmill.lab.timeline import SECOND, ScheduledEvent, Timeline
 
-WARM_UP_INTERVAL = 100_000  # microseconds between two looks at a cold endpoint's capacity
-JAM_CHECK_INTERVAL = 200_000
-COMPLETION_TOLERANCE = 1e-9
-OVERLOAD_SLACK = 1.1  # chance alone may bring so much more than the multiple
+WARM_UP_INTERVAL = 100_000  # microseconds between two updates of a cold endpoint's capacity
+JAM_CHECK_INTERVAL = 200_000  # microseconds
+COMPLETION_TOLERANCE = 1e-9  # seconds of work
+OVERLOAD_SLACK = 1.1  # allows for random excess over the multiple
 
 
 @dataclass(slots=True, frozen=True)
 class EndpointSpec:
-    """One machine's figures, drawn. Times in seconds; capacities in seconds of work a second."""
+    """Parameters of one machine. Times in seconds; capacities in seconds of work per second."""
 
     name: str
     tier: int
@@ -62,18 +62,19 @@
 
 @dataclass(slots=True, eq=False)
 class Job:
-    """One launch as the endpoint holds it. `reply` hears of its end once, unless it is lost in silence."""
+    """One attempt at the endpoint. `reply` is called once when it ends, unless the endpoint stops
+    answering."""
 
     request_id: str
     key: str
     workload: str
-    work: float  # seconds on a yardstick core, all of it that this endpoint does
+    work: float  # seconds on a core of speed 1, without the work of calls
     due: int
     reply: Callable[[t.Outcome, t.LoadReport | None], None]
     calls: int = 0
-    parts: list[float] = field(default_factory=list)  # still to do, between the calls
+    parts: list[float] = field(default_factory=list)  # remaining work, split by the calls in between
     state: str = "new"  # waiting, running, calling, over
-    end: float = 0.0  # on the cores' own scale of work done a request
+    end: float = 0.0  # value of `Endpoint.virtual_work` at which the current part is complete
     call: Any = None
 
 
@@ -92,16 +93,15 @@
             random_source,
             rule_checker,
         )
-        self.make_call: Callable[[Job, Callable[[bool], None]], Any] | None = (
-            None  # makes a call of the next tier
-        )
+        # Makes a call to the next tier.
+        self.make_call: Callable[[Job, Callable[[bool], None]], Any] | None = None
         self.cancel_call: Callable[[Any], None] = lambda call: None
         self.waiting: deque[Job] = deque()
-        self.held: dict[Job, None] = {}  # those in slots
+        self.held: dict[Job, None] = {}  # jobs in slots
         self.running: list[tuple[float, int, Job]] = []
-        self.cancelled: set[Job] = set()  # in `running` still, but called off
+        self.cancelled: set[Job] = set()  # still in `running`, but cancelled
         self.serial, self.alive, self.draining, self.silent, self.collapsed = 0, True, False, False, False
-        self.epoch = 0  # counts lives: what a past life had is not this one's
+        self.epoch = 0  # incremented by each crash; callbacks of an earlier epoch are ignored
         self.started, self.worked = started, 0.0
         self.slowdowns: dict[str, float] = {}
         self.stolen_share, self.paused, self.hanging, self.failing, self.spoiling, self.resetting = (
@@ -120,14 +120,15 @@
         self.busy_time, self.service, self.handled = 0.0, 0.0, 0
         self.reports: deque[tuple[int, t.LoadReport]] = deque()
         self.report_late, self.reported_busy, self.reported_handled = 0.0, 0.0, 0
-        self.jammed, self.idle_since, self.jam_ends, self.jam_busy = False, 0, 0, 0.0
+        self.jammed, self.idle_since, self.jam_ends, self.jam_last_busy = False, 0, 0, 0.0
         self.jam_held: deque[int] = deque(maxlen=20)
         self.was_jammed = False
-        self.overhead_work, self.total_work = 0.0, 0.0  # beside requests; all work over all lives
+        # Work for connections and probes, and work for requests, since the start of the run.
+        self.overhead_work, self.total_work = 0.0, 0.0
         self.start_timers(random_source.uniform(0, spec.report_s))
 
     def start_timers(self, first_report: float) -> None:
-        """What goes on by itself for as long as this life lasts."""
+        """Schedules the periodic events of this epoch."""
         spec, timeline, epoch = self.spec, self.timeline, self.epoch
         if spec.report_how != "none":
             timeline.after(first_report * SECOND, self.refresh_report, epoch)
@@ -141,30 +142,31 @@
         if self.cold():
             timeline.after(WARM_UP_INTERVAL, self.warm_up, epoch)
 
-    # What it can do at the moment.
+    # Capacity.
 
     def warmth(self) -> float:
-        """Part of the full capacity; grows evenly with time, or sooner with work done."""
-        s = self.spec
-        if not self.started or s.cold_s <= 0:
+        """Returns the share of the full capacity: it grows linearly with time, or faster with work done if
+        `warm_by_work`."""
+        spec = self.spec
+        if not self.started or spec.cold_s <= 0:
             return 1.0
-        grown = (self.timeline.now - self.started) / SECOND / s.cold_s
-        if s.warm_by_work:
-            grown = max(grown, self.worked / (0.5 * s.cold_s * s.cores * s.speed))
-        return s.cold_from + (1 - s.cold_from) * min(1.0, grown)
+        progress = (self.timeline.now - self.started) / SECOND / spec.cold_s
+        if spec.warm_by_work:
+            progress = max(progress, self.worked / (0.5 * spec.cold_s * spec.cores * spec.speed))
+        return spec.cold_from + (1 - spec.cold_from) * min(1.0, progress)
 
     def cold(self) -> bool:
         return self.warmth() < 1.0
 
     def efficiency(self) -> float:
-        s = self.spec
-        if not s.crowding:
+        spec = self.spec
+        if not spec.crowding:
             return 1.0
-        beyond = (len(self.held) + len(self.waiting)) / s.cores / s.crowding_at - 1
-        return 1 / (1 + s.crowding * max(0.0, beyond))
+        excess = (len(self.held) + len(self.waiting)) / spec.cores / spec.crowding_at - 1
+        return 1 / (1 + spec.crowding * max(0.0, excess))
 
     def capacity(self) -> float:
-        """Seconds of work a second, of all cores together."""
+        """Returns seconds of work per second, of all cores together."""
         if self.paused or self.hanging or self.collapsed or not self.alive:
             return 0.0
         factor = self.warmth() * (1 - self.stolen_share) * self.efficiency()
@@ -173,7 +175,7 @@
         return self.spec.cores * self.spec.speed * factor
 
     def advance(self) -> None:
-        """Work done since the last look, at the rate that held since then."""
+        """Accounts for the work done since the last call, at the rate since then."""
         now = self.timeline.now
         span = (now - self.last) / SECOND
         if span > 0:
@@ -187,10 +189,10 @@
             self.last = now
 
     def reschedule(self) -> None:
-        """After any change: the rate anew, and when the next job ends."""
+        """Recomputes the rate after a change, and schedules the next completion."""
         while self.running and self.running[0][2] in self.cancelled:
             self.cancelled.discard(heappop(self.running)[2])
-        if self.virtual_work > 1e6:  # keeps the scale's figures exact over long runs
+        if self.virtual_work > 1e6:  # keeps floating-point errors small over long runs
             for at, (end, serial, job) in enumerate(self.running):
                 job.end = end - self.virtual_work
                 self.running[at] = (job.end, serial, job)
@@ -208,14 +210,15 @@
     # Requests.
 
     def receive(self, job: Job, informed: bool = True) -> None:
-        """The last byte of a launch has come."""
+        """The last byte of a request has arrived. `informed`: its sidecar knows of this epoch of the
+        endpoint."""
         if self.silent or not self.alive:
             return  # nothing answers
         self.add_load(job.work, informed)
         if self.collapsed:
             return job.reply(t.Outcome.REFUSED, None)
-        s = self.spec
-        if self.draining or len(self.held) >= s.slots and len(self.waiting) >= s.queue:
+        spec = self.spec
+        if self.draining or len(self.held) >= spec.slots and len(self.waiting) >= spec.queue:
             return job.reply(t.Outcome.REFUSED, self.report())
         if self.resetting and self.random_source.random() < self.resetting:
             self.rule_checker.accepted(self, job, True)
@@ -228,13 +231,13 @@
         if window and job.key:
             seen = self.rule_checker.is_duplicate(self, job.key, now)
             if seen:
-                job.work = 0.0  # a repeat is answered from what is kept
+                job.work = 0.0  # a repeat is answered from the stored result
                 job.calls = 0
             else:
                 self.rule_checker.remember_key(self, job.key, now + window)
         share = job.work / (job.calls + 1)
         job.parts = [share] * (job.calls + 1)
-        if len(self.held) < s.slots:
+        if len(self.held) < spec.slots:
             self.start(job)
         else:
             job.state = "waiting"
@@ -277,7 +280,7 @@
         self.reschedule()
 
     def call_ended(self, job: Job, epoch: int, good: bool) -> None:
-        """A call of the next tier has ended; the slot was held meanwhile."""
+        """A call to the next tier has ended; the slot was occupied meanwhile."""
         if epoch != self.epoch or job.state != "calling":
             return
         job.call = None
@@ -293,8 +296,8 @@
         self.service += 0.1 * (job.work / max(self.spec.speed, 1e-6) - self.service)
         self.release_slot(job)
         self.rule_checker.executed(self, job)
-        s = self.spec
-        if s.error_rate and self.random_source.random() < s.error_rate:
+        spec = self.spec
+        if spec.error_rate and self.random_source.random() < spec.error_rate:
             job.reply(t.Outcome.ERROR, self.report())
         elif self.spoiling and self.random_source.random() < self.spoiling:
             job.reply(t.Outcome.SPOILT, None)
@@ -302,19 +305,19 @@
             job.reply(t.Outcome.HANDLED, self.report())
 
     def release_slot(self, job: Job) -> None:
-        """The slot, in the one place; the next in the queue gets it."""
+        """Frees the slot of a job and starts the next one from the queue."""
         job.state = "over"
         self.held.pop(job, None)
         while self.waiting and len(self.held) < self.spec.slots and not self.hanging:
-            following = self.waiting.popleft()
-            if self.spec.drops_expired and following.due <= self.timeline.now:
-                following.state = "over"
-                following.reply(t.Outcome.REFUSED, self.report())
+            next_job = self.waiting.popleft()
+            if self.spec.drops_expired and next_job.due <= self.timeline.now:
+                next_job.state = "over"
+                next_job.reply(t.Outcome.REFUSED, self.report())
             else:
-                self.start(following)
+                self.start(next_job)
 
     def cancel(self, job: Job) -> None:
-        """Whoever asked has gone away; what that stops depends on the kind."""
+        """The sender no longer waits; what that stops depends on the kind of machine."""
         if job.state == "over" or not self.alive or self.silent or self.spec.cancel == "none":
             return
         if job.state == "waiting":
@@ -336,10 +339,10 @@
         if epoch != self.epoch:
             return
         self.advance()
-        s, now = self.spec, self.timeline.now
-        noise = 1 + s.report_noise * self.random_source.standard_normal()
-        busy = min(1.0, (self.busy_time - self.reported_busy) / s.report_s)
-        rate = (self.handled - self.reported_handled) / s.report_s
+        spec, now = self.spec, self.timeline.now
+        noise = 1 + spec.report_noise * self.random_source.standard_normal()
+        busy = min(1.0, (self.busy_time - self.reported_busy) / spec.report_s)
+        rate = (self.handled - self.reported_handled) / spec.report_s
         self.reported_busy, self.reported_handled = self.busy_time, self.handled
         held = len(self.held) + len(self.waiting)
         figures = {
@@ -349,13 +352,13 @@
             "service": max(0.0, self.service * noise) * 1e6,
             "rate": max(0.0, rate * noise),
         }
-        self.reports.append((now, t.LoadReport(**{name: figures[name] for name in s.report_fields})))
+        self.reports.append((now, t.LoadReport(**{name: figures[name] for name in spec.report_fields})))
         while len(self.reports) > 64:
             self.reports.popleft()
-        self.timeline.after(s.report_s * SECOND, self.refresh_report, epoch)
+        self.timeline.after(spec.report_s * SECOND, self.refresh_report, epoch)
 
     def report(self) -> t.LoadReport | None:
-        """What an answer may carry."""
+        """Returns the load report to attach to an answer."""
         return self.latest() if self.spec.report_how == "answers" else None
 
     def latest(self) -> t.LoadReport | None:
@@ -365,7 +368,7 @@
         return self.reports[0][1] if self.reports and self.reports[0][0] <= before else None
 
     def probe(self) -> tuple[t.Outcome, t.LoadReport | None] | None:
-        """A shallow one: answered beside the queue. None where nothing answers."""
+        """Answers a probe, bypassing the queue; None if the endpoint does not answer."""
         if self.silent or not self.alive or self.paused:
             return None
         self.add_load(self.spec.probe_work, True)
@@ -375,7 +378,7 @@
         return t.Outcome.HANDLED, None if self.spec.report_how == "none" else self.latest()
 
     def add_overhead(self, work: float) -> None:
-        """Work beside requests, taken from all that run."""
+        """Adds work that is not for requests; it delays all running jobs equally."""
         self.overhead_work += work
         active = len(self.running) - len(self.cancelled)
         if active and work:
@@ -386,7 +389,7 @@
     # Connections.
 
     def connect(self) -> bool:
-        """Whether one more is accepted."""
+        """Returns whether the connection is accepted."""
         if self.connections >= self.spec.most_connections:
             return False
         self.connections += 1
@@ -397,7 +400,7 @@
         if epoch == self.epoch:
             self.connections -= 1
 
-    # A cold one falls over under what is too much for it.
+    # Overload while cold.
 
     def add_load(self, work: float, informed: bool) -> None:
         multiple, span = self.rule_checker.overload_limit
@@ -408,11 +411,11 @@
         self.load_sum += work
         while self.recent_load and self.recent_load[0][0] <= now - span:
             self.load_sum -= self.recent_load.popleft()[1]
-        able = self.spec.cores * self.spec.speed * self.warmth() * span / SECOND
-        if self.load_sum > multiple * able * OVERLOAD_SLACK + 3 * work and not self.collapsed:
+        capacity = self.spec.cores * self.spec.speed * self.warmth() * span / SECOND
+        if self.load_sum > multiple * capacity * OVERLOAD_SLACK + 3 * work and not self.collapsed:
             self.collapsed = True
-            told = sum(amount for _, amount, knew in self.recent_load if knew)
-            self.rule_checker.endpoint_collapsed(self, told / max(1e-9, self.load_sum))
+            informed_load = sum(amount for _, amount, knew in self.recent_load if knew)
+            self.rule_checker.endpoint_collapsed(self, informed_load / max(1e-9, self.load_sum))
             self.advance()
             self.reschedule()
 
@@ -427,13 +430,17 @@
     # Troubles.
 
     def check_jam(self, epoch: int) -> None:
-        """More than so many held for a while: slower, and so until it has been mostly idle."""
+        """Starts a jam when too many requests are held for a while, and ends it when the endpoint was mostly
+        idle or the maximum duration has passed."""
         if epoch != self.epoch:
             return
         at, over, slower, rest, below, most = self.spec.jam or (0, 0, 1, 0, 0, 0)
         self.advance()
         now, held = self.timeline.now, len(self.held) + len(self.waiting)
-        busy, self.jam_busy = (self.busy_time - self.jam_busy) / (JAM_CHECK_INTERVAL / SECOND), self.busy_time
+        busy, self.jam_last_busy = (
+            (self.busy_time - self.jam_last_busy) / (JAM_CHECK_INTERVAL / SECOND),
+            self.busy_time,
+        )
         if self.jammed:
             self.idle_since = (self.idle_since or now) if busy < below else 0
             if now >= self.jam_ends or self.idle_since and now - self.idle_since >= rest * SECOND:
@@ -455,22 +462,23 @@
         cores = self.spec.cores
         return min(cores + at * sqrt(cores), 0.7 * (self.spec.slots + self.spec.queue))
 
-    def set_slowdown(self, why: str, slower: float) -> None:
+    def set_slowdown(self, reason: str, slower: float) -> None:
         self.advance()
         if slower <= 1:
-            self.slowdowns.pop(why, None)
+            self.slowdowns.pop(reason, None)
         else:
-            self.slowdowns[why] = slower
+            self.slowdowns[reason] = slower
         self.reschedule()
 
     def set_stolen_share(self, part: float) -> None:
-        """A neighbour on the same machine takes this part of it."""
+        """Another process on the same machine takes this share of its cores."""
         self.advance()
         self.stolen_share = part
         self.reschedule()
 
     def pause(self, span: float, every: float, ends: int | None, epoch: int) -> None:
-        """Stands still for `span`, and again and again until `ends` (or for good)."""
+        """Pauses for `span` seconds, and again at random intervals of mean `every`, until `ends` (None:
+        forever)."""
         now = self.timeline.now
         if epoch != self.epoch or ends is not None and now >= ends:
             return
@@ -495,7 +503,7 @@
             self.start(self.waiting.popleft())
 
     def crash(self, silently: bool = False) -> None:
-        """The process is gone; all that it held with it. Silently: nobody hears a reset."""
+        """The process dies and its jobs are lost. If `silently`, no resets are sent."""
         self.advance()
         self.alive, self.silent = False, silently
         self.epoch += 1
@@ -507,12 +515,12 @@
         self.reschedule()
         for job in lost:
             if job.call is not None:
-                self.cancel_call(job.call)  # its sidecar goes with it
+                self.cancel_call(job.call)  # its sidecar dies with it
             if not silently:
                 job.reply(t.Outcome.RESET, None)
 
     def restart(self) -> None:
-        """A new process, cold."""
+        """Starts a new process; it is cold."""
         self.alive, self.silent, self.collapsed, self.draining = True, False, False, False
         self.started, self.worked, self.last = self.timeline.now, 0.0, self.timeline.now
         self.paused = self.hanging = 0
--- a/lupinmill/lab/experiments.py
+++ b/lupinmill/lab/experiments.py
@@ -1,5 +1,4 @@
-"""Runs beside one another: variants of a scenario, the same seeds paired, and what the differences are
-worth."""
+"""Experiments: variants of a scenario over the same seeds, with confidence intervals of the differences."""
 
 from __future__ import annotations
 
@@ -28,7 +27,7 @@
 
 @dataclass(frozen=True)
 class Variant:
-    """A scenario with a policy and settings changed; `revision` names an earlier decision module."""
+    """A scenario with a policy and changed settings; `revision` is a commit whose decision module is used."""
 
     name: str
     scenario: str
@@ -48,11 +47,12 @@
 
 
 def nested_table(table: dict[str, Any], key: str, text: str, where: str) -> dict[str, Any]:
-    """`load.part=0.6` as tables; a part of a list goes by its name: `tier.endpoints.count=8`."""
+    """Returns the nested tables for a setting such as `load.part=0.6`; list items are addressed by their
+    name: `tier.endpoints.count=8`."""
     value = plain_value(text)
     parts = key.split(".")
     found: Any = table
-    wrap: list[tuple[str, bool]] = []
+    path_parts: list[tuple[str, bool]] = []
     while parts:
         part = parts.pop(0)
         rows = found.get(part) if isinstance(found, dict) else None
@@ -61,12 +61,12 @@
             row = next((row for row in rows if row["name"] == name), None)
             if row is None:
                 raise BadScenario(f"{where}: {key}: no {part} is named {name!r}")
-            wrap += [(part, False), (name, True)]
+            path_parts += [(part, False), (name, True)]
             found = row
         else:
-            wrap.append((part, False))
+            path_parts.append((part, False))
             found = rows if isinstance(rows, dict) else {}
-    for part, is_name in reversed(wrap):
+    for part, is_name in reversed(path_parts):
         value = [{"name": part, **value}] if is_name else {part: value}
     return value
 
@@ -78,8 +78,9 @@
         return text
 
 
-def variant(text: str, base: str, name: str = "") -> Variant:
-    """`lupinmill`, `fewest`, `load.part=0.6`, or several of them joined by `;`. A setting may hold commas."""
+def parse_variant(text: str, base: str, name: str = "") -> Variant:
+    """Parses a policy (`fewest`), a setting (`load.part=0.6`), or several of them joined by `;`. The value
+    of a setting may contain commas."""
     policy, changes, found = "lupinmill", [], base
     for part in filter(None, (piece.strip() for piece in text.split(";"))):
         key, equals, value = part.partition("=")
@@ -102,7 +103,7 @@
     trace: Callable[..., None] | None = None,
     peers: bool = False,
 ) -> Result:
-    """One run; a stop by Ctrl-C leaves what there is of it, marked as not complete."""
+    """Runs a scenario once. Ctrl-C stops it; the partial result is marked as not complete."""
     began = time.monotonic()
     run: Any = SocketRun(read, seed, tick, peers) if sockets else VirtualRun(read, seed, policy, trace, tick)
     complete = True
@@ -114,34 +115,36 @@
     return result.from_run(run, name, read, seed, policy, driver, time.monotonic() - began, complete)
 
 
-def play_variant(which: Variant, seed: int) -> tuple[Variant, int, Result]:
-    return which, seed, play(which.read(), which.scenario, seed, which.policy)
+def play_variant(variant: Variant, seed: int) -> tuple[Variant, int, Result]:
+    return variant, seed, play(variant.read(), variant.scenario, seed, variant.policy)
 
 
-def workers() -> int:
+def available_cores() -> int:
     return len(os.sched_getaffinity(0))
 
 
 def play_in_processes(
-    jobs: list[tuple[Variant, int]], folder: str = "", most: int = 0
+    jobs: list[tuple[Variant, int]], folder: str = "", max_workers: int = 0
 ) -> Iterator[tuple[Variant, int, Result]]:
-    """All runs over all cores, as they end. With `folder`, processes take the decision module from that
-    tree."""
+    """Runs all jobs in worker processes and yields results as they complete. With `folder`, the workers load
+    the decision module from that tree."""
     context = multiprocessing.get_context("spawn")
-    start = (earlier.take_from, (folder,)) if folder else (None, ())
-    with ProcessPoolExecutor(most or workers(), context, initializer=start[0], initargs=start[1]) as pool:
-        waiting = [pool.submit(play_variant, which, seed) for which, seed in jobs]
+    worker_setup = (earlier.take_from, (folder,)) if folder else (None, ())
+    with ProcessPoolExecutor(
+        max_workers or available_cores(), context, initializer=worker_setup[0], initargs=worker_setup[1]
+    ) as pool:
+        futures = [pool.submit(play_variant, variant, seed) for variant, seed in jobs]
         try:
-            for done in as_completed(waiting):
+            for done in as_completed(futures):
                 yield done.result()
         finally:
-            for one in waiting:
+            for one in futures:
                 one.cancel()
 
 
 @dataclass
 class Difference:
-    """Of one figure, the second variant less the first, over paired seeds."""
+    """The difference of one figure, second variant minus first, over paired seeds."""
 
     figure: str
     first: float
@@ -181,9 +184,9 @@
 }
 
 
-def confidence_interval(values: list[float], level: float = 0.95) -> tuple[float, float, float]:
-    """Mean and its confidence interval by Student's t; one value alone has none, and an endless interval says
-    so."""
+def confidence_interval(values: list[float], confidence: float = 0.95) -> tuple[float, float, float]:
+    """Returns the mean and its confidence interval by Student's t distribution; for a single value the
+    interval is infinite."""
     from scipy import stats
 
     count = len(values)
@@ -191,33 +194,38 @@
     if count < 2:
         return mean, float("-inf"), float("inf")
     spread = sqrt(sum((value - mean) ** 2 for value in values) / (count - 1) / count)
-    reach = float(stats.t.ppf((1 + level) / 2, count - 1)) * spread
-    return mean, mean - reach, mean + reach
+    half_width = float(stats.t.ppf((1 + confidence) / 2, count - 1)) * spread
+    return mean, mean - half_width, mean + half_width
 
 
 def compare(
-    first: Variant, second: Variant, seeds: list[int], heard: Callable[[], None] | None = None, most: int = 0
+    first: Variant,
+    second: Variant,
+    seeds: list[int],
+    on_result: Callable[[], None] | None = None,
+    max_workers: int = 0,
 ) -> Comparison:
-    """Both over the same seeds. Where the second names a revision, its decision module comes from there."""
+    """Runs both variants over the same seeds. If the second has a revision, it uses the decision module of
+    that."""
     found = Comparison(first, second, {first.name: {}, second.name: {}})
 
     def gather(jobs: list[tuple[Variant, int]], folder: str = "") -> None:
-        for which, seed, one in play_in_processes(jobs, folder, most):
-            found.results[which.name][seed] = one
-            if heard is not None:
-                heard()
+        for variant, seed, one in play_in_processes(jobs, folder, max_workers):
+            found.results[variant.name][seed] = one
+            if on_result is not None:
+                on_result()
 
     if second.revision:
         gather([(first, seed) for seed in seeds])
         with earlier.worktree(second.revision) as folder:
             gather([(second, seed) for seed in seeds], folder)
     else:
-        gather([(which, seed) for seed in seeds for which in (first, second)])
+        gather([(variant, seed) for seed in seeds for variant in (first, second)])
     return found
 
 
 def grid(base: str, settings: dict[str, list[str]], policies: list[str]) -> list[Variant]:
-    """Each value of each setting with each of the others, for each policy."""
+    """Returns all combinations of the settings' values, for each policy."""
     combined: list[tuple[tuple[str, str], ...]] = [()]
     for key, values in settings.items():
         combined = [before + ((key, value),) for before in combined for value in values]
@@ -230,29 +238,36 @@
     ]
 
 
-def file_name(which: Variant, seed: int) -> str:
-    """The same for the same run of the same version: a sweep that was stopped goes on where it was."""
-    text = msgspec.json.encode([which.table(), which.policy, seed, result.version()])
-    return f"{Path(which.scenario).stem}-{which.policy}-{seed}-{hashlib.sha256(text).hexdigest()[:16]}.json"
+def file_name(variant: Variant, seed: int) -> str:
+    """Returns a name that is determined by the run and the version, so that a sweep can resume."""
+    text = msgspec.json.encode([variant.table(), variant.policy, seed, result.version()])
+    return (
+        f"{Path(variant.scenario).stem}-{variant.policy}-{seed}-{hashlib.sha256(text).hexdigest()[:16]}.json"
+    )
 
 
 def sweep(
-    variants: list[Variant], seeds: list[int], folder: Path, heard: Callable[[int, int], None], most: int = 0
+    variants: list[Variant],
+    seeds: list[int],
+    folder: Path,
+    on_progress: Callable[[int, int], None],
+    max_workers: int = 0,
 ) -> list[Path]:
-    """Plays what `folder` does not hold yet; `heard` is told how many of how many there are."""
+    """Runs what has no complete result in `folder` yet; `on_progress` is called with the number of results
+    and their total."""
     folder.mkdir(parents=True, exist_ok=True)
-    paths = {(which, seed): folder / file_name(which, seed) for which in variants for seed in seeds}
-    jobs = [job for job, path in paths.items() if not whole(path)]
-    there = len(paths) - len(jobs)
-    heard(there, len(paths))
-    for which, seed, one in play_in_processes(jobs, most=most):
-        result.write(paths[(which, seed)], one)
-        there += 1
-        heard(there, len(paths))
+    paths = {(variant, seed): folder / file_name(variant, seed) for variant in variants for seed in seeds}
+    jobs = [job for job, path in paths.items() if not is_complete(path)]
+    completed = len(paths) - len(jobs)
+    on_progress(completed, len(paths))
+    for variant, seed, one in play_in_processes(jobs, max_workers=max_workers):
+        result.write(paths[(variant, seed)], one)
+        completed += 1
+        on_progress(completed, len(paths))
     return list(paths.values())
 
 
-def whole(path: Path) -> bool:
+def is_complete(path: Path) -> bool:
     try:
         return path.is_file() and result.read(path).complete
     except result.BadResult:
--- a/lupinmill/lab/metrics.py
+++ b/lupinmill/lab/metrics.py
@@ -1,5 +1,5 @@
-"""What a run is measured by: service as value, latency from when a submission was due, and figures by the
-second. Bounded by the length of the run, never by its load."""
+"""Metrics of a run: the value of answered requests, latency, and counters per second. Memory is bounded by
+the length of the run, whatever its load."""
 
 from __future__ import annotations
 
@@ -14,14 +14,15 @@
 from lupinmill.lab.scenario import Goal
 from lupinmill.lab.timeline import SECOND
 
-LONGEST = 120 * SECOND
+MAX_LATENCY = 120 * SECOND  # larger values are recorded as this
 PERCENTILES = (50.0, 75.0, 90.0, 95.0, 99.0, 99.9, 100.0)
 WINDOW_S = 10  # for the worst window
 TAIL_S = 5  # for the tail, by workload
 
 
 class Second(msgspec.Struct):
-    """One second of a run. `worth` and `earned` belong to the second in which the wish began."""
+    """Counters of one second of a run. `worth` and `earned` count in the second in which the client's request
+    arrived."""
 
     worth: float = 0.0
     earned: float = 0.0
@@ -34,17 +35,17 @@
     unreachable: int = 0
     launches: int = 0
     probes: int = 0
-    crossed: int = 0  # launches that crossed zones
-    held: float = 0.0  # requests at a mean endpoint of the first tier, in slots and queue
+    crossed: int = 0  # attempts that crossed zones
+    held: float = 0.0  # mean number of requests at an endpoint of the first tier, in slots and queue
     held_inner: float = 0.0
-    aside: int = 0  # endpoints set aside, over all sidecars of the first tier
-    cap: float = 0.0  # mean of the common cap, where the policy has one
+    aside: int = 0  # ejected endpoints, summed over all sidecars of the first tier
+    cap: float = 0.0  # mean over sidecars of the cap per endpoint, if the policy has one
     jammed: int = 0
     alive: int = 0
 
 
 class Figures(msgspec.Struct):
-    """The result in figures; parts of 1."""
+    """The totals of a run. Service, goal and the like are shares between 0 and 1."""
 
     service: float
     goal: float
@@ -70,7 +71,7 @@
 
 
 def record_endpoints(entry: Second, tiers: list[list[Endpoint]]) -> None:
-    """The endpoints' state at the end of a second, into its figures."""
+    """Records the state of the endpoints at the end of a second."""
     for name, endpoints in (("held", tiers[0]), ("held_inner", tiers[-1] if len(tiers) > 1 else [])):
         alive = [e for e in endpoints if e.alive]
         if alive:
@@ -83,7 +84,7 @@
     def __init__(self, start: int, seconds: float, workloads: list[str]) -> None:
         self.start = start
         self.seconds = [Second() for _ in range(int(seconds) + 2)]
-        self.latency = {name: HdrHistogram(1, LONGEST, 3) for name in workloads}
+        self.latency = {name: HdrHistogram(1, MAX_LATENCY, 3) for name in workloads}
         self.worth: dict[tuple[str, str, int], list[float]] = {}  # (kind, name, window) -> [worth, earned]
         self.tail: dict[tuple[str, int], list[int]] = {}  # (workload, window) -> [asked, missed]
         self.late_worth, self.total_worth = 0.0, 0.0
@@ -93,7 +94,7 @@
     def at(self, now: int) -> Second:
         return self.seconds[min(len(self.seconds) - 1, max(0, (now - self.start) // SECOND))]
 
-    def book(self, client_request: Any, earned: float, worth: float) -> None:
+    def add_value(self, client_request: Any, earned: float, worth: float) -> None:
         window = (client_request.began - self.start) // SECOND // WINDOW_S
         for kind, name in (
             ("all", ""),
@@ -110,7 +111,7 @@
         second.worth += client_request.worth
         self.total_worth += client_request.worth
         self.offered_work += client_request.work
-        self.book(client_request, 0.0, client_request.worth)
+        self.add_value(client_request, 0.0, client_request.worth)
         self.tail.setdefault(self.tail_key(client_request), [0, 0])[0] += 1
 
     def tail_key(self, client_request: Any) -> tuple[str, int]:
@@ -120,20 +121,20 @@
         self.at(now).tries += 1
 
     def handled(self, client_request: Any, now: int) -> None:
-        took, terms = now - client_request.began, client_request.workload.terms
-        in_time = took <= terms.contract
+        latency, terms = now - client_request.began, client_request.workload.terms
+        in_time = latency <= terms.contract
         earned = client_request.worth * (1.0 if in_time else terms.overdue_value)
         second = self.at(now)
         second.handled += 1
         second.in_time += in_time
         self.at(client_request.began).earned += earned
-        self.book(client_request, earned, 0.0)
+        self.add_value(client_request, earned, 0.0)
         self.served_work += client_request.work
-        self.latency[client_request.workload.name].record_value(max(1, min(LONGEST, took)))
+        self.latency[client_request.workload.name].record_value(max(1, min(MAX_LATENCY, latency)))
         if not in_time:
             self.tail[self.tail_key(client_request)][1] += 1
 
-    def turned(self, client_request: Any, outcome: Outcome, now: int) -> None:
+    def rejected_or_failed(self, client_request: Any, outcome: Outcome, now: int) -> None:
         second = self.at(now)
         if outcome == Outcome.REJECTED:
             second.denied += 1
@@ -145,25 +146,25 @@
     def unanswered(self, client_request: Any, now: int) -> None:
         self.unanswered_count += 1
 
-    def lost(self, client_request: Any, now: int) -> None:
-        """Given up for good."""
+    def given_up(self, client_request: Any, now: int) -> None:
+        """The client gave the request up."""
         if now > client_request.began + client_request.workload.terms.contract:
             self.late_worth += client_request.worth
             self.tail[self.tail_key(client_request)][1] += 1
 
-    # Sums.
+    # Totals.
 
-    def shares(self, kind: str) -> dict[str, float]:
+    def earned_shares(self, kind: str) -> dict[str, float]:
         sums: dict[str, list[float]] = {}
-        for (of, name, _), (worth, earned) in sorted(self.worth.items()):
-            if of == kind and (name or kind == "all"):
+        for (entry_kind, name, _), (worth, earned) in sorted(self.worth.items()):
+            if entry_kind == kind and (name or kind == "all"):
                 entry = sums.setdefault(name, [0.0, 0.0])
                 entry[0] += worth
                 entry[1] += earned
         return {name: earned / worth if worth else 1.0 for name, (worth, earned) in sums.items()}
 
     def worst_window(self) -> float:
-        """Of ten seconds each, wherever they begin, those that lie whole in the run."""
+        """Returns the lowest share of value earned in any `WINDOW_S` consecutive seconds of the run."""
         worth = np.array([second.worth for second in self.seconds])
         earned = np.array([second.earned for second in self.seconds])
         last = int(np.max(np.nonzero(worth)[0], initial=0))
@@ -173,8 +174,9 @@
             found.append(float(earned[at : at + WINDOW_S].sum() / asked) if asked else 1.0)
         return min(found, default=1.0)
 
-    def kept_tail(self, miss: float) -> float:
-        """By workload and five seconds: in full up to `miss` missed, nothing at five times that."""
+    def tail_score(self, miss: float) -> float:
+        """Returns the score for late requests, per workload and window of `TAIL_S`: 1 up to the share `miss`
+        late or lost, falling to 0 at five times that."""
         total = kept = 0.0
         for asked, missed in self.tail.values():
             share = missed / asked if asked else 0.0
@@ -185,8 +187,12 @@
     def figures(
         self, goal: Goal, endpoints: list[Any], doubled: int, waste_work: float, tier_work: float
     ) -> Figures:
-        service = self.shares("all").get("", 1.0)
-        by_workload, by_tenant, worst = self.shares("workload"), self.shares("tenant"), self.worst_window()
+        service = self.earned_shares("all").get("", 1.0)
+        by_workload, by_tenant, worst = (
+            self.earned_shares("workload"),
+            self.earned_shares("tenant"),
+            self.worst_window(),
+        )
         total = sum(second.asked for second in self.seconds)
         launches = sum(second.launches for second in self.seconds)
         probes = sum(second.probes for second in self.seconds)
@@ -197,14 +203,14 @@
         late = self.late_worth / self.total_worth if self.total_worth else 0.0
         jammed = sum(e.was_jammed for e in endpoints) / max(1, len(endpoints))
         weights = goal.whole + goal.worst_window + goal.worst_workload + goal.worst_tenant + goal.tail or 1.0
-        mixed = (
+        score = (
             goal.whole * service
             + goal.worst_window * worst
             + goal.worst_workload * min(by_workload.values(), default=service)
             + goal.worst_tenant * min(by_tenant.values(), default=service)
-            + goal.tail * self.kept_tail(goal.tail_miss)
+            + goal.tail * self.tail_score(goal.tail_miss)
         ) / weights
-        mixed -= (
+        score -= (
             goal.waste * waste
             + goal.late_fail * late
             + goal.probe * probes / max(1, total)
@@ -213,7 +219,7 @@
         )
         return Figures(
             service=service,
-            goal=max(0.0, mixed),
+            goal=max(0.0, score),
             worst_window=worst,
             by_workload=by_workload,
             by_tenant=by_tenant,
--- a/lupinmill/lab/outcome.py
+++ b/lupinmill/lab/outcome.py
@@ -1,4 +1,4 @@
-"""What a request came to, as its client sees it."""
+"""The result of a request, as its client sees it."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 class Outcome(StrEnum):
-    """The texts stand in results and messages, and stay as they are."""
+    """The values are part of result files and messages: do not change them."""
 
     SUCCEEDED = "handled"
-    REJECTED = "denied"  # turned away: it has not run, or it may be sent again
-    FAILED = "broken off"  # given up: it may have run
-    UNREACHABLE = "unreachable"  # no sidecar took it, or the one that did was killed
+    REJECTED = "denied"  # it has not run, or it is safe to send it again
+    FAILED = "broken off"  # no answer: it may have run
+    UNREACHABLE = "unreachable"  # no sidecar accepted it, or the one that did was killed
--- a/lupinmill/lab/policies.py
+++ b/lupinmill/lab/policies.py
@@ -1,5 +1,5 @@
-"""Policies on the decision module's interface: the project's own, and plain baselines to compare it with.
-Baselines keep the rules, launch anew at once while they may, and learn nothing."""
+"""Policies with the interface of the decision module: the project's own, and simple baselines for comparison.
+Baselines keep the rules, retry immediately while that is allowed, and do not adapt to outcomes."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from lupinmill.rules import Sidecar
 from lupinmill.workings import RandomSource
 
-POLL_INTERVAL = 1_000_000
-DEADLINE_MARGIN = 10_000  # microseconds kept before the hard limit
+POLL_INTERVAL = 1_000_000  # microseconds, between calls of discovery after a failure
+DEADLINE_MARGIN = 10_000  # microseconds before the deadline, after which no attempt is made
 
 
 @dataclass(slots=True)
@@ -21,16 +21,16 @@
     due: int
     endpoints: list[str] = field(default_factory=list)
     sent_at: list[int] = field(default_factory=list)
-    ended: list[t.Outcome | None] = field(default_factory=list)
+    outcomes: list[t.Outcome | None] = field(default_factory=list)
     done: bool = False
 
 
 class Baseline:
-    """Common to all baselines; `choose` says which of the ready endpoints."""
+    """Common to all baselines; `choose` picks one of the allowed endpoints."""
 
     def __init__(self, deployment: t.Deployment) -> None:
         self.deployment, self.random_source = deployment, RandomSource(deployment.seed)
-        self.workloads = {w.name: w for w in deployment.workloads}
+        self.workloads = {workload.name: workload for workload in deployment.workloads}
         self.entries: dict[str, t.ListEntry] = {}
         self.ready: list[str] = []
         self.in_flight: dict[str, int] = {}
@@ -54,7 +54,7 @@
                 self.open[event.request] = OpenRequest(workload, event.due)
                 self.start_attempt(event.request)
             elif isinstance(event, t.AttemptEnded):
-                self.ended(event)
+                self.attempt_ended(event)
             elif isinstance(event, t.RequestCancelled) and event.request in self.open:
                 self.open[event.request].done = True
                 self.forget(event.request)
@@ -83,22 +83,22 @@
         self.commands.append(t.SetTimer(self.poll_at, 2))
 
     def possibly_executed(self, request: OpenRequest) -> list[int]:
-        """Numbers of the launches that may have run."""
-        return [at for at, how in enumerate(request.ended) if how not in t.NEVER_RAN]
+        """Returns the numbers of the attempts that may have run."""
+        return [at for at, outcome in enumerate(request.outcomes) if outcome not in t.NEVER_RAN]
 
     def allowed_endpoints(self, request: OpenRequest) -> list[str]:
-        """The endpoints that it may be launched at."""
-        ran = self.possibly_executed(request)
+        """Returns the endpoints that an attempt may be sent to."""
+        executed = self.possibly_executed(request)
         names = [name for name in self.ready if name not in request.endpoints] or self.ready
         names = [name for name in names if self.passes_slow_start(name)] or names
-        if not ran or request.workload.repeat is t.RepeatPolicy.IDEMPOTENT:
+        if not executed or request.workload.repeat is t.RepeatPolicy.IDEMPOTENT:
             return names
         if (
             request.workload.repeat is t.RepeatPolicy.UNREPEATABLE
-            or self.now > request.sent_at[ran[0]] + request.workload.window - DEADLINE_MARGIN
+            or self.now > request.sent_at[executed[0]] + request.workload.window - DEADLINE_MARGIN
         ):
             return []
-        first = self.entries.get(request.endpoints[ran[0]])
+        first = self.entries.get(request.endpoints[executed[0]])
         if request.workload.group is t.DeduplicationScope.ALL:
             return names
         if first is None:
@@ -111,7 +111,7 @@
         ]
 
     def passes_slow_start(self, name: str) -> bool:
-        """Rule 4, plainly: a cold one is looked at as often as it must be warm by now."""
+        """Keeps rule 4: a cold endpoint is eligible with a probability equal to its warmth."""
         started = self.entries[name].started
         age = self.now - started
         if not started or age >= self.deployment.cold_time:
@@ -135,7 +135,7 @@
         endpoint = self.choose(names)
         request.endpoints.append(endpoint)
         request.sent_at.append(self.now)
-        request.ended.append(None)
+        request.outcomes.append(None)
         self.in_flight[endpoint] = self.in_flight.get(endpoint, 0) + 1
         self.commands.append(t.StartAttempt(name, endpoint, request.due - DEADLINE_MARGIN))
 
@@ -143,11 +143,11 @@
         request = self.open[name]
         if not request.done:
             request.done = True
-            w = request.workload
+            workload = request.workload
             safe = (
-                w.repeat is t.RepeatPolicy.IDEMPOTENT
-                or w.repeat is t.RepeatPolicy.DEDUPLICATED
-                and w.group is t.DeduplicationScope.ALL
+                workload.repeat is t.RepeatPolicy.IDEMPOTENT
+                or workload.repeat is t.RepeatPolicy.DEDUPLICATED
+                and workload.group is t.DeduplicationScope.ALL
             )
             self.commands.append(
                 t.RejectRequest(name)
@@ -156,16 +156,20 @@
             )
         self.forget(name)
 
-    def ended(self, event: t.AttemptEnded) -> None:
+    def attempt_ended(self, event: t.AttemptEnded) -> None:
         request = self.open.get(event.request)
-        if request is None or event.attempt >= len(request.ended) or request.ended[event.attempt] is not None:
+        if (
+            request is None
+            or event.attempt >= len(request.outcomes)
+            or request.outcomes[event.attempt] is not None
+        ):
             return
-        request.ended[event.attempt] = event.outcome
+        request.outcomes[event.attempt] = event.outcome
         self.in_flight[request.endpoints[event.attempt]] -= 1
         request.done = request.done or event.closed or event.outcome is t.Outcome.HANDLED
         if request.done:
             return self.forget(event.request)
-        # The front alone launches anew, as the design wants it of every policy that it is compared with.
+        # Only front sidecars retry, for all policies alike, so that they are comparable.
         if self.deployment.tier == 0 and event.outcome is not t.Outcome.TIMED_OUT:
             self.start_attempt(event.request)
         else:
@@ -173,7 +177,7 @@
 
     def forget(self, name: str) -> None:
         request = self.open[name]
-        if request.done and all(how is not None for how in request.ended):
+        if request.done and all(outcome is not None for outcome in request.outcomes):
             del self.open[name]
             for endpoint in request.endpoints:
                 if not self.in_flight.get(endpoint) and endpoint not in self.entries:
@@ -192,16 +196,16 @@
 
 
 class FewestInFlight(Baseline):
-    """Own launches only; ties at random."""
+    """The endpoint with the fewest attempts of this sidecar in flight; ties are broken at random."""
 
     def choose(self, names: list[str]) -> str:
-        least = min(self.in_flight.get(name, 0) for name in names)
-        equal = [name for name in names if self.in_flight.get(name, 0) == least]
+        fewest = min(self.in_flight.get(name, 0) for name in names)
+        equal = [name for name in names if self.in_flight.get(name, 0) == fewest]
         return equal[self.random_source.upto(len(equal) - 1)]
 
 
 class TwoChoices(Baseline):
-    """Of two drawn at random the one with fewer own launches in flight."""
+    """Of two endpoints drawn at random the one with fewer attempts of this sidecar in flight."""
 
     def choose(self, names: list[str]) -> str:
         one, two = (names[self.random_source.upto(len(names) - 1)] for _ in range(2))
--- a/lupinmill/lab/registry.py
+++ b/lupinmill/lab/registry.py
@@ -1,6 +1,5 @@
-"""Discovery as a model: the list of endpoints as it is published, seconds late, and what each sidecar has
-been told. Owns the published list and the changes of late. Pure; drivers carry what it says to the
-sidecars."""
+"""Discovery as simulated: the published list of each tier, and its changes, which are published some seconds
+after they happen. Drivers deliver them to sidecars."""
 
 from __future__ import annotations
 
@@ -27,7 +26,7 @@
 
 
 class Registry:
-    """One list a tier. `behind` is added to every delay while the list falls further behind."""
+    """The list of one tier. `extra_delay_s` is added to every publication delay."""
 
     def __init__(
         self,
@@ -43,24 +42,22 @@
         self.index = 1
         self.changes: deque[tuple[int, Entry]] = deque(maxlen=MAX_CHANGES)
         self.extra_delay_s, self.down, self.silent = 0.0, False, False
-        self.latest_changes: dict[
-            str, int
-        ] = {}  # the newest change of each endpoint; older ones on their way are void
+        # endpoint -> number of its newest change; older ones that are not published yet are dropped
+        self.latest_changes: dict[str, int] = {}
         self.subscribers: dict[str, Callable[[int, Entry], None]] = {}
         self.on_broken: dict[str, Callable[[], None]] = {}
 
     def add_initial(self, entry: Entry) -> None:
-        """At the start of a run: known everywhere."""
+        """Adds an entry that is known to all from the start."""
         self.entries[entry.name] = entry
 
-    def publish_later(self, entry: Entry, how: str) -> None:
-        """A change in the world, published after the delay of its kind: `gone`, `silent`, `add` or
-        `drain`."""
-        span = {"silent": self.silent_notice, "add": self.add}.get(how, self.notice)()
-        if how == "drain":
-            span *= 0.5  # announced by the platform itself, not found out
+    def publish_later(self, entry: Entry, kind: str) -> None:
+        """Publishes a change after the delay of its kind: `gone`, `silent`, `add` or `drain`."""
+        delay = {"silent": self.silent_notice, "add": self.add}.get(kind, self.notice)()
+        if kind == "drain":
+            delay *= 0.5  # announced by the platform, not detected
         self.latest_changes[entry.name] = change = self.latest_changes.get(entry.name, 0) + 1
-        self.timeline.after((span + self.extra_delay_s) * SECOND, self.publish, entry, change)
+        self.timeline.after((delay + self.extra_delay_s) * SECOND, self.publish, entry, change)
 
     def publish(self, entry: Entry, change: int) -> None:
         if self.latest_changes.get(entry.name) != change:
@@ -78,7 +75,8 @@
                 notify(self.index, entry)
 
     def since(self, index: int | None) -> tuple[bool, list[Entry]]:
-        """(whole list?, entries) for one who knows the list up to `index`."""
+        """Returns the changes after `index` as (False, entries), or the full list as (True, entries) if
+        `index` is None or too old."""
         if index is None or index < self.index and (not self.changes or self.changes[0][0] > index + 1):
             return True, list(self.entries.values())
         newest = {entry.name: entry for at, entry in self.changes if at > index}
@@ -94,7 +92,7 @@
         self.on_broken.pop(who, None)
 
     def go_down(self, silently: bool) -> None:
-        """Watches end with it; a silent one lets them stand."""
+        """Makes discovery unreachable. Watches end; if `silently`, subscribers have to time out."""
         self.down, self.silent = not silently, silently
         callbacks, self.subscribers, self.on_broken = list(self.on_broken.values()), {}, {}
         for on_broken in callbacks:
--- a/lupinmill/lab/replay.py
+++ b/lupinmill/lab/replay.py
@@ -1,4 +1,4 @@
-"""A result played again, to the very step: the same steps or the first second in which they differ."""
+"""Replays a result: reports whether all steps are the same, or the first second in which they differ."""
 
 from __future__ import annotations
 
@@ -14,31 +14,36 @@
 
 
 @dataclass
-class Replayed:
+class ReplayResult:
     same: bool
     differs_at: int | None  # second
     steps: int
 
 
 def replay(
-    found: Result, tell: Callable[[str], None], step: int | None = None, request_id: str = "", around: int = 0
-) -> Replayed:
-    """Plays it again and tells the asked step (and so many around it), or all that names a submission."""
+    found: Result,
+    print_line: Callable[[str], None],
+    step: int | None = None,
+    request_id: str = "",
+    around: int = 0,
+) -> ReplayResult:
+    """Replays a result and prints one step and `around` steps before and after it, or all steps that name a
+    request."""
     if found.driver != "virtual":
         raise BadResult("only runs in virtual time can be replayed; sockets have no such steps")
     read = scenario.check(found.scenario, "the result's scenario")
 
-    def trace(number: int, seat: VirtualSidecar, events: list[t.Event], commands: list[t.Command]) -> None:
+    def trace(number: int, sidecar: VirtualSidecar, events: list[t.Event], commands: list[t.Command]) -> None:
         wanted = step is not None and abs(number - step) <= around
-        if request_id and any(names(one, request_id) for one in (*events, *commands)):
+        if request_id and any(concerns(message, request_id) for message in (*events, *commands)):
             wanted = True
         if wanted:
-            at = (seat.run.timeline.now - EPOCH) / SECOND
-            tell(f"step {number}  {at:.6f} s  {seat.name}")
+            at = (sidecar.run.timeline.now - EPOCH) / SECOND
+            print_line(f"step {number}  {at:.6f} s  {sidecar.name}")
             for event in events:
-                tell(f"    note   {event}")
+                print_line(f"    note   {event}")
             for command in commands:
-                tell(f"    order  {command}")
+                print_line(f"    order  {command}")
 
     run = VirtualRun(read, found.seed, found.policy, trace)
     last = len(found.digests)
@@ -49,12 +54,12 @@
 
     run.tick = tick
     run.play()
-    for at, (old, new) in enumerate(zip(found.digests, run.digests)):
-        if old != new:
-            return Replayed(False, at, run.steps)
+    for at, (recorded, replayed) in enumerate(zip(found.digests, run.digests)):
+        if recorded != replayed:
+            return ReplayResult(False, at, run.steps)
     short = len(run.digests) < last
-    return Replayed(not short, len(run.digests) if short else None, run.steps)
+    return ReplayResult(not short, len(run.digests) if short else None, run.steps)
 
 
-def names(one: Any, request_id: str) -> bool:
-    return getattr(one, "request", None) == request_id
+def concerns(message: Any, request_id: str) -> bool:
+    return getattr(message, "request", None) == request_id
--- a/lupinmill/lab/report.py
+++ b/lupinmill/lab/report.py
@@ -1,4 +1,4 @@
-"""Results as one HTML page that opens without a network: figures, curves over time with troubles shaded,
+"""Writes results as one self-contained HTML page: figures, charts over time with troubles shaded, and
 latency."""
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 import matplotlib
 
 matplotlib.use("Agg")
-from matplotlib import pyplot as plt  # noqa: E402  (the backend has to be chosen first)
+from matplotlib import pyplot as plt  # noqa: E402  (the backend must be selected before the import)
 
 from lupinmill.lab.result import Result  # noqa: E402
 
@@ -33,7 +33,8 @@
 
 
 def svg(figure: plt.Figure) -> str:
-    """As text for the page itself; ids from a fixed salt, so that one result gives one page."""
+    """Returns the chart as inline SVG. Ids come from a fixed salt, so that the page of a result is
+    reproducible."""
     buffer = io.StringIO()
     with plt.rc_context({"svg.hashsalt": "lupinmill", "svg.fonttype": "none"}):
         figure.savefig(buffer, format="svg", metadata={"Date": None})
--- a/lupinmill/lab/result.py
+++ b/lupinmill/lab/result.py
@@ -1,4 +1,4 @@
-"""The file that a run leaves: what was played, on what, by which version, and what came of it."""
+"""Result files: what was run, on which machine, by which version, and the results."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class BadResult(Exception):
-    """The text is one line: file and reason."""
+    """The message is one line: file and reason."""
 
 
 class TroublePeriod(msgspec.Struct):
@@ -30,8 +30,8 @@
 
 
 class Result(msgspec.Struct):
-    """`digests` holds the steps' running checksum at each second of a virtual run: a replay must meet them
-    all."""
+    """The result of a run. `digests` holds the running checksum of the decision steps at each second of a
+    virtual run; a replay has to reproduce all of them."""
 
     format: int
     version: str
@@ -63,7 +63,8 @@
 
 
 def version() -> str:
-    """The commit that runs, marked where files differ from it; outside a checkout the package's version."""
+    """Returns the commit of the checkout, marked if files differ from it; outside a checkout the package
+    version."""
     root = Path(__file__).resolve().parents[2]
     try:
         found = subprocess.run(
@@ -86,14 +87,14 @@
 def from_run(
     run: Any, name: str, scenario: Scenario, seed: int, policy: str, driver: str, wall: float, complete: bool
 ) -> Result:
-    """What a run has come to, whole or stopped in the middle."""
+    """Collects the result of a run, complete or stopped."""
     world = run.world
     endpoints = [e for tier in world.tiers for e in tier]
-    per_submission, calls = 0.0, 1.0
+    work_per_request, calls = 0.0, 1.0
     for at, tier in enumerate(world.tiers):
         calls *= world.calls[at] if at else 1.0
-        per_submission += tier[0].spec.work * calls
-    done = sum(e.total_work + e.overhead_work for e in world.by_endpoint.values())
+        work_per_request += tier[0].spec.work * calls
+    total_work = sum(e.total_work + e.overhead_work for e in world.by_endpoint.values())
     rule_checker = world.rule_checker
     simulated = max(0.0, (run.timeline.now - world.start) / 1e6)
     return Result(
@@ -111,7 +112,9 @@
         capacity=world.capacity(),
         sidecars=world.sidecars,
         endpoints=len(world.tiers[0]),
-        figures=run.metrics.figures(scenario.goal, endpoints, rule_checker.doubled, done, per_submission),
+        figures=run.metrics.figures(
+            scenario.goal, endpoints, rule_checker.doubled, total_work, work_per_request
+        ),
         rules={str(rule): count for rule, count in rule_checker.counts.items()},
         broken=rule_checker.broken,
         seconds=run.metrics.seconds[: max(1, int(simulated) + 1)],
@@ -127,8 +130,8 @@
 
 
 def comparable_bytes(one: Result) -> bytes:
-    """What two runs of one seed must have in common to the byte: all but the machine, the clock and the
-    version."""
+    """Returns the part of a result that is byte for byte the same in each run of a seed: all but machine,
+    wall time and version."""
     table = msgspec.to_builtins(one)
     for key in ("wall_s", "machine", "version"):
         table.pop(key)
@@ -136,15 +139,15 @@
 
 
 def write(path: str | Path, result: Result) -> None:
-    """Whole or not at all: a reader never meets half of it."""
+    """Writes the file atomically: readers never see a part of it."""
     target = Path(path)
-    beside = target.with_name(target.name + ".part")
-    beside.write_bytes(msgspec.json.format(msgspec.json.encode(result), indent=1))
-    beside.replace(target)
+    temporary = target.with_name(target.name + ".part")
+    temporary.write_bytes(msgspec.json.format(msgspec.json.encode(result), indent=1))
+    temporary.replace(target)
 
 
 def read(path: str | Path) -> Result:
-    """Raises BadResult with file and reason."""
+    """Reads a result file; raises BadResult with file and reason."""
     try:
         if Path(path).stat().st_size > MAX_RESULT_BYTES:
             raise BadResult(f"{path}: larger than any result")
--- a/lupinmill/lab/rule_checker.py
+++ b/lupinmill/lab/rule_checker.py
@@ -1,5 +1,11 @@
-"""Judges the four rules from what the endpoints and the clients see, never from what a sidecar says of
-itself. Owns a record for each submission until it can no longer matter."""
+"""Checks the four rules from what endpoints and clients observe, never from what a sidecar reports about
+itself. Keeps a record of each request until it can no longer affect a check.
+
+Rule 1: each request gets exactly one answer, in time, and no attempt is sent after it.
+Rule 2: no attempt and no rejection may cause an effect twice.
+Rule 3: after a grace period no attempt goes to an endpoint that drains or is gone.
+Rule 4: no cold endpoint is overloaded by sidecars that know of its restart.
+"""
 
 from __future__ import annotations
 
@@ -12,12 +18,13 @@
 from lupinmill.lab.outcome import Outcome
 from lupinmill.lab.timeline import SECOND
 
-MAX_REPORTED = 50  # broken rules that are told one by one
-RECORD_RETENTION = 20 * SECOND  # how long a record outlives the submission's hard limit
+MAX_REPORTED = 50  # violations that are kept with their details; all are counted
+RECORD_RETENTION = 20 * SECOND  # after the deadline of the request
 
 
 class RuleViolation(msgspec.Struct):
-    """One broken rule: the second of the run, the submission (or endpoint) and what was seen."""
+    """A violation of a rule: the second of the run, the request or endpoint (`what`), and what was
+    observed."""
 
     rule: int
     second: float
@@ -31,7 +38,7 @@
     cell: int
     zone: str
     at: int  # when it was sent
-    executed: bool = False  # accepted: it has run or may run
+    executed: bool = False  # the endpoint accepted it: it has run or may run
     in_flight: bool = True
 
 
@@ -41,16 +48,16 @@
     workload: t.Workload
     due: int
     received: int
-    front: bool  # of the first tier: its client is a person
+    front: bool  # sent by a client, not by an endpoint of another tier
     answer: str = ""
     answered: int = 0
-    released: bool = False  # its client left, or its sidecar died: nothing is owed
+    released: bool = False  # its client left or its sidecar was killed: no answer is required
     attempts: list[AttemptRecord] = field(default_factory=list)
 
 
 class RuleChecker:
-    """`fall` is the multiple of its capacity and the span (microseconds) beyond which a cold endpoint
-    falls."""
+    """`overload_limit` is the multiple of its capacity, and the time in microseconds over which it is
+    measured, at which a cold endpoint collapses."""
 
     def __init__(
         self,
@@ -72,16 +79,14 @@
         self.records: dict[str, RequestRecord] = {}
         self.broken: list[RuleViolation] = []
         self.counts = {1: 0, 2: 0, 3: 0, 4: 0}
-        self.dedup_keys: dict[
-            tuple[str, str], int
-        ] = {}  # (group, mark) -> until when its repeats are dropped
-        self.effects: dict[str, int] = {}  # mark -> when its effect last came about, at the first tier
-        self.doubled = 0  # effects that came about twice, also by what clients sent again: no rule by itself
-        self.leaving_since: dict[
-            tuple[str, str], int
-        ] = {}  # (sidecar, endpoint) -> when it heard that it leaves
+        # (group, key) -> until when repeats are dropped
+        self.dedup_keys: dict[tuple[str, str], int] = {}
+        self.effects: dict[str, int] = {}  # key -> time of its latest effect at the first tier
+        self.doubled = 0  # effects that occurred twice; retries of clients count too, so it breaks no rule
+        # (sidecar, endpoint) -> when the sidecar learned that the endpoint drains or is gone
+        self.leaving_since: dict[tuple[str, str], int] = {}
         self.now = start
-        self.slack = 0  # on sockets the order of what two connections bring within this time says nothing
+        self.slack = 0  # on sockets, events of two connections within this time have no known order
         self.collapsed: list[str] = []
 
     def violation(self, rule: int, what: str, text: str) -> None:
@@ -100,7 +105,7 @@
         self.records[request_id] = RequestRecord(request_id, self.workloads[workload], due, now, front)
 
     def answered(self, now: int, request_id: str, what: str) -> None:
-        """`what` is handled, denied or broken off, as it came to the client."""
+        """The client received an answer; `what` is its outcome."""
         self.now = now
         record = self.records.get(request_id)
         if record is None:
@@ -124,14 +129,13 @@
             self.violation(2, record.request_id, "denied, but a launch of it has run or may run")
 
     def released(self, request_id: str) -> None:
-        """Its client has gone, or the sidecar that took it was killed."""
+        """The client has left, or the sidecar that accepted the request was killed."""
         record = self.records.get(request_id)
         if record is not None:
             record.released = True
 
     def overdue(self, now: int, request_id: str) -> None:
-        """To be called at the hard limit and the grace; what the client got no answer to until then is
-        lost."""
+        """To be called at the deadline plus the grace period: a request without an answer breaks rule 1."""
         self.now = now
         record = self.records.get(request_id)
         if record is not None and not record.answer and not record.released:
@@ -143,7 +147,7 @@
     # Endpoints.
 
     def sent(self, now: int, request_id: str, endpoint: Any, sidecar: str) -> AttemptRecord | None:
-        """A launch was sent, whatever comes of it. Rule 3 counts from here, and so does the end of rule 1."""
+        """An attempt was sent, whatever its outcome. Rule 3 and the end of rule 1 are checked here."""
         self.now = now
         self.check_drain(now, request_id, endpoint.spec.name, sidecar)
         record = self.records.get(request_id)
@@ -160,12 +164,12 @@
         return attempt
 
     def check_retry(self, record: RequestRecord, attempt: AttemptRecord) -> None:
-        workload, earlier = record.workload, [old for old in record.attempts if old.executed]
-        if not self.hedging_allowed and any(old.in_flight for old in record.attempts):
+        workload, executed = record.workload, [other for other in record.attempts if other.executed]
+        if not self.hedging_allowed and any(other.in_flight for other in record.attempts):
             self.violation(2, record.request_id, "two launches out together where copies are forbidden")
-        if not earlier or workload.repeat is t.RepeatPolicy.IDEMPOTENT:
+        if not executed or workload.repeat is t.RepeatPolicy.IDEMPOTENT:
             return
-        first = earlier[0]
+        first = executed[0]
         if workload.repeat is t.RepeatPolicy.UNREPEATABLE:
             self.violation(
                 2, record.request_id, f"launched at {attempt.endpoint}, may have run at {first.endpoint}"
@@ -185,7 +189,7 @@
         return zone == other_zone if workload.group is t.DeduplicationScope.ZONE else cell == other_cell
 
     def accepted(self, endpoint: Any, job: Any, ran: bool) -> None:
-        """The endpoint took it: from now on it has run or may run."""
+        """The endpoint accepted the request: from now on it has run or may run."""
         record = self.records.get(job.request_id)
         if record is None:
             return
@@ -199,7 +203,7 @@
             self.executed(endpoint, job)
 
     def executed(self, endpoint: Any, job: Any) -> None:
-        """Its effect has come about, unless a repeat was dropped (whose work is nothing)."""
+        """The request took effect, unless it was a dropped repeat (whose work is 0)."""
         if job.key and job.work > 0 and endpoint.spec.tier == 0:
             self.doubled += job.key in self.effects
             self.effects[job.key] = self.now
@@ -227,7 +231,7 @@
     # The list, and cold endpoints.
 
     def list_update(self, now: int, sidecar: str, endpoint: str, leaving: bool) -> None:
-        """What discovery has just told a sidecar."""
+        """A sidecar received a change of the list from discovery."""
         if leaving:
             self.leaving_since.setdefault((sidecar, endpoint), now)
         else:
@@ -240,9 +244,9 @@
     def check_drain(self, now: int, request_id: str, endpoint: str, sidecar: str) -> None:
         leaving_since = self.leaving_since.get((sidecar, endpoint))
         if leaving_since is not None and now > leaving_since + self.drain_grace:
-            late = (now - leaving_since) / SECOND
+            late_s = (now - leaving_since) / SECOND
             self.violation(
-                3, request_id, f"{sidecar} sent to {endpoint} {late:.2f} s after hearing that it leaves"
+                3, request_id, f"{sidecar} sent to {endpoint} {late_s:.2f} s after hearing that it leaves"
             )
 
     def endpoint_collapsed(self, endpoint: Any, informed: float) -> None:
@@ -251,9 +255,10 @@
             self.violation(4, endpoint.spec.name, "pushed over while cold")
 
     def sweep(self, now: int) -> None:
-        """Forgets what can matter no longer, so that a day's length doesn't show in memory."""
-        old = [name for name, record in self.records.items() if record.due + RECORD_RETENTION < now]
-        for name in old:
+        """Drops records that can no longer affect a check, so that memory does not grow with the length of a
+        run."""
+        expired = [name for name, record in self.records.items() if record.due + RECORD_RETENTION < now]
+        for name in expired:
             del self.records[name]
         for key in [key for key, until in self.dedup_keys.items() if until < now]:
             del self.dedup_keys[key]
--- a/lupinmill/lab/scenario.py
+++ b/lupinmill/lab/scenario.py
@@ -1,5 +1,6 @@
-"""Scenario files: what a site is made of and what goes wrong, in TOML, checked whole. A figure may be a range
-`[a, b]`, drawn by seed. `base` names another scenario, whose tables are taken over key by key."""
+"""Scenario files in TOML: the site and its troubles. They are validated as a whole when read. A number may
+be a range `[a, b]`, from which a value is drawn by seed. `base` names another scenario, whose tables are the
+defaults, key by key."""
 
 from __future__ import annotations
 
@@ -11,7 +12,7 @@
 
 Range = float | tuple[float, float]
 SHIPPED = Path(__file__).parent / "scenarios"
-MAX_BASE_DEPTH = 8  # bases of bases
+MAX_BASE_DEPTH = 8  # of bases that have a base themselves
 Field = Literal["queued", "held", "busy", "service", "rate"]
 Trouble = Literal[
     "crash",
@@ -42,7 +43,7 @@
 
 
 class BadScenario(Exception):
-    """The text is one line: file, key and reason."""
+    """The message is one line: file, key and reason."""
 
 
 class StrictStruct(msgspec.Struct, forbid_unknown_fields=True, kw_only=True, frozen=True):
@@ -50,7 +51,7 @@
 
 
 class Kind(StrictStruct):
-    """Machines of one kind. Speeds are multiples of the yardstick core that `work_ms` is told for."""
+    """Machines of one kind. Speeds are relative to the core for which `work_ms` is given."""
 
     name: str
     share: Range = 1.0
@@ -59,9 +60,8 @@
     speed_cv: Range = 0.0
     slots_per_core: Range = 4.0
     queue_per_core: Range = 20.0
-    crowding: Range = (
-        0.0  # part of the capacity lost for each multiple of `crowding_at` held a core beyond it
-    )
+    # Capacity is divided by 1 + crowding * (requests per core / crowding_at - 1) where that is above 1.
+    crowding: Range = 0.0
     crowding_at: Range = 10.0
     cold_from: Range = 1.0
     cold_s: Range = 0.0
@@ -69,7 +69,7 @@
     pause_every_s: Range = 10.0
     pause_ms: Range = 0.0
     error_rate: Range = 0.0
-    cancel: Literal["none", "queued", "all"] = "all"  # what a cancel or a client gone stops
+    cancel: Literal["none", "queued", "all"] = "all"  # which requests a cancel or a closed connection stops
     drops_expired: bool = False
 
 
@@ -82,11 +82,11 @@
 
 
 class Jam(StrictStruct):
-    """Slowing under a deep queue: more held than the cores and `at` for the root of their number, in the mean
-    of `over_s`, then `slower` until mostly idle (busy under `below`) for `rest_s`, or for `most_s`; once a
-    run."""
+    """Slowdown under a deep queue. It starts when the requests held, averaged over `over_s`, exceed the
+    number of cores plus `at` times its square root. The endpoint is then `slower` until it was mostly idle
+    (busy less than `below`) for `rest_s`, or until `most_s` have passed. At most once per run."""
 
-    share: Range = 1.0  # of the seeds, on which it can come about at all
+    share: Range = 1.0  # of seeds with which a jam is possible at all
     at: Range = 7.0
     over_s: Range = 2.0
     slower: Range = 1.0
@@ -106,10 +106,10 @@
 class Tier(StrictStruct):
     name: str
     count: Range = 6.0
-    per_caller: Range = 0.0  # where above 0: so many machines for each of the tier before
-    work: Range = 1.0  # part of a submission's work that one call does here
-    calls: Range = 1.0  # that one request of the tier before makes here, one after another
-    call_work: Literal["own", "alike"] = "own"  # a call's work is drawn anew, or as large as its caller's
+    per_caller: Range = 0.0  # if above 0: machines per machine of the tier before
+    work: Range = 1.0  # share of a request's work that one call needs here
+    calls: Range = 1.0  # that one request of the tier before makes here, in sequence
+    call_work: Literal["own", "alike"] = "own"  # a call's work is drawn independently, or equals its caller's
     cell_size: Range = 4.0
     probe_us: Range = 80.0
     kind: list[Kind] = msgspec.field(default_factory=lambda: [Kind(name="std")])
@@ -141,7 +141,7 @@
 
 
 class Load(StrictStruct):
-    """Either `rate` a second, or `part` of what the whole site can do."""
+    """Either `rate` requests per second, or `part` as a share of the site's capacity."""
 
     rate: Range | None = None
     part: Range | None = None
@@ -157,10 +157,10 @@
     wait: list[Literal["none", "fixed", "exponential"]] = msgspec.field(default_factory=lambda: ["none"])
     wait_ms: Range = 100.0
     marks: bool = True
-    follows_advice: Range = 0.0  # the part of clients that come back when they are told to
+    follows_advice: Range = 0.0  # share of clients that wait as long as the answer advises
     impatient: Range = 0.0
     slow: int = 0  # on sockets: connections that send a request byte by byte
-    idle: int = 0  # on sockets: connections that say nothing
+    idle: int = 0  # on sockets: connections that send nothing
 
 
 class Discovery(StrictStruct):
@@ -180,14 +180,14 @@
     client_ms: Range = 0.5
     jitter: Range = 0.1
     regions: list[str] = []  # of the zones, in their order
-    endpoints: list[float] = []  # parts of the endpoints, in the order of the zones; none: alike
-    traffic: list[float] = []  # parts of what clients send, by the sidecar's zone; none: alike
+    endpoints: list[float] = []  # shares of the endpoints, in the order of the zones; none: equal
+    traffic: list[float] = []  # shares of clients' traffic, by the sidecar's zone; none: equal
 
 
 class Sidecars(StrictStruct):
     count: Range = 2.0
     round_ms: float = 5.0
-    notice_s: Range = 2.0  # for how long the front goes on sending to a dead one
+    notice_s: Range = 2.0  # for how long clients are still routed to a dead one
     cores: float = 1.0
     memory_mb: int = 192
     sockets: int = 1024
@@ -211,7 +211,7 @@
 
 
 class Goal(StrictStruct):
-    """Weights, scaled to sum 1, and prices in parts of service."""
+    """Weights, normalized to a sum of 1, and prices in units of service."""
 
     whole: float = 1.0
     worst_window: float = 0.0
@@ -222,13 +222,13 @@
     waste: float = 0.0
     late_fail: float = 0.0
     probe: float = 0.0
-    cross_zone: float = 0.0  # for each launch or call that crosses zones, a submission
+    cross_zone: float = 0.0  # for each attempt or call that crosses zones, per request
     jammed: float = 0.0
 
 
 class Event(StrictStruct):
-    """One trouble. `part` is the share of endpoints (or sidecars) that it meets, `size` and `extra` depend on
-    its kind; see docs/lab.md."""
+    """One trouble. `part` is the share of endpoints or sidecars that it affects; the meaning of `size` and
+    `extra` depends on its kind; see docs/lab.md."""
 
     kind: Trouble
     at_s: Range = 0.0
@@ -238,9 +238,9 @@
     extra: Range = 0.0
     tier: str = ""
     tenant: str = ""
-    zone: str = ""  # of a trouble of zones: this one, else one drawn
-    weight: float = 1.0  # among random troubles: how likely beside the others
-    then: list[Event] = []  # random troubles: what follows, `at_s` after the end of this one
+    zone: str = ""  # for troubles of zones; empty: a zone is drawn
+    weight: float = 1.0  # among random troubles: relative probability
+    then: list[Event] = []  # for random troubles: those that follow, `at_s` after the end of this one
 
 
 class Scenario(StrictStruct):
@@ -267,7 +267,7 @@
 
 
 def find(name: str) -> Path:
-    """A path, or the name of a shipped scenario."""
+    """Returns the path of a scenario, given a path or the name of a shipped one."""
     path = Path(name)
     if path.suffix != ".toml" and not path.is_file():
         path = SHIPPED / f"{name}.toml"
@@ -277,9 +277,9 @@
 
 
 def read_tables(path: Path, depth: int = 0) -> dict[str, Any]:
-    """The file's tables over those of its base."""
+    """Reads the tables of a file, merged over those of its base."""
     if depth > MAX_BASE_DEPTH:
-        raise BadScenario(f"{path}: base: more than {MAX_BASE_DEPTH} files deep, or in a circle")
+        raise BadScenario(f"{path}: base: more than {MAX_BASE_DEPTH} files deep, or circular")
     try:
         table = tomllib.loads(path.read_text(encoding="utf-8"))
     except OSError as error:
@@ -291,36 +291,36 @@
         return table
     if not isinstance(base, str):
         raise BadScenario(f"{path}: base: not a name")
-    beside = path.parent / f"{base}.toml"
+    sibling = path.parent / f"{base}.toml"
     try:
-        below = beside if beside.is_file() else find(base)
+        base_path = sibling if sibling.is_file() else find(base)
     except BadScenario as error:
         raise BadScenario(f"{path}: base: {error}") from error
-    return merge_tables(read_tables(below, depth + 1), table)
+    return merge_tables(read_tables(base_path, depth + 1), table)
 
 
 def merge_tables(base: dict[str, Any], table: dict[str, Any]) -> dict[str, Any]:
-    """Tables key by key; a list stands in place of the base's, but lists of named tables that share a name go
-    name by name."""
+    """Merges `table` over `base`, key by key. A list replaces that of the base, except that lists of named
+    tables with a name in common are merged by name."""
     merged = dict(base)
     for key, value in table.items():
-        old = merged.get(key)
-        if isinstance(value, dict) and isinstance(old, dict):
-            merged[key] = merge_tables(old, value)
+        base_value = merged.get(key)
+        if isinstance(value, dict) and isinstance(base_value, dict):
+            merged[key] = merge_tables(base_value, value)
         elif (
             are_named_tables(value)
-            and are_named_tables(old)
-            and {row["name"] for row in value} & {row["name"] for row in old}
+            and are_named_tables(base_value)
+            and {row["name"] for row in value} & {row["name"] for row in base_value}
         ):
-            rows = {row["name"]: row for row in old}
+            rows = {row["name"]: row for row in base_value}
             changed = {row["name"]: merge_tables(rows.get(row["name"], {}), row) for row in value}
             merged[key] = [changed.pop(name, row) for name, row in rows.items()] + list(changed.values())
         else:
             merged[key] = value
-    if "rate" in table or "part" in table:  # each stands in place of the base's other
+    if "rate" in table or "part" in table:  # each replaces the other in the base
         merged.pop("part" if "rate" in table else "rate", None)
     if "rate" in table and "part" in table:
-        merged["part"] = table["part"]  # both at once is refused later on
+        merged["part"] = table["part"]  # both in one file: rejected by `check`
     return merged
 
 
@@ -339,55 +339,57 @@
     return found
 
 
-def problems(s: Scenario) -> list[str]:
-    """What types alone can't say, each with its key."""
+def problems(scenario: Scenario) -> list[str]:
+    """Returns what the types do not rule out, each with its key."""
     found = []
-    for key, rows in (("tier", s.tier), ("workload", s.workload)):
+    for key, rows in (("tier", scenario.tier), ("workload", scenario.workload)):
         if not rows:
             found.append(f"{key}: at least one is wanted")
         if len({row.name for row in rows}) < len(rows):
             found.append(f"{key}: two have the same name")
-    if (s.load.rate is None) == (s.load.part is None):
+    if (scenario.load.rate is None) == (scenario.load.part is None):
         found.append("load: either `rate` or `part` is wanted")
-    tiers, tenants = {tier.name for tier in s.tier}, {tenant.name for tenant in s.tenant}
-    for at, event in enumerate(s.trouble + s.random):
+    tiers, tenants = {tier.name for tier in scenario.tier}, {tenant.name for tenant in scenario.tenant}
+    for index, event in enumerate(scenario.trouble + scenario.random):
         if event.tier and event.tier not in tiers:
-            found.append(f"trouble {at}: tier: {event.tier!r} is none of {', '.join(sorted(tiers))}")
+            found.append(f"trouble {index}: tier: {event.tier!r} is none of {', '.join(sorted(tiers))}")
         if event.tenant and event.tenant not in tenants:
-            found.append(f"trouble {at}: tenant: {event.tenant!r} is not listed")
-        if event.zone and event.zone not in s.net.zones:
-            found.append(f"trouble {at}: zone: {event.zone!r} is none of {', '.join(s.net.zones)}")
-        if event.kind == "tenant_burst" and not s.tenant:
-            found.append(f"trouble {at}: kind: tenant_burst without any tenant")
-    for key, rows_ in (
-        ("regions", s.net.regions),
-        ("endpoints", s.net.endpoints),
-        ("traffic", s.net.traffic),
+            found.append(f"trouble {index}: tenant: {event.tenant!r} is not listed")
+        if event.zone and event.zone not in scenario.net.zones:
+            found.append(f"trouble {index}: zone: {event.zone!r} is none of {', '.join(scenario.net.zones)}")
+        if event.kind == "tenant_burst" and not scenario.tenant:
+            found.append(f"trouble {index}: kind: tenant_burst without any tenant")
+    for key, shares in (
+        ("regions", scenario.net.regions),
+        ("endpoints", scenario.net.endpoints),
+        ("traffic", scenario.net.traffic),
     ):
-        if rows_ and len(rows_) != len(s.net.zones):
-            found.append(f"net.{key}: wants one for each of the {len(s.net.zones)} zones")
-        if rows_ and key != "regions" and not sum(rows_) > 0:
+        if shares and len(shares) != len(scenario.net.zones):
+            found.append(f"net.{key}: wants one for each of the {len(scenario.net.zones)} zones")
+        if shares and key != "regions" and not sum(shares) > 0:
             found.append(f"net.{key}: wants a part above 0")
-    for workload in s.workload:
+    for workload in scenario.workload:
         if workload.contract_s > workload.hard_limit_s:
             found.append(f"workload {workload.name}: contract_s: beyond hard_limit_s")
-    found += [f"{path}: {reason}" for path, reason in invalid_ranges(msgspec.to_builtins(s), "")]
+    found += [f"{path}: {reason}" for path, reason in invalid_ranges(msgspec.to_builtins(scenario), "")]
     return found
 
 
 def invalid_ranges(value: Any, path: str) -> list[tuple[str, str]]:
-    """Ranges the wrong way round, and figures below zero."""
+    """Returns path and reason of reversed ranges and of negative or excessive numbers."""
     if isinstance(value, dict):
         return [
-            bad
+            problem
             for key, inner in value.items()
-            for bad in invalid_ranges(inner, f"{path}.{key}" if path else key)
+            for problem in invalid_ranges(inner, f"{path}.{key}" if path else key)
         ]
     if isinstance(value, (list, tuple)):
-        pair = len(value) == 2 and all(isinstance(v, (int, float)) for v in value)
-        found = [(path, "the range's end lies before its start")] if pair and value[1] < value[0] else []
+        is_range = len(value) == 2 and all(isinstance(v, (int, float)) for v in value)
+        found = [(path, "the range's end lies before its start")] if is_range and value[1] < value[0] else []
         return found + [
-            bad for at, inner in enumerate(value) for bad in invalid_ranges(inner, f"{path}[{at}]")
+            problem
+            for index, inner in enumerate(value)
+            for problem in invalid_ranges(inner, f"{path}[{index}]")
         ]
     if isinstance(value, (int, float)) and not isinstance(value, bool) and not 0 <= value < 1e9:
         return [(path, "below 0, or absurdly large")]
@@ -395,6 +397,6 @@
 
 
 def load(name: str) -> Scenario:
-    """Raises BadScenario with file, key and reason."""
+    """Reads and validates a scenario; raises BadScenario with file, key and reason."""
     path = find(name)
     return check(read_tables(path), str(path))
--- a/lupinmill/lab/sockets/clock.py
+++ b/lupinmill/lab/sockets/clock.py
@@ -41,7 +41,7 @@
 
     async def wait(self) -> None:
         """Until the next event is due, or a new one is the next."""
-        self.timeline.woken = self.woken.set
+        self.timeline.on_new_next = self.woken.set
         self.woken.clear()
         due = self.timeline.next_at()
         wait = AWAKE if due is None else min(AWAKE, max(0.0, (due - now_us()) / SECOND))
@@ -71,6 +71,6 @@
 
     def stop(self) -> None:
         """Ends all tasks."""
-        self.timeline.woken = None
+        self.timeline.on_new_next = None
         for task in list(self.tasks):
             task.cancel()
--- a/lupinmill/lab/sockets/front.py
+++ b/lupinmill/lab/sockets/front.py
@@ -26,7 +26,7 @@
         self.run, self.world, self.timeline, self.random_source = run, run.world, run.timeline, random_source
         self.dead_until: dict[int, int] = {}  # sidecar -> when the front notices that it died
 
-    def ask(self, client_request: ClientRequest, request_id: str, due: int, repeated: bool) -> None:
+    def send_try(self, client_request: ClientRequest, request_id: str, due: int, repeated: bool) -> None:
         """One try of a client."""
         run, now, request_class = self.run, self.timeline.now, client_request.workload
         at = self.pick()
@@ -65,7 +65,7 @@
             self.world.rule_checker.answered(self.timeline.now, request_id, outcome)
         self.run.clients.ended(request_id, outcome, advice_of(answer))
 
-    def gave_up(self, client_request: ClientRequest, request_id: str) -> None:
+    def cancel(self, client_request: ClientRequest, request_id: str) -> None:
         """The client has gone away."""
         self.run.requests.abandon(request_id)
 
--- a/lupinmill/lab/timeline.py
+++ b/lupinmill/lab/timeline.py
@@ -1,5 +1,5 @@
-"""The order of events of a rehearsal. Owns what is still to happen; a driver decides when time passes:
-virtual time jumps to the next event, sockets wait for it."""
+"""The event queue of a run. The driver decides how time passes: in virtual time it jumps to the next event,
+on sockets it follows the clock."""
 
 from __future__ import annotations
 
@@ -11,49 +11,49 @@
 
 
 class ScheduledEvent:
-    """One event to come; `cancel` drops it."""
+    """A scheduled callback; `cancel` drops it."""
 
-    __slots__ = ("at", "act", "args")
+    __slots__ = ("at", "callback", "args")
 
-    def __init__(self, at: int, act: Callable[..., Any], args: tuple[Any, ...]) -> None:
+    def __init__(self, at: int, callback: Callable[..., Any], args: tuple[Any, ...]) -> None:
         self.at = at
-        self.act: Callable[..., Any] | None = act
+        self.callback: Callable[..., Any] | None = callback
         self.args = args
 
     def cancel(self) -> None:
-        self.act = None
+        self.callback = None
 
 
 class Timeline:
-    """Whole microseconds; events of the same moment come in the order in which they were set."""
+    """Time in whole microseconds. Events of the same time run in the order in which they were scheduled."""
 
     def __init__(self, now: int) -> None:
         self.now, self.serial = now, 0
         self.heap: list[tuple[int, int, ScheduledEvent]] = []
-        self.woken: Callable[[], None] | None = None  # told when a new event is the next one
+        self.on_new_next: Callable[[], None] | None = None  # called when a new event is the next one
 
-    def at(self, when: int, act: Callable[..., Any], *args: Any) -> ScheduledEvent:
-        due = ScheduledEvent(max(when, self.now), act, args)
+    def at(self, when: int, callback: Callable[..., Any], *args: Any) -> ScheduledEvent:
+        event = ScheduledEvent(max(when, self.now), callback, args)
         self.serial += 1
-        heappush(self.heap, (due.at, self.serial, due))
-        if self.woken is not None and self.heap[0][2] is due:
-            self.woken()
-        return due
+        heappush(self.heap, (event.at, self.serial, event))
+        if self.on_new_next is not None and self.heap[0][2] is event:
+            self.on_new_next()
+        return event
 
-    def after(self, span: float, act: Callable[..., Any], *args: Any) -> ScheduledEvent:
-        return self.at(self.now + int(span), act, *args)
+    def after(self, span: float, callback: Callable[..., Any], *args: Any) -> ScheduledEvent:
+        return self.at(self.now + int(span), callback, *args)
 
     def next_at(self) -> int | None:
-        while self.heap and self.heap[0][2].act is None:
+        while self.heap and self.heap[0][2].callback is None:
             heappop(self.heap)
         return self.heap[0][0] if self.heap else None
 
     def run_until(self, when: int) -> None:
-        """Everything due up to and at `when`; afterwards it is `when`."""
+        """Runs all events that are due up to and including `when`, and sets the time to `when`."""
         while (at := self.next_at()) is not None and at <= when:
-            _, _, due = heappop(self.heap)
+            _, _, event = heappop(self.heap)
             self.now = max(self.now, at)
-            act, due.act = due.act, None
-            if act is not None:
-                act(*due.args)
+            callback, event.callback = event.callback, None
+            if callback is not None:
+                callback(*event.args)
         self.now = max(self.now, when)
--- a/lupinmill/lab/virtual/front.py
+++ b/lupinmill/lab/virtual/front.py
@@ -27,7 +27,7 @@
         shares = dict(zip(run.world.zones, run.world.scenario.net.traffic))
         self.weights = [shares[sidecar.zone] for sidecar in run.sidecars] if shares else []
 
-    def ask(self, client_request: ClientRequest, request_id: str, due: int, repeated: bool) -> None:
+    def send_try(self, client_request: ClientRequest, request_id: str, due: int, repeated: bool) -> None:
         """One try of a client."""
         client_delay, ended = self.world.network.client_delay, self.run.clients.ended
         sidecar = self.pick()
@@ -84,7 +84,7 @@
             self.world.rule_checker.answered(self.timeline.now, request_id, outcome)
         self.run.clients.ended(request_id, outcome, advice)
 
-    def gave_up(self, client_request: ClientRequest, request_id: str) -> None:
+    def cancel(self, client_request: ClientRequest, request_id: str) -> None:
         """The client has gone away."""
         sidecar = client_request.sidecar
         if sidecar is not None and sidecar.alive:
--- a/tests/test_lab_earlier.py
+++ b/tests/test_lab_earlier.py
@@ -18,7 +18,7 @@
     changes = (("seconds", "8"),)
     today = experiments.Variant("today", scenario, changes=changes)
     before = experiments.Variant("before", scenario, changes=changes, revision=BEFORE_RENAMES)
-    found = experiments.compare(today, before, [1, 2], most=2)
+    found = experiments.compare(today, before, [1, 2], max_workers=2)
     for seed in (1, 2):
         one, two = found.results["today"][seed], found.results["before"][seed]
         assert one.complete and two.complete and one.figures.handled > 100
--- a/tests/test_lab_runs.py
+++ b/tests/test_lab_runs.py
@@ -353,8 +353,8 @@
 def test_compare_pairs_seeds_and_tells_a_difference_with_its_interval() -> None:
     jam = 'seconds=20;trouble=[{"kind":"burst","at_s":5,"lasts_s":8,"size":2.6}]'
     one, two = (
-        experiments.variant(f"fewest;{jam}", "jam", "A"),
-        experiments.variant(f"lupinmill;{jam}", "jam", "B"),
+        experiments.parse_variant(f"fewest;{jam}", "jam", "A"),
+        experiments.parse_variant(f"lupinmill;{jam}", "jam", "B"),
     )
     found = experiments.compare(one, two, [1, 2, 3])
     by_name = {d.figure: d for d in found.differences()}
--- a/tests/test_lab_scenario.py
+++ b/tests/test_lab_scenario.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from lupinmill.lab import scenario
-from lupinmill.lab.experiments import Variant, grid, variant
+from lupinmill.lab.experiments import Variant, grid, parse_variant
 from lupinmill.lab.scenario import BadScenario
 from lupinmill.lab.timeline import SECOND, Timeline
 from lupinmill.lab.world import World, random_stream, draw
@@ -88,14 +88,14 @@
 
 
 def test_settings_of_the_command_go_by_name_into_lists() -> None:
-    read = variant(
+    read = parse_variant(
         "tier.endpoints.kind.std.speed=2.0;load.part=0.4;limits.copies=false;fewest", "calm"
     ).read()
     assert read.tier[0].kind[0].speed == 2.0 and read.load.part == 0.4 and read.limits.copies is False
-    assert variant("fewest", "calm").policy == "fewest"
+    assert parse_variant("fewest", "calm").policy == "fewest"
     for bad in ("tier.cellar.count=3", "speed", "load.prat=1"):
         with pytest.raises(BadScenario):
-            variant(bad, "calm").read()
+            parse_variant(bad, "calm").read()
 
 
 def test_a_grid_has_each_value_with_each_other() -> None:
