--- a/lupinmill/lab/commons.py
+++ b/lupinmill/lab/commons.py
@@ -183,7 +183,7 @@
             together = self.peer.membership.quorum_state in (QuorumState.MAJORITY, QuorumState.UNCERTAIN)
             sidecars = self.count.step(self.commons.run.timeline.now, together, len(self.present()))
         assert self.tally is not None
-        self.seat.tell(
+        self.seat.queue_event(
             t.FleetState(
                 sidecars, order.plan, brakes, self.tally.listed_by_zone(self.seat.module), order.until
             )
@@ -315,7 +315,7 @@
                 # Alone: out of a zone where it finds nothing open, to the others alike.
                 way = dict.fromkeys(others, 1 / len(others)) if self.mode == "alone" and others else {}
                 plan[w.name] = ({seat.zone: 1.0}, way)
-        seat.tell(t.FleetState(0, plan, {}, {}, now + COUNTS))
+        seat.queue_event(t.FleetState(0, plan, {}, {}, now + COUNTS))
         self.run.timeline.after(SECOND // 4 if self.mode == "sight" else SECOND, self.look, seat, life)
 
     def see(self) -> None:
--- a/lupinmill/lab/sockets/endpoints.py
+++ b/lupinmill/lab/sockets/endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoints of a run on sockets: a server for each."""
+"""The servers of the endpoints in a run on sockets."""
 
 from __future__ import annotations
 
@@ -13,30 +13,30 @@
 
 
 class EndpointServers:
-    """By the endpoint's name; a server outlives its endpoint's death."""
+    """Servers by the endpoint's name; a server is kept when its endpoint crashes."""
 
     def __init__(self, run: SocketRun) -> None:
         self.run, self.world = run, run.world
         self.servers: dict[str, EndpointServer] = {}
-        self.names: dict[int, set[str]] = {}  # all that a tier's list ever named
+        self.names: dict[int, set[str]] = {}  # by tier: all names that its list ever had
 
     def address(self, name: str) -> str:
-        """Where it listens, also while it is dead."""
+        """Returns the address of an endpoint, also while it is down."""
         return self.servers[name].address
 
     def listed_names(self, registry: Registry) -> list[str]:
-        """All that this list ever named."""
+        """Returns all names that this list ever had."""
         return sorted(self.names[self.world.registries.index(registry)])
 
     async def serve(self, endpoint: Endpoint) -> None:
-        """A socket for an endpoint that is new."""
+        """Starts a server for a new endpoint."""
         server = EndpointServer(endpoint, self.run)
         await server.listen()
         self.servers[endpoint.spec.name] = server
         self.names.setdefault(endpoint.spec.tier, set()).add(endpoint.spec.name)
 
     async def start(self, endpoint: Endpoint) -> None:
-        """Under its old address, where it had one."""
+        """Starts an endpoint, under its previous address if it had one."""
         if (server := self.servers.get(endpoint.spec.name)) is None:
             await self.serve(endpoint)
         else:
@@ -44,7 +44,7 @@
             await server.listen()
 
     def died(self, endpoint: Endpoint) -> None:
-        """Its connections are reset, or say nothing any more."""
+        """Resets the endpoint's connections, or leaves them open without answers."""
         server = self.servers[endpoint.spec.name]
         if endpoint.silent:
             server.fall_silent()
@@ -52,6 +52,6 @@
             server.refuse()
 
     def close(self) -> None:
-        """All of them."""
+        """Closes all servers."""
         for server in self.servers.values():
             server.close()
--- a/lupinmill/lab/sockets/inner.py
+++ b/lupinmill/lab/sockets/inner.py
@@ -1,4 +1,5 @@
-"""Calls that endpoints of a run on sockets make of the next tier, each by way of a process of its own."""
+"""Calls that endpoints of a run on sockets make to the next tier, each endpoint through a process of its
+own."""
 
 from __future__ import annotations
 
@@ -17,12 +18,12 @@
 if TYPE_CHECKING:
     from lupinmill.lab.sockets.run import SocketRun
 
-LEAST_LEFT = 10 * MS  # until the deadline: with less a call is not made
-Done = Callable[[bool], None]  # told once whether the call succeeded
+MIN_REMAINING = 10 * MS  # until the deadline; with less, no call is made
+Done = Callable[[bool], None]  # called once with whether the call succeeded
 
 
 class InnerCalls:
-    """The sidecars' processes beside endpoints, by the endpoint's name."""
+    """The sidecar processes of endpoints, by the endpoint's name, and their calls."""
 
     def __init__(self, run: SocketRun) -> None:
         self.run, self.world, self.timeline = run, run.world, run.timeline
@@ -31,28 +32,28 @@
         self.serial = 0
 
     def calls_of(self, endpoint: Endpoint) -> int:
-        """How many calls a request at this endpoint makes."""
+        """Draws how many calls a request makes at this endpoint."""
         return self.world.draw_calls(endpoint.spec.tier, self.random_source)
 
     async def add(self, endpoint: Endpoint) -> None:
-        """A process for an endpoint that is new; it is not started yet."""
+        """Creates the process of a new endpoint; it is not started yet."""
         name = endpoint.spec.name
         process = await self.run.make_process(f"i-{name}", endpoint.spec.tier + 1)
         self.processes[name] = process
         endpoint.make_call, endpoint.cancel_call = partial(self.call, endpoint, process), self.cancel_call
 
     def endpoint_died(self, endpoint: Endpoint) -> None:
-        """Its sidecar dies with it."""
+        """Kills the endpoint's sidecar with it."""
         if (process := self.processes.get(endpoint.spec.name)) is not None:
             process.kill()
 
     def call(self, endpoint: Endpoint, process: Process, job: Job, done: Done) -> str | None:
-        """One call of a job; None where there is no time or no sidecar for it."""
+        """Makes one call for a job; None if there is no time left or no sidecar."""
         now, rule_checker = self.timeline.now, self.world.rule_checker
         request_class = self.world.class_by_name[job.workload]
         passes = self.run.scenario.limits.passes_deadline
         due = job.due if passes else now + request_class.terms.hard_limit
-        if due - now < LEAST_LEFT or not process.alive() or not process.ready:
+        if due - now < MIN_REMAINING or not process.alive() or not process.ready:
             self.timeline.after(MS, done, False)
             return None
         self.serial += 1
@@ -76,7 +77,7 @@
         done: Done,
         answer: Answer | None,
     ) -> None:
-        """The end of a call, for the endpoint that made it."""
+        """Passes the end of a call to the endpoint that made it."""
         overdue.cancel()
         outcome = self.run.requests.outcome_of(name, process, incarnation, answer)
         if answer is not None:
@@ -84,12 +85,12 @@
         done(outcome is Outcome.SUCCEEDED)
 
     def overdue(self, name: str, done: Done) -> None:
-        """No answer until the deadline and its grace."""
+        """There was no answer until the deadline plus the grace period."""
         self.world.rule_checker.overdue(self.timeline.now, name)
         self.run.requests.abandon(name)
         done(False)
 
     def cancel_call(self, name: str) -> None:
-        """The endpoint wants a call's answer no more."""
+        """The endpoint no longer waits for a call."""
         self.world.rule_checker.released(name)
         self.run.requests.abandon(name)
--- a/lupinmill/lab/sockets/requests.py
+++ b/lupinmill/lab/sockets/requests.py
@@ -1,4 +1,4 @@
-"""Requests on their way to sidecars' processes: of clients, and of endpoints that call the next tier."""
+"""Requests to the sidecar processes: from clients, and from endpoints that call the next tier."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
 if TYPE_CHECKING:
     from lupinmill.lab.sockets.run import SocketRun
 
-MOST_REMEMBERED = 200_000
-BODY = b"x" * 200  # of a request that is not idempotent
+MAX_REMEMBERED = 200_000
+BODY = b"x" * 200  # of requests that are not idempotent
 REJECTED = (429, 503)
-LONGEST_ADVICE_S = 60.0
+MAX_ADVICE_S = 60.0
 
 
 @dataclass(slots=True, frozen=True)
 class SentRequest:
-    """What was sent under an id: endpoints find the work of a request by it."""
+    """What was sent under a request id; endpoints look up the work of a request here."""
 
     request_class: str
     work: float  # seconds
@@ -36,7 +36,7 @@
 
 
 class Requests:
-    """All exchanges that are out, and what was sent of late."""
+    """All exchanges in flight, and what was sent recently."""
 
     def __init__(self, run: SocketRun) -> None:
         self.run, self.rule_checker = run, run.world.rule_checker
@@ -45,37 +45,38 @@
         self.pools: dict[str, AskPool] = {}  # by the sidecar's name
 
     def open_pool(self, process: Process) -> None:
-        """Connections to one sidecar; they follow its address over restarts."""
+        """Opens the connection pool of a sidecar; it follows the address over restarts."""
         self.pools[process.name] = AskPool(lambda: process.address)
 
     def close(self) -> None:
-        """All connections."""
+        """Closes all connections."""
         for pool in self.pools.values():
             pool.close()
 
     def remember(self, request_id: str, sent: SentRequest) -> None:
-        """The oldest are forgotten."""
+        """Remembers what was sent under an id; the oldest entries are dropped."""
         self.sent[request_id] = sent
-        while len(self.sent) > MOST_REMEMBERED:
+        while len(self.sent) > MAX_REMEMBERED:
             del self.sent[next(iter(self.sent))]
 
     def send(
         self, process: Process, request_id: str, request: Request, done: Callable[[Answer | None], None]
     ) -> None:
-        """`done` is told of the answer once; None: the connection ended without one."""
+        """Sends a request; `done` is called once with the answer, or None if the connection ended without
+        one."""
         exchange = Exchange(request, lambda answer: self.run.act(done, answer))
         self.exchanges[request_id] = exchange
         self.pools[process.name].send(exchange)
 
     def abandon(self, request_id: str) -> None:
-        """Nobody waits for its answer any more."""
+        """Nobody waits for the answer any more."""
         if (exchange := self.exchanges.pop(request_id, None)) is not None:
             exchange.abandon()
 
     def outcome_of(
         self, request_id: str, process: Process, incarnation: int, answer: Answer | None
     ) -> Outcome:
-        """What an answer means; the body must be one that an endpoint made for this request."""
+        """Returns the outcome of a request; the body must be the one that an endpoint made for it."""
         self.exchanges.pop(request_id, None)
         if answer is None:
             return self.unanswered(request_id, process, incarnation)
@@ -90,7 +91,8 @@
         return Outcome.REJECTED if answer.status in REJECTED else Outcome.FAILED
 
     def unanswered(self, request_id: str, process: Process, incarnation: int) -> Outcome:
-        """The connection ended: right where the process was killed, a broken rule where it lives."""
+        """The connection ended without an answer: expected if the process was killed, else a violation of
+        rule 1."""
         killed = process.killed or process.lives != incarnation or not process.alive()
         if not killed:
             self.rule_checker.violation(1, request_id, "its connection ended without an answer")
@@ -99,16 +101,16 @@
 
 
 def request_for(
-    request_id: str, request_class: RequestClass, left: float, key: str, tenant: str, repeated: bool
+    request_id: str, request_class: RequestClass, remaining_s: float, key: str, tenant: str, repeated: bool
 ) -> Request:
-    """A request by the platform's protocol; `left`: seconds until its deadline."""
+    """Returns a request in the platform's protocol; `remaining_s` is the time until its deadline."""
     kind = request_class.name.encode()
     idempotent = request_class.terms.repeat is t.RepeatPolicy.IDEMPOTENT
     headers = [
         (b"Host", b"site"),
         (b"Req-Id", request_id.encode()),
         (b"Req-Kind", kind),
-        (b"Req-Deadline", b"%.6f" % max(0.0, left)),
+        (b"Req-Deadline", b"%.6f" % max(0.0, remaining_s)),
     ]
     if not idempotent:
         headers.append((b"Idempotency-Key", key.encode()))
@@ -120,9 +122,9 @@
 
 
 def advice_of(answer: Answer | None) -> int:
-    """Microseconds after which to come back, where the answer says so."""
+    """Returns the microseconds after which to retry, if the answer says so, else 0."""
     text = answer.header(b"retry-after") if answer is not None else None
     try:
-        return int(min(LONGEST_ADVICE_S, max(0.0, float(text))) * SECOND) if text else 0
+        return int(min(MAX_ADVICE_S, max(0.0, float(text))) * SECOND) if text else 0
     except ValueError:
         return 0
--- a/lupinmill/lab/sockets/run.py
+++ b/lupinmill/lab/sockets/run.py
@@ -30,15 +30,16 @@
 from lupinmill.lab.world.troubles.plan import plan
 
 T = TypeVar("T")
-BEGINS_AFTER = 0.5  # seconds from all being ready to the first arrival
-SETTLED = 4 * SECOND  # how long a run goes on after its last arrival
-SLACK = 50 * MS  # by which each time limit of the rules is longer on sockets
-MOST_NOTES = 2000
-LONGEST_CRASH = 400  # characters
+START_DELAY_S = 0.5  # from all processes being ready to the first arrival
+DRAIN_TIME = 4 * SECOND  # how long a run may continue after its last arrival
+SLACK = 50 * MS  # added to each time limit of the rules on sockets
+MAX_NOTES = 2000
+MAX_CRASH_CHARS = 400
 
 
 class SocketRun:
-    """One run in real time. Same surface as VirtualRun: `world`, `measure`, `clients`, `notes`, `digests`."""
+    """One run in real time, with the interface of VirtualRun: `world`, `metrics`, `clients`, `notes`,
+    `digests`."""
 
     def __init__(
         self,
@@ -78,11 +79,11 @@
     # The run.
 
     def play(self) -> None:
-        """To the end, or until `stop` is set."""
+        """Runs to the end, or until `stop` is set."""
         asyncio.run(self.main())
 
     async def main(self) -> None:
-        """Sets up, plays and leaves nothing behind."""
+        """Sets up, plays, and cleans up in any case."""
         with tempfile.TemporaryDirectory(prefix="lupinmill-lab-") as folder:
             try:
                 await self.set_up(Path(folder))
@@ -94,7 +95,7 @@
                 await self.tear_down()
 
     async def set_up(self, folder: Path) -> None:
-        """Starts endpoints, lists and sidecars, and sets the first arrival."""
+        """Starts endpoints, discovery and sidecars, and schedules the first arrival."""
         self.folder = folder
         for endpoint in [e for tier in self.world.tiers for e in tier]:
             await self.endpoints.serve(endpoint)
@@ -117,12 +118,12 @@
             self.clock.spawn(trickle(self.front.any_address, lambda: self.stop))
 
     def processes(self) -> list[Process]:
-        """All sidecars, those of the front first."""
+        """Returns the processes of all sidecars, those of the front first."""
         return [*self.fronts, *self.inner.processes.values()]
 
     def rebase(self) -> None:
-        """The day begins now: starting took its time."""
-        start = now_us() + int(BEGINS_AFTER * SECOND)
+        """Moves the start of the run to now: starting the processes took some time."""
+        start = now_us() + int(START_DELAY_S * SECOND)
         self.timeline.run_until(now_us())
         span = self.world.end - self.world.start
         self.world.start, self.world.end = start, start + span
@@ -130,8 +131,8 @@
         self.next_sample = start + SECOND
 
     async def pump(self) -> None:
-        """Carries the timeline along with the clock."""
-        end = self.world.end + SETTLED
+        """Runs the timeline with the clock until the end of the run."""
+        end = self.world.end + DRAIN_TIME
         while not self.stop:
             if self.clock.failed is not None:
                 raise self.clock.failed
@@ -140,14 +141,14 @@
             if now >= end or now >= self.world.end and not self.clients.open:
                 break
             await self.clock.wait()
-        self.judge_machine()
+        self.set_void()
 
     def catch_up(self) -> int:
-        """Carries the timeline up to now, which is returned (microseconds)."""
+        """Advances the timeline to the current time, and returns it (microseconds)."""
         return self.clock.catch_up(self.world.start)
 
-    def judge_machine(self) -> None:
-        """Whether the run is void. A crash is told first, whatever the machine was."""
+    def set_void(self) -> None:
+        """Sets whether the run is void. A crash takes precedence over a slow machine."""
         self.void = self.clock.verdict(self.timeline.now - self.world.start) or self.void
         for process in self.processes():
             self.crashes += process.crashes
@@ -155,7 +156,7 @@
             self.void = f"a sidecar crashed: {self.crashes[0]}"
 
     def sample(self, now: int) -> None:
-        """The state at the end of each second that has passed, into its figures."""
+        """Records the state at the end of each second that has passed."""
         while self.began and now >= self.next_sample:
             entry = self.metrics.at(self.next_sample - SECOND)
             record_endpoints(entry, self.world.tiers)
@@ -177,26 +178,26 @@
             discovery.close()
         await asyncio.sleep(0)
 
-    def act(self, do: Callable[..., T], *args: Any) -> T:
-        """What comes from a socket happens now."""
+    def act(self, handler: Callable[..., T], *args: Any) -> T:
+        """Handles an event of a socket at the current time."""
         self.catch_up()
-        return do(*args)
+        return handler(*args)
 
-    # Sidecars' processes.
+    # Sidecar processes.
 
     async def make_process(self, name: str, tier: int) -> Process:
-        """A sidecar that sends to `tier`, with its list; it is not started yet."""
+        """Creates a sidecar that sends to `tier`, and its discovery server; it is not started yet."""
         discovery = DiscoveryServer(self.world.registries[tier], name, self)
         await discovery.listen()
         self.discoveries[name] = discovery
-        known = self.peers and tier == 0
-        environ = {"BALANCER_OPERATOR_FILE": str(self.folder / "operator.toml")} if known else None
+        has_peers = self.peers and tier == 0
+        environ = {"BALANCER_OPERATOR_FILE": str(self.folder / "operator.toml")} if has_peers else None
         process = Process(name, tier, self.folder, self.configuration_of, self.log_line, environ)
         self.requests.open_pool(process)
         return process
 
     def configuration_of(self, process: Process) -> dict[str, Any]:
-        """The platform's configuration, with the list as it is published."""
+        """Returns the platform's configuration of a sidecar, with the published list."""
         found, registry = self.scenario.sidecars, self.world.registries[process.tier]
         instances = len(self.fronts) if process.tier == 0 else len(self.world.tiers[process.tier - 1])
         random_source = random_stream(self.seed, "seat", process.name, process.lives)
@@ -215,31 +216,31 @@
         }
 
     def row(self, entry: Entry, sidecar: str = "") -> dict[str, Any]:
-        """An entry as discovery writes it, for this sidecar."""
+        """Returns an entry as discovery encodes it for this sidecar."""
         return endpoint_row(entry, self.endpoints.address(entry.name))
 
     async def start(self, process: Process) -> None:
-        """Starts a process and waits until it is ready; where it does not start, that is a crash."""
+        """Starts a process and waits until it is ready; a failure counts as a crash."""
         try:
             await process.start()
             await until_ready(process, self.requests.pools[process.name])
         except (RuntimeError, TimeoutError) as error:
-            self.crashes.append(f"{process.name}: {error}"[:LONGEST_CRASH])
+            self.crashes.append(f"{process.name}: {error}"[:MAX_CRASH_CHARS])
 
     def log_line(self, process: Process, event: dict[str, Any]) -> None:
-        """One line of a sidecar's log."""
+        """Processes a line of a sidecar's log."""
         name, text = event.get("event"), str(event.get("text", event.get("error", "")))
-        self.ejected.heard(process.name, event, text)
-        if len(self.notes) < MOST_NOTES and name != "started":
+        self.ejected.log_event(process.name, event, text)
+        if len(self.notes) < MAX_NOTES and name != "started":
             at = (now_us() - self.world.start) / SECOND
             self.notes.append((round(at, 3), process.name, f"{name}: {text}" if text else str(name)))
 
     def sidecar_count(self) -> int:
-        """Of the front."""
+        """Returns the number of front sidecars."""
         return len(self.fronts)
 
     def kill_sidecar(self, at: int, down_s: float) -> None:
-        """One of the front, which starts again after so many seconds."""
+        """Kills a front sidecar, which is restarted after `down_s` seconds."""
         process = self.fronts[at]
         if not process.alive():
             return
@@ -248,47 +249,47 @@
         self.ejected.forget_sidecar(process.name)
         down = int(down_s * SECOND)
         self.front.died(at, down)
-        self.timeline.after(down, self.start_again, process)
+        self.timeline.after(down, self.schedule_restart, process)
 
-    def start_again(self, process: Process) -> None:
-        """Unless the run ends or it was started meanwhile."""
+    def schedule_restart(self, process: Process) -> None:
+        """Restarts a process, unless the run ends or it was started meanwhile."""
         if not self.stop and not process.alive():
             self.clock.spawn(self.restart(process))
 
     async def restart(self, process: Process) -> None:
-        """Once its past life has ended."""
+        """Starts a process again once the previous one has ended."""
         if process.process is not None:
             await process.process.wait()
         await self.start(process)
 
     def starve_sidecar(self, at: int, lag_s: float) -> None:
-        """One of the front comes to what has happened with this lag."""
+        """Delays the processing of a front sidecar by `lag_s` seconds."""
         self.fronts[at].starve(lag_s)
 
     def links_changed(self) -> None:
-        """Whoever stands in a way looks at the world itself."""
+        """Does nothing: proxies check the links of the world themselves."""
 
     # Endpoints.
 
     def work_of(self, request_id: str) -> SentRequest | None:
-        """What was sent under this name; None: nobody sent it."""
+        """Returns what was sent under this request id; None if nothing was."""
         return self.requests.sent.get(request_id)
 
     def spread(self) -> float:
-        """Microseconds that a published change takes to one sidecar."""
+        """Draws the microseconds that a published change takes to reach a sidecar."""
         return self.spread_s * self.random_source.uniform(0.2, 1.8) * SECOND
 
     def endpoint_died(self, endpoint: Endpoint) -> None:
-        """It, and its sidecar with it."""
+        """An endpoint has crashed; its sidecar is killed with it."""
         self.endpoints.died(endpoint)
         self.inner.endpoint_died(endpoint)
 
     def endpoint_started(self, endpoint: Endpoint) -> None:
-        """An endpoint starts, or starts again."""
+        """An endpoint was started or restarted."""
         self.clock.spawn(self.start_endpoint(endpoint))
 
     async def start_endpoint(self, endpoint: Endpoint) -> None:
-        """Its socket, and its sidecar where it makes calls."""
+        """Starts an endpoint's server, and its sidecar if its tier makes calls."""
         name = endpoint.spec.name
         await self.endpoints.start(endpoint)
         if endpoint.spec.tier + 1 < len(self.world.tiers):
--- a/lupinmill/lab/sockets/sidecars.py
+++ b/lupinmill/lab/sockets/sidecars.py
@@ -1,4 +1,4 @@
-"""Starts the sidecars' processes of a run, and follows what they log."""
+"""Waits for the sidecar processes of a run, and follows their logs."""
 
 from __future__ import annotations
 
@@ -9,33 +9,33 @@
 from lupinmill.lab.stands import AskPool, Exchange
 from lupinmill.protocol.http import Answer, Request
 
-READY_LIMIT = 20.0  # seconds
-READY_EVERY = 0.05
+READY_TIMEOUT_S = 20.0
+READY_INTERVAL_S = 0.05
 
 
 async def until_ready(process: Process, pool: AskPool) -> None:
-    """Waits for the process to say that it is ready; raises RuntimeError where it does not in time."""
+    """Waits until the process reports that it is ready; raises RuntimeError after `READY_TIMEOUT_S`."""
     loop = asyncio.get_running_loop()
-    limit = loop.time() + READY_LIMIT
-    while loop.time() < limit and process.alive():
+    deadline = loop.time() + READY_TIMEOUT_S
+    while loop.time() < deadline and process.alive():
         done: asyncio.Future[Answer | None] = loop.create_future()
         pool.send(Exchange(Request(b"GET", b"/ready", [(b"Host", b"site")]), done.set_result))
         answer = await done
         if answer is not None and answer.status == 200:
             process.ready = True
             return
-        await asyncio.sleep(READY_EVERY)
+        await asyncio.sleep(READY_INTERVAL_S)
     raise RuntimeError("not ready in time")
 
 
 class EjectedEndpoints:
-    """Endpoints that sidecars have set aside, as they log it."""
+    """The endpoints that sidecars have ejected, according to their logs."""
 
     def __init__(self) -> None:
         self.pairs: dict[tuple[str, str], None] = {}  # (sidecar, endpoint)
 
-    def heard(self, sidecar: str, event: dict[str, Any], text: str) -> None:
-        """One line of a sidecar's log."""
+    def log_event(self, sidecar: str, event: dict[str, Any], text: str) -> None:
+        """Processes a line of a sidecar's log."""
         if event.get("event") != "mode" or not text:
             return
         endpoint = text.split(" ", 1)[0]
@@ -45,13 +45,13 @@
             self.pairs.pop((sidecar, endpoint), None)
 
     def forget_sidecar(self, sidecar: str) -> None:
-        """It was killed: the next one begins anew."""
+        """Drops the ejections of a sidecar that was killed: a new process has none."""
         self.pairs = {pair: None for pair in self.pairs if pair[0] != sidecar}
 
     def keep_listed(self, listed: set[str]) -> None:
-        """Forgets endpoints that are not listed any more."""
+        """Drops endpoints that are no longer listed."""
         self.pairs = {pair: None for pair in self.pairs if pair[1] in listed}
 
     def count(self, sidecars: set[str]) -> int:
-        """How many there are at these sidecars, together."""
+        """Returns the number of ejections, summed over these sidecars."""
         return sum(sidecar in sidecars for sidecar, _ in self.pairs)
--- a/lupinmill/lab/sockets/slow_clients.py
+++ b/lupinmill/lab/sockets/slow_clients.py
@@ -1,4 +1,4 @@
-"""Clients that open connections and ask for nothing, or for too long."""
+"""Clients that open connections and send nothing, or never complete a request."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 async def stay_idle(address: Callable[[], str], stopped: Callable[[], bool]) -> None:
-    """Connects, says nothing, and again when it was closed."""
+    """Connects without sending anything, and reconnects when the connection is closed."""
     while not stopped():
         host, _, port = address().partition(":")
         try:
@@ -25,7 +25,7 @@
 
 
 async def trickle(address: Callable[[], str], stopped: Callable[[], bool]) -> None:
-    """Sends the head of a request byte by byte, and never its end."""
+    """Sends the head of a request byte by byte, without completing it."""
     while not stopped():
         host, _, port = address().partition(":")
         try:
--- a/lupinmill/lab/virtual/__init__.py
+++ b/lupinmill/lab/virtual/__init__.py
@@ -1,8 +1,9 @@
-"""Virtual time: the site, the network and the decision module itself in one process, from one seed.
+"""Discrete-event simulation: the site, the network and the decision module in one process, by seed.
 
 Nothing here waits for a clock. `run` plays a scenario; `sidecar` is one virtual sidecar, made of `attempts`
-and `connections` (what it sends to endpoints) and `discovery` (what it hears of the list); `front` carries
-what clients ask to the sidecars, `inner` the calls that endpoints make of the next tier.
+and `connections` (towards endpoints) and `discovery` (its copy of the list); `front` routes requests of
+clients to the sidecars, and `inner` carries the calls that endpoints make to the next tier. `recorded` spells
+commands for the digests of a run.
 """
 
 from lupinmill.lab.virtual.run import EPOCH, VirtualRun
--- a/lupinmill/lab/virtual/connections.py
+++ b/lupinmill/lab/virtual/connections.py
@@ -8,27 +8,28 @@
 from lupinmill.lab.endpoint import Endpoint
 from lupinmill.lab.timeline import SECOND, Timeline
 
-MOST_IDLE = 64  # of one sidecar to one endpoint
-IDLE_SHARE = 0.9  # of the time after which endpoints close an idle connection: a longer idle one isn't used
+MAX_IDLE = 64  # per sidecar and endpoint
+IDLE_SHARE = 0.9  # of the idle timeout of endpoints: connections that are idle for longer are not reused
 
 
 @dataclass(slots=True, frozen=True)
 class Idle:
-    """One idle connection."""
+    """An idle connection."""
 
-    epoch: int  # the endpoint's life in which it was opened
+    epoch: int  # of the endpoint when it was opened
     since: int  # microseconds of the timeline
 
 
 class Connections:
-    """By endpoint; the latest is used first."""
+    """Idle connections by endpoint, reused in last-in, first-out order."""
 
     def __init__(self, timeline: Timeline) -> None:
         self.timeline = timeline
         self.idle: dict[str, deque[Idle]] = {}
 
     def reuse(self, endpoint: Endpoint) -> bool:
-        """An idle connection, the latest first; those of a past life of the endpoint are gone with it."""
+        """Takes the most recently used idle connection and returns whether there was one. Connections of an
+        earlier epoch of the endpoint are dropped."""
         idle, now = self.idle.get(endpoint.spec.name), self.timeline.now
         while idle:
             one = idle.pop()
@@ -41,17 +42,17 @@
         return False
 
     def keep(self, endpoint: Endpoint, epoch: int) -> None:
-        """A connection that has nothing to carry any more; closed where there are enough of them."""
+        """Keeps a connection as idle, or closes it if there are `MAX_IDLE` already."""
         if epoch != endpoint.epoch:
             return
         idle = self.idle.setdefault(endpoint.spec.name, deque())
-        if len(idle) < MOST_IDLE:
+        if len(idle) < MAX_IDLE:
             idle.append(Idle(epoch, self.timeline.now))
         else:
             endpoint.disconnect(epoch)
 
     def close(self, by_endpoint: dict[str, Endpoint]) -> None:
-        """All of them."""
+        """Closes all connections."""
         for name, connections in self.idle.items():
             for one in connections:
                 by_endpoint[name].disconnect(one.epoch)
--- a/lupinmill/lab/virtual/front.py
+++ b/lupinmill/lab/virtual/front.py
@@ -1,4 +1,4 @@
-"""The way of clients to the front sidecars of a virtual run."""
+"""Routes requests of clients to the front sidecars of a virtual run."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 
 
 class FrontRouter:
-    """Picks a sidecar for each try of a client. It notices a dead one only after a while."""
+    """Picks a sidecar for each try. It notices only after a delay that a sidecar has died."""
 
     def __init__(self, run: VirtualRun, random_source: np.random.Generator) -> None:
         self.run, self.world, self.timeline, self.random_source = run, run.world, run.timeline, random_source
-        self.dead_until: dict[int, int] = {}  # sidecar -> when the front notices that it died
+        self.dead_until: dict[int, int] = {}  # position of a sidecar -> when its death is noticed
         shares = dict(zip(run.world.zones, run.world.scenario.net.traffic))
         self.weights = [shares[sidecar.zone] for sidecar in run.sidecars] if shares else []
 
     def send_try(self, client_request: ClientRequest, request_id: str, due: int, repeated: bool) -> None:
-        """One try of a client."""
+        """Sends one try of a client."""
         client_delay, ended = self.world.network.client_delay, self.run.clients.ended
         sidecar = self.pick()
         if sidecar is None or not sidecar.alive:
@@ -36,20 +36,27 @@
             return
         client_request.sidecar = sidecar
         self.timeline.after(
-            client_delay, self.reach, client_request, request_id, sidecar, sidecar.incarnation, due, repeated
+            client_delay,
+            self.try_arrived,
+            client_request,
+            request_id,
+            sidecar,
+            sidecar.incarnation,
+            due,
+            repeated,
         )
 
     def pick(self) -> VirtualSidecar | None:
-        """Any that the front believes alive, a dead one for a while too."""
+        """Picks one of the sidecars that are believed alive, by the weights of their zones."""
         now = self.timeline.now
         believed = [s for s in self.run.sidecars if s.alive or self.dead_until.get(s.position, 0) > now]
         if self.weights and believed:
-            parts = np.array([self.weights[s.position] for s in believed])
-            if parts.sum() > 0:
-                return believed[int(self.random_source.choice(len(believed), p=parts / parts.sum()))]
+            weights = np.array([self.weights[s.position] for s in believed])
+            if weights.sum() > 0:
+                return believed[int(self.random_source.choice(len(believed), p=weights / weights.sum()))]
         return believed[int(self.random_source.integers(len(believed)))] if believed else None
 
-    def reach(
+    def try_arrived(
         self,
         client_request: ClientRequest,
         request_id: str,
@@ -58,7 +65,7 @@
         due: int,
         repeated: bool,
     ) -> None:
-        """The try comes to the sidecar."""
+        """The try arrives at the sidecar."""
         clients = self.run.clients
         if request_id not in clients.open:
             return
@@ -75,17 +82,17 @@
         )
 
     def answer(self, request_id: str, outcome: Outcome, advice: int) -> None:
-        """The answer, on its way to the client."""
-        self.timeline.after(self.world.network.client_delay, self.answered, request_id, outcome, advice)
+        """Sends the answer to the client."""
+        self.timeline.after(self.world.network.client_delay, self.answer_arrived, request_id, outcome, advice)
 
-    def answered(self, request_id: str, outcome: Outcome, advice: int) -> None:
-        """The answer comes to the client."""
+    def answer_arrived(self, request_id: str, outcome: Outcome, advice: int) -> None:
+        """The answer arrives at the client."""
         if outcome is not Outcome.UNREACHABLE:
             self.world.rule_checker.answered(self.timeline.now, request_id, outcome)
         self.run.clients.ended(request_id, outcome, advice)
 
     def cancel(self, client_request: ClientRequest, request_id: str) -> None:
-        """The client has gone away."""
+        """The client no longer waits."""
         sidecar = client_request.sidecar
         if sidecar is not None and sidecar.alive:
             sidecar.cancel(request_id)
@@ -93,7 +100,7 @@
     # Troubles.
 
     def kill(self, at: int, down_s: float) -> None:
-        """Kills a front sidecar, which starts again after so many seconds."""
+        """Kills a front sidecar and restarts it after `down_s` seconds."""
         sidecar = self.run.sidecars[at]
         if not sidecar.alive:
             return
@@ -103,6 +110,6 @@
         self.timeline.after(down, self.start, sidecar)
 
     def start(self, sidecar: VirtualSidecar) -> None:
-        """Unless it was started meanwhile."""
+        """Starts a sidecar, unless it was started meanwhile."""
         if not sidecar.alive:
             sidecar.start()
--- a/lupinmill/lab/virtual/inner.py
+++ b/lupinmill/lab/virtual/inner.py
@@ -1,4 +1,4 @@
-"""Calls that endpoints of a virtual run make of the next tier, each by way of a sidecar of its own."""
+"""Calls that endpoints of a virtual run make to the next tier, each endpoint through a sidecar of its own."""
 
 from __future__ import annotations
 
@@ -17,19 +17,19 @@
 if TYPE_CHECKING:
     from lupinmill.lab.virtual.run import VirtualRun
 
-Done = Callable[[bool], None]  # told once whether the call succeeded
+Done = Callable[[bool], None]  # called once with whether the call succeeded
 
 
 @dataclass(frozen=True)
 class Call:
-    """A call that is out; `name` is the id of its request."""
+    """A call in flight; `name` is the id of its request."""
 
     sidecar: VirtualSidecar
     name: str
 
 
 class InnerCalls:
-    """The sidecars beside endpoints, by the endpoint's name."""
+    """The sidecars of endpoints, by the endpoint's name, and their calls."""
 
     def __init__(self, run: VirtualRun) -> None:
         self.run, self.world, self.timeline = run, run.world, run.timeline
@@ -38,11 +38,11 @@
         self.serial = 0
 
     def calls_of(self, tier: int) -> int:
-        """How many calls a request of an endpoint of this tier makes."""
+        """Draws how many calls a request makes at an endpoint of this tier."""
         return self.world.draw_calls(tier, self.random_source)
 
     def endpoint_started(self, endpoint: Endpoint) -> None:
-        """Its sidecar starts with it, where it makes calls."""
+        """Starts the endpoint's sidecar with it, if its tier makes calls."""
         if endpoint.spec.tier + 1 >= len(self.world.tiers):
             return
         name = endpoint.spec.name
@@ -55,12 +55,12 @@
             sidecar.start()
 
     def endpoint_died(self, endpoint: Endpoint) -> None:
-        """Its sidecar dies with it."""
+        """Kills the endpoint's sidecar with it."""
         if (sidecar := self.sidecars.get(endpoint.spec.name)) is not None:
             sidecar.kill()
 
     def call(self, endpoint: Endpoint, sidecar: VirtualSidecar, job: Job, done: Done) -> Call | None:
-        """One call of a job; None where there is no time or no sidecar for it."""
+        """Makes one call for a job; None if there is no time left or no sidecar."""
         now = self.timeline.now
         latest = now + self.world.class_by_name[job.workload].terms.hard_limit
         due = job.due if self.world.scenario.limits.passes_deadline else latest
@@ -78,19 +78,19 @@
         return Call(sidecar, name)
 
     def answer(self, name: str, done: Done, outcome: Outcome, advice: int) -> None:
-        """The end of a call, for the endpoint that made it."""
+        """Passes the end of a call to the endpoint that made it."""
         if outcome is not Outcome.UNREACHABLE:
             self.world.rule_checker.answered(self.timeline.now, name, outcome)
             self.timeline.at(self.timeline.now, done, outcome is Outcome.SUCCEEDED)
 
     def overdue(self, sidecar: VirtualSidecar, incarnation: int, name: str, done: Done) -> None:
-        """No answer until the deadline and its grace."""
+        """There was no answer until the deadline plus the grace period."""
         if incarnation == sidecar.incarnation:
             self.world.rule_checker.overdue(self.timeline.now, name)
             done(False)
 
     def cancel_call(self, call: Call) -> None:
-        """The endpoint wants a call's answer no more."""
+        """The endpoint no longer waits for a call."""
         self.world.rule_checker.released(call.name)
         if call.sidecar.alive:
             call.sidecar.cancel(call.name)
--- a/lupinmill/lab/virtual/request.py
+++ b/lupinmill/lab/virtual/request.py
@@ -1,4 +1,4 @@
-"""What a virtual sidecar holds: the requests that it has accepted, and their attempts."""
+"""The requests that a virtual sidecar has accepted, and their attempts."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One attempt on its way; `epoch` is the endpoint's life in which it was sent."""
+    """One attempt; `epoch` is that of the endpoint when it was sent."""
 
     number: int
     endpoint: Endpoint
@@ -35,9 +35,9 @@
     request_class: str
     work: float  # seconds
     due: int
-    answer: Callable[[Outcome, int], None]  # told once; and microseconds to wait before a retry
+    # Called once, with the microseconds to wait before a retry (0: none).
+    answer: Callable[[Outcome, int], None]
     attempts: list[Attempt] = field(default_factory=list)
     closed: bool = False
-    end_known: bool = (
-        False  # its end is known to the module: by its own command, or by a step that has passed
-    )
+    # The module knows that the request ended: by its own command, or by an event of an earlier step.
+    end_known: bool = False
--- a/lupinmill/lab/virtual/run.py
+++ b/lupinmill/lab/virtual/run.py
@@ -23,15 +23,15 @@
 from lupinmill.lab.world import World, random_stream, draw
 from lupinmill.lab.world.troubles.plan import plan
 
-EPOCH = 1_000 * SECOND  # when every virtual day begins
-SETTLED = 8 * SECOND  # how long a run goes on after its last arrival
-MOST_NOTES = 2000
+EPOCH = 1_000 * SECOND  # virtual time at which each run starts
+DRAIN_TIME = 8 * SECOND  # how long a run may continue after its last arrival
+MAX_NOTES = 2000
 
 Trace = Callable[[int, VirtualSidecar, list[t.Event], list[t.Command]], None]
 
 
 class VirtualRun:
-    """One run of a scenario with one seed. The same seed gives the same steps, in every process."""
+    """One run of a scenario with one seed. A seed gives the same steps in every process."""
 
     def __init__(
         self,
@@ -43,7 +43,7 @@
         commons: Callable[[VirtualRun], Any] | None = None,
     ) -> None:
         self.timeline = Timeline(EPOCH)
-        self.commons: Any = None  # what its front sidecars hold in common, where they do
+        self.commons: Any = None  # the peers of the front sidecars, if they know each other
         self.world = World(scenario, seed, self.timeline)
         self.policy = policies.find(policy)
         self.metrics = RunMetrics(EPOCH, self.world.seconds, [w.name for w in self.world.classes])
@@ -70,7 +70,7 @@
             self.endpoint_started(endpoint)
 
     def discovery_calls(self, random_source: np.random.Generator) -> list[DiscoveryCalls]:
-        """Of each tier's list."""
+        """Creates the call queue of each tier's discovery."""
         found = self.world.scenario.discovery
         time_out = int(found.time_out_s * SECOND)
         return [
@@ -81,14 +81,14 @@
     # The run.
 
     def play(self) -> None:
-        """To the end, or until `stop` is set."""
+        """Runs to the end, or until `stop` is set."""
         world, timeline = self.world, self.timeline
         for sidecar in self.sidecars:
             sidecar.start()
         plan(world, self)
         self.clients.begin()
         second = EPOCH
-        end = world.end + SETTLED
+        end = world.end + DRAIN_TIME
         while timeline.now < end and not self.stop:
             second += SECOND
             timeline.run_until(min(second, end))
@@ -101,7 +101,7 @@
                 break
 
     def sample(self) -> None:
-        """The state at the end of a second, into its figures."""
+        """Records the state at the end of a second."""
         entry = self.metrics.at(self.timeline.now - SECOND)
         record_endpoints(entry, self.world.tiers)
         caps = []
@@ -112,28 +112,28 @@
                 entry.aside += sum(one.mode == "aside" for one in dispatcher.endpoints.values())
         entry.cap = sum(caps) / len(caps) if caps else 0.0
 
-    def watch_step(
+    def record_step(
         self, sidecar: VirtualSidecar, now: int, events: list[t.Event], commands: list[t.Command]
     ) -> None:
-        """Each step of each module, for the checksum by which runs are compared."""
+        """Adds a step of a module to the digest by which runs are compared."""
         self.steps += 1
         self.digest.update(f"{now} {sidecar.name} {len(events)} {recorded_text(commands)}".encode())
         if self.trace is not None:
             self.trace(self.steps, sidecar, events, commands)
 
     def note(self, sidecar: VirtualSidecar, text: str) -> None:
-        """A line that a sidecar logged."""
-        if len(self.notes) < MOST_NOTES:
+        """Keeps a line that a sidecar logged."""
+        if len(self.notes) < MAX_NOTES:
             self.notes.append((round((self.timeline.now - EPOCH) / SECOND, 3), sidecar.name, text))
 
     def spread(self, random_source: np.random.Generator) -> float:
-        """Microseconds that a published change takes to one sidecar."""
+        """Draws the microseconds that a published change takes to reach a sidecar."""
         return self.spread_s * random_source.uniform(0.2, 1.8) * SECOND
 
-    # What troubles do.
+    # Called by troubles and the site.
 
     def endpoint_started(self, endpoint: Endpoint) -> None:
-        """An endpoint starts, or starts again."""
+        """An endpoint was started or restarted."""
         self.inner.endpoint_started(endpoint)
 
     def endpoint_died(self, endpoint: Endpoint) -> None:
@@ -141,16 +141,16 @@
         self.inner.endpoint_died(endpoint)
 
     def sidecar_count(self) -> int:
-        """Of the front."""
+        """Returns the number of front sidecars."""
         return len(self.sidecars)
 
     def links_changed(self) -> None:
-        """Each message looks for itself."""
+        """Does nothing: links are checked for each message."""
 
     def kill_sidecar(self, at: int, down_s: float) -> None:
-        """One of the front, for so many seconds."""
+        """Kills a front sidecar, which is restarted after `down_s` seconds."""
         self.front.kill(at, down_s)
 
     def starve_sidecar(self, at: int, lag_s: float) -> None:
-        """One of the front comes to what has happened with this lag."""
+        """Delays the processing of a front sidecar by `lag_s` seconds."""
         self.sidecars[at].lag = int(lag_s * SECOND)
--- a/lupinmill/lab/virtual/sidecar.py
+++ b/lupinmill/lab/virtual/sidecar.py
@@ -17,7 +17,7 @@
 
 
 class VirtualSidecar:
-    """Lives several times: `life` counts its deaths, and what a past life has set is nothing to this one."""
+    """A sidecar that can be killed and restarted. Callbacks of an earlier `incarnation` are ignored."""
 
     def __init__(self, run: VirtualRun, name: str, tier: int, zone: str, position: int) -> None:
         self.run, self.name, self.tier, self.zone, self.position = run, name, tier, zone, position
@@ -26,7 +26,8 @@
         self.inbox: list[t.Event] = []
         self.stepping = False
         self.requests: dict[str, Request] = {}
-        self.unreported: dict[str, Request] = {}  # those whose end the module hears of in its next step
+        # Ended requests, of which the module learns in its next step.
+        self.unreported: dict[str, Request] = {}
         self.random_source = random_stream(run.world.seed, "seat", name)
         self.attempts = Attempts(self)
         self.directory = Directory(self)
@@ -36,15 +37,15 @@
             t.StartProbe: self.attempts.probe,
             t.RejectRequest: self.reject,
             t.AbortResponse: self.fail,
-            t.SetTimer: self.wake_at,
+            t.SetTimer: self.set_timer,
             t.StartWatch: self.watch,
             t.WriteLog: self.log,
         }
 
-    # Life.
+    # Start and kill.
 
     def start(self) -> None:
-        """A new life, with a new decision module."""
+        """Starts or restarts with a new decision module."""
         run = self.run
         self.alive, self.inbox, self.requests, self.unreported = True, [], {}, {}
         self.stepping = False
@@ -55,7 +56,7 @@
         self.directory.start()
 
     def kill(self) -> None:
-        """What it held is its clients' to ask for again; what it sent ends with a reset."""
+        """Kills the sidecar: its clients get no answer, and its attempts end with a reset."""
         if not self.alive:
             return
         run = self.run
@@ -66,17 +67,17 @@
         self.directory.stop()
         run.world.rule_checker.restarted(self.name)
         requests, self.requests = self.requests, {}
-        for one in requests.values():
-            self.attempts.close(one)
-            if not one.closed:
-                run.world.rule_checker.released(one.name)
-                run.timeline.after(run.world.network.client_delay, one.answer, Outcome.UNREACHABLE, 0)
+        for request in requests.values():
+            self.attempts.close(request)
+            if not request.closed:
+                run.world.rule_checker.released(request.name)
+                run.timeline.after(run.world.network.client_delay, request.answer, Outcome.UNREACHABLE, 0)
         self.attempts.connections.close(run.world.by_endpoint)
 
     # Events in, commands out.
 
-    def tell(self, event: t.Event) -> None:
-        """An event for the module's next step, which is set if it is not yet."""
+    def queue_event(self, event: t.Event) -> None:
+        """Queues an event for the module's next step, and schedules that step if none is."""
         self.inbox.append(event)
         if not self.stepping:
             self.stepping = True
@@ -87,17 +88,17 @@
             self.run.timeline.at(at, self.step, self.incarnation)
 
     def step(self, incarnation: int) -> None:
-        """One step of the module over all events since the last one."""
+        """Runs one step of the module over all events since the last one."""
         if incarnation != self.incarnation or not self.alive:
             return
         self.stepping = False
         run, events, self.inbox = self.run, self.inbox, []
         now, unreported = run.timeline.now, list(self.unreported.values())
         commands = self.module.step(now, events)
-        run.watch_step(self, now, events, commands)
+        run.record_step(self, now, events, commands)
         for command in commands:
             self.handlers[type(command)](command)
-        for request in unreported:  # from now on an attempt of them breaks rule 1
+        for request in unreported:  # from now on an attempt for them breaks rule 1
             request.end_known = True
             self.unreported.pop(request.name, None)
             self.forget_if_over(request)
@@ -105,28 +106,29 @@
     # Requests.
 
     def accept(self, request: Request, tenant: str, repeated: bool, front: bool) -> None:
-        """A request has come; `front`: from a client, not from an endpoint."""
+        """A request has arrived; `front`: from a client, not from an endpoint."""
         now = self.run.timeline.now
         self.run.world.rule_checker.request_received(
             now, request.name, request.request_class, request.due, front
         )
         self.requests[request.name] = request
-        self.tell(t.RequestArrived(request.name, request.request_class, request.due, tenant, repeated))
+        self.queue_event(t.RequestArrived(request.name, request.request_class, request.due, tenant, repeated))
 
     def cancel(self, name: str) -> None:
-        """Whoever asked has gone away."""
+        """The sender of the request no longer waits."""
         request = self.requests.get(name)
         if request is not None and not request.closed:
             self.close(request)
-            self.tell(t.RequestCancelled(name))
+            self.queue_event(t.RequestCancelled(name))
 
     def close(self, request: Request) -> None:
-        """Ended by something other than the module, which hears of it in its next step."""
+        """Marks a request as ended by something other than the module, which learns of it in its next
+        step."""
         request.closed = True
         self.unreported[request.name] = request
 
     def finish(self, name: str, outcome: Outcome, advice: int) -> None:
-        """Ended by the module."""
+        """Ends a request at the module's command."""
         request = self.requests.get(name)
         if request is None or request.closed:
             self.run.world.rule_checker.answered(self.run.timeline.now, name, outcome)
@@ -141,29 +143,29 @@
         if request.end_known and all(attempt.over for attempt in request.attempts):
             self.requests.pop(request.name, None)
 
-    # Commands that meet no endpoint.
+    # Commands that involve no endpoint.
 
     def reject(self, command: t.RejectRequest) -> None:
-        """The request is turned away."""
+        """Rejects the request."""
         self.finish(command.request, Outcome.REJECTED, command.retry_after)
 
     def fail(self, command: t.AbortResponse) -> None:
-        """The request is given up; it may have run."""
+        """Aborts the request; it may have run."""
         self.finish(command.request, Outcome.FAILED, 0)
 
-    def wake_at(self, command: t.SetTimer) -> None:
-        """The module wants a step at that time."""
-        self.run.timeline.at(command.at, self.woken, command.ref, self.incarnation)
+    def set_timer(self, command: t.SetTimer) -> None:
+        """Schedules a timer of the module."""
+        self.run.timeline.at(command.at, self.timer_fired, command.ref, self.incarnation)
 
-    def woken(self, ref: int, incarnation: int) -> None:
-        """That time has come."""
+    def timer_fired(self, ref: int, incarnation: int) -> None:
+        """A timer of the module fires."""
         if incarnation == self.incarnation and self.alive:
-            self.tell(t.TimerFired(ref))
+            self.queue_event(t.TimerFired(ref))
 
     def watch(self, _: t.StartWatch) -> None:
-        """The module asks discovery for changes."""
+        """Requests changes from discovery."""
         self.run.calls[self.tier].call(self)
 
     def log(self, command: t.WriteLog) -> None:
-        """A line for the result."""
+        """Adds a log line to the result."""
         self.run.note(self, command.text)
--- a/tests/test_lab_runs.py
+++ b/tests/test_lab_runs.py
@@ -261,7 +261,7 @@
 def test_one_seed_gives_the_same_bytes_here_and_in_another_process() -> None:
     code = (
         "import sys; sys.path.insert(0, 'tests'); import hashlib, test_lab_runs as m;"
-        "print(hashlib.sha256(m.result.same(m.day())).hexdigest())"
+        "print(hashlib.sha256(m.result.comparable_bytes(m.day())).hexdigest())"
     )
     root = Path(__file__).parents[1]
     other = subprocess.run(
