--- a/tests/test_lab_earlier.py
+++ b/tests/test_lab_earlier.py
@@ -1,5 +1,5 @@
-"""An earlier decision module under today's lab: a revision from before names were changed in the module's
-interface still plays, and decides as today's does."""
+"""An earlier decision module under the current lab: a revision from before the renames in the module's
+interface still runs, and makes the same decisions as the current module."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 @pytest.mark.parametrize("scenario", ["errors-and-resets", "two-tiers"])
 def test_a_revision_from_before_the_renames_plays_as_todays_does(scenario: str) -> None:
     changes = (("seconds", "8"),)
-    today = experiments.Variant("today", scenario, changes=changes)
-    before = experiments.Variant("before", scenario, changes=changes, revision=BEFORE_RENAMES)
-    found = experiments.compare(today, before, [1, 2], max_workers=2)
+    current = experiments.Variant("today", scenario, changes=changes)
+    earlier = experiments.Variant("before", scenario, changes=changes, revision=BEFORE_RENAMES)
+    found = experiments.compare(current, earlier, [1, 2], max_workers=2)
     for seed in (1, 2):
         one, two = found.results["today"][seed], found.results["before"][seed]
         assert one.complete and two.complete and one.figures.handled > 100
@@ -26,7 +26,7 @@
 
 
 def test_every_name_in_the_table_is_one_of_today() -> None:
-    """Guards against a later rename that the table does not follow: older modules would no longer play."""
+    """Guards against a rename that is missing from the table: older modules would no longer run."""
     modules: dict[str, ModuleType] = {"terms": terms, "workings": workings, "rules": rules}
     assert modules.keys() == earlier_names.CLASSES.keys() == earlier_names.ATTRIBUTES.keys()
     for name, module in modules.items():
--- a/tests/test_lab_runs.py
+++ b/tests/test_lab_runs.py
@@ -1,4 +1,5 @@
-"""Whole runs in virtual time: the referee against broken modules, sameness, experiments, the command."""
+"""Complete runs in virtual time: the rule checker with faulty modules, reproducibility, experiments, the
+command line."""
 
 from __future__ import annotations
 
@@ -18,21 +19,21 @@
 from lupinmill.lab.result import BadResult, Result
 from lupinmill.lab.virtual.recorded import recorded_text
 
-ONCE = {"name": "bid", "repeat": "unrepeatable"}
+UNREPEATABLE_WORKLOAD = {"name": "bid", "repeat": "unrepeatable"}
 
 
-def table(**more) -> dict:
-    """A short day: two sidecars, six endpoints."""
+def table(**changes) -> dict:
+    """Returns a short scenario with two sidecars and six endpoints."""
     base = scenario.read_tables(scenario.find("calm"))
-    return scenario.merge_tables(base, {"seconds": 8, "tier": [{"name": "endpoints", "count": 6}], **more})
+    return scenario.merge_tables(base, {"seconds": 8, "tier": [{"name": "endpoints", "count": 6}], **changes})
 
 
-def read(**more) -> scenario.Scenario:
-    return scenario.check(table(**more), "test")
+def read(**changes) -> scenario.Scenario:
+    return scenario.check(table(**changes), "test")
 
 
-def play(seed: int = 1, policy: str = "lupinmill", **more) -> Result:
-    return experiments.play(read(**more), "test", seed, policy)
+def play(seed: int = 1, policy: str = "lupinmill", **changes) -> Result:
+    return experiments.play(read(**changes), "test", seed, policy)
 
 
 @pytest.fixture
@@ -41,11 +42,11 @@
     yield policies.POLICIES
 
 
-# The referee catches a module that breaks a rule, for each of the four.
+# The rule checker detects a module that breaks a rule, for each of the four rules.
 
 
-class Forgets(policies.FewestInFlight):
-    """Rule 1: each tenth submission gets no answer."""
+class LosesRequests(policies.FewestInFlight):
+    """Rule 1: every tenth request gets no answer."""
 
     def start_attempt(self, name: str) -> None:
         if int(name[1:].split(".")[0]) % 10:
@@ -53,7 +54,7 @@
 
 
 class AnswersTwice(policies.FewestInFlight):
-    """Rule 1: denies what it has launched, and passes on the answer too."""
+    """Rule 1: rejects requests with an attempt in flight, and passes on the answer too."""
 
     def step(self, now: int, events: list) -> list:
         commands = super().step(now, events)
@@ -68,25 +69,25 @@
         )
 
 
-class LaunchesAgain(policies.FewestInFlight):
-    """Rule 2: takes every workload for idempotent."""
+class RetriesUnsafely(policies.FewestInFlight):
+    """Rule 2: treats every workload as idempotent."""
 
-    def allowed_endpoints(self, s: policies.OpenRequest) -> list[str]:
+    def allowed_endpoints(self, request: policies.OpenRequest) -> list[str]:
         return self.ready
 
 
-class DeniesAll(policies.FewestInFlight):
-    """Rule 2: denies what may have run."""
+class RejectsAll(policies.FewestInFlight):
+    """Rule 2: rejects requests that may have run."""
 
-    def possibly_executed(self, s: policies.OpenRequest) -> list[int]:
+    def possibly_executed(self, request: policies.OpenRequest) -> list[int]:
         return []
 
-    def allowed_endpoints(self, s: policies.OpenRequest) -> list[str]:
-        return super().allowed_endpoints(s) if not s.endpoints else []
+    def allowed_endpoints(self, request: policies.OpenRequest) -> list[str]:
+        return super().allowed_endpoints(request) if not request.endpoints else []
 
 
 class IgnoresDrains(policies.FewestInFlight):
-    """Rule 3: goes on sending to what drains or is gone."""
+    """Rule 3: still sends to endpoints that drain or are gone."""
 
     def update_list(self, event: t.ListReceived) -> None:
         before = list(self.ready)
@@ -96,8 +97,8 @@
             self.entries.setdefault(name, t.ListEntry(name, t.EndpointStatus.READY))
 
 
-class PushesOver(policies.Baseline):
-    """Rule 4: all to the endpoint that started last."""
+class OverloadsCold(policies.Baseline):
+    """Rule 4: sends everything to the endpoint that started last."""
 
     def passes_slow_start(self, name: str) -> bool:
         return True
@@ -112,22 +113,22 @@
 
 
 @pytest.mark.parametrize(
-    "module, rule, more",
+    "module, rule, changes",
     [
-        (Forgets, "1", {}),
+        (LosesRequests, "1", {}),
         (AnswersTwice, "1", {}),
-        (LaunchesAgain, "2", {"trouble": [RESETS], "workload": [ONCE]}),
-        (LaunchesAgain, "2", {"trouble": [RESETS]}),
-        (DeniesAll, "2", {"trouble": [RESETS]}),
+        (RetriesUnsafely, "2", {"trouble": [RESETS], "workload": [UNREPEATABLE_WORKLOAD]}),
+        (RetriesUnsafely, "2", {"trouble": [RESETS]}),
+        (RejectsAll, "2", {"trouble": [RESETS]}),
         (IgnoresDrains, "3", {"trouble": [DEPLOY], "seconds": 14}),
-        (PushesOver, "4", {"trouble": [CRASH], "seconds": 12, "load": {"part": 0.6}}),
+        (OverloadsCold, "4", {"trouble": [CRASH], "seconds": 12, "load": {"part": 0.6}}),
     ],
 )
 def test_the_referee_catches_a_module_that_breaks_a_rule(
-    broken_policy, module, rule: str, more: dict
+    broken_policy, module, rule: str, changes: dict
 ) -> None:
     broken_policy["broken"] = module
-    found = play(policy="broken", **more)
+    found = play(policy="broken", **changes)
     assert found.rules[rule] > 0
     first = next(b for b in found.broken if b.rule == int(rule))
     assert first.what and 0 <= first.second <= found.simulated_s
@@ -146,9 +147,10 @@
         {"kind": "sidecar_roll", "at_s": 4, "lasts_s": 2, "part": 1.0, "size": 0.5, "extra": 0.5},
     ]
     found = play(3, policy, workload=rows, trouble=troubles, seconds=12)
-    # Nearly all endpoints are new at once here: plain policies push some over, and only the module may not.
-    told = [b for b in found.broken if b.rule != 4 or policy == "lupinmill"]
-    assert told == [] and found.figures.handled > 200
+    # Nearly all endpoints are cold at the same time here: baselines overload some, which only the module
+    # must not.
+    unexpected = [b for b in found.broken if b.rule != 4 or policy == "lupinmill"]
+    assert unexpected == [] and found.figures.handled > 200
 
 
 @pytest.mark.parametrize("seed", range(1, 7))
@@ -206,7 +208,7 @@
 def test_each_trouble_by_itself_changes_the_day_and_breaks_no_rule(kind: str) -> None:
     event = {"kind": kind, "at_s": 3, "lasts_s": 4, "part": 0.4, "size": SIZES.get(kind, 1.0), "extra": 1.0}
     calm = play(2, seconds=12, load={"part": 0.5})
-    # What touches the list or the reports alone shows only beside a change among the endpoints.
+    # Troubles of lists or reports have an effect only together with a change among the endpoints.
     also = [CRASH | {"at_s": 4, "part": 0.4}] if kind.startswith(("list", "reports")) else []
     base = play(2, seconds=12, load={"part": 0.5}, trouble=also) if also else calm
     found = play(2, seconds=12, load={"part": 0.5}, trouble=[event, *also])
@@ -227,14 +229,14 @@
         1,
     )
     assert found.broken == [] and found.figures.service > 0.9
-    # A call and a half a submission of the first tier, beside the launch there.
+    # On average 1.5 calls per request of the first tier, in addition to the attempt there.
     assert 2.2 < found.figures.launches_per_submission < 2.8
 
 
 def test_clients_retries_feed_an_overload_with_a_plain_policy() -> None:
-    more = {"load": {"part": 1.15}, "seconds": 20}
-    none = play(1, "random", clients={"retries": 0}, **more)
-    three = play(1, "random", clients={"retries": 3, "wait": ["none"]}, **more)
+    changes = {"load": {"part": 1.15}, "seconds": 20}
+    none = play(1, "random", clients={"retries": 0}, **changes)
+    three = play(1, "random", clients={"retries": 3, "wait": ["none"]}, **changes)
     assert three.figures.retries_by_clients > 0.3
     assert three.figures.service < none.figures.service
 
@@ -246,22 +248,22 @@
     found = play(1, "fewest", tenant=rows, trouble=[event], load=load, seconds=10)
     assert set(found.figures.by_tenant) == {"a", "b"}
     calm = play(1, "fewest", tenant=rows, load=load, seconds=10)
-    asked = [sum(s.asked for s in one.seconds) for one in (found, calm)]
-    worth = [sum(s.worth for s in one.seconds) for one in (found, calm)]
+    asked = [sum(second.asked for second in one.seconds) for one in (found, calm)]
+    worth = [sum(second.worth for second in one.seconds) for one in (found, calm)]
     assert asked[0] > 1.5 * asked[1] and worth[0] / asked[0] < 0.85 * worth[1] / asked[1]
 
 
-# The same seed, the same bytes.
+# The same seed gives the same bytes.
 
 
-def day() -> Result:
+def short_run() -> Result:
     return play(5, seconds=6, trouble=[CRASH, RESETS | {"size": 0.1}])
 
 
 def test_one_seed_gives_the_same_bytes_here_and_in_another_process() -> None:
     code = (
         "import sys; sys.path.insert(0, 'tests'); import hashlib, test_lab_runs as m;"
-        "print(hashlib.sha256(m.result.comparable_bytes(m.day())).hexdigest())"
+        "print(hashlib.sha256(m.result.comparable_bytes(m.short_run())).hexdigest())"
     )
     root = Path(__file__).parents[1]
     other = subprocess.run(
@@ -272,30 +274,32 @@
         check=True,
         env={"PYTHONHASHSEED": "77", "PYTHONPATH": str(root), "PATH": "/usr/bin:/bin"},
     )
-    mine = [hashlib.sha256(result.comparable_bytes(day())).hexdigest() for _ in range(2)]
-    assert mine[0] == mine[1] == other.stdout.strip()
+    own_digests = [hashlib.sha256(result.comparable_bytes(short_run())).hexdigest() for _ in range(2)]
+    assert own_digests[0] == own_digests[1] == other.stdout.strip()
     assert result.comparable_bytes(play(6, seconds=6)) != result.comparable_bytes(play(7, seconds=6))
 
 
 def test_arrivals_are_the_same_whatever_the_policy() -> None:
     one, two = play(4, "random"), play(4, "lupinmill")
-    assert [s.asked for s in one.seconds] == [s.asked for s in two.seconds]
-    assert [s.worth for s in one.seconds] == [s.worth for s in two.seconds]
+    assert [second.asked for second in one.seconds] == [second.asked for second in two.seconds]
+    assert [second.worth for second in one.seconds] == [second.worth for second in two.seconds]
 
 
 def test_a_result_is_replayed_to_the_step_and_a_changed_one_is_told(tmp_path: Path) -> None:
     path = tmp_path / "r.json"
-    result.write(path, day())
+    result.write(path, short_run())
     found = result.read(path)
-    told: list[str] = []
-    again = replay.replay(found, told.append, step=20)
+    printed: list[str] = []
+    again = replay.replay(found, printed.append, step=20)
     assert again.same and again.steps == found.steps
-    assert told[0].startswith("step 20 ") and any("note" in line or "order" in line for line in told[1:])
-    named: list[str] = []
-    replay.replay(found, named.append, request_id="w3.1")
-    assert sum("RequestArrived(request='w3.1'" in line for line in named) == 1
+    assert printed[0].startswith("step 20 ") and any(
+        "note" in line or "order" in line for line in printed[1:]
+    )
+    printed_by_request: list[str] = []
+    replay.replay(found, printed_by_request.append, request_id="w3.1")
+    assert sum("RequestArrived(request='w3.1'" in line for line in printed_by_request) == 1
     found.digests[3] = "0" * 16
-    assert replay.replay(found, told.append).differs_at == 3
+    assert replay.replay(found, printed.append).differs_at == 3
 
 
 RECORDED_COMMANDS: list[tuple[t.Command, str]] = [
@@ -323,10 +327,10 @@
 
 def test_results_of_newer_formats_and_broken_ones_are_refused(tmp_path: Path) -> None:
     path = tmp_path / "r.json"
-    result.write(path, day())
-    whole = json.loads(path.read_text())
+    result.write(path, short_run())
+    document = json.loads(path.read_text())
     for content, reason in (
-        (json.dumps(whole | {"format": 99}), "newer"),
+        (json.dumps(document | {"format": 99}), "newer"),
         (path.read_text()[:900], "no result"),
         ("{}", "no result"),
     ):
@@ -369,7 +373,7 @@
 
 
 def test_an_earlier_version_of_the_module_plays_under_todays_lab() -> None:
-    """Never today's by mistake, which the file that it was loaded from shows."""
+    """The path of the loaded file shows that it is not the current module."""
     root = Path(__file__).parents[1]
     code = (
         "from lupinmill.lab import earlier\n"
@@ -393,9 +397,9 @@
     variants = experiments.grid("calm", {"seconds": ["3"], "load.part": ["0.2", "0.3"]}, ["fewest"])
     counts: list[tuple[int, int]] = []
 
-    def stop(there: int, total: int) -> None:
-        counts.append((there, total))
-        if there == 2:
+    def stop(completed: int, total: int) -> None:
+        counts.append((completed, total))
+        if completed == 2:
             raise KeyboardInterrupt
 
     with pytest.raises(KeyboardInterrupt):
@@ -403,14 +407,14 @@
     kept = {path: path.stat().st_mtime_ns for path in tmp_path.glob("*.json")}
     assert len(kept) == 2
     paths = experiments.sweep(
-        variants, [1, 2], tmp_path, lambda there, total: counts.append((there, total)), 2
+        variants, [1, 2], tmp_path, lambda completed, total: counts.append((completed, total)), 2
     )
     assert counts[-1] == (4, 4) and len(set(paths)) == 4
     assert all(path.stat().st_mtime_ns == at for path, at in kept.items())
 
 
 def test_a_report_opens_without_a_network_and_tells_what_broke(broken_policy, tmp_path: Path) -> None:
-    broken_policy["broken"] = Forgets
+    broken_policy["broken"] = LosesRequests
     path = tmp_path / "r.html"
     report.write(path, [play(1, trouble=[CRASH]), play(1, "broken", seconds=4)])
     text = path.read_text()
@@ -419,7 +423,7 @@
         assert outside not in text
 
 
-# The command.
+# The command line.
 
 
 def command(*arguments: str, cwd: Path | None = None) -> subprocess.CompletedProcess:
@@ -448,7 +452,7 @@
 def test_a_broken_rule_makes_the_exit_code_1(broken_policy, monkeypatch: pytest.MonkeyPatch) -> None:
     from lupinmill.cli import lab
 
-    broken_policy["broken"] = Forgets
+    broken_policy["broken"] = LosesRequests
     assert lab.exit_code(play(1, "broken", seconds=4)) == 1
     assert lab.exit_code(play(1, seconds=4)) == 0
 
--- a/tests/test_lab_scenario.py
+++ b/tests/test_lab_scenario.py
@@ -1,4 +1,4 @@
-"""Scenario files: what is refused, with file, key and reason; inheritance; what a seed draws."""
+"""Scenario files: validation errors with file, key and reason; inheritance; draws by seed."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from lupinmill.lab.world.troubles.plan import KINDS, plan
 
 
-def written(folder: Path, text: str, name: str = "mine.toml") -> str:
+def write_scenario(folder: Path, text: str, name: str = "mine.toml") -> str:
     path = folder / name
     path.write_text(text)
     return str(path)
@@ -46,7 +46,7 @@
 )
 def test_what_is_wrong_is_named_in_one_line_with_file_and_key(tmp_path: Path, text: str, key: str) -> None:
     with pytest.raises(BadScenario) as caught:
-        scenario.load(written(tmp_path, text))
+        scenario.load(write_scenario(tmp_path, text))
     message = str(caught.value)
     assert "mine.toml" in message and key in message and "\n" not in message
 
@@ -63,14 +63,14 @@
 
 
 def test_a_base_is_taken_over_key_by_key_and_lists_name_by_name(tmp_path: Path) -> None:
-    written(
+    write_scenario(
         tmp_path,
         "[load]\nrate = 5\nswing = 0.3\n[[tier]]\nname = 'a'\ncount = 3\nprobe_us = 7\n"
         "[[workload]]\nname = 'v'\n[[workload]]\nname = 'w'\nvalue = 4.0",
         "low.toml",
     )
     read = scenario.load(
-        written(
+        write_scenario(
             tmp_path,
             "base = 'low'\n[load]\npart = 0.5\n[[tier]]\nname = 'a'\ncount = 9\n"
             "[[workload]]\nname = 'w'\nvalue = 2.0",
@@ -82,8 +82,8 @@
 
 
 def test_a_list_with_other_names_stands_in_place_of_the_base(tmp_path: Path) -> None:
-    written(tmp_path, "[[tier]]\nname = 'a'", "low.toml")
-    read = scenario.load(written(tmp_path, "base = 'low'\n[[tier]]\nname = 'b'"))
+    write_scenario(tmp_path, "[[tier]]\nname = 'a'", "low.toml")
+    read = scenario.load(write_scenario(tmp_path, "base = 'low'\n[[tier]]\nname = 'b'"))
     assert [tier.name for tier in read.tier] == ["b"]
 
 
--- a/tests/test_lab_sockets.py
+++ b/tests/test_lab_sockets.py
@@ -1,5 +1,5 @@
-"""The lab around real processes on loopback. What these tests claim holds on a slow machine too: no figure of
-time or service is one of them."""
+"""The lab with real processes on loopback. The tests check neither timing nor service, so that they hold on a
+slow machine too."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
 ROOT = Path(__file__).parents[1]
 
 
-def short(**more) -> Scenario:
+def short_scenario(**changes) -> Scenario:
     base = {"seconds": 4, "load": {"rate": 15}, "tier": [{"name": "endpoints", "count": 4}]}
     table = scenario.merge_tables(scenario.read_tables(scenario.find("calm")), base)
-    return scenario.check(scenario.merge_tables(table, {"sidecars": {"count": 1}, **more}), "test")
+    return scenario.check(scenario.merge_tables(table, {"sidecars": {"count": 1}, **changes}), "test")
 
 
-def told(pids: list[int]) -> list[int]:
-    """Those that still run."""
+def still_running(pids: list[int]) -> list[int]:
+    """Returns the pids that still exist."""
     return [pid for pid in pids if Path(f"/proc/{pid}").exists()]
 
 
@@ -57,7 +57,7 @@
         {"kind": "deploy", "at_s": 2, "lasts_s": 1, "part": 0.3, "size": 0.3, "extra": 0.5},
     ]
     clients = {"idle": 3, "slow": 2}
-    found = play(short(trouble=events, clients=clients), "test", 1, sockets=True)
+    found = play(short_scenario(trouble=events, clients=clients), "test", 1, sockets=True)
     assert found.complete and found.driver == "sockets"
     f = found.figures
     assert f.asked > 20 and f.handled > 0 and [b for b in found.broken if b.rule == 2] == []
@@ -80,12 +80,12 @@
 
 
 def test_a_sidecar_that_dies_is_a_crash_in_the_result_and_no_hang() -> None:
-    run = SocketRun(short(), 1)
+    run = SocketRun(short_scenario(), 1)
 
     def kill(second: int, _) -> None:
         process = run.fronts[0].process
         if second == 1 and process is not None:
-            process.kill()  # behind the run's back
+            process.kill()  # not through the run
 
     run.tick = kill
     run.play()
@@ -94,22 +94,25 @@
 
 
 def test_sidecars_killed_by_the_scenario_come_back_under_their_address() -> None:
-    run = SocketRun(short(trouble=[{"kind": "sidecar_kill", "at_s": 1, "lasts_s": 0.3, "part": 1.0}]), 1)
+    run = SocketRun(
+        short_scenario(trouble=[{"kind": "sidecar_kill", "at_s": 1, "lasts_s": 0.3, "part": 1.0}]), 1
+    )
     run.play()
     assert run.fronts[0].lives == 2 and run.crashes == []
 
 
 def test_a_starved_sidecar_goes_on_afterwards() -> None:
     event = {"kind": "sidecar_starved", "at_s": 1, "lasts_s": 1, "part": 1.0, "size": 0.2}
-    run = SocketRun(short(trouble=[event]), 1)
+    run = SocketRun(short_scenario(trouble=[event]), 1)
     run.play()
     assert run.crashes == [] and children() == []
 
 
 def test_a_machine_too_slow_voids_the_run() -> None:
-    """Seen: a pause of the core went unseen where an answer, not the pump, came first after it."""
-    run = SocketRun(short(load={"rate": 100}), 1)
-    run.tick = lambda second, metrics: time.sleep(0.4)  # as if its core were taken
+    """Guards against a pause of the machine that goes unnoticed because the first event after it is an
+    answer on a socket, not a turn of the main loop."""
+    run = SocketRun(short_scenario(load={"rate": 100}), 1)
+    run.tick = lambda second, metrics: time.sleep(0.4)  # as if another process used the core
     run.play()
     assert run.void.startswith("this machine is too slow")
 
@@ -132,14 +135,14 @@
     ]
     running = subprocess.Popen(command, cwd=ROOT, stdout=subprocess.PIPE, text=True, start_new_session=True)
     assert running.stdout is not None
-    seen = [running.stdout.readline() for _ in range(3)]
-    sidecars = [pid for pid in told(descendants(running.pid)) if pid != running.pid]
+    output = [running.stdout.readline() for _ in range(3)]
+    sidecars = [pid for pid in still_running(descendants(running.pid)) if pid != running.pid]
     running.send_signal(signum)
-    rest = running.stdout.read()
-    assert running.wait(30) == 130, "".join(seen) + rest
+    remaining_output = running.stdout.read()
+    assert running.wait(30) == 130, "".join(output) + remaining_output
     found = result.read(path)
-    assert not found.complete and found.figures.asked > 0 and "stopped before its end" in rest
-    assert sidecars and told(sidecars) == []
+    assert not found.complete and found.figures.asked > 0 and "stopped before its end" in remaining_output
+    assert sidecars and still_running(sidecars) == []
 
 
 def descendants(pid: int) -> list[int]:
@@ -147,7 +150,7 @@
     return [int(child) for child in listed]
 
 
-# The stand-ins by themselves.
+# The stand-ins.
 
 
 class Echo(Listening):
@@ -176,10 +179,10 @@
             assert echo.address == address
             assert (await exchange(pool, b"/c") or Answer(0)).body == b"/c"
             echo.fall_silent()
-            with pytest.raises(TimeoutError):  # neither on the kept connection ...
+            with pytest.raises(TimeoutError):  # no answer on the open connection, ...
                 await asyncio.wait_for(exchange(pool, b"/d"), 0.3)
             host, _, port = address.partition(":")
-            with pytest.raises(TimeoutError):  # ... nor does a new one come up
+            with pytest.raises(TimeoutError):  # ... and no new connection is established
                 await asyncio.wait_for(asyncio.open_connection(host, int(port)), 0.3)
             echo.close()
             await echo.listen()
