--- a/lupinmill/lab/sockets/endpoints.py
+++ b/lupinmill/lab/sockets/endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoints of a run on sockets: a server for each."""
+"""The servers of the endpoints in a run on sockets."""
 
 from __future__ import annotations
 
@@ -13,45 +13,45 @@
 
 
 class EndpointServers:
-    """By the endpoint's name; a server outlives its endpoint's death."""
+    """Servers by the endpoint's name; a server is kept when its endpoint crashes."""
 
     def __init__(self, run: SocketRun) -> None:
         self.run, self.world = run, run.world
         self.servers: dict[str, EndpointServer] = {}
-        self.names: dict[int, set[str]] = {}  # all that a tier's list ever named
+        self.names: dict[int, set[str]] = {}  # by tier: all names that its list ever had
 
     def address(self, name: str) -> str:
-        """Where it listens, also while it is dead."""
+        """Returns the address of an endpoint, also while it is down."""
         return self.servers[name].address
 
     def listed_names(self, registry: Registry) -> list[str]:
-        """All that this list ever named."""
+        """Returns all names that this list ever had."""
         return sorted(self.names[self.world.registries.index(registry)])
 
     async def serve(self, endpoint: Endpoint) -> None:
-        """A socket for an endpoint that is new."""
+        """Starts a server for a new endpoint."""
         server = EndpointServer(endpoint, self.run)
         await server.listen()
-        self.servers[endpoint.shape.name] = server
-        self.names.setdefault(endpoint.shape.tier, set()).add(endpoint.shape.name)
+        self.servers[endpoint.spec.name] = server
+        self.names.setdefault(endpoint.spec.tier, set()).add(endpoint.spec.name)
 
     async def start(self, endpoint: Endpoint) -> None:
-        """Under its old address, where it had one."""
-        if (server := self.servers.get(endpoint.shape.name)) is None:
+        """Starts an endpoint, under its previous address if it had one."""
+        if (server := self.servers.get(endpoint.spec.name)) is None:
             await self.serve(endpoint)
         else:
             server.close()
             await server.listen()
 
     def died(self, endpoint: Endpoint) -> None:
-        """Its connections are reset, or say nothing any more."""
-        server = self.servers[endpoint.shape.name]
+        """Resets the endpoint's connections, or leaves them open without answers."""
+        server = self.servers[endpoint.spec.name]
         if endpoint.silent:
             server.fall_silent()
         else:
             server.refuse()
 
     def close(self) -> None:
-        """All of them."""
+        """Closes all servers."""
         for server in self.servers.values():
             server.close()
--- a/tests/test_lab_scenario.py
+++ b/tests/test_lab_scenario.py
@@ -1,4 +1,4 @@
-"""Scenario files: what is refused, with file, key and reason; inheritance; what a seed draws."""
+"""Scenario files: validation errors with file, key and reason; inheritance; draws by seed."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from hypothesis import strategies as st
 
 from lupinmill.lab import scenario
-from lupinmill.lab.experiments import Variant, grid, variant
+from lupinmill.lab.experiments import Variant, grid, parse_variant
 from lupinmill.lab.scenario import BadScenario
 from lupinmill.lab.timeline import SECOND, Timeline
-from lupinmill.lab.world import World, chance_for, draw
+from lupinmill.lab.world import World, random_stream, draw
 from lupinmill.lab.world.troubles.plan import KINDS, plan
 
 
-def written(folder: Path, text: str, name: str = "mine.toml") -> str:
+def write_scenario(folder: Path, text: str, name: str = "mine.toml") -> str:
     path = folder / name
     path.write_text(text)
     return str(path)
@@ -46,7 +46,7 @@
 )
 def test_what_is_wrong_is_named_in_one_line_with_file_and_key(tmp_path: Path, text: str, key: str) -> None:
     with pytest.raises(BadScenario) as caught:
-        scenario.load(written(tmp_path, text))
+        scenario.load(write_scenario(tmp_path, text))
     message = str(caught.value)
     assert "mine.toml" in message and key in message and "\n" not in message
 
@@ -63,14 +63,14 @@
 
 
 def test_a_base_is_taken_over_key_by_key_and_lists_name_by_name(tmp_path: Path) -> None:
-    written(
+    write_scenario(
         tmp_path,
         "[load]\nrate = 5\nswing = 0.3\n[[tier]]\nname = 'a'\ncount = 3\nprobe_us = 7\n"
         "[[workload]]\nname = 'v'\n[[workload]]\nname = 'w'\nvalue = 4.0",
         "low.toml",
     )
     read = scenario.load(
-        written(
+        write_scenario(
             tmp_path,
             "base = 'low'\n[load]\npart = 0.5\n[[tier]]\nname = 'a'\ncount = 9\n"
             "[[workload]]\nname = 'w'\nvalue = 2.0",
@@ -82,20 +82,20 @@
 
 
 def test_a_list_with_other_names_stands_in_place_of_the_base(tmp_path: Path) -> None:
-    written(tmp_path, "[[tier]]\nname = 'a'", "low.toml")
-    read = scenario.load(written(tmp_path, "base = 'low'\n[[tier]]\nname = 'b'"))
+    write_scenario(tmp_path, "[[tier]]\nname = 'a'", "low.toml")
+    read = scenario.load(write_scenario(tmp_path, "base = 'low'\n[[tier]]\nname = 'b'"))
     assert [tier.name for tier in read.tier] == ["b"]
 
 
 def test_settings_of_the_command_go_by_name_into_lists() -> None:
-    read = variant(
+    read = parse_variant(
         "tier.endpoints.kind.std.speed=2.0;load.part=0.4;limits.copies=false;fewest", "calm"
     ).read()
     assert read.tier[0].kind[0].speed == 2.0 and read.load.part == 0.4 and read.limits.copies is False
-    assert variant("fewest", "calm").policy == "fewest"
+    assert parse_variant("fewest", "calm").policy == "fewest"
     for bad in ("tier.cellar.count=3", "speed", "load.prat=1"):
         with pytest.raises(BadScenario):
-            variant(bad, "calm").read()
+            parse_variant(bad, "calm").read()
 
 
 def test_a_grid_has_each_value_with_each_other() -> None:
@@ -116,7 +116,7 @@
         plan(world, world.driver)
     assert 0.4 <= one.rate / one.capacity() <= 0.6 + 1e-9
     assert 2 <= len(one.trouble_records) <= 4
-    assert [(e.shape, e.started) for e in one.tiers[0]] == [(e.shape, e.started) for e in two.tiers[0]]
+    assert [(e.spec, e.started) for e in one.tiers[0]] == [(e.spec, e.started) for e in two.tiers[0]]
     assert one.trouble_records == two.trouble_records
 
 
@@ -125,8 +125,8 @@
 
 
 def test_draws_over_a_wide_range_count_each_part_of_the_scale_alike() -> None:
-    chance = chance_for(5, "x")
-    drawn = sorted(draw(chance, (0.01, 1.0)) for _ in range(2001))
+    random_source = random_stream(5, "x")
+    drawn = sorted(draw(random_source, (0.01, 1.0)) for _ in range(2001))
     assert 0.05 < drawn[1000] < 0.2 and 0.01 <= drawn[0] and drawn[-1] <= 1.0
 
 
