--- a/lupinmill/__main__.py
+++ b/lupinmill/__main__.py
@@ -18,7 +18,7 @@
 
 import anyio  # noqa: E402
 
-from lupinmill.program import told  # noqa: E402
+from lupinmill.program import process_settings  # noqa: E402
 from lupinmill.program.logs import Logs  # noqa: E402
 from lupinmill.program.sidecar import Program  # noqa: E402
 
@@ -26,11 +26,11 @@
 def serve() -> int:
     logs = None
     try:
-        start = told.read(os.environ)
+        start = process_settings.read(os.environ)
         logs = Logs(start.name)
-        program = Program(start, logs.event, lambda: told.read(os.environ, again=True), SIGNALS)
+        program = Program(start, logs.event, lambda: process_settings.read(os.environ, again=True), SIGNALS)
         anyio.run(program.run)
-    except told.BadStart as error:
+    except process_settings.StartupError as error:
         complain(str(error))
         return 2
     except OSError as error:
--- a/lupinmill/admin/admin_handler.py
+++ b/lupinmill/admin/admin_handler.py
@@ -10,7 +10,7 @@
 import orjson
 
 from lupinmill.admin.operator_overrides import CordonResult, OperatorOverrides
-from lupinmill.protocol import calls
+from lupinmill.protocol import admin_calls
 from lupinmill.routing.directory import Directory
 from lupinmill.routing.engine import Engine, Log
 
@@ -37,52 +37,54 @@
         self.discovery: Callable[[], dict[str, object]] = dict  # table of the watch on the list
         self.run_zone_command: Callable[[str, str, bool], Awaitable[tuple[bool, str]]] | None = None
         # Sends a call to the other process of an upgrade.
-        self.forward: Callable[[calls.Call], Awaitable[None]] | None = None
+        self.forward: Callable[[admin_calls.AdminCall], Awaitable[None]] | None = None
 
-    async def handle(self, call: calls.Call) -> tuple[int, str]:
-        if call.what == calls.HEALTH:
+    async def handle(self, call: admin_calls.AdminCall) -> tuple[int, str]:
+        if call.what == admin_calls.HEALTH:
             return (200, "accepts clients") if self.accepting_clients() else (503, "does not accept clients")
-        if call.what == calls.PEERS:
+        if call.what == admin_calls.PEERS:
             if self.peers is None:
                 return 404, "peers are off"
             return 200, orjson.dumps(self.peers()).decode()
-        if call.what == calls.CONFIG:
+        if call.what == admin_calls.CONFIG:
             if self.config is None:
                 return 404, "config is off"
             return 200, orjson.dumps(self.config()).decode()
-        if call.what == calls.DISCOVERY:
+        if call.what == admin_calls.DISCOVERY:
             return 200, orjson.dumps(self.discovery()).decode()
-        if call.what == calls.REHEARSE:
+        if call.what == admin_calls.REHEARSE:
             if self.rehearse is None:
                 return 404, "peers are off"
             return (200, "asked for") if self.rehearse() else (409, "this sidecar holds no lease on it")
-        if call.what == calls.ZONES or call.what in calls.MOVES:
+        if call.what == admin_calls.ZONES or call.what in admin_calls.MOVES:
             return await self.handle_zones(call)
         status, text = self.apply(call)
         if status == 200 and self.forward is not None:
             await self.forward(call)
         return status, text
 
-    async def handle_zones(self, call: calls.Call) -> tuple[int, str]:
+    async def handle_zones(self, call: admin_calls.AdminCall) -> tuple[int, str]:
         if self.zones is None or self.run_zone_command is None:
             return 404, "zones are off"
-        if call.what == calls.ZONES:
+        if call.what == admin_calls.ZONES:
             return 200, orjson.dumps(self.zones()).decode()
-        done, text = await self.run_zone_command(calls.MOVES[call.what], call.zone, call.force)
+        done, text = await self.run_zone_command(admin_calls.MOVES[call.what], call.zone, call.force)
         return (200 if done else 409), text
 
-    def apply(self, call: calls.Call, skip_list_check: bool = False) -> tuple[int, str]:
+    def apply(self, call: admin_calls.AdminCall, skip_list_check: bool = False) -> tuple[int, str]:
         """Applies the call to overrides, decision module and open attempts in one step, without a pause."""
         now = self.engine.clock.now()
-        if call.what in (calls.OUT, calls.BACK):
-            out = call.what == calls.OUT
+        if call.what in (admin_calls.CORDON, admin_calls.UNCORDON):
+            out = call.what == admin_calls.CORDON
             change = self.overrides.cordon if out else self.overrides.uncordon
             args = (now, call.endpoint) if out else (call.endpoint,)
             result = change(*args, skip_list_check or call.endpoint in self.directory.states)
             if result is CordonResult.DONE:
                 self.directory.by_hand(call.endpoint, out)
             return CORDON_RESPONSES[result]
-        changed = self.overrides.quiesce(now) if call.what == calls.QUIESCE else self.overrides.resume(now)
+        changed = (
+            self.overrides.quiesce(now) if call.what == admin_calls.QUIESCE else self.overrides.resume(now)
+        )
         if changed:
             self.on_mode_change()
             self.log("mode", text=f"{self.overrides.mode.value}, by an operator's call")
--- a/lupinmill/admin/admin_server.py
+++ b/lupinmill/admin/admin_server.py
@@ -12,7 +12,7 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from lupinmill.protocol.calls import Call, CallSide
+from lupinmill.protocol.admin_calls import AdminCall, AdminCallCodec
 from lupinmill.protocol.http import Malformed
 from lupinmill.routing.engine import Log, defect
 from lupinmill.transport.connection import listen_at
@@ -25,7 +25,7 @@
 READ_SIZE = 4 * 1024
 MAX_LOGGED_CHARS = 200  # of an answer
 
-Handler = Callable[[Call], Awaitable[tuple[int, str]]]
+Handler = Callable[[AdminCall], Awaitable[tuple[int, str]]]
 
 
 class AdminConnection:
@@ -80,7 +80,7 @@
             connection.sock.close()
 
     async def handle_request(self, connection: AdminConnection) -> None:
-        parser, call = CallSide(), None
+        parser, call = AdminCallCodec(), None
         status, text = 408, "timed out before the call was complete"
         with anyio.move_on_after(HEAD_TIMEOUT_S):
             try:
--- a/lupinmill/cli/check.py
+++ b/lupinmill/cli/check.py
@@ -10,7 +10,7 @@
 from lupinmill.peers.elector import majority
 from lupinmill.peers.partition_policy import POLICY_TABLE
 from lupinmill.program import operators_file
-from lupinmill.program.operators_file import BadFile, File
+from lupinmill.program.operators_file import ConfigFileError, File
 
 
 def summary(file: File, name: str | None) -> list[str]:
@@ -63,11 +63,11 @@
         lines.append("caps are divided by the number of live sidecars, not by the configured number")
     lines += describe_zones(file)
     if name is not None:
-        peering = operators_file.told(file, name)
+        peering = operators_file.peer_settings(file, name)
         entry = peers.members[name]
         lines.append(
             f"this sidecar, {name}: zone {entry.zone or 'not set'}, region {entry.region or 'not set'}, "
-            f"listens for peers at {operators_file.bind(file, name)}"
+            f"listens for peers at {operators_file.bind_address(file, name)}"
             f"{', an elector' if name in peering.electors else ''}"
             f"{', requests leases on ' + ', '.join(peering.wanted_topics) if peering.wanted_topics else ''}"
         )
@@ -84,7 +84,7 @@
     config = file.config
     if config is None:
         return ["config: off; changed settings require a restart"]
-    zone, region = operators_file.place(file, name or "", "")
+    zone, region = operators_file.location(file, name or "", "")
     lines = [
         f"config: settings and the roster also come from {len(config.relays)} relays "
         f"({', '.join(config.relays)}), in force without a restart; reconnects are spread over "
@@ -138,7 +138,7 @@
     """Check an operator's file and explain its effects."""
     try:
         lines = summary(operators_file.read(path), name)
-    except BadFile as error:
+    except ConfigFileError as error:
         text = str(error)
         click.echo(f"lupinmill: {text if text.startswith(path) else f'{path}: {text}'}", err=True)
         sys.exit(2)
--- a/lupinmill/cli/relay.py
+++ b/lupinmill/cli/relay.py
@@ -9,7 +9,7 @@
 
 from lupinmill.cli.admin_client import exit_with_error
 from lupinmill.config import relay_file
-from lupinmill.program.operators_file import BadFile
+from lupinmill.program.operators_file import ConfigFileError
 
 
 @click.command()
@@ -19,9 +19,9 @@
     """Run a configuration relay, or the source if the file has no upstreams."""
     try:
         file = relay_file.read(path)
-    except BadFile as error:
+    except ConfigFileError as error:
         text = str(error)
-        exit_with_error(BadFile(text if text.startswith(path) else f"{path}: {text}"))
+        exit_with_error(ConfigFileError(text if text.startswith(path) else f"{path}: {text}"))
     if checks:
         click.echo("\n".join(relay_file.follows(file)))
         return
--- a/lupinmill/config/push.py
+++ b/lupinmill/config/push.py
@@ -13,7 +13,7 @@
 from lupinmill.config import checks, merge, wire
 from lupinmill.config.model import MEMBER, SCOPES, SETTINGS, ZONES, Entries, Key
 from lupinmill.program import operators_file
-from lupinmill.program.operators_file import BadFile, MemberEntry, Zones, known_keys
+from lupinmill.program.operators_file import ConfigFileError, MemberEntry, Zones, known_keys
 from lupinmill.protocol import settings as told
 
 MOST_ENTRIES = 25_000  # in one push
@@ -160,15 +160,15 @@
         known_keys(value, Zones, "")
         zones = msgspec.convert(value, Zones)
         if not 0 < len(zones.map) <= operators_file.MOST_ZONES:
-            raise BadFile(f"map: wants 1 to {operators_file.MOST_ZONES} zones")
+            raise ConfigFileError(f"map: wants 1 to {operators_file.MOST_ZONES} zones")
         for name, entry in zones.map.items():
             for other, cost in entry.costs.items():
                 if other not in zones.map:
-                    raise BadFile(f"map.{name}.costs.{other}: no such zone")
+                    raise ConfigFileError(f"map.{name}.costs.{other}: no such zone")
                 if not 0 <= cost <= 1e6:
-                    raise BadFile(f"map.{name}.costs.{other}: wants 0 to 1000000")
+                    raise ConfigFileError(f"map.{name}.costs.{other}: wants 0 to 1000000")
         operators_file.zone_map(zones, dict.fromkeys(zones.workloads, 1.0) or {"any": 1.0})
-    except (BadFile, msgspec.ValidationError) as error:
+    except (ConfigFileError, msgspec.ValidationError) as error:
         raise BadPush(f"{place}: {' '.join(str(error).split())[:200]}") from error
 
 
@@ -177,8 +177,8 @@
         return
     try:
         known_keys(value, MemberEntry, "")
-        operators_file.usable(msgspec.convert(value, MemberEntry).address, "address")
-    except (BadFile, msgspec.ValidationError) as error:
+        operators_file.check_address(msgspec.convert(value, MemberEntry).address, "address")
+    except (ConfigFileError, msgspec.ValidationError) as error:
         raise BadPush(f"{place}: {' '.join(str(error).split())[:200]}") from error
 
 
--- a/lupinmill/config/relay_file.py
+++ b/lupinmill/config/relay_file.py
@@ -12,7 +12,7 @@
 import msgspec
 from msgspec import Struct
 
-from lupinmill.program.operators_file import LONGEST_NAME, BadFile, known_keys, usable
+from lupinmill.program.operators_file import LONGEST_NAME, ConfigFileError, known_keys, check_address
 
 LARGEST = 64 * 1024  # bytes of the file
 MOST_UPSTREAMS = 8
@@ -42,19 +42,19 @@
 
 
 def read(path: str) -> RelayFile:
-    """Raises BadFile."""
+    """Raises ConfigFileError."""
     try:
         data = Path(path).read_bytes()
     except OSError as error:
-        raise BadFile(f"{path}: {error.strerror}") from error
+        raise ConfigFileError(f"{path}: {error.strerror}") from error
     try:
         if len(data) > LARGEST:
-            raise BadFile(f"over {LARGEST} bytes")
+            raise ConfigFileError(f"over {LARGEST} bytes")
         return understand(tomllib.loads(data.decode()))
     except UnicodeDecodeError as error:
-        raise BadFile(f"{path}: no UTF-8") from error
-    except (tomllib.TOMLDecodeError, BadFile) as error:
-        raise BadFile(f"{path}: {error}") from error
+        raise ConfigFileError(f"{path}: no UTF-8") from error
+    except (tomllib.TOMLDecodeError, ConfigFileError) as error:
+        raise ConfigFileError(f"{path}: {error}") from error
 
 
 def understand(table: dict[str, object]) -> RelayFile:
@@ -63,31 +63,33 @@
         file = msgspec.convert(table, RelayFile)
     except msgspec.ValidationError as error:
         text, _, place = str(error).partition(" - at `$")
-        raise BadFile(f"{place.rstrip('`').lstrip('.') or 'the file'}: {text}") from error
+        raise ConfigFileError(f"{place.rstrip('`').lstrip('.') or 'the file'}: {text}") from error
     check(file)
     return file
 
 
 def check(file: RelayFile) -> None:
     if not 0 < len(file.name.encode()) <= LONGEST_NAME or not file.name.isprintable():
-        raise BadFile(f"name: wants 1 to {LONGEST_NAME} bytes")
-    usable(file.listen, "listen")
+        raise ConfigFileError(f"name: wants 1 to {LONGEST_NAME} bytes")
+    check_address(file.listen, "listen")
     if file.operator:
-        usable(file.operator, "operator")
+        check_address(file.operator, "operator")
         if file.operator == file.listen:
-            raise BadFile("operator: is `listen`; operators need an address of their own")
+            raise ConfigFileError("operator: is `listen`; operators need an address of their own")
     elif file.source:
-        raise BadFile("operator: missing; without it nobody can push to a source (a file without upstreams)")
+        raise ConfigFileError(
+            "operator: missing; without it nobody can push to a source (a file without upstreams)"
+        )
     if not file.keep.startswith("/"):
-        raise BadFile("keep: wants a whole path")
+        raise ConfigFileError("keep: wants a whole path")
     if len(file.upstreams) > MOST_UPSTREAMS:
-        raise BadFile(f"upstreams: wants {MOST_UPSTREAMS} at most")
+        raise ConfigFileError(f"upstreams: wants {MOST_UPSTREAMS} at most")
     for at, upstream in enumerate(file.upstreams):
-        usable(upstream, f"upstreams.{at}")
+        check_address(upstream, f"upstreams.{at}")
         if upstream == file.listen:
-            raise BadFile(f"upstreams.{at}: is `listen`, this relay itself")
+            raise ConfigFileError(f"upstreams.{at}: is `listen`, this relay itself")
         if upstream in file.upstreams[:at]:
-            raise BadFile(f"upstreams.{at}: {upstream} is named twice")
+            raise ConfigFileError(f"upstreams.{at}: {upstream} is named twice")
     for key, value, least, most in (
         ("sidecars", file.sidecars, 1, 100_000),
         ("calls_per_s", file.calls_per_s, 1, 100_000),
@@ -95,7 +97,7 @@
         ("memory_mb", file.memory_mb, 32, 4_096),
     ):
         if not least <= value <= most:
-            raise BadFile(f"{key}: wants {least} to {most}")
+            raise ConfigFileError(f"{key}: wants {least} to {most}")
 
 
 def follows(file: RelayFile) -> list[str]:
--- a/lupinmill/discovery/driver.py
+++ b/lupinmill/discovery/driver.py
@@ -178,7 +178,7 @@
             call.connected = True
             parser = ClientSide(lists.LARGEST_LIST, lists.LARGEST_LIST)
             index = call.index if call.kind is CallKind.WATCH else None
-            await connection.send(parser.ask(lists.call(index, int(call.wait * 1000))))
+            await connection.send(parser.ask(lists.watch_request(index, int(call.wait * 1000))))
             while (answer := parser.next_answer()) is None:
                 parser.feed(await connection.receive())
                 if parser.begun():
@@ -217,7 +217,7 @@
         """Raises Garbled for an answer that can't be used."""
         if call not in self.watcher.calls:
             return  # cancelled in the loop iteration that read its last byte
-        known, previous_index = lists.read(answer), self.directory.index
+        known, previous_index = lists.parse_response(answer), self.directory.index
         action = self.watcher.classify_answer(call, known.index, known.whole, previous_index)
         if action is AnswerAction.UNUSABLE:
             raise Garbled("discovery sent changes where only a full list can be applied")
@@ -231,7 +231,7 @@
         list_changed = action is AnswerAction.APPLY and bool(known.entries) and known.index != previous_index
         self.watcher.call_answered(anyio.current_time(), call, list_changed)
 
-    def apply_list(self, call: Call, known: lists.Known, previous_index: int | None) -> None:
+    def apply_list(self, call: Call, known: lists.EndpointList, previous_index: int | None) -> None:
         if known.refused:
             self.log("list_rows_refused", index=known.index, why=known.refused)
         self.directory.update(known, t.ListKind.FULL if known.whole else t.ListKind.CHANGES)
--- a/lupinmill/handover/driver.py
+++ b/lupinmill/handover/driver.py
@@ -17,7 +17,7 @@
 from anyio.abc import TaskGroup
 
 from lupinmill.handover.upgrade_protocol import VERSION, Command, CommandKind, UpgradeProtocol
-from lupinmill.protocol.calls import Call
+from lupinmill.protocol.admin_calls import AdminCall
 from lupinmill.protocol.http import Malformed
 from lupinmill.routing.engine import Log, defect
 from lupinmill.transport.link import BrokenLink, Link
@@ -130,7 +130,7 @@
         self.client_listener: Callable[[], socket.socket]
         self.collect_open_work: Callable[[], Message] = dict  # work that is still open here
         self.on_yield, self.on_resume = (lambda: None), (lambda: None)
-        self.apply_call: Callable[[Call], tuple[int, str]] = lambda call: (500, "")
+        self.apply_call: Callable[[AdminCall], tuple[int, str]] = lambda call: (500, "")
         self.adopt_client: Callable[[socket.socket], None] = socket.socket.close
         self.on_predecessor_work: Callable[[Message], None] = lambda report: None
         # `newer_list` returns the endpoint list if its version differs from the given one: this process may
@@ -356,14 +356,14 @@
         say = message.get("say")
         if say == "call":
             try:
-                status, _ = self.apply_call(Call(str(message["what"]), str(message["member"])))
+                status, _ = self.apply_call(AdminCall(str(message["what"]), str(message["member"])))
             except (KeyError, Malformed):
                 status = 400
             link.send({"say": "done", "n": message.get("n"), "status": status})
         elif say == "done" and (event := self.pending_calls.get(message.get("n"))) is not None:
             event.set()
 
-    async def forward_call(self, call: Call) -> None:
+    async def forward_call(self, call: AdminCall) -> None:
         links = [link for link in (self.predecessor, self.successor) if link is not None and link.has_room()]
         for link in links:
             self.last_call_number += 1
--- a/lupinmill/handover/handover_state.py
+++ b/lupinmill/handover/handover_state.py
@@ -24,7 +24,7 @@
 class HandoverState:
     """State received from the predecessor. Its operator overrides are applied by `decode` directly."""
 
-    known: lists.Known
+    known: lists.EndpointList
     learned: Table
     open_descriptors: int  # of the predecessor
     retries: int  # attempts beyond a request's first that the predecessor has made so far
@@ -69,7 +69,7 @@
     if table.get("say") != "state" or table.get("version") != VERSION:
         raise InvalidHandoverState(str(table.get("why") or f"no state of version {VERSION}")[:200])
     try:
-        known = lists.known(table["list"])
+        known = lists.parse(table["list"])
         cordoned = {str(name): int(listed_at) for name, listed_at in table["out"]}
         mode, since = Mode(table["mode"][0]), int(table["mode"][1])
         state = HandoverState(known, dict(table["learned"]), int(table["held"]), int(table.get("repeats", 0)))
--- a/lupinmill/lab/scale/computed.py
+++ b/lupinmill/lab/scale/computed.py
@@ -43,8 +43,9 @@
         row(
             "settings", "sidecar", "changes of settings, each a new start", "1/day", restarts,
             target.faults.restarted_a_day, either(restarts, target.faults.restarted_a_day),
-            "lupinmill/program/told.py", (CONFIG,), True,
-            "a change of workloads, limits, shares or instances is refused by SIGHUP (`told.fixed`): "
+            "lupinmill/program/process_settings.py", (CONFIG,), True,
+            "a change of workloads, limits, shares or instances is refused by SIGHUP"
+            " (`process_settings.changes_needing_restart`): "
             "changes a day times the sidecars that each concerns, against the restarts that a day has "
             "anyhow",
             after="time in force",
--- a/lupinmill/lab/scale/honest.py
+++ b/lupinmill/lab/scale/honest.py
@@ -58,7 +58,7 @@
             try:
                 for at in range(0, self.members, AT_ONCE):
                     await asyncio.gather(*(one.start() for one in processes[at : at + AT_ONCE]))
-                watcher = Hollow(operators_file.understand(tomllib.loads(self.text)), self.last)
+                watcher = Hollow(operators_file.parse(tomllib.loads(self.text)), self.last)
                 async with anyio.create_task_group() as group:
                     group.start_soon(watcher.driver.run, False)
                     group.start_soon(watcher.common.run)
--- a/lupinmill/lab/scale/loopback.py
+++ b/lupinmill/lab/scale/loopback.py
@@ -23,7 +23,7 @@
 from lupinmill.peers.view import Received
 from lupinmill.peers.wire import MAX_UPDATES, Ping
 from lupinmill.program import operators_file
-from lupinmill.program.common import Common
+from lupinmill.program.fleet_state import FleetStatePublisher
 from lupinmill.protocol import settings as protocol_settings
 from lupinmill.routing.engine import Clock, Engine
 from lupinmill.zones.driver import ZoneDriver
@@ -103,14 +103,14 @@
     def __init__(self, file: operators_file.File, name: str) -> None:
         assert file.peers is not None and file.zones is not None
         deployment = protocol_settings.deployment(protocol_settings.flatten(SETTINGS))
-        told = operators_file.told(file, name)
+        told = operators_file.peer_settings(file, name)
         self.engine = Engine(deployment, Clock(), self.log)
         for kind in (t.StartWatch, t.SetTimer):
             self.engine.carriers[kind] = lambda order: None
-        self.driver = Driver(told, file.site, operators_file.bind(file, name), None, self.log)
+        self.driver = Driver(told, file.site, operators_file.bind_address(file, name), None, self.log)
         map_ = operators_file.zone_map(file.zones, {w.name: w.value for w in deployment.workloads})
         zone_driver = ZoneDriver(map_, told, self.driver, self.engine, self.log)
-        self.common = Common(self.engine, self.driver, 1, True, zone_driver, self.log)
+        self.common = FleetStatePublisher(self.engine, self.driver, 1, True, zone_driver, self.log)
 
     def log(self, event: str, **fields: Any) -> None:
         if event in ("task_failed", "module_failed", "order_failed", "peers_wait"):
@@ -131,7 +131,7 @@
         self.members, self.round_s = members, round_ms / 1000
         self.ports = [free_port(5_000 + os.getpid() * 97 % 4_000 + at) for at in range(members + 1)]
         text = fleet_text([f"{HOST}:{port}" for port in self.ports], round_ms)
-        file = operators_file.understand(tomllib.loads(text))
+        file = operators_file.parse(tomllib.loads(text))
         *counted, last = names(members + 1)
         self.hollow = [make(file, name) for name in counted]
         self.watcher = Hollow(file, last)
--- a/lupinmill/lab/scale/returns_stand.py
+++ b/lupinmill/lab/scale/returns_stand.py
@@ -16,7 +16,7 @@
 
 from lupinmill import terms as t
 from lupinmill.discovery import driver as discovery
-from lupinmill.protocol.lists import Known
+from lupinmill.protocol.lists import EndpointList
 from lupinmill.rules import SECOND, Sidecar
 from lupinmill.transport.connection import Unconnected
 
@@ -164,7 +164,7 @@
         self.sidecar = Sidecar(deployment) if deployment.poll_discovery else None
         self.discovery: discovery.DiscoveryClient | None = None
 
-    def update(self, known: Known, kind: t.ListKind) -> None:
+    def update(self, known: EndpointList, kind: t.ListKind) -> None:
         self.index = known.index
         self.heard(self, known.index)
         self.tell(t.ListReceived(kind, []))
--- a/lupinmill/lab/scale/runs.py
+++ b/lupinmill/lab/scale/runs.py
@@ -13,7 +13,7 @@
 from lupinmill.lab.scale.hollow import Hollow
 from lupinmill.lab.scale.measured import Point
 from lupinmill.lab.scale.reference import microseconds
-from lupinmill.program.operators_file import BadFile
+from lupinmill.program.operators_file import ConfigFileError
 
 CORE = "part of a core"
 UNITS = {
@@ -114,7 +114,7 @@
     try:
         took, memory, size = settings.read_file(run.size)
         note = ""
-    except BadFile as error:
+    except ConfigFileError as error:
         with settings.caps_lifted():
             took, memory, size = settings.read_file(run.size)
         why = str(error).rpartition(": ")[2]
--- a/lupinmill/lab/scale/settings.py
+++ b/lupinmill/lab/scale/settings.py
@@ -57,7 +57,9 @@
 
 
 def read_file(members: int) -> tuple[float, float, int]:
-    """Processor seconds of one reading, bytes kept by it, bytes of the file. Raises `BadFile` at a cap."""
+    """Processor seconds of one reading, bytes kept by it, bytes of the file.
+
+    Raises ConfigFileError at a cap."""
     with tempfile.TemporaryDirectory(prefix="lupinmill-slopes-") as folder:
         path = Path(folder) / "operators.toml"
         path.write_text(operators_text(ELECTORS))
@@ -102,9 +104,9 @@
     best = float("inf")
     for _ in range(3):
         began = time.thread_time_ns()
-        lists.known(orjson.loads(data))
+        lists.parse(orjson.loads(data))
         best = min(best, (time.thread_time_ns() - began) / 1e9)
-    memory = min(memory_of(lambda: lists.known(orjson.loads(data))) for _ in range(2))
+    memory = min(memory_of(lambda: lists.parse(orjson.loads(data))) for _ in range(2))
     return best, memory, len(data)
 
 
--- a/lupinmill/lab/scale/target.py
+++ b/lupinmill/lab/scale/target.py
@@ -14,7 +14,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from lupinmill.program.operators_file import BadFile, known_keys
+from lupinmill.program.operators_file import ConfigFileError, known_keys
 
 FILE = Path(__file__).with_name("target.toml")
 LARGEST = 2**18  # bytes
@@ -151,18 +151,18 @@
     try:
         data = path.read_bytes()
         if len(data) > LARGEST:
-            raise BadFile(f"over {LARGEST} bytes")
+            raise ConfigFileError(f"over {LARGEST} bytes")
         return understand(tomllib.loads(data.decode()))
     except OSError as error:
         raise BadTarget(f"{path}: {error.strerror}") from error
     except UnicodeDecodeError as error:
         raise BadTarget(f"{path}: no UTF-8") from error
-    except (tomllib.TOMLDecodeError, BadFile) as error:
+    except (tomllib.TOMLDecodeError, ConfigFileError) as error:
         raise BadTarget(f"{path}: {error}") from error
 
 
 def understand(table: dict[str, Any]) -> Target:
-    """Raises BadFile."""
+    """Raises ConfigFileError."""
     known_keys(table, Target, "")
     try:
         target = msgspec.convert(table, Target)
@@ -170,8 +170,8 @@
         text, _, place = str(error).partition(" - at `$")
         place = place.rstrip("`").lstrip(".")
         if missing := re.fullmatch(r"Object missing required field `(.+)`", text):
-            raise BadFile(f"{place}{'.' if place else ''}{missing[1]}: missing") from error
-        raise BadFile(f"{place or 'the file'}: {text}") from error
+            raise ConfigFileError(f"{place}{'.' if place else ''}{missing[1]}: missing") from error
+        raise ConfigFileError(f"{place or 'the file'}: {text}") from error
     check(target)
     return target
 
@@ -179,16 +179,18 @@
 def check(target: Target) -> None:
     for name, (least, most) in RANGES.items():
         if not least <= target.assumed(name) <= most:
-            raise BadFile(f"assumptions.{name}.value: wants {least:g} to {most:g}")
+            raise ConfigFileError(f"assumptions.{name}.value: wants {least:g} to {most:g}")
     fleet = target.fleet
     for key in ("services", "zones"):
         if getattr(fleet, key) > fleet.sidecars:
-            raise BadFile(f"fleet.{key}: wants no more than fleet.sidecars, {fleet.sidecars}")
+            raise ConfigFileError(f"fleet.{key}: wants no more than fleet.sidecars, {fleet.sidecars}")
     if fleet.regions > fleet.zones:
-        raise BadFile(f"fleet.regions: wants no more than fleet.zones, {fleet.zones}")
+        raise ConfigFileError(f"fleet.regions: wants no more than fleet.zones, {fleet.zones}")
     for key in ("electors", "sources", "discovery"):
         if getattr(target.control, key) > target.control.machines:
-            raise BadFile(f"control.{key}: wants no more than control.machines, {target.control.machines}")
+            raise ConfigFileError(
+                f"control.{key}: wants no more than control.machines, {target.control.machines}"
+            )
 
 
 def wrong_by(target: Target, name: str, factor: float) -> Target:
--- a/lupinmill/program/common.py
+++ b/lupinmill/program/fleet_state.py
@@ -22,7 +22,7 @@
 COUNTS = 3 * SECOND
 
 
-class Common:
+class FleetStatePublisher:
     def __init__(
         self, engine: Engine, peers: Driver, told: int, live: bool, zone_driver: ZoneDriver | None, log: Log
     ) -> None:
--- a/lupinmill/program/in_force.py
+++ b/lupinmill/program/live_config.py
@@ -18,7 +18,7 @@
 from lupinmill.config.follower import Follower
 from lupinmill.config.model import SETTINGS, Entries, Version
 from lupinmill.program import operators_file
-from lupinmill.program.told import Told
+from lupinmill.program.process_settings import ProcessSettings
 from lupinmill.protocol import settings
 from lupinmill.routing.engine import Log
 from lupinmill.rules import DispatchSettings
@@ -30,8 +30,8 @@
 LONGEST_LINE = 200
 
 # What can't change alive: parts are built by it once, or others count on it. By field of `Deployment`, the
-# key; beside these what `operators_file.fixed` names.
-FIXED = (
+# key; beside these what `operators_file.changes_needing_restart` names.
+RESTART_REQUIRED = (
     ("tier", "tier"),
     ("poll_discovery", "discovery"),
     ("grace", "invariants.stop-sending-within-s"),
@@ -44,19 +44,19 @@
 )
 
 
-class Unfit(Exception):
+class IncompatibleConfig(Exception):
     """The text is one line: the key, and what is wrong there."""
 
 
 @dataclass(slots=True)
-class Offered:
+class ConfigCandidate:
     version: Version
     entries: Entries
     why: str = ""
 
 
-def combine(base: Told, entries: Entries) -> Told:
-    """What is told with the entries over it. Raises Unfit."""
+def combine(base: ProcessSettings, entries: Entries) -> ProcessSettings:
+    """What is told with the entries over it. Raises IncompatibleConfig."""
     found, file = base, base.operators
     assert file is not None
     try:
@@ -78,35 +78,37 @@
                 connect_limit=settings.connect_limit(fields),
             )
         file = operators_file.with_entries(file, merge.members(entries), merge.zones(entries))
-        operators_file.fits(file, base.name, found.deployment)
-    except (operators_file.BadFile, ValueError, TypeError, OverflowError, ArithmeticError) as error:
-        raise Unfit(" ".join(str(error).split())[:LONGEST_LINE]) from error
+        operators_file.check_against_platform(file, base.name, found.deployment)
+    except (operators_file.ConfigFileError, ValueError, TypeError, OverflowError, ArithmeticError) as error:
+        raise IncompatibleConfig(" ".join(str(error).split())[:LONGEST_LINE]) from error
     return replace(found, operators=file)
 
 
-def stays(running: Told, new: Told) -> None:
-    """Raises Unfit, with the key, where this would change what can't change alive."""
-    for field, key in FIXED:
+def check_restart_required(running: ProcessSettings, new: ProcessSettings) -> None:
+    """Raises IncompatibleConfig, with the key, where this would change what can't change alive."""
+    for field, key in RESTART_REQUIRED:
         if getattr(running.deployment, field) != getattr(new.deployment, field):
-            raise Unfit(f"settings.{key}: wants a new start")
-    if others := operators_file.fixed(running.operators, new.operators, running.name):
-        raise Unfit(f"{others[0]}: wants a new start")
+            raise IncompatibleConfig(f"settings.{key}: wants a new start")
+    if others := operators_file.changes_needing_restart(running.operators, new.operators, running.name):
+        raise IncompatibleConfig(f"{others[0]}: wants a new start")
     file = new.operators
     if file is not None and file.zones is not None:
         values = [{w.name: w.value for w in told.deployment.workloads} for told in (running, new)]
         maps = [operators_file.zone_map(file.zones, names) for names in values]
         if maps[0] != maps[1]:
-            raise Unfit("settings.workloads: names and values want a new start where [zones] plans by them")
+            raise IncompatibleConfig(
+                "settings.workloads: names and values want a new start where [zones] plans by them"
+            )
 
 
-def scopes(told: Told) -> tuple[str, ...]:
+def scopes(told: ProcessSettings) -> tuple[str, ...]:
     file = told.operators
     assert file is not None and file.config is not None
-    zone, region = operators_file.place(file, told.name, told.deployment.zone)
+    zone, region = operators_file.location(file, told.name, told.deployment.zone)
     return merge.scopes_of(told.name, zone, region, file.config.service)
 
 
-def begin(base: Told, log: Log) -> tuple[Told, Offered]:
+def load_kept(base: ProcessSettings, log: Log) -> tuple[ProcessSettings, ConfigCandidate]:
     """At the start, before any relay answers: the version kept by the process before this one, where it can
     be read and still fits; else as told."""
     assert base.operators is not None and base.operators.config is not None
@@ -114,23 +116,23 @@
     try:
         found = keep.load(path) if path else None
         if found is None:
-            return base, Offered(Version(), {})
+            return base, ConfigCandidate(Version(), {})
         version, entries = found
         if entries.pop(ConfigWatch.WATCHED, None) != list(scopes(base)):
-            raise Unfit("kept for other scopes")
+            raise IncompatibleConfig("kept for other scopes")
         told = combine(base, entries)
-        stays(base, told)
-    except (keep.BadKeep, Unfit) as error:
+        check_restart_required(base, told)
+    except (keep.BadKeep, IncompatibleConfig) as error:
         log("config", text="what was kept is not gone by", error=str(error))
-        return base, Offered(Version(), {})
-    return told, Offered(version, entries)
+        return base, ConfigCandidate(Version(), {})
+    return told, ConfigCandidate(version, entries)
 
 
-class InForce:
-    def __init__(self, program: Program, base: Told, kept: Offered, log: Log) -> None:
+class LiveConfig:
+    def __init__(self, program: Program, base: ProcessSettings, kept: ConfigCandidate, log: Log) -> None:
         self.program, self.base, self.log = program, base, log
         self.now, self.source = kept, "kept file" if kept.version.index else "as told"
-        self.refused: Offered | None = None
+        self.refused: ConfigCandidate | None = None
         self.since = time.time()
         file = base.operators
         assert file is not None and file.config is not None
@@ -150,25 +152,25 @@
         self.watch.kept_index = kept.version.index
         self.run = self.watch.run
 
-    def judge(self, base: Told, entries: Entries) -> Told:
+    def judge(self, base: ProcessSettings, entries: Entries) -> ProcessSettings:
         new = combine(base, entries)
-        stays(self.program.told, new)
+        check_restart_required(self.program.settings, new)
         return new
 
     def take(self, version: Version, entries: Entries) -> str | None:
         """A version from the relays; why not, where it can't be."""
         try:
             new = self.judge(self.base, entries)
-        except Unfit as error:
-            self.refused = Offered(version, entries, str(error))
+        except IncompatibleConfig as error:
+            self.refused = ConfigCandidate(version, entries, str(error))
             return str(error)
         self.put(new)
-        self.now, self.refused = Offered(version, entries), None
+        self.now, self.refused = ConfigCandidate(version, entries), None
         self.since, self.source = time.time(), self.watch.at
         self.log("config", text=f"version {version.index} in force", source=self.source)
         return None
 
-    def rebase(self, base: Told) -> str | None:
+    def rebase(self, base: ProcessSettings) -> str | None:
         """The platform's file anew; the newest entries that fit lie over it. Why not, where none do."""
         why = None
         for offered in (self.refused, self.now):
@@ -176,7 +178,7 @@
                 continue
             try:
                 new = self.judge(base, offered.entries)
-            except Unfit as error:
+            except IncompatibleConfig as error:
                 why = str(error)
                 continue
             self.base = base
@@ -186,12 +188,12 @@
             return None
         return why
 
-    def put(self, new: Told) -> None:
+    def put(self, new: ProcessSettings) -> None:
         """In one go, with no wait. The module, which alone can fail, comes first."""
-        program, old = self.program, self.program.told
+        program, old = self.program, self.program.settings
         if new.deployment != old.deployment:
             self.deploy(new.deployment)
-        program.told = new
+        program.settings = new
         program.pool.limit(new.idle_limit, new.connect_limit)
         if new.operators != old.operators:
             program.change_peers(new)
@@ -199,7 +201,7 @@
         if relays != self.relays(old):
             self.watch.change_relays(relays)
 
-    def relays(self, told: Told) -> tuple[str, ...]:
+    def relays(self, told: ProcessSettings) -> tuple[str, ...]:
         file = told.operators
         return tuple(file.config.relays) if file is not None and file.config is not None else ()
 
@@ -214,8 +216,8 @@
         program.door.deploy(d)
         program.take_in.advice = advice
         program.discovery.set_instances(d.instances)
-        if program.common is not None:
-            program.common.change(d.instances)
+        if program.fleet_state is not None:
+            program.fleet_state.change(d.instances)
 
     def show(self) -> dict[str, object]:
         version, refused = self.now.version, self.refused
--- a/lupinmill/program/operators_file.py
+++ b/lupinmill/program/operators_file.py
@@ -33,7 +33,7 @@
 MOST_RELAYS = 16
 
 
-class BadFile(Exception):
+class ConfigFileError(Exception):
     """The text is the one line."""
 
 
@@ -99,28 +99,28 @@
 
 
 def read(path: str) -> File:
-    """Raises BadFile."""
+    """Raises ConfigFileError."""
     try:
         data = Path(path).read_bytes()
     except OSError as error:
-        raise BadFile(f"{path}: {error.strerror}") from error
+        raise ConfigFileError(f"{path}: {error.strerror}") from error
     try:
         if len(data) > LARGEST:
-            raise BadFile(f"over {LARGEST} bytes")
-        return understand(tomllib.loads(data.decode()))
+            raise ConfigFileError(f"over {LARGEST} bytes")
+        return parse(tomllib.loads(data.decode()))
     except UnicodeDecodeError as error:
-        raise BadFile(f"{path}: no UTF-8") from error
-    except (tomllib.TOMLDecodeError, BadFile) as error:
-        raise BadFile(f"{path}: {error}") from error
+        raise ConfigFileError(f"{path}: no UTF-8") from error
+    except (tomllib.TOMLDecodeError, ConfigFileError) as error:
+        raise ConfigFileError(f"{path}: {error}") from error
 
 
-def understand(table: dict[str, Any]) -> File:
+def parse(table: dict[str, Any]) -> File:
     known_keys(table, File, "")
     try:
         file = msgspec.convert(table, File)
     except msgspec.ValidationError as error:
         text, _, place = str(error).partition(" - at `$")
-        raise BadFile(f"{place.rstrip('`').lstrip('.') or 'the file'}: {text}") from error
+        raise ConfigFileError(f"{place.rstrip('`').lstrip('.') or 'the file'}: {text}") from error
     check(file)
     return file
 
@@ -145,7 +145,7 @@
     for key, value in table.items():
         if key not in hints:
             near = difflib.get_close_matches(key, list(hints), 1, 0.0)
-            raise BadFile(f"{place}{key}: unknown; the nearest known key is {near[0]}")
+            raise ConfigFileError(f"{place}{key}: unknown; the nearest known key is {near[0]}")
         inner = hints[key]
         if typing.get_origin(inner) is dict and isinstance(value, dict):
             for name, row in value.items():
@@ -156,98 +156,98 @@
 
 def check(file: File) -> None:
     if not 0 < len(file.site) <= LONGEST_NAME:
-        raise BadFile("site: wants a name of 1 to 64 characters")
+        raise ConfigFileError("site: wants a name of 1 to 64 characters")
     if file.config is not None:
         check_config(file.config)
     peers = file.peers
     if peers is None:
         if file.zones is not None:
-            raise BadFile("zones: wants [peers], which decide in common")
+            raise ConfigFileError("zones: wants [peers], which decide in common")
         return
     if not 0 < len(peers.members) <= MOST_MEMBERS:
-        raise BadFile(f"peers.members: wants 1 to {MOST_MEMBERS}")
+        raise ConfigFileError(f"peers.members: wants 1 to {MOST_MEMBERS}")
     addresses: dict[str, str] = {}
     for name, entry in peers.members.items():
         if not 0 < len(name.encode()) <= LONGEST_NAME:
-            raise BadFile(f"peers.members.{name}: a name has 1 to {LONGEST_NAME} bytes")
-        usable(entry.address, f"peers.members.{name}.address")
+            raise ConfigFileError(f"peers.members.{name}: a name has 1 to {LONGEST_NAME} bytes")
+        check_address(entry.address, f"peers.members.{name}.address")
         if entry.address in addresses:
-            raise BadFile(f"peers.members.{name}.address: {addresses[entry.address]} has it already")
+            raise ConfigFileError(f"peers.members.{name}.address: {addresses[entry.address]} has it already")
         addresses[entry.address] = name
     if peers.bind:
-        usable(peers.bind, "peers.bind")
+        check_address(peers.bind, "peers.bind")
     for name in peers.electors:
         if name not in peers.members:
-            raise BadFile(f"peers.electors: {name} is none of peers.members")
+            raise ConfigFileError(f"peers.electors: {name} is none of peers.members")
     if peers.electors and (
         len(peers.electors) not in ELECTORS or len(set(peers.electors)) < len(peers.electors)
     ):
-        raise BadFile("peers.electors: wants 3, 5 or 7 different members")
+        raise ConfigFileError("peers.electors: wants 3, 5 or 7 different members")
     for topic in peers.wants:
         if topic not in WANTS:
-            raise BadFile(f"peers.wants: {topic} is none of {', '.join(WANTS)}")
+            raise ConfigFileError(f"peers.wants: {topic} is none of {', '.join(WANTS)}")
     if peers.wants and not peers.electors:
-        raise BadFile("peers.wants: there are no peers.electors")
+        raise ConfigFileError("peers.wants: there are no peers.electors")
     if peers.keep and not peers.keep.startswith("/"):
-        raise BadFile("peers.keep: wants a whole path")
+        raise ConfigFileError("peers.keep: wants a whole path")
     for key, value, least, most in (
         ("round_ms", peers.round_ms, 50, 5_000),
         ("lease_s", peers.lease_s, 1, 60),
         ("fades_s", peers.fades_s, 1, 3_600),
     ):
         if not least <= value <= most:
-            raise BadFile(f"peers.{key}: wants {least} to {most}")
+            raise ConfigFileError(f"peers.{key}: wants {least} to {most}")
     if file.zones is not None:
         check_zones(file.zones, peers)
 
 
 def check_config(config: Config) -> None:
     if not 0 < len(config.relays) <= MOST_RELAYS or len(set(config.relays)) < len(config.relays):
-        raise BadFile(f"config.relays: wants 1 to {MOST_RELAYS} different addresses")
+        raise ConfigFileError(f"config.relays: wants 1 to {MOST_RELAYS} different addresses")
     for address in config.relays:
-        usable(address, "config.relays")
-    if not good_place(config.service):
-        raise BadFile(f"config.service: a name has up to {LONGEST_NAME} bytes, and all can be shown")
+        check_address(address, "config.relays")
+    if not is_scope_name(config.service):
+        raise ConfigFileError(f"config.service: a name has up to {LONGEST_NAME} bytes, and all can be shown")
     if config.keep and not config.keep.startswith("/"):
-        raise BadFile("config.keep: wants a whole path")
+        raise ConfigFileError("config.keep: wants a whole path")
     if not 0.1 <= config.spread_s <= 600:
-        raise BadFile("config.spread_s: wants 0.1 to 600")
+        raise ConfigFileError("config.spread_s: wants 0.1 to 600")
 
 
-def good_place(name: str) -> bool:
+def is_scope_name(name: str) -> bool:
     """May it stand in a scope, as the name of one sidecar, zone, region or service? None at all may."""
     return not name or name.isprintable() and len(name.encode()) <= LONGEST_NAME
 
 
 def check_zones(zones: Zones, peers: Peers) -> None:
     if not 0 < len(zones.map) <= MOST_ZONES:
-        raise BadFile(f"zones.map: wants 1 to {MOST_ZONES} zones")
+        raise ConfigFileError(f"zones.map: wants 1 to {MOST_ZONES} zones")
     if len(zones.workloads) > MOST_ZONES:
-        raise BadFile(f"zones.workloads: wants {MOST_ZONES} at most")
+        raise ConfigFileError(f"zones.workloads: wants {MOST_ZONES} at most")
     if not peers.electors:
-        raise BadFile("zones: wants peers.electors, which decide in common")
+        raise ConfigFileError("zones: wants peers.electors, which decide in common")
     for name, entry in zones.map.items():
         for other, cost in entry.costs.items():
             if other not in zones.map:
-                raise BadFile(f"zones.map.{name}.costs.{other}: no such zone")
+                raise ConfigFileError(f"zones.map.{name}.costs.{other}: no such zone")
             if not 0 <= cost <= 1e6:
-                raise BadFile(f"zones.map.{name}.costs.{other}: wants 0 to 1000000")
+                raise ConfigFileError(f"zones.map.{name}.costs.{other}: wants 0 to 1000000")
     for key, value in (("near", zones.near), ("far", zones.far)):
         if not 0 <= value <= 1e6:
-            raise BadFile(f"zones.{key}: wants 0 to 1000000")
+            raise ConfigFileError(f"zones.{key}: wants 0 to 1000000")
     for name, load in zones.workloads.items():
         if not 0 <= load.worth <= 1e6:
-            raise BadFile(f"zones.workloads.{name}.worth: wants 0 to 1000000")
+            raise ConfigFileError(f"zones.workloads.{name}.worth: wants 0 to 1000000")
     for name, member in peers.members.items():
         if member.zone not in zones.map:
-            raise BadFile(
+            raise ConfigFileError(
                 f"peers.members.{name}.zone: {member.zone or 'nothing'} is none of zones.map, which wants it"
             )
     zone_map(zones, {name: 1.0 for name in zones.workloads} or {"any": 1.0})
 
 
 def zone_map(zones: Zones, values: dict[str, float]) -> ZoneMap:
-    """`values`: of the workloads that the platform tells. Raises BadFile."""
+    """`values`: of the workloads that the platform tells. Raises ConfigFileError."""
     workloads = []
     for name, value in values.items():
         load = zones.workloads.get(name, WorkloadEntry())
@@ -255,9 +255,9 @@
         workloads.append(Workload(name, load.worth or value, load.leave_zone, region, load.breaks))
     for name in zones.workloads:
         if name not in values:
-            raise BadFile(f"zones.workloads.{name}: the platform tells of no such workload")
+            raise ConfigFileError(f"zones.workloads.{name}: the platform tells of no such workload")
     if len(workloads) > MOST_ZONES:
-        raise BadFile(f"zones: no more than {MOST_ZONES} workloads can be planned for")
+        raise ConfigFileError(f"zones: no more than {MOST_ZONES} workloads can be planned for")
     costs = {(a, b): cost for a, entry in zones.map.items() for b, cost in entry.costs.items()}
     try:
         rows = tuple(Zone(name, entry.region, entry.spare) for name, entry in zones.map.items())
@@ -267,17 +267,17 @@
         for key in ("zones.", "costs."):
             if text.startswith(key):
                 text = "map." + text[len(key) :]
-        raise BadFile(f"zones.{text}") from error
+        raise ConfigFileError(f"zones.{text}") from error
 
 
-def usable(address: str, key: str) -> None:
+def check_address(address: str, key: str) -> None:
     """Numbers, no names: who sent a datagram is known by its address."""
-    if not numbers(address):
-        raise BadFile(f"{key}: wants an IPv4 address and port, as 10.0.0.7:7400")
+    if not is_address(address):
+        raise ConfigFileError(f"{key}: wants an IPv4 address and port, as 10.0.0.7:7400")
 
 
 @lru_cache(2 * MOST_MEMBERS)  # a roster of thousands is judged anew with each change of one
-def numbers(address: str) -> bool:
+def is_address(address: str) -> bool:
     host, _, port = address.rpartition(":")
     try:
         ipaddress.IPv4Address(host)
@@ -286,12 +286,12 @@
         return False
 
 
-def told(file: File, name: str) -> PeerSettings:
-    """Of the peers, for the sidecar of that name. Raises BadFile."""
+def peer_settings(file: File, name: str) -> PeerSettings:
+    """Of the peers, for the sidecar of that name. Raises ConfigFileError."""
     peers = file.peers
     assert peers is not None
     if name not in peers.members:
-        raise BadFile(f"peers.members: has no entry for this sidecar, {name or 'which has no name'}")
+        raise ConfigFileError(f"peers.members: has no entry for this sidecar, {name or 'which has no name'}")
     seats = tuple(RosterEntry(one, e.address, e.zone, e.region) for one, e in peers.members.items())
     return PeerSettings(
         name,
@@ -305,20 +305,22 @@
     )
 
 
-def fits(file: File, name: str, deployment: Deployment) -> None:
-    """Beside what the platform tells. Raises BadFile."""
+def check_against_platform(file: File, name: str, deployment: Deployment) -> None:
+    """Beside what the platform tells. Raises ConfigFileError."""
     if file.peers is not None:
-        told(file, name)
+        peer_settings(file, name)
     if file.zones is not None:
         zone_map(file.zones, {w.name: w.value for w in deployment.workloads})
         if deployment.sidecar_per_client:
-            raise BadFile("zones: settings.family is mesh, where zones pull by their own price")
+            raise ConfigFileError("zones: settings.family is mesh, where zones pull by their own price")
     if file.config is not None:
-        if not name or not all(map(good_place, (name, *place(file, name, deployment.zone)))):
-            raise BadFile("config: wants names of this sidecar, its zone and region that can be shown")
+        if not name or not all(map(is_scope_name, (name, *location(file, name, deployment.zone)))):
+            raise ConfigFileError(
+                "config: wants names of this sidecar, its zone and region that can be shown"
+            )
 
 
-def place(file: File, name: str, zone: str) -> tuple[str, str]:
+def location(file: File, name: str, zone: str) -> tuple[str, str]:
     """Zone and region of that sidecar; `zone`: as the platform tells it, where no member's row does."""
     entry = file.peers.members.get(name) if file.peers is not None else None
     return (entry.zone, entry.region) if entry is not None and entry.zone else (zone, "")
@@ -326,7 +328,7 @@
 
 def with_entries(file: File, members: dict[str, Any], zones: Any) -> File:
     """The file with these members' rows in the place of its own, none for one that is away, and `zones` in
-    the place of [zones]. Raises BadFile."""
+    the place of [zones]. Raises ConfigFileError."""
     if file.peers is None or not members and zones is None:
         return file
     rows, map_ = dict(file.peers.members), file.zones
@@ -345,19 +347,19 @@
             known_keys(zones, Zones, "zones.")
             map_ = msgspec.convert(zones, Zones)
     except msgspec.ValidationError as error:
-        raise BadFile(f"{key}: {error}") from error
+        raise ConfigFileError(f"{key}: {error}") from error
     peers = msgspec.structs.replace(file.peers, members=rows)
     found = msgspec.structs.replace(file, peers=peers, zones=map_)
     check(found)
     return found
 
 
-def bind(file: File, name: str) -> str:
+def bind_address(file: File, name: str) -> str:
     assert file.peers is not None
     return file.peers.bind or file.peers.members[name].address
 
 
-def fixed(old: File | None, new: File | None, name: str) -> list[str]:
+def changes_needing_restart(old: File | None, new: File | None, name: str) -> list[str]:
     """What differs and can't be changed without a new start; members and relays may come, go and move."""
     return fixed_peers(old, new, name) + fixed_config(old, new, name)
 
@@ -371,7 +373,7 @@
         f"config.{key}": getattr(ones[0], key) == getattr(ones[1], key)
         for key in ("service", "keep", "spread_s")
     }
-    same["peers.members: zone or region of this sidecar"] = place(old, name, "") == place(new, name, "")
+    same["peers.members: zone or region of this sidecar"] = location(old, name, "") == location(new, name, "")
     return [key for key, holds in same.items() if not holds]
 
 
@@ -386,5 +388,5 @@
     same["zones"] = old.zones == new.zones
     homes = [file.peers.members[name].zone if name in file.peers.members else "" for file in (old, new)]
     same["peers.members.zone of this sidecar"] = old.zones is None or homes[0] == homes[1]
-    same["peers.bind"] = bind(old, name) == bind(new, name)
+    same["peers.bind"] = bind_address(old, name) == bind_address(new, name)
     return [key for key, holds in same.items() if not holds]
--- a/lupinmill/program/told.py
+++ b/lupinmill/program/process_settings.py
@@ -33,17 +33,17 @@
 )
 
 
-class BadStart(Exception):
+class StartupError(Exception):
     """The text is the one line for standard error."""
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class ProcessSettings:
     name: str
     listen: str
     discovery: str
     deployment: t.Deployment
-    known: lists.Known
+    known: lists.EndpointList
     descriptors: int
     memory: int | None  # bytes
     idle_limit: float
@@ -55,46 +55,46 @@
     unused: tuple[str, ...] = ()  # keys that ask for what has no use in this shape of deployment
 
 
-def read(environ: Mapping[str, str], again: bool = False) -> Told:
+def read(environ: Mapping[str, str], again: bool = False) -> ProcessSettings:
     """Read again, after the start, the file goes before the environment, which can't have changed."""
     path = environ.get("BALANCER_CONFIG")
     if not path:
-        raise BadStart("BALANCER_CONFIG is not set")
+        raise StartupError("BALANCER_CONFIG is not set")
     try:
         table = orjson.loads(Path(path).read_bytes())
     except OSError as error:
-        raise BadStart(f"{path}: {error.strerror}") from error
+        raise StartupError(f"{path}: {error.strerror}") from error
     except orjson.JSONDecodeError as error:
-        raise BadStart(f"{path}: {error}") from error
+        raise StartupError(f"{path}: {error}") from error
     if not isinstance(table, dict):
-        raise BadStart(f"{path}: not a JSON object")
+        raise StartupError(f"{path}: not a JSON object")
     try:
-        told = understand(table, environ, again)
+        told = parse_settings(table, environ, again)
     except UNREADABLE as error:
         text = f"missing {error}" if isinstance(error, KeyError) else str(error)
-        raise BadStart(f"{path}: {' '.join(text.split())[:200]}") from error
+        raise StartupError(f"{path}: {' '.join(text.split())[:200]}") from error
     path = environ.get("BALANCER_OPERATOR_FILE")
-    return replace(told, operators=operators(path, told.name, told.deployment)) if path else told
+    return replace(told, operators=read_operator_file(path, told.name, told.deployment)) if path else told
 
 
-def operators(path: str, name: str, deployment: t.Deployment) -> File:
+def read_operator_file(path: str, name: str, deployment: t.Deployment) -> File:
     """What serves without such a file imports nothing for it."""
     try:
         from lupinmill.program import operators_file
     except ModuleNotFoundError as error:
         if error.name not in ("msgspec", "xxhash"):
             raise
-        raise BadStart(f"{path}: wants {error.name}: pip install 'lupinmill[peers]'") from error
+        raise StartupError(f"{path}: wants {error.name}: pip install 'lupinmill[peers]'") from error
     try:
         file = operators_file.read(path)
-        operators_file.fits(file, name, deployment)
-    except operators_file.BadFile as error:
+        operators_file.check_against_platform(file, name, deployment)
+    except operators_file.ConfigFileError as error:
         text = str(error)
-        raise BadStart(text if text.startswith(path) else f"{path}: {text}") from error
+        raise StartupError(text if text.startswith(path) else f"{path}: {text}") from error
     return file
 
 
-def understand(table: dict[str, Any], environ: Mapping[str, str], again: bool = False) -> Told:
+def parse_settings(table: dict[str, Any], environ: Mapping[str, str], again: bool = False) -> ProcessSettings:
     """Raises one of UNREADABLE, its text the key and what is wrong there."""
     if not isinstance(table["settings"], dict):
         raise ValueError("settings: wants a table")
@@ -109,12 +109,12 @@
     if not isinstance(limits, dict):
         raise ValueError("limits: wants a table")
     memory = number(limits, "memory_mb", None)
-    return Told(
+    return ProcessSettings(
         name=name,
         listen=address("listen", environ.get("BALANCER_LISTEN") or table["listen"]),
         discovery=address("discovery", discovery_of(table, environ, again)),
         deployment=deployment,
-        known=lists.at_start(table.get("known")),
+        known=lists.initial_list(table.get("known")),
         descriptors=int(number(limits, "sockets", SOCKETS, LEAST_SOCKETS) or SOCKETS),
         memory=None if memory is None else int(memory * 2**20),
         idle_limit=settings.idle_limit(fields),
@@ -167,11 +167,11 @@
     return name.encode("utf-8", "backslashreplace").decode()
 
 
-def fixed(old: Told, new: Told, alive: bool = False) -> list[str]:
+def changes_needing_restart(old: ProcessSettings, new: ProcessSettings, alive: bool = False) -> list[str]:
     """What differs and can't be changed without a new start. `alive`: settings are judged key by key, where
     they are put in force."""
 
-    def settings_of(told: Told) -> t.Deployment:
+    def settings_of(told: ProcessSettings) -> t.Deployment:
         return replace(told.deployment, seed=0)
 
     same = {
@@ -184,5 +184,5 @@
     if old.operators is not None or new.operators is not None:
         from lupinmill.program import operators_file
 
-        others += operators_file.fixed(old.operators, new.operators, old.name)
+        others += operators_file.changes_needing_restart(old.operators, new.operators, old.name)
     return others
--- a/lupinmill/program/sidecar.py
+++ b/lupinmill/program/sidecar.py
@@ -22,9 +22,9 @@
 from lupinmill.limits.gate import Gate
 from lupinmill.discovery.driver import DiscoveryClient
 from lupinmill.program.signals import ENDING, HANDLED, Signals
-from lupinmill.program.told import BadStart, Told, fixed
+from lupinmill.program.process_settings import StartupError, ProcessSettings, changes_needing_restart
 from lupinmill.protocol import lists
-from lupinmill.protocol.submission import LONGEST
+from lupinmill.protocol.client_requests import LONGEST
 from lupinmill.routing.admit import Admit
 from lupinmill.routing.book import Book
 from lupinmill.routing.directory import Directory
@@ -43,8 +43,8 @@
 
 if TYPE_CHECKING:
     from lupinmill.peers.driver import Driver
-    from lupinmill.program.common import Common
-    from lupinmill.program.in_force import InForce
+    from lupinmill.program.fleet_state import FleetStatePublisher
+    from lupinmill.program.live_config import LiveConfig
     from lupinmill.program.operators_file import File
 
 LAG_EVERY, LAG_HIGH, LAG_LOW = 0.25, 0.05, 0.01  # seconds
@@ -78,7 +78,11 @@
     """`signals`: what came before `run` has its receiver."""
 
     def __init__(
-        self, told: Told, log: Log, read_again: Callable[[], Told], signals: Signals | None = None
+        self,
+        told: ProcessSettings,
+        log: Log,
+        read_again: Callable[[], ProcessSettings],
+        signals: Signals | None = None,
     ) -> None:
         base = told
         self.signals = signals
@@ -90,10 +94,10 @@
         self.listener: Listener | None = None
         self.admin_server: AdminServer | None = None
         if watched := told.operators is not None and told.operators.config is not None:
-            from lupinmill.program import in_force
+            from lupinmill.program import live_config
 
-            told, kept = in_force.begin(base, log)
-        self.told, self.log, self.read_again = told, log, read_again
+            told, kept = live_config.load_kept(base, log)
+        self.settings, self.log, self.read_again = told, log, read_again
         own = (MAX_CONNECTIONS if told.operator is not None else 0) + (
             PEERS_OWN if told.operators is not None else 0
         )
@@ -115,27 +119,29 @@
         self.repeats_before = 0  # launches again of the process before this one, when it told what it knew
         self.to_close = anyio.Event()  # something may ask for idle clients to be closed or passed
         self.admin_handler.on_mode_change = self.mode_changed
-        self.common: Common | None = None  # what the module goes by of the others
+        self.fleet_state: FleetStatePublisher | None = None  # what the module goes by of the others
         self.peers = self.know_peers()
         self.operator: str | None = None  # where operators call, once bound
-        self.in_force: InForce | None = None  # the watch on configuration, where the operator's file has one
+        self.live_config: LiveConfig | None = (
+            None  # the watch on configuration, where the operator's file has one
+        )
         if watched:
-            self.in_force = in_force.InForce(self, base, kept, log)
-            self.admin_handler.config = self.in_force.show
+            self.live_config = live_config.LiveConfig(self, base, kept, log)
+            self.admin_handler.config = self.live_config.show
 
     def know_peers(self) -> Driver | None:
         """Only where the operator's file says so; nothing is imported for it otherwise."""
-        file = self.told.operators
+        file = self.settings.operators
         if file is None or file.peers is None:
             return None
         from lupinmill.peers.driver import Driver
         from lupinmill.program import operators_file
 
-        name = self.told.name
+        name = self.settings.name
         peers = Driver(
-            operators_file.told(file, name),
+            operators_file.peer_settings(file, name),
             file.site,
-            operators_file.bind(file, name),
+            operators_file.bind_address(file, name),
             file.peers.keep or None,
             self.log,
         )
@@ -146,22 +152,24 @@
 
     def hold_in_common(self, file: File, peers: Driver) -> None:
         from lupinmill.program import operators_file
-        from lupinmill.program.common import Common
+        from lupinmill.program.fleet_state import FleetStatePublisher
 
-        zone_driver, deployment = None, self.told.deployment
+        zone_driver, deployment = None, self.settings.deployment
         if file.zones is not None:
             from lupinmill.zones.driver import ZoneDriver
 
             map_ = operators_file.zone_map(file.zones, {w.name: w.value for w in deployment.workloads})
             zone_driver = ZoneDriver(
-                map_, operators_file.told(file, self.told.name), peers, self.engine, self.log
+                map_, operators_file.peer_settings(file, self.settings.name), peers, self.engine, self.log
             )
             self.admin_handler.zones, self.admin_handler.run_zone_command = (
                 zone_driver.show,
                 zone_driver.request_action,
             )
         live = file.peers.live_count
-        self.common = Common(self.engine, peers, deployment.instances, live, zone_driver, self.log)
+        self.fleet_state = FleetStatePublisher(
+            self.engine, peers, deployment.instances, live, zone_driver, self.log
+        )
 
     def mode_changed(self) -> None:
         self.to_close.set()
@@ -245,15 +253,17 @@
                 self.handover.decline()
                 sock.close()
                 self.found = sock = None
-        if self.told.operator is not None:
+        if self.settings.operator is not None:
             self.admin_server = await self.bound(
-                AdminServer, self.told.operator, self.admin_handler.handle, self.log
+                AdminServer, self.settings.operator, self.admin_handler.handle, self.log
             )
         if self.found is not None or self.told_to_end is None:
-            self.listener = await self.bound(Listener, self.told.listen, self.descriptors, self.store, sock)
+            self.listener = await self.bound(
+                Listener, self.settings.listen, self.descriptors, self.store, sock
+            )
 
     async def serve(self, signals: AsyncIterator[signal.Signals], task_status: TaskStatus[str]) -> None:
-        deployment, listener = self.told.deployment, self.listener
+        deployment, listener = self.settings.deployment, self.listener
         assert listener is not None
         send = Send(self.pool, self.directory, self.book, deployment.reports_asked, self.log)
         advice = deployment.longest_advice // 2 if deployment.advice_allowed else 0
@@ -304,14 +314,14 @@
             self.operator = self.admin_server.address
         if self.peers is not None:
             group.start_soon(self.keep_up, self.peers.run, self.beside_older)
-        if self.common is not None:
-            group.start_soon(self.keep_up, self.common.run)
-        if self.in_force is not None:
-            group.start_soon(self.keep_up, self.in_force.run)
+        if self.fleet_state is not None:
+            group.start_soon(self.keep_up, self.fleet_state.run)
+        if self.live_config is not None:
+            group.start_soon(self.keep_up, self.live_config.run)
         self.admin_handler.accepting_clients = lambda: True
 
     def log_start(self, listener: Listener) -> None:
-        told = self.told
+        told = self.settings
         self.log(
             "started",
             tier=told.deployment.tier,
@@ -355,51 +365,56 @@
         """The file anew, whole or not at all. A defect costs this one reload. `always`: it was asked for, and
         is told in the log also where nothing changed."""
         try:
-            told, before = self.read_again(), self.in_force.base if self.in_force is not None else self.told
+            told, before = (
+                self.read_again(),
+                self.live_config.base if self.live_config is not None else self.settings,
+            )
             if always or self.differs(before, told):
                 self.put_in_force(before, told)
-        except BadStart as error:
+        except StartupError as error:
             self.log("reload_refused", error=str(error))
         except Exception as error:
             self.log("reload_refused", **defect(error))
 
-    def differs(self, before: Told, told: Told) -> bool:
+    def differs(self, before: ProcessSettings, told: ProcessSettings) -> bool:
         alive = (before.discovery, before.operators) != (told.discovery, told.operators)
         return (
-            alive or before.settings != told.settings or bool(fixed(before, told, self.in_force is not None))
+            alive
+            or before.settings != told.settings
+            or bool(changes_needing_restart(before, told, self.live_config is not None))
         )
 
-    def put_in_force(self, before: Told, told: Told) -> None:
-        if others := fixed(before, told, self.in_force is not None):
+    def put_in_force(self, before: ProcessSettings, told: ProcessSettings) -> None:
+        if others := changes_needing_restart(before, told, self.live_config is not None):
             self.log("reload_refused", error="these want a new start", fields=others)
             return
-        if self.in_force is not None:
-            if (why := self.in_force.rebase(told)) is not None:
+        if self.live_config is not None:
+            if (why := self.live_config.rebase(told)) is not None:
                 self.log("reload_refused", error=why)
                 return
         else:
             if told.operators != before.operators:
                 self.change_peers(told)
-            self.told = told
+            self.settings = told
         if told.discovery != before.discovery:
             self.discovery.move(told.discovery)
         self.log("reloaded", discovery=told.discovery)
 
-    def change_peers(self, told: Told) -> None:
+    def change_peers(self, told: ProcessSettings) -> None:
         """Another roster, from now on."""
         if self.peers is None or told.operators is None:
             return
         from lupinmill.program import operators_file
 
-        peers = operators_file.told(told.operators, told.name)
+        peers = operators_file.peer_settings(told.operators, told.name)
         self.peers.change_settings(peers)
-        if self.common is not None and self.common.zone_driver is not None:
-            self.common.zone_driver.update_members(peers)
+        if self.fleet_state is not None and self.fleet_state.zone_driver is not None:
+            self.fleet_state.zone_driver.update_members(peers)
 
     async def leave(self, listener: Listener, take_in: TakeIn) -> None:
         """Clients go on using the connections that they have, and where this is their only sidecar they have
         no other: they are served until little time is left, and only then sent away."""
-        longest = max(workload.hard_limit for workload in self.told.deployment.workloads) / 1_000_000
+        longest = max(workload.hard_limit for workload in self.settings.deployment.workloads) / 1_000_000
         stay = min(longest, LONGEST_WAIT) + KILLED_AFTER - SPARE
         last = max(stay, LONGEST + ANSWERED)
         self.handover.protocol.on_shutdown()
@@ -425,10 +440,10 @@
     def begin_list(self, taken: handover_state.HandoverState | None) -> None:
         """As told at the start, or as the process before this one knew it, with what it learned."""
         try:
-            self.directory.update(self.told.known if taken is None else taken.known, t.ListKind.CACHED)
+            self.directory.update(self.settings.known if taken is None else taken.known, t.ListKind.CACHED)
         except Exception as error:
             self.log("known_refused", **defect(error))
-            self.directory.update(lists.Known(0, True, [], {}), t.ListKind.CACHED)
+            self.directory.update(lists.EndpointList(0, True, [], {}), t.ListKind.CACHED)
         if taken is None:
             return
         for name in self.overrides.cordoned:
@@ -466,7 +481,7 @@
 
         def take_list(told: dict[str, Any]) -> None:
             """Versions can be compared only where both processes ask the same discovery."""
-            known, before, watcher = lists.known(told["list"]), self.directory.index, self.discovery.watcher
+            known, before, watcher = lists.parse(told["list"]), self.directory.index, self.discovery.watcher
             if told["address"] != watcher.address or not watcher.list_is_current():
                 return
             if before is not None and known.index > before:
@@ -482,16 +497,16 @@
             listener.dismiss_all()
             if self.peers is not None:
                 self.peers.resign()
-            if self.in_force is not None:
-                self.in_force.watch.keeping = False
+            if self.live_config is not None:
+                self.live_config.watch.keeping = False
 
         def take_up() -> None:
             take_in.pass_on, listener.passing = None, False
             listener.resume()
             if self.peers is not None:
                 self.peers.resume()
-            if self.in_force is not None:
-                self.in_force.watch.keeping = True
+            if self.live_config is not None:
+                self.live_config.watch.keeping = True
 
         def adopt(sock: socket.socket) -> None:
             descriptors.elsewhere = max(0, descriptors.elsewhere - 1)
--- a/lupinmill/protocol/calls.py
+++ b/lupinmill/protocol/admin_calls.py
@@ -1,5 +1,5 @@
-"""Operators' calls: one HTTP/1.1 request on a connection becomes a `Call`, or the status that says why not.
-Pure."""
+"""Operators' calls: one HTTP/1.1 request on a connection becomes an `AdminCall`, or the status that says why
+not. Pure."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 LARGEST_HEAD = 4 * 1024
 LONGEST_ID = 200  # bytes
 PREFIX = b"/admin/"
-HEALTH, OUT, BACK, QUIESCE, RESUME = "health", "cordon", "uncordon", "quiesce", "resume"
+HEALTH, CORDON, UNCORDON, QUIESCE, RESUME = "health", "cordon", "uncordon", "quiesce", "resume"
 PEERS, REHEARSE, ZONES, CONFIG = "peers", "rehearse", "zones", "config"
 DISCOVERY = "discovery"
 MOVES = {f"zones/{what}": what for what in ("drain", "restore", "pin", "unpin")}
@@ -23,27 +23,27 @@
     ZONES: (b"GET",),
     CONFIG: (b"GET",),
     DISCOVERY: (b"GET",),
-    **dict.fromkeys((REHEARSE, OUT, BACK, QUIESCE, RESUME, *MOVES), (b"PUT",)),
+    **dict.fromkeys((REHEARSE, CORDON, UNCORDON, QUIESCE, RESUME, *MOVES), (b"PUT",)),
 }
 MEMBER, ZONE = b"member", b"zone"
 
 
 @dataclass(slots=True)
-class Call:
+class AdminCall:
     what: str
     endpoint: str = ""
     zone: str = ""
     force: bool = False
 
 
-class CallSide:
+class AdminCallCodec:
     """The sidecar as its operators' server, for the one call of a connection."""
 
     def __init__(self) -> None:
         self.http = h11.Connection(h11.SERVER, max_incomplete_event_size=2 * LARGEST_HEAD)
         self.fed = 0
 
-    def feed(self, data: bytes) -> Call | None:
+    def feed(self, data: bytes) -> AdminCall | None:
         """The call once its head has come. Raises Malformed; a body, if any, says nothing here."""
         self.fed += len(data)
         if self.fed > LARGEST_HEAD:
@@ -53,7 +53,7 @@
             event = self.http.next_event()
         except h11.RemoteProtocolError as error:
             raise Malformed(400, str(error)) from error
-        return read(event) if isinstance(event, h11.Request) else None
+        return parse(event) if isinstance(event, h11.Request) else None
 
     def answer(self, status: int, text: str) -> bytes:
         """The whole answer's bytes; the connection ends with it."""
@@ -64,7 +64,7 @@
         return data
 
 
-def read(request: h11.Request) -> Call:
+def parse(request: h11.Request) -> AdminCall:
     target = request.target
     if not target.startswith(b"/"):  # the absolute form
         target = b"/" + target.partition(b"://")[2].partition(b"/")[2]
@@ -76,11 +76,11 @@
     if request.method not in METHODS[what]:
         raise Malformed(405, f"this wants {METHODS[what][0].decode()}")
     if MOVES.get(what) in ("drain", "restore"):
-        return Call(what, zone=named(query, ZONE), force=b"force=1" in query.split(b"&"))
-    return Call(what, named(query, MEMBER) if what in (OUT, BACK) else "")
+        return AdminCall(what, zone=single_parameter(query, ZONE), force=b"force=1" in query.split(b"&"))
+    return AdminCall(what, single_parameter(query, MEMBER) if what in (CORDON, UNCORDON) else "")
 
 
-def named(query: bytes, key: bytes) -> str:
+def single_parameter(query: bytes, key: bytes) -> str:
     """The one id that it names, however it is encoded."""
     values = [
         unquote_to_bytes(value)
--- a/lupinmill/protocol/submission.py
+++ b/lupinmill/protocol/client_requests.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(slots=True)
-class Asked:
+class ClientRequest:
     submission: str
     workload: str
     left: int  # microseconds that its client will wait
@@ -33,7 +33,7 @@
     keyed: bool = True  # it brings what endpoints drop its repeats by
 
 
-def read(request: Request, workloads: set[str]) -> Asked:
+def parse(request: Request, workloads: set[str]) -> ClientRequest:
     """Raises Malformed for a request that is no submission. Ids and keys are told apart by their bytes, names
     from the settings are UTF-8."""
     headers = single(request)
@@ -51,7 +51,7 @@
     key = headers.get(KEY, b"").decode("latin-1")
     if len(key) > LONGEST_KEY:
         raise Malformed(400, "overlong Req-Key", True)
-    return Asked(
+    return ClientRequest(
         submission=name.decode("latin-1"),
         workload=kind,
         left=int(left * 1_000_000),
@@ -91,7 +91,7 @@
     return value.decode("utf-8", "backslashreplace")
 
 
-def launch(request: Request, left: int) -> Request:
+def attempt_request(request: Request, left: int) -> Request:
     """The same, with the time that this sidecar will still wait."""
     headers = [(key, value) for key, value in request.headers if key.lower() != DEADLINE]
     headers.append((b"Req-Deadline", b"%.6f" % (max(0, left) / 1_000_000)))
@@ -106,18 +106,18 @@
     return t.Outcome.REJECTED if answer.status in REJECTED else t.Outcome.ERROR
 
 
-def passed_on(answer: Answer) -> Answer:
+def client_response(answer: Answer) -> Answer:
     """As it goes to the client: the load report was for this sidecar."""
     headers = [(key, value) for key, value in answer.headers if key.lower() != LOAD]
     return Answer(answer.status, headers, answer.body)
 
 
-def denied(come_back: int) -> Answer:
+def rejection(come_back: int) -> Answer:
     advice = [(b"Retry-After", b"%.3f" % (come_back / 1_000_000))] if come_back else []
     return plain(503, "denied\n", advice)
 
 
-def broken_off() -> Answer:
+def aborted_response() -> Answer:
     return plain(502, "broken off\n")
 
 
@@ -125,11 +125,11 @@
     return reports.read(answer.header(LOAD))
 
 
-def probe(reported: bool) -> Request:
+def probe_request(reported: bool) -> Request:
     return Request(b"GET", STATUS if reported else HEALTH, [(b"Host", b"endpoint")])
 
 
-def probed(answer: Answer) -> tuple[t.Outcome, t.LoadReport | None]:
+def probe_result(answer: Answer) -> tuple[t.Outcome, t.LoadReport | None]:
     how = (
         t.Outcome.HANDLED
         if answer.status == 200
--- a/lupinmill/protocol/quick.py
+++ b/lupinmill/protocol/fast_path.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from lupinmill.protocol.http import LARGEST_HEAD
-from lupinmill.protocol.submission import LONGEST, LONGEST_KEY, SECONDS
+from lupinmill.protocol.client_requests import LONGEST, LONGEST_KEY, SECONDS
 
 HEAD = re.compile(
     rb"(?:GET|POST) /([A-Za-z0-9_.~-]{1,100})(?:[/?][!-~]{0,2000})? HTTP/1\.1\r\n"
@@ -21,14 +21,14 @@
 
 
 @dataclass(slots=True)
-class Glance:
+class RequestSummary:
     workload: str
     left: int  # microseconds that its client will wait
     tenant: str
     repeated: bool
 
 
-def glance(data: bytes, workloads: set[str]) -> Glance | None:
+def parse_simple_request(data: bytes, workloads: set[str]) -> RequestSummary | None:
     """None unless these bytes are one whole request of which nothing is doubtful, and no byte more."""
     head = HEAD.match(data)
     if head is None or head.end() > LARGEST_HEAD:
@@ -57,10 +57,10 @@
     if not SECONDS.fullmatch(deadline) or (left := float(deadline)) > LONGEST:
         return None
     tenant = found.get(b"req-owner", b"").decode("latin-1")
-    return Glance(kind, int(left * 1_000_000), tenant, found.get(b"req-retry") == b"1")
+    return RequestSummary(kind, int(left * 1_000_000), tenant, found.get(b"req-retry") == b"1")
 
 
-def denial(come_back: int) -> bytes:
+def rejection(come_back: int) -> bytes:
     """The whole answer's bytes; the connection is kept."""
     advice = b"Retry-After: %.3f\r\n" % (come_back / 1_000_000) if come_back else b""
     return (
--- a/lupinmill/protocol/lists.py
+++ b/lupinmill/protocol/lists.py
@@ -8,7 +8,7 @@
   discovery took off. Of changes nobody can tell what was missed: the caller has to ask for the whole list.
 - A list with rows of which none names an endpoint is no list at all, and is refused whole.
 
-Each such row is told in `Known.refused`, for the log."""
+Each such row is told in `EndpointList.refused`, for the log."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 @dataclass(slots=True)
-class Known:
+class EndpointList:
     """A list, or the changes since the last: the entries, and where each endpoint listens."""
 
     index: int
@@ -120,11 +120,11 @@
     return address
 
 
-def known(table: Any) -> Known:
+def parse(table: Any) -> EndpointList:
     """Raises Garbled where it is no list; for single rows see above."""
     try:
         index, whole, rows = table["index"], bool(table.get("snapshot")), table["endpoints"]
-        found = Known(whole_number(index, "index"), whole, [], {})
+        found = EndpointList(whole_number(index, "index"), whole, [], {})
         if rows is None and not whole:
             rows = []  # as some services write a list of nothing
         if not isinstance(rows, list):
@@ -138,7 +138,7 @@
     return found
 
 
-def take(found: Known, row: Any) -> None:
+def take(found: EndpointList, row: Any) -> None:
     """One row, into what was read so far."""
     try:
         name = name_of(row)
@@ -156,39 +156,39 @@
     found.entries.append(entry)
 
 
-def refuse(found: Known, why: object) -> None:
+def refuse(found: EndpointList, why: object) -> None:
     if len(found.refused) < MOST_REFUSED:
         found.refused.append(str(why)[:LONGEST_REASON])
 
 
-def at_start(table: Any) -> Known:
+def initial_list(table: Any) -> EndpointList:
     """The list that a sidecar is told at its start. One that can't be read is as good as none: discovery is
     asked for the whole list, and nothing is sent before. Never raises."""
     if table is None:
-        return Known(0, True, [], {})
+        return EndpointList(0, True, [], {})
     try:
-        return known(table)
+        return parse(table)
     except Garbled as error:
         refused = str(error)
     try:
         # The rows are good without a version: the watch then begins from the oldest.
-        found = known(table | {"index": 0})
+        found = parse(table | {"index": 0})
     except (Garbled, TypeError):
-        found = Known(0, True, [], {})
+        found = EndpointList(0, True, [], {})
     found.refused.insert(0, refused)
     return found
 
 
-def read(answer: Answer) -> Known:
+def parse_response(answer: Answer) -> EndpointList:
     if answer.status != 200:
         raise Garbled(f"discovery answered {answer.status}")
     try:
-        return known(orjson.loads(answer.body))
+        return parse(orjson.loads(answer.body))
     except orjson.JSONDecodeError as error:
         raise Garbled(f"list of endpoints: {error}") from error
 
 
-def call(index: int | None, wait_ms: int) -> Request:
+def watch_request(index: int | None, wait_ms: int) -> Request:
     """A watch from this version on; without one, the whole list at once."""
     query = b"" if index is None else b"?index=%d&wait=%d" % (index, wait_ms)
     return Request(b"GET", b"/v1/endpoints" + query, [(b"Host", b"discovery")])
--- a/lupinmill/routing/admit.py
+++ b/lupinmill/routing/admit.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from lupinmill.admin.operator_overrides import OperatorOverrides
-from lupinmill.protocol import submission
+from lupinmill.protocol import client_requests
 from lupinmill.protocol.http import Answer, Malformed, Request, plain
 from lupinmill.routing.body import Body
 from lupinmill.routing.book import Book, Journey
@@ -39,18 +39,18 @@
         if (told := self.readiness(request)) is not None:
             return told
         try:
-            asked = submission.read(request, self.known)
+            asked = client_requests.parse(request, self.known)
             if self.book.is_open(asked.submission):
                 # Under one name the module would take both for one, and one client would get no answer.
                 raise Malformed(400, "this Req-Id is still open", True)
         except Malformed as error:
             return plain(error.status, f"{error}\n")
         if asked.workload in self.gone:
-            return submission.denied(self.advice)
+            return client_requests.rejection(self.advice)
         comes = body is not None and not body.whole
         waited = client.waited_for(asked.left, comes)
         if comes and waited >= asked.left:
-            return submission.denied(self.advice)  # all its client's time may be over already
+            return client_requests.rejection(self.advice)  # all its client's time may be over already
         # While it comes its client may be writing still, which goes on to nobody's harm.
         due = self.due(asked.left, 0, int(to_come * 1_000_000)) if comes else self.due(asked.left, waited)
         journey = Journey(asked, request, due, client, self.book.engine.clock.now() - waited, body=body)
@@ -63,7 +63,10 @@
 
     def readiness(self, request: Request) -> Answer | None:
         """None where it asks for something else."""
-        if request.target.split(b"?", 1)[0] != submission.READY or request.method not in (b"GET", b"HEAD"):
+        if request.target.split(b"?", 1)[0] != client_requests.READY or request.method not in (
+            b"GET",
+            b"HEAD",
+        ):
             return None
         return plain(200, "ready\n") if self.ready() else plain(503, "not ready\n")
 
--- a/lupinmill/routing/book.py
+++ b/lupinmill/routing/book.py
@@ -10,7 +10,7 @@
 
 from lupinmill import terms as t
 from lupinmill.protocol.http import Answer, Request
-from lupinmill.protocol.submission import Asked, broken_off
+from lupinmill.protocol.client_requests import ClientRequest, aborted_response
 from lupinmill.routing.body import Body
 from lupinmill.routing.deadline import Deadline
 from lupinmill.routing.engine import Engine
@@ -39,7 +39,7 @@
 class Journey:
     """One submission from its taking in until its last launch has ended."""
 
-    asked: Asked
+    asked: ClientRequest
     request: Request
     due: int
     client: Client
@@ -139,7 +139,7 @@
 
     def answer_for_module(self, journey: Journey) -> None:
         """A final answer that comes from no decision."""
-        if self.settle(journey, broken_off()):
+        if self.settle(journey, aborted_response()):
             self.engine.log("backstop", submission=journey.asked.submission)
             self.engine.tell(t.RequestCancelled(journey.asked.submission))
 
--- a/lupinmill/routing/directory.py
+++ b/lupinmill/routing/directory.py
@@ -5,7 +5,7 @@
 from collections.abc import Container
 
 from lupinmill import terms as t
-from lupinmill.protocol.lists import Known
+from lupinmill.protocol.lists import EndpointList
 from lupinmill.routing.engine import Engine
 from lupinmill.routing.starts import Starts
 from lupinmill.transport import wall_clock
@@ -24,7 +24,7 @@
         self.starts = Starts(wall_clock.SHARED)
         engine.failed.append(self.after_failure)
 
-    def update(self, known: Known, kind: t.ListKind) -> None:
+    def update(self, known: EndpointList, kind: t.ListKind) -> None:
         """Whole or not at all: nothing is touched before the whole new state is there. Should the module fail
         on it, `index` turns None, and the whole list is to be asked for again."""
         # The last word on a name holds, here as in the module: an answer may hold a name's end and its new
--- a/lupinmill/routing/door.py
+++ b/lupinmill/routing/door.py
@@ -11,7 +11,7 @@
 
 from lupinmill import terms as t
 from lupinmill.limits.gate import Fate, Gate, Offer
-from lupinmill.protocol import quick
+from lupinmill.protocol import fast_path
 from lupinmill.routing.book import Book
 from lupinmill.routing.engine import Log, defect
 from lupinmill.transport.client import Client
@@ -64,7 +64,7 @@
 
     def judged(self, client: Client, data: bytes) -> bool:
         began = perf_counter()
-        asked = quick.glance(data, self.workloads)
+        asked = fast_path.parse_simple_request(data, self.workloads)
         if asked is None:
             return True
         left = max(0, asked.left - client.waited_for(asked.left))
@@ -98,7 +98,7 @@
 
     def deny(self, client: Client) -> bool:
         """Written at once and whole; a client that takes no answers is not waited for."""
-        data = quick.denial(self.gate.come_back())
+        data = fast_path.rejection(self.gate.come_back())
         try:
             whole = client.sock.send(data) == len(data)
         except OSError:
--- a/lupinmill/routing/relay.py
+++ b/lupinmill/routing/relay.py
@@ -6,7 +6,7 @@
 import h11
 
 from lupinmill.protocol.http import Answer, ServerSide
-from lupinmill.protocol.submission import broken_off
+from lupinmill.protocol.client_requests import aborted_response
 from lupinmill.routing.book import Book, Journey
 from lupinmill.routing.engine import Log
 from lupinmill.routing.stream import Broken, Stream
@@ -46,7 +46,7 @@
         """Of what no decision came: an attempt may have run, so this is no denial."""
         if not journey.settled:
             self.book.withdraw(journey)
-            journey.answer = broken_off()
+            journey.answer = aborted_response()
             self.log("backstop", submission=journey.asked.submission)
 
     async def pass_stream(
--- a/lupinmill/routing/route.py
+++ b/lupinmill/routing/route.py
@@ -6,7 +6,7 @@
 from anyio.abc import TaskGroup
 
 from lupinmill import terms as t
-from lupinmill.protocol import submission
+from lupinmill.protocol import client_requests
 from lupinmill.routing.book import LEAST, Book, Launch
 from lupinmill.routing.deadline import Deadline
 from lupinmill.routing.engine import Engine
@@ -59,11 +59,11 @@
 
     def deny(self, command: t.RejectRequest) -> None:
         if journey := self.book.journeys.get(command.request):
-            self.book.settle(journey, submission.denied(command.retry_after))
+            self.book.settle(journey, client_requests.rejection(command.retry_after))
 
     def break_off(self, command: t.AbortResponse) -> None:
         if journey := self.book.journeys.get(command.request):
-            self.book.settle(journey, submission.broken_off())
+            self.book.settle(journey, client_requests.aborted_response())
 
     def probe(self, command: t.StartProbe) -> None:
         self.group.start_soon(self.send.probe, command.endpoint)
--- a/lupinmill/routing/send.py
+++ b/lupinmill/routing/send.py
@@ -7,7 +7,7 @@
 import anyio
 
 from lupinmill import terms as t
-from lupinmill.protocol import submission
+from lupinmill.protocol import client_requests
 from lupinmill.protocol.http import Answer, ClientSide, Garbled, Request
 from lupinmill.routing.body import Body, Gone
 from lupinmill.routing.book import Book, Journey, Launch
@@ -73,7 +73,7 @@
         try:
             with launch.deadline.scope:
                 answer = await self.attempt(journey, launch)
-                result.load = submission.load_report(answer)
+                result.load = client_requests.load_report(answer)
                 self.judge(journey, launch, answer, result)
             if result.how is None and launch.written:
                 result.how = t.Outcome.CALLED_OFF if launch.called_off else t.Outcome.TIMED_OUT
@@ -89,14 +89,14 @@
             result.how = t.Outcome.UNSENT
 
     def judge(self, journey: Journey, launch: Launch, answer: Answer, result: Result) -> None:
-        result.how = submission.outcome(answer)
+        result.how = client_requests.outcome(answer)
         if journey.stream is not None and journey.stream.launch is launch:
             result.how = journey.stream.how
         elif result.how is t.Outcome.ERROR and not launch.written:
             result.how = t.Outcome.REFUSED  # it came before the last byte did: nothing ran
         # Launched anew, what is rejected would burn retries, and count against endpoints.
         elif result.how in (t.Outcome.HANDLED, t.Outcome.REJECTED):
-            result.final = submission.passed_on(answer)
+            result.final = client_requests.client_response(answer)
 
     async def attempt(self, journey: Journey, launch: Launch) -> Answer:
         endpoint = launch.endpoint
@@ -118,7 +118,7 @@
                     connection = None
                     raise Unsent
                 side = ClientSide()
-                request = submission.launch(journey.request, left)
+                request = client_requests.attempt_request(journey.request, left)
                 if journey.body is None:
                     try:
                         for piece in side.pieces(request):
@@ -161,8 +161,8 @@
         if not side.large or answer.status != 200 or journey.settled:
             return
         stream = Stream(connection, side, launch)
-        load = submission.load_report(answer)
-        self.book.begin_stream(journey, launch, submission.passed_on(answer), stream, load)
+        load = client_requests.load_report(answer)
+        self.book.begin_stream(journey, launch, client_requests.client_response(answer), stream, load)
         await stream.done.wait()
 
     async def exchange_large(
@@ -243,8 +243,8 @@
         deadline = Deadline(anyio.current_time() + 2 * self.pool.time_out)
         try:
             with deadline.scope:
-                answer = await self.exchange(endpoint, submission.probe(self.reported), deadline)
-                how, load = submission.probed(answer)
+                answer = await self.exchange(endpoint, client_requests.probe_request(self.reported), deadline)
+                how, load = client_requests.probe_result(answer)
         except Unconnected:
             how = t.Outcome.UNCONNECTED
         except (OSError, Garbled):
--- a/lupinmill/routing/take_in.py
+++ b/lupinmill/routing/take_in.py
@@ -19,7 +19,7 @@
     length_of,
     plain,
 )
-from lupinmill.protocol.submission import denied
+from lupinmill.protocol.client_requests import rejection
 from lupinmill.routing.admit import Admit
 from lupinmill.routing.body import Body
 from lupinmill.routing.book import Journey
@@ -339,12 +339,12 @@
                 await self.turn_away_malformed(client, side, error)
                 return
             client.owed = True
-            told = self.admit.readiness(request) or denied(self.advice)
+            told = self.admit.readiness(request) or rejection(self.advice)
             goes_on = await self.relay.pass_back(client, side, told, not side.begun())
 
     async def turn_away_malformed(self, client: Client, side: ServerSide, error: Malformed) -> None:
         if error.status == 408 and not side.begun():
             return  # it never said a word
         # What is too large for this way alone is denied as all else is.
-        answer = denied(self.advice) if error.status == 413 else plain(error.status, f"{error}\n")
+        answer = rejection(self.advice) if error.status == 413 else plain(error.status, f"{error}\n")
         await self.refuse(client, side, answer)
--- a/tests/bed.py
+++ b/tests/bed.py
@@ -14,7 +14,7 @@
 
 from lupinmill import terms as t
 from lupinmill.program.sidecar import Program
-from lupinmill.program.told import understand
+from lupinmill.program.process_settings import parse_settings
 from lupinmill.protocol.http import LARGEST_BODY, Answer, ClientSide, Garbled, ServerSide
 from lupinmill.rules import SECOND, Sidecar
 
@@ -352,7 +352,7 @@
     async def start_program(self, group) -> None:
         if self.operator:
             self.table["operator"] = "127.0.0.1:0"
-        told = understand(self.table, {})
+        told = parse_settings(self.table, {})
         self.program = Program(told, lambda event, **f: self.logs.append((event, f)), lambda: told)
         tell = self.program.engine.tell
         self.program.engine.tell = lambda event: (self.events.append(event), tell(event))
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -14,7 +14,7 @@
 from lupinmill.admin import admin_server, operator_overrides
 from lupinmill.admin.operator_overrides import CordonResult, Mode, OperatorOverrides
 from lupinmill.protocol import lists
-from lupinmill.protocol.calls import CallSide
+from lupinmill.protocol.admin_calls import AdminCallCodec
 from lupinmill.protocol.http import Answer, Malformed
 
 
@@ -69,7 +69,7 @@
 def test_calls_are_read_however_they_are_cut(data, found):
     rng = random.Random(5)
     for step in (1, 7, len(data), 0):
-        side, at, got = CallSide(), 0, None
+        side, at, got = AdminCallCodec(), 0, None
         try:
             while got is None and at < len(data):
                 end = at + (step or rng.randrange(1, 20))
@@ -137,7 +137,7 @@
             {"status": "DELETED"},
             {"status": "SERVING", "since_ms": int(time.time() * 1000)},
         ):
-            update(lists.known({"index": 9, "endpoints": [row | fields]}), t.ListKind.CHANGES)
+            update(lists.parse({"index": 9, "endpoints": [row | fields]}), t.ListKind.CHANGES)
             await many("b" + str(len(fields)) + fields.get("status", ""), 5)
         assert not any(found(tag) for tag in ("b0", "b1DRAINING", "b1SERVING", "b1DELETED", "b2SERVING"))
         assert await admin_status(net, "PUT", "/admin/cordon?member=e0") == 200
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -29,7 +29,7 @@
 )
 from lupinmill.lab.scale.measured import Added, Figure, Measured, Point
 from lupinmill.lab.scale.row import BREAKS, HOLDS, UNKNOWN, Row
-from lupinmill.program import operators_file, told
+from lupinmill.program import operators_file, process_settings
 
 TARGET = target.read()
 SIZES = (100, 300, 1000, 3000)
@@ -352,9 +352,13 @@
     """The premise of the row `settings`."""
     from bed import deployment
 
-    one = told.Told("n", "127.0.0.1:1", "127.0.0.1:2", deployment(), None, 1, None, 1.0, 1.0)
-    assert told.fixed(one, one) == []
-    assert told.fixed(one, replace(one, deployment=replace(one.deployment, instances=99))) == ["settings"]
+    one = process_settings.ProcessSettings(
+        "n", "127.0.0.1:1", "127.0.0.1:2", deployment(), None, 1, None, 1.0, 1.0
+    )
+    assert process_settings.changes_needing_restart(one, one) == []
+    assert process_settings.changes_needing_restart(
+        one, replace(one, deployment=replace(one.deployment, instances=99))
+    ) == ["settings"]
     found = by_key(run())["settings"]
     assert found.bound == ANY and found.use.amount == 31_000 * 24
 
--- a/tests/test_clients_answers.py
+++ b/tests/test_clients_answers.py
@@ -14,7 +14,7 @@
 from test_sidecar import always, fine, seen, start, until
 
 from lupinmill import terms as t
-from lupinmill.protocol import submission
+from lupinmill.protocol import client_requests
 from lupinmill.protocol.http import Answer, ClientSide, Request, ServerSide
 from lupinmill.routing import take_in
 from lupinmill.transport.client import AHEAD, Client
@@ -72,7 +72,7 @@
 @pytest.mark.parametrize(
     "place, name, what",
     [
-        (submission, "read", defective),
+        (client_requests, "parse", defective),
         (OwnSide, "answer", lost_protocol),
         (OwnSide, "goes_on", defective),
         (Client, "gone", broken_watch),
@@ -141,7 +141,7 @@
 def test_the_answer_to_a_defect_is_whole_for_every_method(method, monkeypatch):
     async def check(net: Net):
         with monkeypatch.context() as defect:
-            defect.setattr(submission, "read", defective)
+            defect.setattr(client_requests, "parse", defective)
             async with await connect(net) as stream:
                 await stream.send(wanted("s1").replace(b"POST", method, 1))
                 got = b""
@@ -446,7 +446,7 @@
         with socket.create_connection(net.address.rsplit(":", 1)) as sock:
             sock.setblocking(False)
             with monkeypatch.context() as defect:
-                defect.setattr(submission, "read", defective)
+                defect.setattr(client_requests, "parse", defective)
                 sock.send(
                     wanted("s1") + b"POST /view HTTP/1.1\r\nContent-Length: 30000\r\n\r\n" + b"x" * 20_000
                 )
--- a/tests/test_clients_door.py
+++ b/tests/test_clients_door.py
@@ -12,7 +12,7 @@
 
 from lupinmill import terms as t
 from lupinmill.limits.gate import Gate
-from lupinmill.protocol import quick
+from lupinmill.protocol import fast_path
 from lupinmill.routing.book import Book
 from lupinmill.routing.door import Door
 from lupinmill.routing.engine import Clock, Engine
@@ -111,7 +111,7 @@
             await until(lambda: listener.idle)
             gate.active, gate.window, gate.in_time = True, 0.0, lambda *_: False
             gate.beat = lambda *_: None
-            monkeypatch.setattr(quick, "denial", lambda come_back: b"x" * (16 << 20))
+            monkeypatch.setattr(fast_path, "rejection", lambda come_back: b"x" * (16 << 20))
             await stream.send(wanted("s1"))
             got = b""
             try:
--- a/tests/test_config_overlay.py
+++ b/tests/test_config_overlay.py
@@ -12,8 +12,8 @@
 from lupinmill.config import checks, merge
 from lupinmill.config.model import Entries, Key
 from lupinmill.limits.gate import Fate, Gate, Offer
-from lupinmill.program import in_force, operators_file
-from lupinmill.program.told import understand
+from lupinmill.program import live_config, operators_file
+from lupinmill.program.process_settings import parse_settings
 from lupinmill.protocol import settings as protocol_settings
 
 FLEET, MINE = Key("fleet", "settings"), Key("sidecar/n1", "settings")
@@ -166,10 +166,10 @@
 def test_what_does_not_fit_is_refused_whole_with_its_key_and_the_old_version_stays(more, key):
     async def check(net):
         await net.in_force({FLEET: {"limits": {"most-launches": 3}}})
-        before, told = net.program.engine.sidecar.dispatcher.settings, net.program.told
+        before, told = net.program.engine.sidecar.dispatcher.settings, net.program.settings
         why = await net.refused({MINE: {"beyond-share-value": 0.5} | more})
         assert key in why, why
-        assert net.program.engine.sidecar.dispatcher.settings is before and net.program.told is told
+        assert net.program.engine.sidecar.dispatcher.settings is before and net.program.settings is told
         assert net.version() == 1 and (await net.ask(wanted("s1"))).status == 200
         await until(lambda: net.relay.statuses[-1].refused == 2)
         assert net.relay.statuses[-1].in_force.index == 1 and key[:60] in net.relay.statuses[-1].why
@@ -182,15 +182,15 @@
 
 
 def test_every_field_of_a_deployment_either_changes_alive_or_is_fixed():
-    fixed = {field for field, _ in in_force.FIXED}
+    fixed = {field for field, _ in live_config.RESTART_REQUIRED}
     assert fixed < set(t.Deployment.__dataclass_fields__)
-    usual = understand({"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": settings()}, {})
+    usual = parse_settings({"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": settings()}, {})
     for field in fixed:
         value = getattr(usual.deployment, field)
         other = (not value) if isinstance(value, bool) else "other" if isinstance(value, str) else value + 1
-        changed = in_force.replace(usual.deployment, **{field: other})
-        with pytest.raises(in_force.Unfit, match="wants a new start"):
-            in_force.stays(usual, in_force.replace(usual, deployment=changed))
+        changed = live_config.replace(usual.deployment, **{field: other})
+        with pytest.raises(live_config.IncompatibleConfig, match="wants a new start"):
+            live_config.check_restart_required(usual, live_config.replace(usual, deployment=changed))
 
 
 ZONED = Path(__file__).parent.parent / "deploy" / "operator.toml"
@@ -199,30 +199,34 @@
 def zoned(**more):
     text = ZONED.read_text() + '\n[config]\nrelays = ["10.0.0.1:7500"]\n'
     table = {"name": "front-1", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2"}
-    told = understand(table | {"settings": settings(**more)}, {})
-    return in_force.replace(told, operators=operators_file.understand(__import__("tomllib").loads(text)))
+    told = parse_settings(table | {"settings": settings(**more)}, {})
+    return live_config.replace(told, operators=operators_file.parse(__import__("tomllib").loads(text)))
 
 
 def test_where_zones_plan_by_workloads_their_names_and_values_stay_and_limits_change():
     running = zoned()
 
     def judged(entries: Entries) -> t.Deployment:
-        new = in_force.combine(running, entries)
-        in_force.stays(running, new)
+        new = live_config.combine(running, entries)
+        live_config.check_restart_required(running, new)
         return new.deployment
 
     view = judged({FLEET: {"workloads": {"view": {"hard-limit-s": 9.0}}, "instances": 7}})
     assert view.workloads[0].hard_limit == 9 * SECOND and view.instances == 7
     for more in ({"view": {"value": 2.0}}, {"view": None}, {"quick": workload()}):
-        with pytest.raises(in_force.Unfit, match="settings.workloads: names and values want a new start"):
+        with pytest.raises(
+            live_config.IncompatibleConfig, match="settings.workloads: names and values want a new start"
+        ):
             judged({FLEET: {"workloads": more}})
     table = {"map": {name: {} for name in ("north", "south", "coast")}}
-    with pytest.raises(in_force.Unfit, match="zones: wants a new start"):
+    with pytest.raises(live_config.IncompatibleConfig, match="zones: wants a new start"):
         judged({Key("fleet", "zones"): table})
-    with pytest.raises(in_force.Unfit, match="zones.map.north.sparse: unknown; the nearest known key is"):
+    with pytest.raises(
+        live_config.IncompatibleConfig, match="zones.map.north.sparse: unknown; the nearest known key is"
+    ):
         judged({Key("fleet", "zones"): {"map": {"north": {"sparse": 1}}}})
     moved = {"address": "10.0.1.11:7400", "zone": "south", "region": "west"}
-    with pytest.raises(in_force.Unfit, match="wants a new start"):
+    with pytest.raises(live_config.IncompatibleConfig, match="wants a new start"):
         judged({Key("fleet", "member/front-1"): moved})
 
 
@@ -231,7 +235,7 @@
     gate.active, gate.window, gate.carries, now = True, 0.0, 1_000.0, 100 * SECOND
     offers = {name: Offer(name, 3 * SECOND) for name in ("view", "bid")}
     assert {gate.offer(now, offer) for offer in offers.values()} == {Fate.HELD}
-    gate.deploy(deployment(workloads=[in_force.replace(IDEM, value=9.0, contract=2 * SECOND)]))
+    gate.deploy(deployment(workloads=[live_config.replace(IDEM, value=9.0, contract=2 * SECOND)]))
     assert [line.worth for line in gate.order] == [9.0, KEYED.value]
     assert gate.lines["view", False].contract == 2 * SECOND and set(gate.workloads) == {"view"}
     gate.window = 2.0
--- a/tests/test_config_push.py
+++ b/tests/test_config_push.py
@@ -9,7 +9,7 @@
 from lupinmill.config import push, relay_file
 from lupinmill.config.model import Key
 from lupinmill.config.push import BadPush
-from lupinmill.program.operators_file import BadFile
+from lupinmill.program.operators_file import ConfigFileError
 
 from config_bed import FLEET, of_service
 
@@ -39,7 +39,7 @@
 )
 def test_a_fault_in_a_relays_file_is_one_line_that_names_the_key(change, text):
     table = {key: value for key, value in {**RELAY, **change}.items() if value is not None}
-    with pytest.raises(BadFile) as caught:
+    with pytest.raises(ConfigFileError) as caught:
         relay_file.understand(table)
     assert text in str(caught.value) and "\n" not in str(caught.value)
 
--- a/tests/test_config_sidecar.py
+++ b/tests/test_config_sidecar.py
@@ -20,9 +20,9 @@
 from lupinmill.config.follower import Follower
 from lupinmill.config.history import History
 from lupinmill.config.model import Entries, Key, Version
-from lupinmill.program import in_force, operators_file
+from lupinmill.program import live_config, operators_file
 from lupinmill.program.sidecar import Program
-from lupinmill.program.told import understand
+from lupinmill.program.process_settings import parse_settings
 from lupinmill.protocol.http import Answer
 from lupinmill.transport.ring import Store
 
@@ -92,10 +92,10 @@
     def told(self):
         relays = f'["{self.relay.address}"]'
         text = f'[config]\nrelays = {relays}\nkeep = "{self.keep}"\nservice = "portal"\nspread_s = 0.1\n'
-        found = operators_file.understand(__import__("tomllib").loads(f'site = "x"\n{self.file}\n{text}'))
-        told = understand(self.table, {})
-        operators_file.fits(found, told.name, told.deployment)
-        return in_force.replace(told, operators=found)
+        found = operators_file.parse(__import__("tomllib").loads(f'site = "x"\n{self.file}\n{text}'))
+        told = parse_settings(self.table, {})
+        operators_file.check_against_platform(found, told.name, told.deployment)
+        return live_config.replace(told, operators=found)
 
     async def start_program(self, group) -> None:
         await group.start(self.relay.run)
@@ -107,14 +107,14 @@
         self.address = await group.start(self.program.run)
 
     def version(self) -> int:
-        return self.program.in_force.now.version.index
+        return self.program.live_config.now.version.index
 
     async def in_force(self, entries: Entries) -> None:
         version = self.relay.push(entries)
         await until(lambda: self.version() == version.index)
 
     async def refused(self, entries: Entries) -> str:
-        version, held = self.relay.push(entries), self.program.in_force
+        version, held = self.relay.push(entries), self.program.live_config
         await until(lambda: held.refused is not None and held.refused.version == version)
         return held.refused.why
 
@@ -203,7 +203,10 @@
     async def check(net):
         net.relay.push({FLEET: {"instances": 3}})
         await net.in_force({FLEET: {"instances": 4, "limits": {"most-launches": 2}}})
-        assert net.program.told.deployment.instances == 4 and net.program.told.deployment.max_attempts == 2
+        assert (
+            net.program.settings.deployment.instances == 4
+            and net.program.settings.deployment.max_attempts == 2
+        )
         deployed = [event.deployment for event in net.events if isinstance(event, t.DeploymentChanged)]
         assert {(d.instances, d.max_attempts) for d in deployed} <= {(3, 4), (4, 2)}
 
@@ -224,7 +227,7 @@
             assert (await net.ask(wanted("s0", "extra"))).status == 200
             await net.in_force(change)
         await until(lambda: net.version() == 1)
-        deployment_ = net.program.told.deployment
+        deployment_ = net.program.settings.deployment
         assert deployment_.instances == 7 and deployment_.workloads[-1].value == 5.0
         assert (await net.ask(wanted("s1", "extra"))).status == 200
         await until(lambda: net.relay.statuses[-1].in_force.index == 1 and not net.relay.statuses[-1].refused)
@@ -235,7 +238,10 @@
         net.table["settings"] = settings()
         net.program.reload()
         assert "settings.workloads.3" in net.logs[-1][1]["error"]
-        assert net.program.told.deployment is deployment_ and net.program.in_force.base.settings != settings()
+        assert (
+            net.program.settings.deployment is deployment_
+            and net.program.live_config.base.settings != settings()
+        )
 
     network(check, fine)
 
@@ -243,11 +249,11 @@
 def test_without_the_table_a_sighup_refuses_other_settings_as_ever():
     async def check(net):
         net.table["settings"] = settings(instances=5)
-        told = understand(net.table, {})
+        told = parse_settings(net.table, {})
         net.program.read_again = lambda: told
         net.program.reload()
         assert net.logs[-1] == ("reload_refused", {"error": "these want a new start", "fields": ["settings"]})
-        assert net.program.in_force is None
+        assert net.program.live_config is None
 
     on_network(check, fine)
 
@@ -261,7 +267,7 @@
             net.program.reload()
             assert net.logs[-1][0] == "reloaded"
             await net.in_force({FLEET: {"instances": 6}})
-            assert net.program.in_force.source == other.address
+            assert net.program.live_config.source == other.address
             calls = first.calls
             await net.in_force({FLEET: {"instances": 8}})
             assert first.calls == calls
@@ -290,7 +296,7 @@
 def test_a_start_goes_by_the_kept_version_before_any_relay_answers(tmp_path):
     async def check(net):
         assert (await net.ask(wanted("s1", "quick"))).status == 200
-        assert net.program.told.deployment.max_attempts == 3
+        assert net.program.settings.deployment.max_attempts == 3
         shown = await net.shown()
         assert (shown["version"], shown["source"], shown["scopes"]) == (7, "kept file", SCOPES)
         assert (shown["mark"], shown["kept"], shown["heard"]) == ("mark", 7, 7)
@@ -306,7 +312,7 @@
         net.relay.fault = None
         await net.in_force(CHANGED)
         assert (await net.ask(wanted("s3", "quick"))).status == 200
-        await until(lambda: net.program.in_force.watch.kept_index == 1)
+        await until(lambda: net.program.live_config.watch.kept_index == 1)
         version, entries = keep.load(tmp_path / "kept")
         assert version == net.relay.history.version
         assert entries == CHANGED | {ConfigWatch.WATCHED: SCOPES}
@@ -340,7 +346,7 @@
             "fixed": "settings.tier: wants a new start",
         }
         assert len(lines) == 1 and said_[spoil] in lines[0]["error"]
-        assert net.version() == 0 and net.program.in_force.follower.version.index == 0
+        assert net.version() == 0 and net.program.live_config.follower.version.index == 0
         net.relay.fault = None
         await net.in_force(CHANGED)
 
@@ -378,7 +384,7 @@
         lines = [more for event, more in net.logs if event == "config" and "can't be kept" in more["text"]]
         assert len(lines) == 1 and "No space left" in lines[0]["error"]
         full[0] = False
-        await until(lambda: net.program.in_force.watch.kept_index == 3)
+        await until(lambda: net.program.live_config.watch.kept_index == 3)
         assert any("kept again" in fields["text"] for event, fields in net.logs if event == "config")
         assert keep.load(tmp_path / "kept")[0].index == 3
 
@@ -394,13 +400,13 @@
         net.relay.scope.cancel()
         for at in range(5):
             net.relay.history.push({MINE: {"instances": at + 1}})
-        await until(lambda: net.program.in_force.follower.failures >= 3)
+        await until(lambda: net.program.live_config.follower.failures >= 3)
         assert (await net.ask(wanted("s1", "quick"))).status == 200 and net.version() == 1
         async with anyio.create_task_group() as group:
             await group.start(net.relay.run, port)
             await until(lambda: net.version() == 6)
-            assert net.program.told.deployment.instances == 5
-            assert net.program.told.deployment.max_attempts == 3
+            assert net.program.settings.deployment.instances == 5
+            assert net.program.settings.deployment.max_attempts == 3
             group.cancel_scope.cancel()
 
     network(check, fine)
--- a/tests/test_config_terms.py
+++ b/tests/test_config_terms.py
@@ -12,7 +12,7 @@
 from lupinmill import terms as t
 from lupinmill.config.model import Key
 from lupinmill.limits.gate import Fate, Gate, Offer
-from lupinmill.program import in_force
+from lupinmill.program import live_config
 from lupinmill.routing.admit import Admit
 from lupinmill.rules import Sidecar
 
@@ -53,7 +53,7 @@
 
 
 def as_(workload: t.Workload, **changes) -> t.Workload:
-    return in_force.replace(workload, **changes)
+    return live_config.replace(workload, **changes)
 
 
 def busy(bed: Bed, count: int = 30) -> None:
@@ -223,7 +223,7 @@
 )
 DEPLOYMENTS = st.builds(
     lambda names, rows, more: deployment(
-        workloads=[in_force.replace(row, name=name) for name, row in zip(sorted(names), rows)], **more
+        workloads=[live_config.replace(row, name=name) for name, row in zip(sorted(names), rows)], **more
     ),
     st.sets(st.sampled_from("abcde"), min_size=1),
     st.lists(WORKLOADS, min_size=5, max_size=5),
@@ -308,10 +308,10 @@
     gate, desk = Gate(deployment(workloads=[IDEM])), bed.sidecar.dispatcher
     gate.active, gate.window, gate.carries = True, 0.0, 1_000.0
     admit = Admit(None, None, {"view"}, None)
-    row = in_force.replace(IDEM)
+    row = live_config.replace(IDEM)
     sizes = []
     for at in range(2_000):
-        workloads = [in_force.replace(row, name=f"w{next(names)}") for _ in range(rng.randrange(1, 6))]
+        workloads = [live_config.replace(row, name=f"w{next(names)}") for _ in range(rng.randrange(1, 6))]
         tenants = [t.Tenant(f"t{next(names)}", 1.0)]
         d = deployment(workloads=workloads, tenants=tenants, instances=rng.randrange(1, 5))
         bed.step(t.DeploymentChanged(d), after=1_000)
--- a/tests/test_crossings_end.py
+++ b/tests/test_crossings_end.py
@@ -197,9 +197,11 @@
 
 
 def test_unknown_extra_keys_are_no_fault(tmp_path):
-    from lupinmill.program.told import understand
+    from lupinmill.program.process_settings import parse_settings
 
     workloads = [one | {"colour": "red"} for one in CUSTOMER["workloads"]]
     more = CUSTOMER | {"tea": {"strength": "3"}, "workloads": workloads}
-    told = understand({"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": more, "extra": 1}, {})
+    told = parse_settings(
+        {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": more, "extra": 1}, {}
+    )
     assert [one.name for one in told.deployment.workloads] == ["view", "bid", "issue"]
--- a/tests/test_crossings_endpoints.py
+++ b/tests/test_crossings_endpoints.py
@@ -15,8 +15,8 @@
 from test_sidecar import DECLINED, always, fine, seen, until
 
 from lupinmill import terms as t
-from lupinmill.program.told import understand
-from lupinmill.protocol import submission
+from lupinmill.program.process_settings import parse_settings
+from lupinmill.protocol import client_requests
 from lupinmill.protocol.http import Answer, Request
 from lupinmill.routing.book import Book, Journey, Launch
 from lupinmill.routing.deadline import Deadline
@@ -162,13 +162,13 @@
     async def main():
         told = []
         table = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "settings": settings()}
-        engine = Engine(understand(table, {}).deployment, Clock(), lambda *_, **__: None)
+        engine = Engine(parse_settings(table, {}).deployment, Clock(), lambda *_, **__: None)
         engine.tell = told.append
         book = Book(engine)
         async with anyio.create_task_group() as group:
             route = Route(engine, book, None, group)
             request = Request(b"GET", b"/view", [(b"Req-Id", b"s1"), (b"Req-Deadline", b"1")])
-            asked = submission.read(request, {"view"})
+            asked = client_requests.parse(request, {"view"})
             journey = Journey(asked, request, engine.clock.now() + 1_000_000, None, engine.clock.now())
             book.begin(journey)
             launch = Launch("e0", 0, engine.clock.now(), Deadline(math.inf), written=True)
--- a/tests/test_crossings_lists.py
+++ b/tests/test_crossings_lists.py
@@ -31,14 +31,14 @@
             await group.start(other.run)
             other.rows = [dict(net.discovery.rows[1])]
             await until(lambda: len(net.discovery.seen) > 1)
-            read = lists.read
+            read = lists.parse_response
 
             def crossed(answer):
-                monkeypatch.setattr(lists, "read", read)
+                monkeypatch.setattr(lists, "parse_response", read)
                 net.program.discovery.move(other.address)  # in the pass in which the last byte was read
                 return read(answer)
 
-            monkeypatch.setattr(lists, "read", crossed)
+            monkeypatch.setattr(lists, "parse_response", crossed)
             net.discovery.change(net.discovery.rows[0], status="DRAINING")
             await until(lambda: other.seen)
             assert other.seen[0].target == b"/v1/endpoints"
@@ -131,7 +131,7 @@
 
         async def both(order):
             rows = [row | {"status": status} for status in order]
-            net.program.directory.update(lists.known({"index": 9, "endpoints": rows}), t.ListKind.CHANGES)
+            net.program.directory.update(lists.parse({"index": 9, "endpoints": rows}), t.ListKind.CHANGES)
             return net.program.engine.sidecar.registry.listed.get("e0")
 
         assert await both(["SERVING", "DELETED"]) is None and "e0" not in net.program.directory.states
@@ -154,12 +154,12 @@
                 connection = await opens(address)
                 if address == strange.address:
                     net.program.directory.update(
-                        lists.known({"index": 9, "endpoints": [old]}), t.ListKind.CHANGES
+                        lists.parse({"index": 9, "endpoints": [old]}), t.ListKind.CHANGES
                     )
                 return connection
 
             net.program.pool.open = crossed
-            moved = lists.known({"index": 8, "endpoints": [old | {"address": strange.address}]})
+            moved = lists.parse({"index": 8, "endpoints": [old | {"address": strange.address}]})
             net.program.directory.update(moved, t.ListKind.CHANGES)
             assert (await net.ask(wanted("s1", "issue", "0.8"))).status == 200
             await all_quiet(net)
@@ -177,7 +177,7 @@
         async def crossed(address):
             connection = await opens(address)
             net.program.directory.update(
-                lists.known({"index": 9, "snapshot": True, "endpoints": []}), t.ListKind.FULL
+                lists.parse({"index": 9, "snapshot": True, "endpoints": []}), t.ListKind.FULL
             )
             return connection
 
@@ -200,7 +200,7 @@
 
         async def broken(data):
             net.program.directory.update(
-                lists.known({"index": 9, "endpoints": [net.discovery.rows[0] | {"status": "DRAINING"}]}),
+                lists.parse({"index": 9, "endpoints": [net.discovery.rows[0] | {"status": "DRAINING"}]}),
                 t.ListKind.CHANGES,
             )
             await sends(data[:10])
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -75,9 +75,9 @@
                     watch_call = Call(1, CallKind.WATCH, address, 0, 0.0, 1.0, 7, 1.0)
                     for _ in range(len(data)):
                         with pytest.raises((OSError, Garbled, Unconnected)):
-                            lists.read(await client.exchange(watch_call))
+                            lists.parse_response(await client.exchange(watch_call))
                         client.close_spare()
-                    entries = lists.read(await client.exchange(watch_call)).entries
+                    entries = lists.parse_response(await client.exchange(watch_call)).entries
                     assert [entry.endpoint for entry in entries] == ["e0", "e1"]
                     client.close_spare()
                     group.cancel_scope.cancel()
--- a/tests/test_discovery_directory.py
+++ b/tests/test_discovery_directory.py
@@ -66,7 +66,7 @@
         directory = net.program.directory
         await until(lambda: net.discovery.seen)
         before = directory.index, dict(directory.states), dict(directory.addresses)
-        known = lists.known({"index": 99, "endpoints": [changed_row(net, 0, status="DRAINING")]})
+        known = lists.parse({"index": 99, "endpoints": [changed_row(net, 0, status="DRAINING")]})
         known.entries.append(Unusable("e1", t.EndpointStatus.READY))
         with pytest.raises(RuntimeError):
             directory.update(known, t.ListKind.CHANGES)
@@ -80,10 +80,10 @@
         directory, pool = net.program.directory, net.program.pool
         while len(pool.idle) < 2:
             assert (await net.ask(wanted(f"s{len(net.events)}"))).status == 200
-        whole = lists.known({"index": 99, "snapshot": True, "endpoints": [changed_row(net, 1)]})
+        whole = lists.parse({"index": 99, "snapshot": True, "endpoints": [changed_row(net, 1)]})
         directory.update(whole, t.ListKind.FULL)
         assert set(directory.states) == set(directory.addresses) == {"e1"} == set(pool.idle)
-        moved = lists.known({"index": 100, "endpoints": [changed_row(net, 1, address=net.stands[0].address)]})
+        moved = lists.parse({"index": 100, "endpoints": [changed_row(net, 1, address=net.stands[0].address)]})
         directory.update(moved, t.ListKind.CHANGES)
         assert not pool.idle and directory.addresses["e1"] == net.stands[0].address
         before = len(seen(net, "last"))
--- a/tests/test_discovery_six_seconds.py
+++ b/tests/test_discovery_six_seconds.py
@@ -317,7 +317,7 @@
         found.refused = ["row 3: no name"]
         return found
 
-    read = discovery.lists.read
+    read = discovery.lists.parse_response
 
     async def main() -> None:
         terms = deployment(poll_discovery=False)
@@ -332,7 +332,7 @@
             await client.run()
 
     monkeypatch.setattr(discovery, "connect", connect)
-    monkeypatch.setattr(discovery.lists, "read", known)
+    monkeypatch.setattr(discovery.lists, "parse_response", known)
     anyio.run(main, backend_options={"loop_factory": JumpingLoop})
     assert ("list_rows_refused", {"index": NEW_VERSION, "why": ["row 3: no name"]}) in logs
 
--- a/tests/test_fault_campaign.py
+++ b/tests/test_fault_campaign.py
@@ -39,8 +39,8 @@
 Book.ended = planted
 """
 LAUNCH = """
-from lupinmill.protocol import submission
-launch = submission.launch
+from lupinmill.protocol import client_requests
+launch = client_requests.attempt_request
 """
 
 # By the text that plants it: the kind and the rule that the referee has to find.
@@ -66,7 +66,7 @@
         "    made = launch(request, left)\n"
         "    made.body = made.body[::-1]\n"
         "    return made\n"
-        "submission.launch = planted",
+        "client_requests.attempt_request = planted",
         Fault.SENT,
         "body changed",
     ),
@@ -75,17 +75,17 @@
         "    made = launch(request, left)\n"
         "    made.headers = [one for one in made.headers if one[0].lower() != b'idempotency-key']\n"
         "    return made\n"
-        "submission.launch = planted",
+        "client_requests.attempt_request = planted",
         Fault.SENT,
         "keys changed",
     ),
     "another's answer": (
-        "from lupinmill.protocol import submission\n"
-        "passed, kept = submission.passed_on, []\n"
+        "from lupinmill.protocol import client_requests\n"
+        "passed, kept = client_requests.client_response, []\n"
         "def planted(answer):\n"
         "    kept.append(passed(answer))\n"
         "    return kept[0]\n"
-        "submission.passed_on = planted",
+        "client_requests.client_response = planted",
         Fault.SENT,
         "served with what was not made",
     ),
@@ -102,7 +102,7 @@
         None,  # as it comes: twice, outside its group, or refused behind an attempt that may have run
     ),
     "more time than is left": (
-        LAUNCH + "submission.launch = lambda request, left: launch(request, left + 1_000_000)",
+        LAUNCH + "client_requests.attempt_request = lambda request, left: launch(request, left + 1_000_000)",
         Fault.TOO_LATE,
         "told more time than is left",
     ),
--- a/tests/test_forwarded_framing.py
+++ b/tests/test_forwarded_framing.py
@@ -15,7 +15,7 @@
 from test_sidecar import always, fine
 
 from lupinmill import terms as t
-from lupinmill.protocol import http, submission
+from lupinmill.protocol import http, client_requests
 from lupinmill.protocol.http import END, Answer, ClientSide, Garbled, Malformed, Request, ServerSide
 
 SEARCH = hypothesis_settings(derandomize=True, deadline=None, max_examples=300)
@@ -166,7 +166,7 @@
     side = ServerSide()
     side.feed(one.data)
     request = side.next_request()
-    launched = submission.launch(request, 250_000)
+    launched = client_requests.attempt_request(request, 250_000)
     sent = [ClientSide().ask(launched) for _ in range(2)]
     assert sent[0] == sent[1]
     endpoint = ServerSide()
--- a/tests/test_forwarded_headers.py
+++ b/tests/test_forwarded_headers.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 from test_sidecar import fine
 
-from lupinmill.protocol import http, quick, submission
+from lupinmill.protocol import http, fast_path, client_requests
 from lupinmill.protocol.http import Answer, ClientSide, Malformed, Request, ServerSide
 
 KNOWN = {"view", "bid"}
@@ -47,8 +47,10 @@
 
 
 def test_every_header_that_a_submission_is_read_from_is_kept():
-    read = {value for name, value in vars(submission).items() if name.isupper() and isinstance(value, bytes)}
-    read -= {submission.READY, submission.HEALTH, submission.STATUS}
+    read = {
+        value for name, value in vars(client_requests).items() if name.isupper() and isinstance(value, bytes)
+    }
+    read -= {client_requests.READY, client_requests.HEALTH, client_requests.STATUS}
     assert len(read) == 9 and read <= http.ALWAYS_KEPT
 
 
@@ -88,7 +90,7 @@
     rest = [pair for pair in HEADERS if pair[0] != name]
     pairs = [*rest, (name, values[0]), (name.lower(), values[1])]
     with pytest.raises(Malformed) as caught:
-        submission.read(Request(b"GET", b"/view", pairs), KNOWN)
+        client_requests.parse(Request(b"GET", b"/view", pairs), KNOWN)
     assert caught.value.status == 400 and caught.value.trusted
 
 
@@ -96,7 +98,7 @@
 def test_an_empty_header_of_identity_class_or_deadline_is_refused(name):
     pairs = [(key, b"" if key == name else value) for key, value in HEADERS]
     with pytest.raises(Malformed) as caught:
-        submission.read(Request(b"GET", b"/view", pairs), KNOWN)
+        client_requests.parse(Request(b"GET", b"/view", pairs), KNOWN)
     assert caught.value.status == 400 and caught.value.trusted
 
 
@@ -123,14 +125,14 @@
     try:
         side.feed(data)
         request = side.next_request()
-        return request is not None and bool(submission.read(request, KNOWN))
+        return request is not None and bool(client_requests.parse(request, KNOWN))
     except Malformed:
         return False
 
 
 def test_a_glance_takes_nothing_that_the_parser_refuses():
     whole = wanted("a", more="Req-Key: x\r\n")
-    assert quick.glance(whole, KNOWN) and by_the_parser(whole)
+    assert fast_path.parse_simple_request(whole, KNOWN) and by_the_parser(whole)
     lines = [b"%s: 0.5\r\n" % name for name in SINGLE]
     lines += [b"%s:\r\n" % name for name in SINGLE] + [b"Host: b\r\n", b"Content-Length: 0\r\n"]
     lines += [b"X:" + b" " * 1000 + b"1\r\n", b"X: 1\r\n" * 50, b"X: " + b"y" * 1900 + b"\r\n"]
@@ -140,7 +142,7 @@
     doubtful += [first + b"\r\n" + (b"X: " + b"y" * 1900 + b"\r\n") * 10 + rest]
     doubtful += [whole.replace(b"/view", path) for path in (b"/bid", b"//view", b"/b%69d", b"view", b"/x")]
     for data in doubtful:
-        assert by_the_parser(data) or quick.glance(data, KNOWN) is None, data
+        assert by_the_parser(data) or fast_path.parse_simple_request(data, KNOWN) is None, data
 
 
 LINES = st.lists(
@@ -175,11 +177,11 @@
     first = method + b" " + target + b" HTTP/1.1\r\n"
     known = [b"%s: %s\r\n" % pair for pair in HEADERS[not hosted :]]
     data = first + b"".join(known + [b"".join(line) + b"\r\n" for line in lines]) + b"\r\n"
-    seen = quick.glance(data, KNOWN)
+    seen = fast_path.parse_simple_request(data, KNOWN)
     if seen is not None:
         side = ServerSide()
         side.feed(data)
-        read = submission.read(side.next_request(), KNOWN)
+        read = client_requests.parse(side.next_request(), KNOWN)
         assert (seen.workload, seen.left, seen.tenant, seen.repeated) == (
             read.workload,
             read.left,
@@ -204,11 +206,11 @@
     workloads = KNOWN | {name}
     for target in (b"/" + escaped(name), b"/" + escaped(name).lower() + b"/more?x=%41"):
         for headers in (pairs, [*pairs, named]):
-            assert submission.read(Request(b"GET", target, headers), workloads).workload == name
+            assert client_requests.parse(Request(b"GET", target, headers), workloads).workload == name
         with pytest.raises(Malformed) as caught:
-            submission.read(Request(b"GET", target, [*pairs, (b"Req-Kind", b"view")]), workloads)
+            client_requests.parse(Request(b"GET", target, [*pairs, (b"Req-Kind", b"view")]), workloads)
         assert caught.value.status == 400
-    assert submission.read(Request(b"GET", b"/x", [*pairs, named]), workloads).workload == name
+    assert client_requests.parse(Request(b"GET", b"/x", [*pairs, named]), workloads).workload == name
 
 
 def test_a_class_in_no_utf8_is_unknown():
@@ -216,19 +218,19 @@
         pairs = [pair for pair in HEADERS if pair[0] != b"Req-Kind"]
         pairs += [(b"Req-Kind", kind)] if kind else []
         with pytest.raises(Malformed) as caught:
-            submission.read(Request(b"GET", target, pairs), KNOWN | {"\xe9"})
+            client_requests.parse(Request(b"GET", target, pairs), KNOWN | {"\xe9"})
         assert caught.value.status == 404
 
 
 def test_a_tenant_is_found_by_its_utf8_name():
-    assert submission.read(view((b"Req-Owner", "Zoë".encode())), KNOWN).tenant == "Zoë"
+    assert client_requests.parse(view((b"Req-Owner", "Zoë".encode())), KNOWN).tenant == "Zoë"
 
 
 def test_ids_that_differ_in_a_byte_are_different():
     ids = [b"a", b"a\xa0", b"a\x85", b"a\x1f", b"\xe9", "é".encode(), b"\xa0"]
     pairs = [pair for pair in HEADERS if pair[0] != b"Req-Id"]
     read = {
-        submission.read(Request(b"GET", b"/view", [*pairs, (b"Req-Id", one)]), KNOWN).submission
+        client_requests.parse(Request(b"GET", b"/view", [*pairs, (b"Req-Id", one)]), KNOWN).submission
         for one in ids
     }
     assert len(read) == len(ids)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -25,7 +25,7 @@
 from lupinmill.handover.driver import Handover, UpgradeSocket
 from lupinmill.handover.upgrade_protocol import VERSION, CommandKind, Phase, UpgradeProtocol
 from lupinmill.program.sidecar import Program
-from lupinmill.program.told import understand
+from lupinmill.program.process_settings import parse_settings
 from lupinmill.protocol.http import Answer
 from lupinmill.rules import Sidecar
 from lupinmill.state import learned
@@ -235,7 +235,7 @@
         table = self.net.table | {"operator": "127.0.0.1:0"}
         if self.programs:
             table |= {"listen": self.net.address}
-        told = understand(table, {"TMPDIR": str(self.directory)})
+        told = parse_settings(table, {"TMPDIR": str(self.directory)})
         program = Program(told, lambda event, **f: self.net.logs.append((event, f)), lambda: told)
         program.handover.protocol.listen = "same"
         program.handover.upgrade_socket = UpgradeSocket(str(self.directory), "n1", "same")
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -11,7 +11,7 @@
 from lupinmill import terms as t
 from lupinmill.limits.gate import ENTER, Fate, Gate, Offer
 from lupinmill.limits.gate import BEAT as GATE_BEAT
-from lupinmill.protocol import quick
+from lupinmill.protocol import fast_path
 from lupinmill.protocol.http import Answer
 from lupinmill.routing.door import Door
 
@@ -220,8 +220,10 @@
 
 
 def test_a_glance_reads_what_the_parser_reads() -> None:
-    found = quick.glance(wanted("a", "view", "0.250000", b"xyz", "Req-Retry: 1\r\nReq-Owner: me\r\n"), KNOWN)
-    assert found == quick.Glance("view", 250_000, "me", True)
+    found = fast_path.parse_simple_request(
+        wanted("a", "view", "0.250000", b"xyz", "Req-Retry: 1\r\nReq-Owner: me\r\n"), KNOWN
+    )
+    assert found == fast_path.RequestSummary("view", 250_000, "me", True)
 
 
 @pytest.mark.parametrize("data", [
@@ -234,7 +236,7 @@
     wanted("a").replace(b"Host:", b"Host :"), b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n", b"", b"\x00" * 500,
 ])  # fmt: skip
 def test_a_glance_leaves_to_the_parser_what_is_doubtful(data: bytes) -> None:
-    assert quick.glance(data, KNOWN) is None
+    assert fast_path.parse_simple_request(data, KNOWN) is None
 
 
 def test_any_bytes_are_glanced_at_without_a_failure() -> None:
@@ -247,7 +249,7 @@
             data[at : at + chance.randrange(3)] = bytes(
                 chance.randrange(256) for _ in range(chance.randrange(3))
             )
-        quick.glance(bytes(data), KNOWN)
+        fast_path.parse_simple_request(bytes(data), KNOWN)
 
 
 # The door on sockets.
--- a/tests/test_operators_file.py
+++ b/tests/test_operators_file.py
@@ -11,7 +11,7 @@
 
 from lupinmill.cli import peers as commands
 from lupinmill.cli.main import root
-from lupinmill.program import operators_file, told
+from lupinmill.program import operators_file, process_settings
 from lupinmill.terms import Deployment
 
 EXAMPLE = Path(__file__).parent.parent / "deploy" / "operator.toml"
@@ -95,8 +95,8 @@
     shown = CliRunner().invoke(root, ["check", path])
     assert shown.exit_code == 2 and shown.output.count("\n") == 1
     assert line in shown.output, shown.output
-    with pytest.raises(told.BadStart) as refused:
-        told.operators(path, "front-1", Deployment(seed=1))
+    with pytest.raises(process_settings.StartupError) as refused:
+        process_settings.read_operator_file(path, "front-1", Deployment(seed=1))
     assert "\n" not in str(refused.value) and path in str(refused.value)
 
 
@@ -129,7 +129,7 @@
         "import sys, lupinmill.program.sidecar, lupinmill.__main__;"
         "print([m for m in sys.modules if m.split('.')[0] in ('msgspec', 'xxhash', 'click')"
         " or 'lupinmill.peers' in m or 'operators_file' in m"
-        " or 'lupinmill.config' in m or 'in_force' in m])"
+        " or 'lupinmill.config' in m or 'live_config' in m])"
     )
     shown = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
     assert shown.stdout.strip() == "[]"
@@ -155,9 +155,11 @@
 def test_with_a_file_that_does_not_switch_it_on_nothing_of_configuration_is_imported(tmp_path):
     path = written(tmp_path, GOOD)
     code = (
-        "import sys; from lupinmill.program import told, sidecar; from lupinmill.terms import Deployment;"
-        f"file = told.operators({path!r}, 'front-1', Deployment(seed=1)); assert file.config is None;"
-        "print([m for m in sys.modules if 'lupinmill.config' in m or 'in_force' in m])"
+        "import sys; from lupinmill.program import process_settings, sidecar;"
+        "from lupinmill.terms import Deployment;"
+        f"file = process_settings.read_operator_file({path!r}, 'front-1', Deployment(seed=1));"
+        "assert file.config is None;"
+        "print([m for m in sys.modules if 'lupinmill.config' in m or 'live_config' in m])"
     )
     shown = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
     assert shown.stdout.strip() == "[]"
@@ -185,8 +187,8 @@
 
 def test_relays_may_change_while_it_runs_and_what_a_sidecar_watches_may_not():
     def differs(old: str, new: str) -> list[str]:
-        files = [operators_file.understand(__import__("tomllib").loads(text)) for text in (old, new)]
-        return operators_file.fixed(*files, "front-1")
+        files = [operators_file.parse(__import__("tomllib").loads(text)) for text in (old, new)]
+        return operators_file.changes_needing_restart(*files, "front-1")
 
     on = GOOD + CONFIG
     assert differs(on, on.replace("10.0.2.5", "10.0.2.6")) == []
@@ -195,17 +197,17 @@
     assert differs(on, on + 'keep = "/var/kept"\n') == ["config.keep"]
     moved = on.replace('10.0.1.11:7400"\nzone = "north"', '10.0.1.11:7400"\nzone = "south"')
     assert "peers.members: zone or region of this sidecar" in differs(on, moved)
-    with pytest.raises(operators_file.BadFile, match="config: wants names of this sidecar"):
-        file = operators_file.understand(__import__("tomllib").loads('site = "x"' + CONFIG))
-        operators_file.fits(file, "", Deployment(seed=1))
+    with pytest.raises(operators_file.ConfigFileError, match="config: wants names of this sidecar"):
+        file = operators_file.parse(__import__("tomllib").loads('site = "x"' + CONFIG))
+        operators_file.check_against_platform(file, "", Deployment(seed=1))
 
 
 def test_members_may_change_while_it_runs_and_little_else():
-    old = operators_file.understand(__import__("tomllib").loads(GOOD))
+    old = operators_file.parse(__import__("tomllib").loads(GOOD))
 
     def differs(text: str) -> list[str]:
-        return operators_file.fixed(
-            old, operators_file.understand(__import__("tomllib").loads(text)), "front-1"
+        return operators_file.changes_needing_restart(
+            old, operators_file.parse(__import__("tomllib").loads(text)), "front-1"
         )
 
     more = '\n[peers.members.front-5]\naddress = "10.0.9.9:7400"\nzone = "south"\n'
@@ -226,10 +228,14 @@
 
 def test_a_workload_that_the_platform_does_not_tell_of_is_refused_at_the_start(tmp_path):
     path = written(tmp_path, GOOD + "\n[zones.workloads.moon]\nleave_zone = 0.1\n")
-    with pytest.raises(told.BadStart, match="zones.workloads.moon: the platform tells of no such workload"):
-        told.operators(path, "front-1", Deployment(seed=1))
-    with pytest.raises(told.BadStart, match="zones: settings.family is mesh"):
-        told.operators(written(tmp_path, GOOD), "front-1", Deployment(seed=1, sidecar_per_client=True))
+    with pytest.raises(
+        process_settings.StartupError, match="zones.workloads.moon: the platform tells of no such workload"
+    ):
+        process_settings.read_operator_file(path, "front-1", Deployment(seed=1))
+    with pytest.raises(process_settings.StartupError, match="zones: settings.family is mesh"):
+        process_settings.read_operator_file(
+            written(tmp_path, GOOD), "front-1", Deployment(seed=1, sidecar_per_client=True)
+        )
 
 
 TABLE = {
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -6,7 +6,7 @@
 import pytest
 
 from lupinmill import terms as t
-from lupinmill.protocol import http, lists, reports, settings, submission
+from lupinmill.protocol import http, lists, reports, settings, client_requests
 from lupinmill.protocol.http import Answer, ClientSide, Garbled, Malformed, Request, ServerSide
 
 REQUEST = (
@@ -64,11 +64,11 @@
 
 
 def test_a_request_becomes_a_submission():
-    asked = submission.read(request(**{"Req-Retry": "1", "Req-Owner": "isle"}), {"view"})
-    assert asked == submission.Asked("77", "view", 250_000, "isle", True, keyed=False)
-    keyed = submission.read(request(**{"Idempotency-Key": "k"}), {"view"})
-    assert keyed.keyed and not submission.read(request(**{"Idempotency-Key": ""}), {"view"}).keyed
-    assert submission.read(request(**{"Req-Kind": "-"}), {"view"}).workload == "view"
+    asked = client_requests.parse(request(**{"Req-Retry": "1", "Req-Owner": "isle"}), {"view"})
+    assert asked == client_requests.ClientRequest("77", "view", 250_000, "isle", True, keyed=False)
+    keyed = client_requests.parse(request(**{"Idempotency-Key": "k"}), {"view"})
+    assert keyed.keyed and not client_requests.parse(request(**{"Idempotency-Key": ""}), {"view"}).keyed
+    assert client_requests.parse(request(**{"Req-Kind": "-"}), {"view"}).workload == "view"
 
 
 @pytest.mark.parametrize(
@@ -103,13 +103,13 @@
 )
 def test_bad_headers_get_their_status(headers, status):
     with pytest.raises(Malformed) as caught:
-        submission.read(request(**headers), {"view", "bid"})
+        client_requests.parse(request(**headers), {"view", "bid"})
     assert caught.value.status == status and caught.value.trusted
 
 
 def test_a_launch_goes_on_unchanged_but_for_the_time_left():
     headers = [(b"Req-Deadline", b"9"), (b"A", b"b")]
-    sent = submission.launch(Request(b"POST", b"/view?q", headers, b"body"), 250_000)
+    sent = client_requests.attempt_request(Request(b"POST", b"/view?q", headers, b"body"), 250_000)
     assert (sent.target, sent.body) == (b"/view?q", b"body")
     assert sent.headers == [(b"A", b"b"), (b"Req-Deadline", b"0.250000")]
 
@@ -130,7 +130,7 @@
     ],
 )
 def test_outcomes_by_the_protocols_table(status, headers, how):
-    assert submission.outcome(Answer(status, headers)) is how
+    assert client_requests.outcome(Answer(status, headers)) is how
 
 
 @pytest.mark.parametrize(
@@ -195,7 +195,9 @@
 
 
 def test_a_list_is_read_with_its_starts_on_the_modules_clock():
-    known = lists.read(Answer(200, [], orjson.dumps({"index": 7, "snapshot": False, "endpoints": [ROW]})))
+    known = lists.parse_response(
+        Answer(200, [], orjson.dumps({"index": 7, "snapshot": False, "endpoints": [ROW]}))
+    )
     entry = t.ListEntry("s-5", t.EndpointStatus.DRAINING, "a", "m", "3", 1_700_000_000_123_000)
     assert (known.index, known.whole, known.entries) == (7, False, [entry])
     assert known.addresses == {"s-5": "127.0.0.1:1"}
@@ -214,7 +216,7 @@
 )
 def test_a_broken_list_is_garbled_and_nothing_else(status, body):
     with pytest.raises(Garbled):
-        lists.read(Answer(status, [], body))
+        lists.parse_response(Answer(status, [], body))
 
 
 def test_nested_settings_and_pairs_give_the_same_deployment():
--- a/tests/test_settings_served.py
+++ b/tests/test_settings_served.py
@@ -13,14 +13,14 @@
 from start_bed import LIMIT, begin, events, line_of, running, table
 
 from lupinmill import terms as t
-from lupinmill.program.told import UNREADABLE, Told, understand
+from lupinmill.program.process_settings import UNREADABLE, ProcessSettings, parse_settings
 
 ADDRESSES = {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1"}
 VIEW = usual()["workloads"][0]
 
 
-def told(more: dict | None = None, **top) -> Told:
-    return understand(ADDRESSES | {"name": "n1", "settings": usual(**(more or {}))} | top, {})
+def told(more: dict | None = None, **top) -> ProcessSettings:
+    return parse_settings(ADDRESSES | {"name": "n1", "settings": usual(**(more or {}))} | top, {})
 
 
 # --- mixes of shapes ----------------------------------------------------------------------------
@@ -80,8 +80,8 @@
 def test_a_value_that_is_none_is_as_good_as_missing(key, nothing):
     whole = usual()
     without = {name: value for name, value in whole.items() if name != key}
-    found = understand(ADDRESSES | {"settings": without | {key: nothing}}, {}).deployment
-    assert found == understand(ADDRESSES | {"settings": without}, {}).deployment
+    found = parse_settings(ADDRESSES | {"settings": without | {key: nothing}}, {}).deployment
+    assert found == parse_settings(ADDRESSES | {"settings": without}, {}).deployment
 
 
 @pytest.mark.parametrize("yes, no", [(True, False), (1, 0), (1.0, 0.0), ("true", "false"), ("1", "0")])
@@ -219,7 +219,7 @@
 @pytest.mark.parametrize("key, more", BAD)
 def test_what_can_not_be_served_is_refused_and_its_key_named(key, more):
     with pytest.raises(UNREADABLE) as raised:
-        understand(ADDRESSES | {"settings": usual()} | more, {})
+        parse_settings(ADDRESSES | {"settings": usual()} | more, {})
     assert str(raised.value).startswith(f"{key}: ")
 
 
@@ -330,7 +330,7 @@
 @settings(max_examples=150, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck))
 @given(table=SETTINGS, seed=SEEDS, name=strategies.one_of(strategies.none(), NAMES))
 def test_whatever_the_documents_allow_starts_and_keeps_the_rules(table, seed, name):
-    found = understand(ADDRESSES | {"settings": table, "seed": seed, "name": name}, {})
+    found = parse_settings(ADDRESSES | {"settings": table, "seed": seed, "name": name}, {})
     d = found.deployment
     assert len(d.workloads) == len(table["workloads"]) and found.idle_limit >= 0 and found.connect_limit > 0
     bed = Bed(replace(d, workloads=[one for one in d.workloads]))
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -95,7 +95,7 @@
         stars = [[one for one in stand.seen if b"star" in one.target] for stand in net.stands]
         assert [len(seen) for seen in stars] == [0, 0, 6]
         update = {"index": 9, "endpoints": [net.discovery.rows[2] | {"status": "DRAINING"}]}
-        net.program.directory.update(lists.known(update), t.ListKind.CHANGES)
+        net.program.directory.update(lists.parse(update), t.ListKind.CHANGES)
         assert (await net.ask(wanted("s9", "star", "0.4"))).status == 503
         assert (await net.ask(wanted("s10"))).status == 200
 
@@ -130,4 +130,4 @@
 @pytest.mark.parametrize("told, taken", [(2.5, 2.5), (3, 3.0), (0, 1.0), (-1, 1.0), ("x", 1.0), (None, 1.0)])
 def test_a_weight_that_is_no_size_counts_as_one(told, taken):
     row = {"name": "e0", "address": "127.0.0.1:1", "status": "SERVING", "weight": told}
-    assert lists.known({"index": 1, "endpoints": [row]}).entries[0].weight == taken
+    assert lists.parse({"index": 1, "endpoints": [row]}).entries[0].weight == taken
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -118,7 +118,7 @@
 
         async def slow(address):
             connection = await whole(address)
-            entry = lists.known({"index": 9, "endpoints": [net.discovery.rows[0] | row]})
+            entry = lists.parse({"index": 9, "endpoints": [net.discovery.rows[0] | row]})
             net.program.directory.update(entry, t.ListKind.CHANGES)
             return connection
 
@@ -455,7 +455,7 @@
     def broken(answer):
         raise RuntimeError("a defect")
 
-    monkeypatch.setattr(send.submission, "outcome", broken)
+    monkeypatch.setattr(send.client_requests, "outcome", broken)
 
     async def check(net: Net):
         assert (await net.ask(wanted("s1", "issue", "0.3"))).status == 502
--- a/tests/test_start_faults.py
+++ b/tests/test_start_faults.py
@@ -280,7 +280,7 @@
         assert not [fields for event, fields in net.logs if event == "module_failed"]
 
     def recalled(self, taken) -> None:
-        known = lists.known(net_table["known"])
+        known = lists.parse(net_table["known"])
         begin_list(self, HandoverState(known, {"beside": False} | kept, 0, 0))
 
     net_table: dict = {}
@@ -307,7 +307,7 @@
     """Seen failing as an exception group out of `Program.run`."""
 
     async def check(net: Net):
-        moved = net.program.told
+        moved = net.program.settings
         if part == "discovery.move":
             from dataclasses import replace
 
@@ -316,7 +316,7 @@
         elif part == "read_again":
             net.program.read_again = raising
         else:
-            monkeypatch.setattr(sidecar, "fixed", raising)
+            monkeypatch.setattr(sidecar, "changes_needing_restart", raising)
         os.kill(os.getpid(), signal.SIGHUP)
         await until(lambda: any(event == "reload_refused" for event, _ in net.logs))
         assert (await net.ask(wanted("s1"))).status == 200
--- a/tests/test_start_lists.py
+++ b/tests/test_start_lists.py
@@ -24,12 +24,12 @@
 OTHER = GOOD | {"name": "e1"}
 
 
-def read(*rows, **more) -> lists.Known:
+def read(*rows, **more) -> lists.EndpointList:
     body = orjson.dumps({"index": 7, "snapshot": True, "endpoints": list(rows)} | more)
-    return lists.read(Answer(200, [], body))
+    return lists.parse_response(Answer(200, [], body))
 
 
-def states(known: lists.Known) -> dict[str, t.EndpointStatus]:
+def states(known: lists.EndpointList) -> dict[str, t.EndpointStatus]:
     return {entry.endpoint: entry.state for entry in known.entries}
 
 
@@ -104,14 +104,14 @@
 @pytest.mark.parametrize("index", [None, "x", [], True, {}, float("nan")])
 def test_an_answer_without_a_version_is_no_list(index):
     with pytest.raises(Garbled):
-        lists.known({"index": index, "snapshot": True, "endpoints": [GOOD]})
+        lists.parse({"index": index, "snapshot": True, "endpoints": [GOOD]})
 
 
 def test_versions_and_empty_changes_as_some_services_write_them():
     assert read(GOOD, index=41.0).index == 41 and read(GOOD, index="41").index == 41
-    assert lists.known({"index": 4, "snapshot": False, "endpoints": None}).entries == []
+    assert lists.parse({"index": 4, "snapshot": False, "endpoints": None}).entries == []
     with pytest.raises(Garbled):  # this one would take every endpoint away
-        lists.known({"index": 4, "snapshot": True, "endpoints": None})
+        lists.parse({"index": 4, "snapshot": True, "endpoints": None})
 
 
 @pytest.mark.parametrize(
@@ -130,7 +130,7 @@
 )
 def test_the_list_told_at_a_start_never_costs_the_start(known, names):
     """Seen failing as `missing 'endpoints'` and the like, with exit 2."""
-    found = lists.at_start(known)
+    found = lists.initial_list(known)
     assert [entry.endpoint for entry in found.entries] == names
     assert bool(found.refused) is (known is not None)
 
@@ -176,11 +176,11 @@
 @given(index=ODD, whole=ODD, rows=ROWS)
 def test_whatever_rows_come_a_list_is_read_or_garbled_and_none_is_sent_to_unread(index, whole, rows):
     message = {"index": index, "snapshot": whole, "endpoints": [GOOD, *rows]}
-    known = lists.at_start(message)
+    known = lists.initial_list(message)
     for entry in known.entries:
         if entry.state is t.EndpointStatus.READY:
             assert known.addresses[entry.endpoint] and 0 <= entry.started < 2**63
     try:
-        lists.known(message)
+        lists.parse(message)
     except Garbled:
         pass
--- a/tests/test_start_signals.py
+++ b/tests/test_start_signals.py
@@ -19,7 +19,7 @@
 MOMENTS = [
     "import anyio",
     "import h11",
-    "import lupinmill.program.told",
+    "import lupinmill.program.process_settings",
     "import lupinmill.program.sidecar",
     "open told.json",
     "import asyncio.unix_events",
