--- a/lupinmill/benchlink/codec.py
+++ b/lupinmill/benchlink/codec.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from lupinmill import terms as t
-from lupinmill.protocol.reports import REPORT
+from lupinmill.protocol.reports import REPORT_FIELDS
 from lupinmill.protocol.settings import Fields
 
 HOW = {
@@ -48,7 +48,7 @@
 
 def report_fields(fields: Fields) -> list[tuple[str, float] | None]:
     names = fields.get("load-report.fields", "")
-    return [REPORT.get(name) for name in names.split(",")] if names else []
+    return [REPORT_FIELDS.get(name) for name in names.split(",")] if names else []
 
 
 def listing(f: Fields) -> t.ListEntry:
--- a/lupinmill/config/push.py
+++ b/lupinmill/config/push.py
@@ -150,7 +150,7 @@
     """Rows laid over others by their names need not be whole: what must be there and isn't counts as good."""
     found = dict(fields)
     for at in range(int(told.number_at(fields, "workloads.count", "0"))):
-        for key, good in (*((key, "1") for key in told.SPANS), ("repeat", "once")):
+        for key, good in (*((key, "1") for key in told.DURATION_KEYS), ("repeat", "once")):
             found.setdefault(f"workloads.{at}.{key}", good)
     return found
 
--- a/lupinmill/config/server.py
+++ b/lupinmill/config/server.py
@@ -87,7 +87,7 @@
         if request is None:
             with anyio.fail_after(self.limit):  # however it trickles
                 while request is None:
-                    if go_ahead := side.go_ahead():
+                    if go_ahead := side.continue_response():
                         await client.send(go_ahead)
                     if not (data := await client.receive()):
                         return None
--- a/lupinmill/config/wire.py
+++ b/lupinmill/config/wire.py
@@ -92,16 +92,16 @@
 def asked(request: Request) -> Watch:
     """Raises Malformed with what is wrong; nothing else, whatever came."""
     if request.method != b"GET":
-        raise Malformed(405, "only GET", trusted=True)
+        raise Malformed(405, "only GET", framing_intact=True)
     path, _, query = request.target.partition(b"?")
     if path != PATH:
-        raise Malformed(404, "no such path", trusted=True)
+        raise Malformed(404, "no such path", framing_intact=True)
     if request.body:
-        raise Malformed(400, "a watch has no body", trusted=True)
+        raise Malformed(400, "a watch has no body", framing_intact=True)
     once, scopes = fields(query)
     name = once.get("name", "")
     if not good_name(name):
-        raise Malformed(400, "name: none, or not a name", trusted=True)
+        raise Malformed(400, "name: none, or not a name", framing_intact=True)
     status = Status(
         name,
         version_in(once, "in_force", "in_force_mark"),
@@ -110,7 +110,7 @@
         version_in(once, "ahead", "ahead_mark"),
     )
     if len(status.why) > LONGEST_WHY:
-        raise Malformed(400, f"why: over {LONGEST_WHY} characters", trusted=True)
+        raise Malformed(400, f"why: over {LONGEST_WHY} characters", framing_intact=True)
     wait = min(LONGEST_WAIT, number(once, "wait", HIGHEST))
     return Watch(version_in(once, "index", "mark"), wait, scopes, status)
 
@@ -125,35 +125,35 @@
             max_num_fields=MOST_SCOPES + len(ONCE),
         )
     except ValueError as error:  # also bytes that are no ASCII, escapes that are no UTF-8
-        raise Malformed(400, "query: can't be read", trusted=True) from error
+        raise Malformed(400, "query: can't be read", framing_intact=True) from error
     once: dict[str, str] = {}
     scopes: dict[str, None] = {}
     for key, value in pairs:
         if key == "scope":
             if not good_scope(value):
-                raise Malformed(400, "scope: not a scope", trusted=True)
+                raise Malformed(400, "scope: not a scope", framing_intact=True)
             scopes[value] = None
         elif key not in ONCE:
-            raise Malformed(400, "query: a key that is not known", trusted=True)
+            raise Malformed(400, "query: a key that is not known", framing_intact=True)
         elif key in once:
-            raise Malformed(400, f"{key}: given twice", trusted=True)
+            raise Malformed(400, f"{key}: given twice", framing_intact=True)
         else:
             once[key] = value
     if len(scopes) > MOST_SCOPES:
-        raise Malformed(400, f"scope: over {MOST_SCOPES}", trusted=True)
+        raise Malformed(400, f"scope: over {MOST_SCOPES}", framing_intact=True)
     return once, tuple(scopes)
 
 
 def number(once: dict[str, str], key: str, most: int) -> int:
     value = once.get(key, "0")
     if not DIGITS.fullmatch(value) or int(value) > most:
-        raise Malformed(400, f"{key}: not a whole number from 0 to {most}", trusted=True)
+        raise Malformed(400, f"{key}: not a whole number from 0 to {most}", framing_intact=True)
     return int(value)
 
 
 def version_in(once: dict[str, str], index: str, mark: str) -> Version:
     if not MARK.fullmatch(once.get(mark, "")):
-        raise Malformed(400, f"{mark}: not a mark", trusted=True)
+        raise Malformed(400, f"{mark}: not a mark", framing_intact=True)
     return Version(number(once, index, HIGHEST), once.get(mark, ""))
 
 
--- a/lupinmill/discovery/driver.py
+++ b/lupinmill/discovery/driver.py
@@ -176,7 +176,7 @@
         reusable = False
         try:
             call.connected = True
-            parser = ClientSide(lists.LARGEST_LIST, lists.LARGEST_LIST)
+            parser = ClientSide(lists.MAX_LIST_BYTES, lists.MAX_LIST_BYTES)
             index = call.index if call.kind is CallKind.WATCH else None
             await connection.send(parser.ask(lists.watch_request(index, int(call.wait * 1000))))
             while (answer := parser.next_answer()) is None:
--- a/lupinmill/lab/commons.py
+++ b/lupinmill/lab/commons.py
@@ -161,7 +161,7 @@
         return [self.name, *(name for name, one in members.items() if one.status in PRESENT)]
 
     def look(self, life: int) -> None:
-        """Once a second, as `program/common.py` does."""
+        """Once a second, as `program/fleet_state.py` does."""
         if life != self.life or self.peer is None or self.tally is None:
             return
         run = self.commons.run
--- a/lupinmill/lab/scale/tables.py
+++ b/lupinmill/lab/scale/tables.py
@@ -9,7 +9,7 @@
 
 from lupinmill.lab.scale.measured import Figure
 from lupinmill.lab.scale.target import DAY, Target
-from lupinmill.protocol.lists import LARGEST_LIST
+from lupinmill.protocol.lists import MAX_LIST_BYTES
 
 MISSING = "missing"
 ROLES = ("sidecar", "elector", "holder", "discovery", "source", "relay")
@@ -158,7 +158,7 @@
     "control_memory_mb": lambda t: t.assumed("control_memory_mb") * 1e6 / t.assumed("control_cores"),
     "control_bytes_a_second": lambda t: t.assumed("control_bytes_a_second") / t.assumed("control_cores"),
     "look_s": lambda t: t.assumed("control_load"),  # one is due each second
-    "largest_list": lambda t: LARGEST_LIST,
+    "largest_list": lambda t: MAX_LIST_BYTES,
     "list_calls_a_second": lambda t: t.assumed("list_calls_a_second"),
     "in_force_s": lambda t: t.goals.in_force_s,
     "back_s": lambda t: t.assumed("back_s"),
--- a/lupinmill/lab/stands.py
+++ b/lupinmill/lab/stands.py
@@ -17,7 +17,7 @@
 from lupinmill.lab.registry import Entry, Registry
 from lupinmill.lab.timeline import SECOND
 from lupinmill.protocol.http import Answer, ClientSide, Garbled, Malformed, Request, ServerSide
-from lupinmill.protocol.reports import ON_SOCKETS, REPORT
+from lupinmill.protocol.reports import SOCKET_FIELD_NAMES, REPORT_FIELDS
 
 HOST = "127.0.0.1"
 BACKLOG = 512
@@ -35,7 +35,10 @@
     """`queue=2,util=0.61`, for those figures that there are."""
     if load is None:
         return ""
-    wire = {REPORT[inner][0]: (outer, REPORT[inner][1]) for outer, inner in ON_SOCKETS.items()}
+    wire = {
+        REPORT_FIELDS[inner][0]: (outer, REPORT_FIELDS[inner][1])
+        for outer, inner in SOCKET_FIELD_NAMES.items()
+    }
     figures = [(wire[name], getattr(load, name)) for name in ("queued", "held", "busy", "service", "rate")]
     return ",".join(f"{outer}={value / unit:.4f}" for (outer, unit), value in figures if value is not None)
 
--- a/lupinmill/program/live_config.py
+++ b/lupinmill/program/live_config.py
@@ -74,8 +74,8 @@
             found = replace(
                 base,
                 deployment=deployment,
-                idle_limit=settings.idle_limit(fields),
-                connect_limit=settings.connect_limit(fields),
+                idle_timeout_s=settings.idle_timeout_s(fields),
+                connect_timeout_s=settings.connect_timeout_s(fields),
             )
         file = operators_file.with_entries(file, merge.members(entries), merge.zones(entries))
         operators_file.check_against_platform(file, base.name, found.deployment)
@@ -194,7 +194,7 @@
         if new.deployment != old.deployment:
             self.deploy(new.deployment)
         program.settings = new
-        program.pool.limit(new.idle_limit, new.connect_limit)
+        program.pool.limit(new.idle_timeout_s, new.connect_timeout_s)
         if new.operators != old.operators:
             program.change_peers(new)
         relays = self.relays(new)
--- a/lupinmill/program/process_settings.py
+++ b/lupinmill/program/process_settings.py
@@ -46,8 +46,8 @@
     known: lists.EndpointList
     descriptors: int
     memory: int | None  # bytes
-    idle_limit: float
-    connect_limit: float
+    idle_timeout_s: float
+    connect_timeout_s: float
     operator: str | None = None  # where operators call
     directory: str | None = None  # common to the processes of an upgrade
     operators: File | None = None  # the operator's own file, where one is named
@@ -117,8 +117,8 @@
         known=lists.initial_list(table.get("known")),
         descriptors=int(number(limits, "sockets", SOCKETS, LEAST_SOCKETS) or SOCKETS),
         memory=None if memory is None else int(memory * 2**20),
-        idle_limit=settings.idle_limit(fields),
-        connect_limit=settings.connect_limit(fields),
+        idle_timeout_s=settings.idle_timeout_s(fields),
+        connect_timeout_s=settings.connect_timeout_s(fields),
         operator=operator_of(table, environ),
         directory=environ.get("TMPDIR") or None,
         settings=table["settings"],
--- a/lupinmill/program/sidecar.py
+++ b/lupinmill/program/sidecar.py
@@ -24,7 +24,7 @@
 from lupinmill.program.signals import ENDING, HANDLED, Signals
 from lupinmill.program.process_settings import StartupError, ProcessSettings, changes_needing_restart
 from lupinmill.protocol import lists
-from lupinmill.protocol.client_requests import LONGEST
+from lupinmill.protocol.client_requests import MAX_DEADLINE_S
 from lupinmill.routing.admit import Admit
 from lupinmill.routing.book import Book
 from lupinmill.routing.directory import Directory
@@ -104,7 +104,7 @@
         own += CONFIG_OWN if watched else 0
         self.store, self.descriptors = Store(), Descriptors(allowed(told.descriptors) - own, told.memory)
         self.shelf = Shelf(shelf_of(told.memory))
-        self.pool = Pool(self.descriptors, self.store, told.idle_limit, told.connect_limit)
+        self.pool = Pool(self.descriptors, self.store, told.idle_timeout_s, told.connect_timeout_s)
         self.engine = Engine(told.deployment, Clock(), log)
         self.overrides = OperatorOverrides()
         self.directory = Directory(self.engine, self.pool, self.overrides.cordoned)
@@ -416,7 +416,7 @@
         no other: they are served until little time is left, and only then sent away."""
         longest = max(workload.hard_limit for workload in self.settings.deployment.workloads) / 1_000_000
         stay = min(longest, LONGEST_WAIT) + KILLED_AFTER - SPARE
-        last = max(stay, LONGEST + ANSWERED)
+        last = max(stay, MAX_DEADLINE_S + ANSWERED)
         self.handover.protocol.on_shutdown()
         now = self.engine.clock.now()
         ends = now + int(stay * 1_000_000)
--- a/lupinmill/protocol/__init__.py
+++ b/lupinmill/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""Bytes to messages and back, without any I/O. The protocol's own names end here."""
+"""Parsing and serialisation of all messages, without I/O. Names from the wire are not used outside."""
--- a/lupinmill/protocol/admin_calls.py
+++ b/lupinmill/protocol/admin_calls.py
@@ -1,5 +1,4 @@
-"""Operators' calls: one HTTP/1.1 request on a connection becomes an `AdminCall`, or the status that says why
-not. Pure."""
+"""Parses operators' HTTP/1.1 requests, one per connection, into `AdminCall`s. Without I/O."""
 
 from __future__ import annotations
 
@@ -10,9 +9,9 @@
 
 from lupinmill.protocol.http import Malformed, phrase, plain
 
-LARGEST_HEAD = 4 * 1024
-LONGEST_ID = 200  # bytes
-PREFIX = b"/admin/"
+MAX_REQUEST_BYTES = 4 * 1024
+MAX_ID_BYTES = 200
+ADMIN_PREFIX = b"/admin/"
 HEALTH, CORDON, UNCORDON, QUIESCE, RESUME = "health", "cordon", "uncordon", "quiesce", "resume"
 PEERS, REHEARSE, ZONES, CONFIG = "peers", "rehearse", "zones", "config"
 DISCOVERY = "discovery"
@@ -25,7 +24,7 @@
     DISCOVERY: (b"GET",),
     **dict.fromkeys((REHEARSE, CORDON, UNCORDON, QUIESCE, RESUME, *MOVES), (b"PUT",)),
 }
-MEMBER, ZONE = b"member", b"zone"
+MEMBER_PARAMETER, ZONE_PARAMETER = b"member", b"zone"
 
 
 @dataclass(slots=True)
@@ -37,16 +36,16 @@
 
 
 class AdminCallCodec:
-    """The sidecar as its operators' server, for the one call of a connection."""
+    """The server side of an operator's connection, which carries one call."""
 
     def __init__(self) -> None:
-        self.http = h11.Connection(h11.SERVER, max_incomplete_event_size=2 * LARGEST_HEAD)
-        self.fed = 0
+        self.http = h11.Connection(h11.SERVER, max_incomplete_event_size=2 * MAX_REQUEST_BYTES)
+        self.received_bytes = 0
 
     def feed(self, data: bytes) -> AdminCall | None:
-        """The call once its head has come. Raises Malformed; a body, if any, says nothing here."""
-        self.fed += len(data)
-        if self.fed > LARGEST_HEAD:
+        """Returns the call once its headers are complete. Raises Malformed. A body is ignored."""
+        self.received_bytes += len(data)
+        if self.received_bytes > MAX_REQUEST_BYTES:
             raise Malformed(431, "the call is too long")
         try:
             self.http.receive_data(data)
@@ -56,7 +55,7 @@
         return parse(event) if isinstance(event, h11.Request) else None
 
     def answer(self, status: int, text: str) -> bytes:
-        """The whole answer's bytes; the connection ends with it."""
+        """The bytes of the whole response, after which the connection is closed."""
         answer = plain(status, f"{text}\n")
         headers = [*answer.headers, (b"Content-Length", b"%d" % len(answer.body)), (b"Connection", b"close")]
         data = self.http.send(h11.Response(status_code=status, headers=headers, reason=phrase(answer))) or b""
@@ -66,34 +65,36 @@
 
 def parse(request: h11.Request) -> AdminCall:
     target = request.target
-    if not target.startswith(b"/"):  # the absolute form
+    if not target.startswith(b"/"):  # absolute form
         target = b"/" + target.partition(b"://")[2].partition(b"/")[2]
     path, _, query = target.partition(b"?")
     path = unquote_to_bytes(path)
-    what = path[len(PREFIX) :].decode("latin-1") if path.startswith(PREFIX) else ""
+    what = path[len(ADMIN_PREFIX) :].decode("latin-1") if path.startswith(ADMIN_PREFIX) else ""
     if what not in METHODS:
         raise Malformed(404, "unknown path")
     if request.method not in METHODS[what]:
         raise Malformed(405, f"this wants {METHODS[what][0].decode()}")
     if MOVES.get(what) in ("drain", "restore"):
-        return AdminCall(what, zone=single_parameter(query, ZONE), force=b"force=1" in query.split(b"&"))
-    return AdminCall(what, single_parameter(query, MEMBER) if what in (CORDON, UNCORDON) else "")
+        return AdminCall(
+            what, zone=single_parameter(query, ZONE_PARAMETER), force=b"force=1" in query.split(b"&")
+        )
+    return AdminCall(what, single_parameter(query, MEMBER_PARAMETER) if what in (CORDON, UNCORDON) else "")
 
 
 def single_parameter(query: bytes, key: bytes) -> str:
-    """The one id that it names, however it is encoded."""
+    """The value of a query parameter that has to be given exactly once. Raises Malformed."""
     values = [
         unquote_to_bytes(value)
         for name, _, value in (part.partition(b"=") for part in query.split(b"&"))
         if unquote_to_bytes(name) == key
     ]
-    word = key.decode()
+    parameter = key.decode()
     if len(values) != 1:
-        raise Malformed(400, f"wants {word}=ID once, not {len(values)} times")
+        raise Malformed(400, f"wants {parameter}=ID once, not {len(values)} times")
     try:
         text = values[0].decode()
     except UnicodeDecodeError:
-        raise Malformed(400, f"{word} is no UTF-8") from None
-    if not text or len(values[0]) > LONGEST_ID:
-        raise Malformed(400, f"{word} is empty or too long")
+        raise Malformed(400, f"{parameter} is no UTF-8") from None
+    if not text or len(values[0]) > MAX_ID_BYTES:
+        raise Malformed(400, f"{parameter} is empty or too long")
     return text
--- a/lupinmill/protocol/http.py
+++ b/lupinmill/protocol/http.py
@@ -1,5 +1,4 @@
-"""HTTP/1.1 by h11: bytes in; requests and answers out, whole where they are small, in parts where not. No
-I/O."""
+"""HTTP/1.1 on top of h11, without I/O: requests and answers, complete where they are small, else in parts."""
 
 from __future__ import annotations
 
@@ -12,13 +11,13 @@
 
 Headers = list[tuple[bytes, bytes]]
 
-SMALL = 64 * 1024  # bytes of a body up to which an answer is passed on whole
-LARGEST_BODY = 32 * 1024 * 1024
-TOGETHER = 8 * 1024  # bytes of a body that go out in one piece with their head
-LARGEST_HEAD = 16 * 1024
-BETWEEN_CHUNKS = 1024  # bytes of a chunk's header, or of trailers: given to the parser so many at once
-MOST_AHEAD = 64  # informational answers (1xx) ahead of the final one
-# Those of one connection only; the rest goes on from end to end.
+MAX_BUFFERED_BODY = 64 * 1024  # bytes; larger answers are streamed
+MAX_BODY_BYTES = 32 * 1024 * 1024
+MAX_MERGED_BODY = 8 * 1024  # bytes of a body that are sent in one piece with the head
+MAX_HEAD_BYTES = 16 * 1024
+CHUNK_HEADER_PIECE = 1024  # bytes of a chunk header or of trailers that the parser gets at a time
+MAX_INFORMATIONAL = 64  # 1xx answers before the final one
+# Headers that concern one connection only; all others are forwarded.
 HOP_BY_HOP = {
     b"connection",
     b"keep-alive",
@@ -32,9 +31,9 @@
     b"content-length",
     b"expect",
 }
-# Kept whatever `Connection` names: identity, class, repeat safety, deadline and advice hang on them. Guards
-# against a request that counts here as what it no longer is at its endpoint.
-ALWAYS_KEPT = {
+# Forwarded even where `Connection` names them: identity, workload, safe repeats, deadlines and retry advice
+# depend on them, and the endpoint must see the same request as this sidecar.
+ALWAYS_FORWARDED = {
     b"host",
     b"idempotency-key",
     b"req-id",
@@ -49,28 +48,28 @@
     b"srv-load",
 }
 HEAD_END = re.compile(rb"\n\r?\n")
-CHUNKED = re.compile(rb"\ntransfer-encoding:", re.IGNORECASE)  # the parser takes no other coding
+CHUNKED = re.compile(rb"\ntransfer-encoding:", re.IGNORECASE)  # the parser accepts no other coding
 FOLD = re.compile(rb"\n[ \t]")
-# The parser's time for a line that it refuses grows with the square of the blanks behind the colon: a head of
-# 16 KiB would hold the loop for more than a second.
+# The parser's time for a line that it refuses is quadratic in the number of blanks after the colon: a head of
+# 16 KiB would block the event loop for more than a second.
 MANY_BLANKS = re.compile(rb":(?:[ \t]|\r?\n(?=[ \t])){256}")
 ABSOLUTE = re.compile(rb"https?://[^/?#]+([/?].*)?", re.IGNORECASE)
 
 
-# What is sent instead of an answer that can't be written.
-UNWRITABLE = b"HTTP/1.1 502 Bad Gateway\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
+# Sent instead of an answer that can't be serialised.
+BAD_GATEWAY_RESPONSE = b"HTTP/1.1 502 Bad Gateway\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 
 
 class Malformed(Exception):
-    """A request that gets an answer of this status, and nothing else."""
+    """A request that is answered with this status and not handled any further."""
 
-    def __init__(self, status: int, text: str, trusted: bool = False) -> None:
+    def __init__(self, status: int, text: str, framing_intact: bool = False) -> None:
         super().__init__(text)
-        self.status, self.trusted = status, trusted  # trusted: the framing was right, the connection can stay
+        self.status, self.framing_intact = status, framing_intact  # intact: the connection can go on
 
 
 class Garbled(Exception):
-    """An answer that is no HTTP, too large, or without an end that could be told."""
+    """An answer that is not valid HTTP, too large, or whose end can't be determined."""
 
 
 @dataclass(slots=True)
@@ -97,17 +96,17 @@
 def find(headers: Headers, name: bytes) -> str | None:
     for key, value in headers:
         if key.lower() == name:
-            return value.decode("latin-1").strip(" \t")  # `strip` alone takes other bytes than blanks too
+            return value.decode("latin-1").strip(" \t")  # a bare `strip` would remove more than blanks
     return None
 
 
 def end_to_end(headers: Headers) -> Headers:
-    """Without those of one connection: the usual ones, and what `Connection` names beyond ALWAYS_KEPT."""
+    """The headers to forward: without HOP_BY_HOP and what `Connection` names, except ALWAYS_FORWARDED."""
     named: set[bytes] = set()
     for key, value in headers:
         if key.lower() == b"connection":
             named.update(part.strip().lower() for part in value.split(b","))
-    dropped = HOP_BY_HOP | (named - ALWAYS_KEPT)
+    dropped = HOP_BY_HOP | (named - ALWAYS_FORWARDED)
     return [(key, value) for key, value in headers if key.lower() not in dropped]
 
 
@@ -116,7 +115,7 @@
 
 
 class End(Enum):
-    """Behind the last part of a body."""
+    """Follows the last part of a body."""
 
     END = "end"
 
@@ -126,7 +125,7 @@
 
 
 def says_close(headers: Headers) -> bool:
-    """By any `Connection` header, in any case and among other tokens."""
+    """Whether any `Connection` header has the token `close`, in any letter case."""
     return any(
         part.strip().lower() == b"close"
         for key, value in headers
@@ -136,7 +135,7 @@
 
 
 def length_of(headers: Headers) -> int | None:
-    """As h11 has checked it: repeated lengths are equal ones."""
+    """The Content-Length. h11 has checked that repeated values are equal."""
     for key, value in headers:
         if key.lower() == b"content-length":
             return int(value.split(b",")[0])
@@ -144,8 +143,9 @@
 
 
 def origin_form(method: bytes, target: bytes) -> bytes:
-    """The target as its server takes it: as it was written, without scheme and authority of an absolute one.
-    Raises Malformed for what is no target of a request to this server."""
+    """The request target as written, without the scheme and authority of the absolute form.
+
+    Raises Malformed for a target that can't be served here."""
     if target[:1] == b"/" or (method == b"OPTIONS" and target == b"*"):
         return target
     absolute = ABSOLUTE.fullmatch(target)
@@ -165,130 +165,132 @@
 Event = h11.Event | type[h11.NEED_DATA] | type[h11.PAUSED]
 
 
-class Incoming:
-    """What one side has received, given to its parser head by head and, of a chunked body, in small pieces.
+class ReceiveBuffer:
+    """The receive buffer of one side. Its parser gets whole heads, and chunked bodies in small pieces.
 
-    Guards against input that the parser would take seconds over, and against heads that are taken or refused
-    by how they were cut."""
+    This bounds the parser's time for hostile input, and makes the result independent of how the bytes were
+    split into packets."""
 
     def __init__(self, http: h11.Connection, may_fold: bool) -> None:
         self.http, self.may_fold = http, may_fold
-        self.waiting = bytearray()  # not given to the parser yet
-        self.searched = 0  # bytes of it in which there is no end of a head
-        self.chunked = False  # the body that comes
-        self.hungry = True  # the parser has read all that it was given
-        self.held: Event | None = None  # parsed already, behind the last data
-        self.ended = False  # by the other side; the parser is told when nothing waits
+        self.unparsed = bytearray()
+        self.searched = 0  # leading bytes of `unparsed` that hold no end of a head
+        self.chunked = False  # whether the current body is
+        self.parser_drained = True  # the parser needs more data
+        self.next_parsed: Event | None = None  # parsed already, follows the last data
+        self.ended = False  # the peer closed; the parser learns it once `unparsed` is empty
 
     def feed(self, data: bytes) -> None:
-        """None at all: the other side has ended."""
-        self.waiting += data
+        """Empty data: the peer has closed its side."""
+        self.unparsed += data
         self.ended = self.ended or not data
 
     def next_event(self) -> Event:
-        """All the data there is of a chunked body comes as one. Raises h11.RemoteProtocolError for what is
-        malformed."""
-        event, self.held = self.held or self.parsed(), None
+        """All available data of a chunked body is returned as one event. Raises h11.RemoteProtocolError."""
+        event, self.next_parsed = self.next_parsed or self.parse_event(), None
         if not self.chunked or not isinstance(event, h11.Data):
             return event
         data = bytearray(event.data)
-        while isinstance(event := self.parsed(), h11.Data):
+        while isinstance(event := self.parse_event(), h11.Data):
             data += event.data
         if event is not h11.NEED_DATA:
-            self.held = event
+            self.next_parsed = event
         return h11.Data(data=data)
 
-    def parsed(self) -> Event:
+    def parse_event(self) -> Event:
         while True:
-            if self.hungry:
-                piece = self.piece()
+            if self.parser_drained:
+                piece = self.next_piece()
                 if piece is None:
                     return h11.NEED_DATA
                 self.http.receive_data(piece)
-                self.hungry = False  # also where the next line raises: it then does so again
+                self.parser_drained = (
+                    False  # before the call below: if that raises, the next call raises again
+                )
             event = self.http.next_event()
             if event is not h11.NEED_DATA:
                 return event
-            self.hungry = True
+            self.parser_drained = True
 
-    def piece(self) -> bytes | None:
-        """The next that the parser may have; empty bytes tell it of the end."""
-        if not self.waiting:
+    def next_piece(self) -> bytes | None:
+        """The next bytes for the parser; empty bytes signal the end of input."""
+        if not self.unparsed:
             return b"" if self.ended and not self.http.trailing_data[1] else None
         state = self.http.their_state
         if state in (h11.IDLE, h11.SEND_RESPONSE):
-            return self.head()
+            return self.take_head()
         if state is not h11.SEND_BODY:
             return None
         if not self.chunked:
-            return self.take(len(self.waiting))
-        self.check_pending()
-        return self.take(BETWEEN_CHUNKS)
-
-    def check_pending(self) -> None:
-        """What the parser holds between two events of a chunked body is a part of a chunk's header or of the
-        trailers."""
-        if len(self.http.trailing_data[0]) > BETWEEN_CHUNKS:
+            return self.take(len(self.unparsed))
+        self.check_unfinished()
+        return self.take(CHUNK_HEADER_PIECE)
+
+    def check_unfinished(self) -> None:
+        """Between two events of a chunked body the parser holds part of a chunk header or of the trailers."""
+        if len(self.http.trailing_data[0]) > CHUNK_HEADER_PIECE:
             raise h11.RemoteProtocolError("overlong chunk header or trailers")
 
-    def head(self) -> bytes | None:
-        """A whole head."""
-        end = HEAD_END.search(self.waiting, self.searched)
-        if (len(self.waiting) if end is None else end.end()) > LARGEST_HEAD:
+    def take_head(self) -> bytes | None:
+        """A complete head, or None."""
+        end = HEAD_END.search(self.unparsed, self.searched)
+        if (len(self.unparsed) if end is None else end.end()) > MAX_HEAD_BYTES:
             raise h11.RemoteProtocolError("the head is too large", error_status_hint=431)
         if end is None:
-            if self.waiting[0] < 0x21:
+            if self.unparsed[0] < 0x21:
                 raise h11.RemoteProtocolError("no head")
-            self.searched = max(0, len(self.waiting) - 2)
+            self.searched = max(0, len(self.unparsed) - 2)
             return None
-        if MANY_BLANKS.search(self.waiting, 0, end.end()):
+        if MANY_BLANKS.search(self.unparsed, 0, end.end()):
             raise h11.RemoteProtocolError("too many blanks in a header")
-        if not self.may_fold and FOLD.search(self.waiting, 0, end.end()):
-            raise h11.RemoteProtocolError("a folded header")  # it would go on in one line
-        self.chunked = CHUNKED.search(self.waiting, 0, end.end()) is not None
+        if not self.may_fold and FOLD.search(self.unparsed, 0, end.end()):
+            raise h11.RemoteProtocolError("a folded header")  # it would be forwarded as one line
+        self.chunked = CHUNKED.search(self.unparsed, 0, end.end()) is not None
         return self.take(end.end())
 
     def take(self, count: int) -> bytes:
-        data = bytes(self.waiting[:count])
-        del self.waiting[:count]
+        data = bytes(self.unparsed[:count])
+        del self.unparsed[:count]
         self.searched = 0
         return data
 
     def rest(self) -> bytes:
-        """What has come and was not read as a part of a message."""
-        return self.http.trailing_data[0] + bytes(self.waiting)
+        """Received bytes that are not part of any message read so far."""
+        return self.http.trailing_data[0] + bytes(self.unparsed)
 
 
 class ServerSide:
-    """The sidecar as its clients' server, on one connection. A request is read by `next_part`: its head, then
-    the parts of its body, then END; or by `next_request`, whole."""
+    """The server side of a client's connection.
+
+    `next_part` returns a request's head, then the parts of its body, then END; `next_request` returns it as a
+    whole."""
 
-    def __init__(self, largest: int = LARGEST_BODY) -> None:
+    def __init__(self, max_body: int = MAX_BODY_BYTES) -> None:
         self.start()
-        self.largest = largest
-        self.request: Request | None = None  # its head has come, but not its end
-        self.size = 0  # bytes of its body so far
-        self.body = bytearray()  # kept by `next_request` alone
+        self.max_body = max_body
+        self.request: Request | None = None  # the one whose body is still being received
+        self.size = 0  # bytes of its body received so far
+        self.body = bytearray()  # collected by `next_request` only
         self.method = b""
         self.refused: Malformed | None = None
-        self.bodiless = False  # the answer, whatever it tells of its length
+        self.bodiless = False  # the answer has no body, whatever its length header says
 
     def start(self) -> None:
-        self.http = h11.Connection(h11.SERVER, max_incomplete_event_size=LARGEST_HEAD)
-        self.incoming = Incoming(self.http, may_fold=False)
+        self.http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
+        self.incoming = ReceiveBuffer(self.http, may_fold=False)
 
     def feed(self, data: bytes) -> None:
-        if self.http.their_state is h11.IDLE and not self.incoming.waiting:
-            data = data.lstrip(b"\r\n")  # empty lines ahead of a request say nothing
+        if self.http.their_state is h11.IDLE and not self.incoming.unparsed:
+            data = data.lstrip(b"\r\n")  # empty lines before a request are ignored
         if data:
             self.incoming.feed(data)
 
     def next_part(self) -> Request | Part | None:
-        """None while more bytes are wanted. Behind what is malformed nothing is read any more."""
+        """Returns None until more bytes arrive. After a malformed request nothing more is read."""
         if self.refused is not None:
             raise self.refused
         try:
-            return self.part_of(self.incoming.next_event())
+            return self.handle_event(self.incoming.next_event())
         except Malformed as error:
             self.refused = error
             raise
@@ -296,12 +298,12 @@
             self.refused = Malformed(400, str(error))
             raise self.refused from error
 
-    def part_of(self, event: Event) -> Request | Part | None:
+    def handle_event(self, event: Event) -> Request | Part | None:
         if isinstance(event, h11.Request):
-            return self.head(event)
+            return self.handle_head(event)
         if isinstance(event, h11.Data):
             self.size += len(event.data)
-            if self.size > self.largest:
+            if self.size > self.max_body:
                 raise Malformed(413, "the body is too large")
             return event.data
         if isinstance(event, h11.EndOfMessage):
@@ -309,23 +311,23 @@
             return END
         return None
 
-    def head(self, event: h11.Request) -> Request:
-        self.method = event.method  # first: also the answer to a malformed one to HEAD has no body
+    def handle_head(self, event: h11.Request) -> Request:
+        self.method = event.method  # set first: the answer to a malformed HEAD request has no body either
         if event.method == b"CONNECT":
             raise Malformed(405, "no tunnels here")
         target = origin_form(event.method, event.target)
         request = Request(event.method, target, event.headers.raw_items())
         length = length_of(request.headers)
-        # Guards against a request hidden in another's body: h11 would choose between the two.
+        # Prevents request smuggling: h11 would prefer one of the two.
         if length is not None and request.header(b"transfer-encoding"):
             raise Malformed(400, "both Content-Length and Transfer-Encoding")
-        if (length or 0) > self.largest:
-            raise Malformed(413, "the body is too large")  # not one byte of it is read
+        if (length or 0) > self.max_body:
+            raise Malformed(413, "the body is too large")  # without reading any of it
         self.request, self.size = request, 0
         return request
 
     def next_request(self) -> Request | None:
-        """A whole request, or None while more bytes are wanted."""
+        """A complete request, or None until more bytes arrive."""
         request = self.request
         while (part := self.next_part()) is not None:
             if part is END and request is not None:
@@ -338,17 +340,17 @@
         return None
 
     def begun(self) -> bool:
-        """Some of a request has come, but not all of it."""
+        """Whether part of a request has arrived, but not all of it."""
         return self.request is not None or bool(self.incoming.rest())
 
-    def go_ahead(self) -> bytes:
-        """What a client that asked first, with Expect, has to see before it sends the body."""
+    def continue_response(self) -> bytes:
+        """The 100 Continue that a client with an Expect header waits for; else nothing."""
         if self.http.they_are_waiting_for_100_continue:
             return self.http.send(h11.InformationalResponse(status_code=100, headers=[])) or b""
         return b""
 
     def answer(self, answer: Answer, close: bool) -> bytes:
-        """The whole answer's bytes. Afterwards `goes_on` tells whether the connection serves another one."""
+        """The bytes of the whole answer. Then `goes_on` tells whether the connection stays open."""
         unanswered = self.http.our_state in (h11.IDLE, h11.SEND_RESPONSE)
         try:
             data = self.begin(answer, len(answer.body), close)
@@ -358,11 +360,10 @@
         except h11.LocalProtocolError:
             if not unanswered:
                 raise
-            return UNWRITABLE  # not a byte was written yet, and whoever asked waits for an answer
+            return BAD_GATEWAY_RESPONSE  # nothing was sent yet, and the client waits for an answer
 
     def begin(self, answer: Answer, length: int | None, close: bool) -> bytes:
-        """Its head, with the length where that is told; else it is chunked, or ends with the connection for
-        clients that know no better."""
+        """The answer's head. Without `length` the body is chunked, or ends with the connection (HTTP/1.0)."""
         headers = end_to_end(answer.headers)
         if self.method == b"HEAD":
             length = length_of(answer.headers) if not answer.body else length
@@ -384,8 +385,8 @@
     def end(self) -> bytes:
         return self.http.send(h11.EndOfMessage()) or b""
 
-    def tells_its_end(self) -> bool:
-        """Could the client tell if the answer ended now, too early, with the connection?"""
+    def truncation_detectable(self) -> bool:
+        """Whether the client would notice that an answer was cut off by closing the connection."""
         return (self.http.their_http_version or b"1.0") >= b"1.1"
 
     def goes_on(self) -> bool:
@@ -394,52 +395,53 @@
         if self.refused is not None:
             return False
         rest = self.incoming.rest()
-        self.method = b""  # that of the next request isn't known yet
-        self.request = self.incoming.held = None
+        self.method = b""  # the next request's is not known yet
+        self.request = self.incoming.next_parsed = None
         if rest:
             self.start()
             self.feed(rest)
         else:
             self.http.start_next_cycle()
-            self.incoming.hungry = True
+            self.incoming.parser_drained = True
         return True
 
 
 class ClientSide:
-    """The sidecar as a client of an endpoint or of discovery, for one exchange on a connection.
+    """The client side of a connection to an endpoint or to discovery, for one exchange.
 
-    An answer of over `whole` bytes isn't gathered: `large` turns true, and its body is taken in parts."""
+    An answer of more than `max_buffered` bytes is not collected: `large` becomes true, and the body is taken
+    in parts."""
 
-    def __init__(self, whole: int = SMALL, largest: int = LARGEST_BODY) -> None:
-        self.http = h11.Connection(h11.CLIENT, max_incomplete_event_size=LARGEST_HEAD)
-        self.incoming = Incoming(self.http, may_fold=True)
+    def __init__(self, max_buffered: int = MAX_BUFFERED_BODY, max_body: int = MAX_BODY_BYTES) -> None:
+        self.http = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
+        self.incoming = ReceiveBuffer(self.http, may_fold=True)
         self.method = b""
-        self.ahead = 0  # informational answers so far
-        self.whole, self.largest = whole, max(whole, largest)
-        self.got: Answer | None = None
+        self.informational = 0  # 1xx answers so far
+        self.max_buffered, self.max_body = max_buffered, max(max_buffered, max_body)
+        self.received_answer: Answer | None = None
         self.body = bytearray()
         self.size = 0
         self.over = False
-        self.by_close = False  # the answer ends with the connection
+        self.ends_by_close = False
         self.length: int | None = None
 
     def ask(self, request: Request) -> bytes:
-        """The whole request's bytes."""
+        """The bytes of the whole request."""
         return b"".join(self.pieces(request))
 
     def pieces(self, request: Request) -> list[bytes]:
-        """The same, with a body of some size as it is: a copy for each launch adds up."""
-        told = bool(request.body) or request.method not in (b"GET", b"HEAD")
-        head = self.begin(request, len(request.body) if told else None)
+        """The same without copying a large body, since each attempt sends it again."""
+        has_length = bool(request.body) or request.method not in (b"GET", b"HEAD")
+        head = self.begin(request, len(request.body) if has_length else None)
         body = self.part(request.body) if request.body else b""
         rest = self.end()
-        return [head, body] if len(body) > TOGETHER and not rest else [head + body + rest]
+        return [head, body] if len(body) > MAX_MERGED_BODY and not rest else [head + body + rest]
 
     def begin(self, request: Request, length: int | None, chunked: bool = False) -> bytes:
         self.method = request.method
         headers = end_to_end(request.headers)
         if not any(key.lower() == b"host" for key, _ in headers):
-            headers.append((b"Host", b""))  # HTTP/1.0 may do without, what goes on as HTTP/1.1 may not
+            headers.append((b"Host", b""))  # optional in HTTP/1.0, required in the HTTP/1.1 that is sent
         if chunked:
             headers.append((b"Transfer-Encoding", b"chunked"))
         elif length is not None:
@@ -465,21 +467,21 @@
             raise Garbled(str(error)) from error
 
     def feed(self, data: bytes) -> None:
-        """None at all: the connection has ended, which ends an answer only where it says so."""
-        if not data and not self.by_close:
-            raise ConnectionResetError("ended before the whole answer")
+        """Empty data: the connection was closed, which ends an answer only where its head says so."""
+        if not data and not self.ends_by_close:
+            raise ConnectionResetError("connection closed before the end of the answer")
         self.incoming.feed(data)
 
     def next_answer(self) -> Answer | None:
-        """The whole answer, if it is not large."""
+        """The complete answer, unless it is large."""
         self.advance()
-        if not self.over or self.large or self.got is None:
+        if not self.over or self.large or self.received_answer is None:
             return None
-        self.got.body = bytes(self.body)
-        return self.got
+        self.received_answer.body = bytes(self.body)
+        return self.received_answer
 
     def take(self) -> bytes:
-        """What has come of a large answer's body and was not taken yet; `over` tells whether that was all."""
+        """The next part of a large answer's body, maybe empty; `over` tells whether it was the last."""
         self.advance()
         data = bytes(self.body)
         self.body.clear()
@@ -490,47 +492,47 @@
             while not self.over:
                 event = self.incoming.next_event()
                 if isinstance(event, h11.Response):
-                    self.head(event)
+                    self.handle_head(event)
                 elif isinstance(event, h11.Data):
                     self.body += event.data
                     self.size += len(event.data)
-                    if self.size > self.largest:
-                        raise Garbled("the answer's body is too large")
+                    if self.size > self.max_body:
+                        raise Garbled("answer body too large")
                 elif isinstance(event, h11.EndOfMessage):
                     self.over = True
                 elif isinstance(event, h11.InformationalResponse):
-                    self.ahead += 1
-                    if self.ahead > MOST_AHEAD:
-                        raise Garbled("informational answers without end")
+                    self.informational += 1
+                    if self.informational > MAX_INFORMATIONAL:
+                        raise Garbled("too many informational answers")
                 else:
                     return
         except h11.RemoteProtocolError as error:
             raise Garbled(str(error)) from error
 
-    def head(self, event: h11.Response) -> None:
-        got = Answer(event.status_code, event.headers.raw_items())
-        framed = self.method == b"HEAD" or got.status in (204, 304) or self.incoming.chunked
-        # Of a body in chunks, or of none, no header tells the length.
-        self.length = None if framed else length_of(got.headers)
+    def handle_head(self, event: h11.Response) -> None:
+        answer = Answer(event.status_code, event.headers.raw_items())
+        framed = self.method == b"HEAD" or answer.status in (204, 304) or self.incoming.chunked
+        # No header gives the length of a chunked or absent body.
+        self.length = None if framed else length_of(answer.headers)
         if self.length is None and not framed:
-            # Guards against one that was cut off in its head: only who says so ends by closing.
-            if not says_close(got.headers) and event.http_version != b"1.0":
-                raise Garbled("the answer's end can't be told from a broken connection")
-            self.by_close = True
-        if (self.length or 0) > self.largest:
-            raise Garbled("the answer's body is too large")
-        self.got = got
+            # Only an answer that announces it may end by closing: else a truncated head would pass.
+            if not says_close(answer.headers) and event.http_version != b"1.0":
+                raise Garbled("answer without a length or Connection: close")
+            self.ends_by_close = True
+        if (self.length or 0) > self.max_body:
+            raise Garbled("answer body too large")
+        self.received_answer = answer
 
     @property
     def large(self) -> bool:
-        """To be taken in parts. Told by its length already, unless there is no body to come (HEAD)."""
-        return self.size > self.whole or not self.over and (self.length or 0) > self.whole
+        """Whether the body is to be taken in parts; known from the length, unless there is no body (HEAD)."""
+        return self.size > self.max_buffered or not self.over and (self.length or 0) > self.max_buffered
 
     def begun(self) -> bool:
-        """Some of the answer has come; what goes ahead of it (1xx) does not count."""
-        return self.got is not None or bool(self.incoming.rest())
+        """Whether part of the final answer has arrived; 1xx answers don't count."""
+        return self.received_answer is not None or bool(self.incoming.rest())
 
     def reusable(self) -> bool:
-        """The exchange is over, and the other side keeps the connection."""
+        """Whether the exchange is over and the connection can carry another one."""
         over = self.http.our_state is h11.DONE and self.http.their_state is h11.DONE
         return over and not self.incoming.rest()
--- a/lupinmill/protocol/lists.py
+++ b/lupinmill/protocol/lists.py
@@ -1,14 +1,14 @@
-"""Lists of endpoints as discovery writes them, and the calls that ask for them.
+"""Parses discovery's lists of endpoints, and builds the requests for them.
 
-What one row that can't be used costs, on safety's side:
+Unusable rows are handled so that errors are on the safe side:
 
-- A row that names its endpoint counts as that endpoint's drain: nothing new goes there, what it has goes on.
-- A row that names none is left out. In a whole list its endpoint, whichever it was, counts as gone with all
-  that the list does not name: capacity is lost until the next list, but nothing is sent to an endpoint that
-  discovery took off. Of changes nobody can tell what was missed: the caller has to ask for the whole list.
-- A list with rows of which none names an endpoint is no list at all, and is refused whole.
+- A row that names its endpoint counts as draining: the endpoint gets no new requests, open ones go on.
+- A row without a name is skipped. In a full list its endpoint counts as gone, like all that the list does not
+  name: capacity is lost until the next list, but nothing is sent to an endpoint that discovery removed. In a
+  list of changes nobody can tell what was missed: the caller has to ask for the full list.
+- A list with rows of which none names an endpoint is refused as a whole.
 
-Each such row is told in `EndpointList.refused`, for the log."""
+`EndpointList.refused` has a reason for each such row, for the log."""
 
 from __future__ import annotations
 
@@ -22,28 +22,28 @@
 from lupinmill import terms as t
 from lupinmill.protocol.http import Answer, Garbled, Request
 
-LARGEST_LIST = 4 * 1024 * 1024
-STATES = {
+MAX_LIST_BYTES = 4 * 1024 * 1024
+STATUSES = {
     "SERVING": t.EndpointStatus.READY,
     "DRAINING": t.EndpointStatus.DRAINING,
     "DELETED": t.EndpointStatus.GONE,
 }
-LATEST_START = 10**14  # milliseconds of Unix time: what lies behind it is no time
-MOST_REFUSED = 8  # rows that are told of one by one
-LONGEST_REASON = 160  # characters
+MAX_START_MS = 10**14  # Unix time; later values are not usable
+MAX_REASONS = 8  # refused rows that are reported one by one
+MAX_REASON_LENGTH = 160  # characters
 UNREADABLE = (KeyError, TypeError, ValueError, AttributeError, OverflowError)
 
 
 @dataclass(slots=True)
 class EndpointList:
-    """A list, or the changes since the last: the entries, and where each endpoint listens."""
+    """A full list, or the changes since the last one: the entries, and each endpoint's address."""
 
     index: int
     whole: bool
     entries: list[t.ListEntry]
     addresses: dict[str, str]
-    refused: list[str] = field(default_factory=list)  # a reason for each row that can't be used as it is
-    unnamed: int = 0  # of them, those that name no endpoint
+    refused: list[str] = field(default_factory=list)  # a reason for each unusable row
+    unnamed: int = 0  # number of those rows that name no endpoint
 
 
 def text(value: Any) -> str:
@@ -51,7 +51,7 @@
 
 
 def weight(value: Any) -> float:
-    """One that is no size at all counts as 1: guards against an endpoint that draws all traffic, or none."""
+    """An unusable weight counts as 1, so that the endpoint attracts neither all traffic nor none."""
     usable = isinstance(value, int | float) and 0 < value < 1e6
     return float(value) if usable else 1.0
 
@@ -67,48 +67,48 @@
 
 
 def whole_number(value: Any, key: str) -> int:
-    """A number as JSON may give it. Raises ValueError."""
+    """A whole number from any JSON value that holds one. Raises ValueError."""
     if isinstance(value, bool) or not isinstance(value, int | float | str):
-        raise ValueError(f"{key}: {value!r} is no number")
+        raise ValueError(f"{key}: {value!r} is not a number")
     if isinstance(value, int):
         return value
     try:
-        found = float(value)
+        parsed = float(value)
     except ValueError:
-        found = float("nan")
-    if not isfinite(found):
-        raise ValueError(f"{key}: {value!r} is no number")
-    return int(found)
+        parsed = float("nan")
+    if not isfinite(parsed):
+        raise ValueError(f"{key}: {value!r} is not a number")
+    return int(parsed)
 
 
-def started(value: Any) -> int:
-    """Microseconds of Unix time, the module's clock. Raises ValueError."""
+def start_time(value: Any) -> int:
+    """Microseconds of Unix time, the decision module's clock. Raises ValueError."""
     if value is None:
         return 0  # long ago
     milliseconds = whole_number(value, "since_ms")
-    if milliseconds > LATEST_START:
-        raise ValueError(f"since_ms: {value!r} is no time")
+    if milliseconds > MAX_START_MS:
+        raise ValueError(f"since_ms: {value!r} is not a time")
     return max(0, milliseconds) * 1000
 
 
-def listing(row: dict[str, Any]) -> t.ListEntry:
+def parse_entry(row: dict[str, Any]) -> t.ListEntry:
     """Raises one of UNREADABLE."""
     status = row.get("status")
-    if not isinstance(status, str) or status not in STATES:
-        raise ValueError(f"status: {status!r} is none of {', '.join(STATES)}")
+    if not isinstance(status, str) or status not in STATUSES:
+        raise ValueError(f"status: {status!r} is not one of {', '.join(STATUSES)}")
     return t.ListEntry(
         endpoint=name_of(row),
-        state=STATES[status],
+        state=STATUSES[status],
         zone=text(row.get("zone")),
         kind=text(row.get("type")),
         cell=text(row.get("group")),
-        started=started(row.get("since_ms")),
+        started=start_time(row.get("since_ms")),
         weight=weight(row.get("weight")),
     )
 
 
 def address_of(row: dict[str, Any]) -> str:
-    """Raises ValueError, as no connection could be made there."""
+    """Raises ValueError for an address that can't be connected to."""
     address = row.get("address")
     host, _, port = address.rpartition(":") if isinstance(address, str) else ("", "", "")
     try:
@@ -121,49 +121,49 @@
 
 
 def parse(table: Any) -> EndpointList:
-    """Raises Garbled where it is no list; for single rows see above."""
+    """Raises Garbled where the table is not a list; for single rows see the module's comment."""
     try:
         index, whole, rows = table["index"], bool(table.get("snapshot")), table["endpoints"]
-        found = EndpointList(whole_number(index, "index"), whole, [], {})
+        parsed = EndpointList(whole_number(index, "index"), whole, [], {})
         if rows is None and not whole:
-            rows = []  # as some services write a list of nothing
+            rows = []  # some services write an empty list so
         if not isinstance(rows, list):
-            raise TypeError(f"endpoints: {type(rows).__name__} is no list")
+            raise TypeError(f"endpoints: {type(rows).__name__} is not a list")
     except UNREADABLE as error:
-        raise Garbled(f"list of endpoints: {type(error).__name__} {error}"[:LONGEST_REASON]) from error
+        raise Garbled(f"list of endpoints: {type(error).__name__} {error}"[:MAX_REASON_LENGTH]) from error
     for row in rows:
-        take(found, row)
-    if rows and not found.entries:
-        raise Garbled(f"list of endpoints: no row names an endpoint: {found.refused[0]}")
-    return found
+        add_row(parsed, row)
+    if rows and not parsed.entries:
+        raise Garbled(f"list of endpoints: no row names an endpoint: {parsed.refused[0]}")
+    return parsed
 
 
-def take(found: EndpointList, row: Any) -> None:
-    """One row, into what was read so far."""
+def add_row(parsed: EndpointList, row: Any) -> None:
+    """Adds one row to the list parsed so far."""
     try:
         name = name_of(row)
     except ValueError as error:
-        found.unnamed += 1
-        refuse(found, error)
+        parsed.unnamed += 1
+        note_refused(parsed, error)
         return
     try:
-        entry = listing(row)
+        entry = parse_entry(row)
         if entry.state is t.EndpointStatus.READY or row.get("address") is not None:
-            found.addresses[name] = address_of(row)
+            parsed.addresses[name] = address_of(row)
     except UNREADABLE as error:
-        refuse(found, f"{name}: {error}")
+        note_refused(parsed, f"{name}: {error}")
         entry = t.ListEntry(name, t.EndpointStatus.DRAINING, text(row.get("zone")), text(row.get("type")))
-    found.entries.append(entry)
+    parsed.entries.append(entry)
 
 
-def refuse(found: EndpointList, why: object) -> None:
-    if len(found.refused) < MOST_REFUSED:
-        found.refused.append(str(why)[:LONGEST_REASON])
+def note_refused(endpoints: EndpointList, reason: object) -> None:
+    if len(endpoints.refused) < MAX_REASONS:
+        endpoints.refused.append(str(reason)[:MAX_REASON_LENGTH])
 
 
 def initial_list(table: Any) -> EndpointList:
-    """The list that a sidecar is told at its start. One that can't be read is as good as none: discovery is
-    asked for the whole list, and nothing is sent before. Never raises."""
+    """The list in the sidecar's configuration. Where it can't be parsed the result is empty: discovery is
+    then asked for the full list before anything is sent. Never raises."""
     if table is None:
         return EndpointList(0, True, [], {})
     try:
@@ -171,12 +171,12 @@
     except Garbled as error:
         refused = str(error)
     try:
-        # The rows are good without a version: the watch then begins from the oldest.
-        found = parse(table | {"index": 0})
+        # Rows without a version are usable: the watch then begins from the oldest version.
+        parsed = parse(table | {"index": 0})
     except (Garbled, TypeError):
-        found = EndpointList(0, True, [], {})
-    found.refused.insert(0, refused)
-    return found
+        parsed = EndpointList(0, True, [], {})
+    parsed.refused.insert(0, refused)
+    return parsed
 
 
 def parse_response(answer: Answer) -> EndpointList:
@@ -189,6 +189,6 @@
 
 
 def watch_request(index: int | None, wait_ms: int) -> Request:
-    """A watch from this version on; without one, the whole list at once."""
+    """A long poll for changes after this version; without one, a request for the full list."""
     query = b"" if index is None else b"?index=%d&wait=%d" % (index, wait_ms)
     return Request(b"GET", b"/v1/endpoints" + query, [(b"Host", b"discovery")])
--- a/lupinmill/protocol/settings.py
+++ b/lupinmill/protocol/settings.py
@@ -1,7 +1,7 @@
-"""The settings that a sidecar is told, as name=value pairs or as nested JSON, turned into a `Deployment`.
+"""Converts the platform's settings, given as name=value pairs or as nested JSON, into a `Deployment`.
 
-`check` refuses only what can't be served under the rules. What is merely without use in a deployment's shape
-is ignored, and `unused` names it; keys that nothing here reads are no fault."""
+`check` refuses only what can't be served under the rules. Settings without effect in a deployment's topology
+are ignored, and `unused` names them; unknown keys are accepted."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 Fields = dict[str, str]
 
-REPEATS = {"repeatable": t.RepeatPolicy.IDEMPOTENT, "by_key": t.RepeatPolicy.DEDUPLICATED}
-GROUPS = {"all": t.DeduplicationScope.ALL, "zone": t.DeduplicationScope.ZONE}
-COMMA = "\x1f"  # stands for a comma within a name, where lists are joined by commas
-LARGEST = 1e12  # of any number: beyond it there is no figure of a deployment
+REPEAT_POLICIES = {"repeatable": t.RepeatPolicy.IDEMPOTENT, "by_key": t.RepeatPolicy.DEDUPLICATED}
+DEDUPLICATION_SCOPES = {"all": t.DeduplicationScope.ALL, "zone": t.DeduplicationScope.ZONE}
+COMMA_ESCAPE = "\x1f"  # a comma within a name, in lists joined by commas
+MAX_NUMBER = 1e12
 
 
 def flatten(value: Any, path: str = "") -> Fields:
-    """Nested JSON as the pairs of the simulator's wire: `a.b`, lists of objects under `.count` and `.0`."""
+    """Converts nested JSON to the simulator's pairs: `a.b`, and lists of objects as `a.count` and `a.0.b`."""
     if isinstance(value, dict):
         found: Fields = {}
         for key, inner in value.items():
@@ -32,7 +32,7 @@
             found |= flatten(inner, f"{path}.{at}")
         return found
     if isinstance(value, list):
-        return {path: ",".join(plain(inner).replace(",", COMMA) for inner in value)}
+        return {path: ",".join(plain(inner).replace(",", COMMA_ESCAPE) for inner in value)}
     return {path: plain(value)}
 
 
@@ -46,7 +46,7 @@
 
 
 class Settings:
-    """Typed look-ups in the start-up pairs. A value that is empty, or null, is as good as none."""
+    """Typed access to the pairs. An empty value or null counts as missing."""
 
     def __init__(self, fields: Fields) -> None:
         self.fields = fields
@@ -64,7 +64,7 @@
         return (self.fields.get(key) or ("true" if default else "false")) in TRUE
 
     def names(self, key: str) -> tuple[str, ...]:
-        return tuple(name.replace(COMMA, ",") for name in self.text(key).split(",") if name)
+        return tuple(name.replace(COMMA_ESCAPE, ",") for name in self.text(key).split(",") if name)
 
     def items(self, key: str) -> list[Settings]:
         prefixes = [f"{key}.{i}." for i in range(int(self.number(f"{key}.count")))]
@@ -74,8 +74,8 @@
 
 
 def seed_of(value: Any, name: str) -> int:
-    """A seed as decimal or hexadecimal digits, or as a number. One that is neither, or none, gives way to one
-    drawn from the sidecar's name: guards against a fleet in which all draw alike."""
+    """The seed as decimal or hexadecimal digits, or as a number. Where it is missing or unusable, it is
+    derived from the sidecar's name, so that the sidecars of a fleet don't all draw the same numbers."""
     if isinstance(value, str):
         for base in (16, 10):
             try:
@@ -88,7 +88,7 @@
 
 
 def decimal_seed(text: str) -> int:
-    """As the wire has it: a whole number; what is none counts by its letters."""
+    """The simulator's seed: a whole number; any other text is hashed."""
     try:
         return int(text)
     except ValueError:
@@ -102,8 +102,8 @@
         hard_limit=s.micros("hard-limit-s"),
         value=s.number("value", 1.0),
         overdue_value=s.number("overdue-value"),
-        repeat=REPEATS.get(s.text("repeat"), t.RepeatPolicy.UNREPEATABLE),
-        group=GROUPS.get(s.text("group"), t.DeduplicationScope.CELL),
+        repeat=REPEAT_POLICIES.get(s.text("repeat"), t.RepeatPolicy.UNREPEATABLE),
+        group=DEDUPLICATION_SCOPES.get(s.text("group"), t.DeduplicationScope.CELL),
         window=s.micros("window-s"),
         zones=s.names("confined-to"),
         kinds=s.names("bound-to"),
@@ -112,7 +112,8 @@
 
 def deployment(fields: Fields) -> t.Deployment:
     s = Settings(fields)
-    beside = s.text("family") == "mesh"  # what has no use in the one shape or the other counts as not told
+    # Settings without effect in a topology count as missing.
+    per_client = s.text("family") == "mesh"
     return t.Deployment(
         seed=decimal_seed(s.text("random-seed", "0")),
         tier=int(s.number("tier")),
@@ -130,35 +131,35 @@
         overload_time=s.micros("invariants.fall-s", 1.0),
         round=s.micros("round-s", 0.001),
         max_attempts=int(s.number("limits.most-launches", 1)),
-        hedging_allowed=not beside and s.flag("limits.may-duplicate"),
+        hedging_allowed=not per_client and s.flag("limits.may-duplicate"),
         cancel_allowed=s.flag("limits.cancel"),
-        probes_allowed=not beside and s.flag("limits.probes"),
-        reports_asked=not beside and s.text("load-report.how", "off") == "on_probe",
+        probes_allowed=not per_client and s.flag("limits.probes"),
+        reports_asked=not per_client and s.text("load-report.how", "off") == "on_probe",
         advice_allowed=s.flag("limits.retry-after"),
         longest_advice=s.micros("limits.max-retry-after-s"),
-        sidecar_per_client=beside,
+        sidecar_per_client=per_client,
         zone=s.text("locality"),
         gone_binds=not s.flag("invariants.dropped-stay-open"),
-        uneven=beside or s.number("prices.cross-zone") > 0 or len(s.names("kinds")) > 1,
+        uneven=per_client or s.number("prices.cross-zone") > 0 or len(s.names("kinds")) > 1,
         crossing_price=s.number("prices.cross-zone"),
-        warm_keys=beside and s.flag("family-info.warm-keys"),
+        warm_keys=per_client and s.flag("family-info.warm-keys"),
         weights_live=s.text("weights") == "live",
-        weights_tell_speed=beside and s.text("weights") == "nominal",
+        weights_tell_speed=per_client and s.text("weights") == "nominal",
         few_connections=(
-            beside and s.number("limits.streams-per-conn", 1) > 1 and s.number("prices.connection") > 0
+            per_client and s.number("limits.streams-per-conn", 1) > 1 and s.number("prices.connection") > 0
         ),
     )
 
 
-# What has no use in one shape of deployment, and the values by which it isn't asked for there. To go without
-# it is always within the rules: no copies, no probes, an endpoint's weight as its size.
-BESIDE_ONLY = {
+# Settings without effect in one of the topologies, and the values that don't ask for them. To ignore them is
+# always within the rules: no hedging, no probes, an endpoint's weight as its size.
+PER_CLIENT_ONLY = {
     "limits.streams-per-conn": ("", "1", "1.0"),
     "family-info.warm-keys": FALSE,
     "prices.connection": ("", "0", "0.0"),
     "weights": ("", "off", "rough", "live"),
 }
-POOL_ONLY = {
+SHARED_ONLY = {
     "limits.may-duplicate": FALSE,
     "limits.probes": FALSE,
     "load-report.how": ("", "off", "inline"),
@@ -176,9 +177,12 @@
     "invariants.dropped-stay-open",
     "family-info.warm-keys",
 )
-PLACES = {"confined-to": "areas", "bound-to": "kinds"}  # of a workload, and where all names stand
-# The least of each number; none is over LARGEST.
-LEAST = {
+PLACEMENT_KEYS = {
+    "confined-to": "areas",
+    "bound-to": "kinds",
+}  # a workload's key, and the key that lists all names
+# The minimum of each number; the maximum is MAX_NUMBER.
+MINIMUMS = {
     "instances": 0.0,
     "tier": 0.0,
     "beyond-share-value": 0.0,
@@ -202,59 +206,66 @@
     "workloads.count": 0.0,
     "accounts.count": 0.0,
 }
-LEAST_OF = {"workloads": {"value": 0.0, "overdue-value": 0.0}, "accounts": {"quota-per-s": 0.0}}
+ITEM_MINIMUMS = {"workloads": {"value": 0.0, "overdue-value": 0.0}, "accounts": {"quota-per-s": 0.0}}
 
 
 def unused(fields: Fields) -> list[str]:
-    """The keys that ask for what has no use in this shape of deployment."""
-    idle = POOL_ONLY if fields.get("family") == "mesh" else BESIDE_ONLY
-    return [f"settings.{key}" for key, harmless in idle.items() if fields.get(key, "") not in harmless]
+    """The keys of settings without effect in this topology."""
+    ignored = SHARED_ONLY if fields.get("family") == "mesh" else PER_CLIENT_ONLY
+    return [
+        f"settings.{key}"
+        for key, default_values in ignored.items()
+        if fields.get(key, "") not in default_values
+    ]
 
 
 def check(fields: Fields) -> None:
-    """For the start of the program. Raises ValueError, its text the key and what is wrong there."""
+    """Raises ValueError, whose text names the key and the fault."""
     for key, choices in CHOICES.items():
         if fields.get(key, "") not in choices:
-            raise ValueError(f"settings.{key}: {fields[key]!r} is none of {', '.join(filter(None, choices))}")
+            raise ValueError(
+                f"settings.{key}: {fields[key]!r} is not one of {', '.join(filter(None, choices))}"
+            )
     for key in FLAGS:
         if fields.get(key, "") not in TRUE + FALSE:
             raise ValueError(f"settings.{key}: {fields[key]!r} is neither true nor false")
-    for key, least in LEAST.items():
-        check_number(fields, key, least)
-    for kind, numbers in LEAST_OF.items():
+    for key, minimum in MINIMUMS.items():
+        check_number(fields, key, minimum)
+    for kind, numbers in ITEM_MINIMUMS.items():
         for at in range(int(number_at(fields, f"{kind}.count", "0"))):
-            for key, least in numbers.items():
-                check_number(fields, f"{kind}.{at}.{key}", least)
+            for key, minimum in numbers.items():
+                check_number(fields, f"{kind}.{at}.{key}", minimum)
     check_workloads(fields)
-    check_places(fields)
+    check_placement(fields)
 
 
-def check_number(fields: Fields, key: str, least: float) -> None:
-    if not least <= number_at(fields, key, str(least)) <= LARGEST:
-        raise ValueError(f"settings.{key}: {fields[key]!r} is not within {least:g} to {LARGEST:g}")
+def check_number(fields: Fields, key: str, minimum: float) -> None:
+    if not minimum <= number_at(fields, key, str(minimum)) <= MAX_NUMBER:
+        raise ValueError(f"settings.{key}: {fields[key]!r} is not within {minimum:g} to {MAX_NUMBER:g}")
 
 
-def check_places(fields: Fields) -> None:
+def check_placement(fields: Fields) -> None:
     s = Settings(fields)
     for at, w in enumerate(s.items("workloads")):
-        for key, known in PLACES.items():
-            names = s.names(known)
+        for key, all_names_key in PLACEMENT_KEYS.items():
+            names = s.names(all_names_key)
             for name in w.names(key):
                 if names and name not in names:
-                    raise ValueError(f"settings.workloads.{at}.{key}: {name!r} is none of {', '.join(names)}")
+                    raise ValueError(
+                        f"settings.workloads.{at}.{key}: {name!r} is not one of {', '.join(names)}"
+                    )
     zone, zones = s.text("locality"), s.names("areas")
     if zone and zones and zone not in zones:
-        raise ValueError(f"settings.locality: {zone!r} is none of {', '.join(zones)}")
+        raise ValueError(f"settings.locality: {zone!r} is not one of {', '.join(zones)}")
     if not zone and s.number("prices.cross-zone") > 0:
         raise ValueError("settings.locality: missing, though settings.prices.cross-zone is set")
 
 
-# What decides whether an effect may happen twice must not be guessed: another customer's word that is not
-# known would pass for some other one. Of each workload: the key, and what it may be.
-KINDS = ("repeatable", "by_key", "once")
-GROUP_WORDS = ("", "all", "zone", "cell")
-WINDOW = "window-s"  # wanted where repeats are allowed by a key alone
-SPANS = ("contract-time-s", "hard-limit-s", WINDOW)  # seconds; each is more than none
+# What decides whether an effect may happen twice must not be guessed, so unknown words are refused here.
+REPEAT_WORDS = ("repeatable", "by_key", "once")
+SCOPE_WORDS = ("", "all", "zone", "cell")
+WINDOW_KEY = "window-s"  # required where repeats are deduplicated by key
+DURATION_KEYS = ("contract-time-s", "hard-limit-s", WINDOW_KEY)  # seconds, each above 0
 
 
 def check_workloads(fields: Fields) -> None:
@@ -265,26 +276,26 @@
         if not name or name in names:
             raise ValueError(f"settings.{path}.name: {name!r} is none, or there already")
         names.append(name)
-        check_word(fields, f"{path}.repeat", KINDS)
+        check_word(fields, f"{path}.repeat", REPEAT_WORDS)
         keyed = w.text("repeat") == "by_key"
         if keyed:
-            check_word(fields, f"{path}.group", GROUP_WORDS)
-        for key in SPANS:
-            if key != WINDOW or keyed:
-                check_span(fields, f"{path}.{key}")
+            check_word(fields, f"{path}.group", SCOPE_WORDS)
+        for key in DURATION_KEYS:
+            if key != WINDOW_KEY or keyed:
+                check_duration(fields, f"{path}.{key}")
 
 
 def check_word(fields: Fields, key: str, words: tuple[str, ...]) -> None:
     value = fields.get(key, "")
     if value not in words:
-        raise ValueError(f"settings.{key}: {value!r} is none of {', '.join(filter(None, words))}")
+        raise ValueError(f"settings.{key}: {value!r} is not one of {', '.join(filter(None, words))}")
 
 
-def check_span(fields: Fields, key: str) -> None:
+def check_duration(fields: Fields, key: str) -> None:
     if not fields.get(key):
         raise ValueError(f"settings.{key}: missing")
-    if not 0 < number_at(fields, key, "") <= LARGEST:
-        raise ValueError(f"settings.{key}: {fields[key]!r} is not over 0")
+    if not 0 < number_at(fields, key, "") <= MAX_NUMBER:
+        raise ValueError(f"settings.{key}: {fields[key]!r} is not above 0")
 
 
 def number_at(fields: Fields, key: str, default: str) -> float:
@@ -294,14 +305,14 @@
     except ValueError:
         value = float("nan")
     if not isfinite(value):
-        raise ValueError(f"settings.{key}: {text!r} is no number")
+        raise ValueError(f"settings.{key}: {text!r} is not a number")
     return value
 
 
-def idle_limit(fields: Fields) -> float:
-    """Seconds for which an endpoint keeps an idle connection at the least."""
+def idle_timeout_s(fields: Fields) -> float:
+    """The shortest time for which an endpoint keeps an idle connection open."""
     return Settings(fields).number("limits.conn-idle-s", 5.0)
 
 
-def connect_limit(fields: Fields) -> float:
+def connect_timeout_s(fields: Fields) -> float:
     return Settings(fields).number("limits.connect-timeout-s", 1.0) or 1.0
--- a/lupinmill/routing/admit.py
+++ b/lupinmill/routing/admit.py
@@ -40,7 +40,7 @@
             return told
         try:
             asked = client_requests.parse(request, self.known)
-            if self.book.is_open(asked.submission):
+            if self.book.is_open(asked.request_id):
                 # Under one name the module would take both for one, and one client would get no answer.
                 raise Malformed(400, "this Req-Id is still open", True)
         except Malformed as error:
@@ -48,11 +48,15 @@
         if asked.workload in self.gone:
             return client_requests.rejection(self.advice)
         comes = body is not None and not body.whole
-        waited = client.waited_for(asked.left, comes)
-        if comes and waited >= asked.left:
+        waited = client.waited_for(asked.time_left, comes)
+        if comes and waited >= asked.time_left:
             return client_requests.rejection(self.advice)  # all its client's time may be over already
         # While it comes its client may be writing still, which goes on to nobody's harm.
-        due = self.due(asked.left, 0, int(to_come * 1_000_000)) if comes else self.due(asked.left, waited)
+        due = (
+            self.due(asked.time_left, 0, int(to_come * 1_000_000))
+            if comes
+            else self.due(asked.time_left, waited)
+        )
         journey = Journey(asked, request, due, client, self.book.engine.clock.now() - waited, body=body)
         try:
             self.book.begin(journey)
--- a/lupinmill/routing/body.py
+++ b/lupinmill/routing/body.py
@@ -9,10 +9,10 @@
 
 import anyio
 
-from lupinmill.protocol.http import SMALL
+from lupinmill.protocol.http import MAX_BUFFERED_BODY
 from lupinmill.transport.ring import Shelf
 
-AHEAD = SMALL  # bytes that may wait for a launch beyond what the shelf has room for
+AHEAD = MAX_BUFFERED_BODY  # bytes that may wait for a launch beyond what the shelf has room for
 
 
 class Gone(Exception):
--- a/lupinmill/routing/book.py
+++ b/lupinmill/routing/book.py
@@ -66,13 +66,20 @@
 
     def begin(self, journey: Journey) -> None:
         asked = journey.asked
-        self.journeys[asked.submission] = journey
+        self.journeys[asked.request_id] = journey
         self.unlaunched += 1
         whole = journey.body is None or journey.body.whole
-        name, again = asked.submission, asked.repeated
+        name, again = asked.request_id, asked.is_retry
         self.engine.tell(
             t.RequestArrived(
-                name, asked.workload, journey.due, asked.tenant, again, whole, asked.key, asked.keyed
+                name,
+                asked.workload,
+                journey.due,
+                asked.tenant,
+                again,
+                whole,
+                asked.key,
+                asked.has_idempotency_key,
             )
         )
 
@@ -83,7 +90,7 @@
         for launch in journey.launches:
             if launch.out:
                 launch.deadline.move(clock + (due - now) / 1_000_000)
-        self.engine.tell(t.RequestBodyReceived(journey.asked.submission, due))
+        self.engine.tell(t.RequestBodyReceived(journey.asked.request_id, due))
 
     def begin_stream(
         self, journey: Journey, launch: Launch, answer: Answer, stream: Stream, load: t.LoadReport | None
@@ -124,7 +131,7 @@
     def withdraw(self, journey: Journey) -> None:
         """Its client has gone away, or its answer came from no decision."""
         if self.settle(journey, None):
-            self.engine.tell(t.RequestCancelled(journey.asked.submission))
+            self.engine.tell(t.RequestCancelled(journey.asked.request_id))
 
     def after_failure(self, event: Any) -> None:
         """The module failed on this note, and may never decide about its submission: where no launch is out
@@ -140,8 +147,8 @@
     def answer_for_module(self, journey: Journey) -> None:
         """A final answer that comes from no decision."""
         if self.settle(journey, aborted_response()):
-            self.engine.log("backstop", submission=journey.asked.submission)
-            self.engine.tell(t.RequestCancelled(journey.asked.submission))
+            self.engine.log("backstop", submission=journey.asked.request_id)
+            self.engine.tell(t.RequestCancelled(journey.asked.request_id))
 
     def ended(
         self,
@@ -166,7 +173,7 @@
     def tell_ended(self, journey: Journey, launch: Launch, how: t.Outcome, load: t.LoadReport | None) -> None:
         # From its last byte on: until then it was this loop and the connection that took their time.
         began = launch.sent or launch.at
-        name, took = journey.asked.submission, self.engine.clock.now() - began - launch.waited
+        name, took = journey.asked.request_id, self.engine.clock.now() - began - launch.waited
         took = max(took, LEAST)
         last = journey.body is not None and not (journey.body.anew() and self.left(journey) > 0)
         self.engine.tell(t.AttemptEnded(name, launch.number, how, took, journey.settled, load, last))
@@ -178,12 +185,14 @@
         if journey.begin_by is not None:
             left = min(left, journey.begin_by - now)
         elif journey.body is not None and not journey.body.whole:
-            left = min(left, journey.asked.left - journey.client.waited_for(journey.asked.left, True))
+            left = min(
+                left, journey.asked.time_left - journey.client.waited_for(journey.asked.time_left, True)
+            )
         return left
 
     def close(self, journey: Journey) -> None:
         if journey.settled and not any(launch.out for launch in journey.launches):
-            if self.journeys.pop(journey.asked.submission, None) is not None and not journey.launches:
+            if self.journeys.pop(journey.asked.request_id, None) is not None and not journey.launches:
                 self.unlaunched -= 1
             if journey.body is not None:
                 journey.body.drop()
--- a/lupinmill/routing/door.py
+++ b/lupinmill/routing/door.py
@@ -67,8 +67,8 @@
         asked = fast_path.parse_simple_request(data, self.workloads)
         if asked is None:
             return True
-        left = max(0, asked.left - client.waited_for(asked.left))
-        offer = Offer(asked.workload, left, asked.repeated, asked.tenant, client=client)
+        left = max(0, asked.time_left - client.waited_for(asked.time_left))
+        offer = Offer(asked.workload, left, asked.is_retry, asked.tenant, client=client)
         fate = self.gate.offer(self.engine.clock.now(), offer)
         if fate is Fate.DENIED:
             denied = self.deny(client)
--- a/lupinmill/routing/relay.py
+++ b/lupinmill/routing/relay.py
@@ -47,7 +47,7 @@
         if not journey.settled:
             self.book.withdraw(journey)
             journey.answer = aborted_response()
-            self.log("backstop", submission=journey.asked.submission)
+            self.log("backstop", submission=journey.asked.request_id)
 
     async def pass_stream(
         self, client: Client, side: ServerSide, answer: Answer, stream: Stream, close: bool
@@ -69,7 +69,7 @@
         except (Broken, h11.LocalProtocolError) as error:
             self.log("answer_broken", error=str(error), began=began)
         finally:
-            if not whole and not client.owed and not side.tells_its_end():
+            if not whole and not client.owed and not side.truncation_detectable():
                 client.reset_on_close()
             stream.finish()
         if not whole:
--- a/lupinmill/routing/send.py
+++ b/lupinmill/routing/send.py
@@ -232,8 +232,8 @@
         """Guards against answers that begin and never end: waiting for more until the hard limit would leave
         no time for another launch. Of a large one it is the head, with the body to be taken from `side`."""
         while (answer := side.next_answer()) is None:
-            if side.large and side.got is not None:
-                return side.got
+            if side.large and side.received_answer is not None:
+                return side.received_answer
             side.feed(await deadline.receive(connection, side.begun()))
         return answer
 
--- a/lupinmill/routing/take_in.py
+++ b/lupinmill/routing/take_in.py
@@ -10,8 +10,8 @@
 
 from lupinmill.protocol.http import (
     END,
-    LARGEST_BODY,
-    SMALL,
+    MAX_BODY_BYTES,
+    MAX_BUFFERED_BODY,
     Answer,
     Malformed,
     Request,
@@ -116,7 +116,7 @@
     async def refuse(self, client: Client, side: ServerSide, answer: Answer) -> None:
         """Of what was no whole request."""
         client.owed = True
-        await self.relay.pass_back(client, side, answer, True, LARGEST_BODY)
+        await self.relay.pass_back(client, side, answer, True, MAX_BODY_BYTES)
 
     async def take_up(self, client: Client, side: ServerSide, request: Request, body: Body | None) -> bool:
         """True when the connection can serve another one."""
@@ -161,7 +161,7 @@
                 return await self.relay.pass_stream(
                     client, side, answer, journey.stream, self.closes(client, side)
                 )
-            return await self.relay.pass_back(client, side, answer, self.closes(client, side), LARGEST_BODY)
+            return await self.relay.pass_back(client, side, answer, self.closes(client, side), MAX_BODY_BYTES)
         finally:
             if journey.stream is not None:
                 journey.stream.finish()
@@ -191,7 +191,7 @@
     def admitted(self, client: Client, request: Request, body: Body | None) -> Journey | Answer:
         to_come = 0.0
         if body is not None and not body.whole:
-            to_come = WHOLE + ((body.length or LARGEST_BODY) - body.end) / PACE
+            to_come = WHOLE + ((body.length or MAX_BODY_BYTES) - body.end) / PACE
         admitted: Journey | Answer | None = None
         try:
             admitted = self.admit.request(request, client, body, to_come)
@@ -208,7 +208,7 @@
             with anyio.move_on_after(self.relay.longest(journey)) as scope:
                 journey.waiting = scope
                 if not journey.settled:
-                    there = await self.gather(client, side, body, LARGEST_BODY)
+                    there = await self.gather(client, side, body, MAX_BODY_BYTES)
         except Malformed:
             if not journey.settled:
                 raise
@@ -223,7 +223,7 @@
             client.left = True
             self.relay.book.withdraw(journey)
             return False
-        left, waits = journey.asked.left, client.waits()
+        left, waits = journey.asked.time_left, client.waits()
         due, begin_by = self.admit.due(left, waits.at_least), self.admit.due(left, waits.at_most)
         self.relay.book.whole(journey, due, begin_by)
         return True
@@ -253,7 +253,7 @@
         """Whole up to 64 KiB, and up to 1 MiB while the shelf has room."""
         small, began = bytearray(), 0.0
         limit: Limit | None = None  # most have come whole with their head, and need none
-        while (part := side.next_part()) is not END and len(small) <= SMALL:
+        while (part := side.next_part()) is not END and len(small) <= MAX_BUFFERED_BODY:
             if isinstance(part, (bytes, bytearray)):
                 small += part
                 continue
@@ -285,7 +285,7 @@
         nobody takes what is there already doesn't count. False where the client left."""
         began, before = anyio.current_time(), side.size
         limit = Limit(began + WHOLE)
-        while body.end < most or most == LARGEST_BODY:
+        while body.end < most or most == MAX_BODY_BYTES:
             part = side.next_part()
             if part is END:
                 body.finish()
@@ -295,9 +295,9 @@
                     return False
             else:
                 asked = anyio.current_time()
-                await body.put(part, most == LARGEST_BODY)
+                await body.put(part, most == MAX_BODY_BYTES)
                 began += anyio.current_time() - asked
-                if most < LARGEST_BODY and not body.kept():
+                if most < MAX_BODY_BYTES and not body.kept():
                     break
                 limit.until = began + WHOLE + (side.size - before) / PACE
         return True
@@ -307,7 +307,7 @@
         that it was this loop that came late."""
         data = b""
         with anyio.CancelScope(deadline=limit.until) as scope:
-            if ahead := side.go_ahead():
+            if ahead := side.continue_response():
                 await client.send(ahead)
             data = await client.receive()
         if scope.cancelled_caught:
@@ -328,7 +328,7 @@
     async def turn_away(self, client: Client) -> None:
         """No descriptor to serve it with: what it asks is denied at once, and nothing was launched. Whether
         this sidecar is ready is told as it is: by a front that hears 503 it would not be taken in."""
-        side, limit = ServerSide(SMALL), Limit(anyio.current_time() + CROWDED_OUT)
+        side, limit = ServerSide(MAX_BUFFERED_BODY), Limit(anyio.current_time() + CROWDED_OUT)
         goes_on = True
         while goes_on:
             try:
--- a/tests/bed.py
+++ b/tests/bed.py
@@ -15,7 +15,7 @@
 from lupinmill import terms as t
 from lupinmill.program.sidecar import Program
 from lupinmill.program.process_settings import parse_settings
-from lupinmill.protocol.http import LARGEST_BODY, Answer, ClientSide, Garbled, ServerSide
+from lupinmill.protocol.http import MAX_BODY_BYTES, Answer, ClientSide, Garbled, ServerSide
 from lupinmill.rules import SECOND, Sidecar
 
 NEVER = {t.Outcome.REFUSED, t.Outcome.UNCONNECTED, t.Outcome.UNSENT}
@@ -367,7 +367,7 @@
         host, port = self.address.split(":")
         async with await anyio.connect_tcp(host, int(port)) as stream:
             await stream.send(data)
-            side = ClientSide(LARGEST_BODY)
+            side = ClientSide(MAX_BODY_BYTES)
             side.http.send(h11.Request(method="GET", target="/", headers=[("Host", "x")]))
             side.http.send(h11.EndOfMessage())
             with anyio.move_on_after(gone_after if gone_after is not None else 10):
--- a/tests/test_config_overlay.py
+++ b/tests/test_config_overlay.py
@@ -120,8 +120,8 @@
     usual, protocol_settings.Settings = protocol_settings.Settings, Row
     try:
         protocol_settings.deployment(fields)
-        protocol_settings.idle_limit(fields)
-        protocol_settings.connect_limit(fields)
+        protocol_settings.idle_timeout_s(fields)
+        protocol_settings.connect_timeout_s(fields)
     finally:
         protocol_settings.Settings = usual
     protocol_settings.check(fields)
@@ -141,17 +141,17 @@
         ),
         ({"instance": 3}, "settings.instance: unknown; the nearest known key is instances"),
         ({"instances": 0}, "settings.instances: '0' is not within 1"),
-        ({"instances": "many"}, "settings.instances: 'many' is no number"),
+        ({"instances": "many"}, "settings.instances: 'many' is not a number"),
         ({"limits": {"cancel": "perhaps"}}, "settings.limits.cancel: 'perhaps' is neither"),
         ({"workloads": {"view": {"value": -1}}}, "settings.workloads.0.value: '-1' is not within 0"),
         (
             {"workloads": {"view": {"hard-limit-s": 0}}},
-            "settings.workloads.0.hard-limit-s: '0' is not over 0",
+            "settings.workloads.0.hard-limit-s: '0' is not above 0",
         ),
         ({"workloads": {"new": {"repeat": "once"}}}, "settings.workloads.3.contract-time-s: missing"),
         ({"workloads": {"view": None, "bid": None, "issue": None}}, "settings.workloads: none would be left"),
         ({"workloads": [{"name": "a"} | workload()] * 2}, "settings.workloads.1.name: 'a' is none, or there"),
-        ({"accounts": {"a": {"quota-per-s": "x"}}}, "settings.accounts.0.quota-per-s: 'x' is no number"),
+        ({"accounts": {"a": {"quota-per-s": "x"}}}, "settings.accounts.0.quota-per-s: 'x' is not a number"),
         ({"tier": 1}, "settings.tier: wants a new start"),
         ({"discovery": "push"}, "settings.discovery: wants a new start"),
         ({"round-s": 1.0}, "settings.round-s: wants a new start"),
--- a/tests/test_config_push.py
+++ b/tests/test_config_push.py
@@ -123,7 +123,7 @@
     (FLEET, {"instances": 0}, "settings.instances: '0' is not within 1 to"),
     (FLEET, {"workloads": {"view": {"hard-limit-s": "long"}}}, "settings.workloads.0.hard-limit-s"),
     (FLEET, {"workloads": {"view": {"repeat": "often"}}}, "settings.workloads.0.repeat: 'often'"),
-    (FLEET, {"workloads": [{"name": "view"}]}, "settings.workloads.0.repeat: '' is none of"),
+    (FLEET, {"workloads": [{"name": "view"}]}, "settings.workloads.0.repeat: '' is not one of"),
     (FLEET, {"workloads": 7}, "settings.workloads: wants a list"),
     (of_service("s"), {"limits": {"cancel": "perhaps"}}, "settings.limits.cancel: 'perhaps' is neither"),
     (of_service("s"), {"limits.cancel": True}, "wants a table within a table"),
--- a/tests/test_engine_defects.py
+++ b/tests/test_engine_defects.py
@@ -71,7 +71,7 @@
         ended = net.program.book.tell_ended
 
         def broken(journey, *more):
-            if journey.asked.submission == "bad":
+            if journey.asked.request_id == "bad":
                 raise KeyError("planted")
             ended(journey, *more)
 
--- a/tests/test_forwarded_framing.py
+++ b/tests/test_forwarded_framing.py
@@ -235,7 +235,7 @@
     client.feed(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + filler)
     with pytest.raises(Garbled):
         client.next_answer()
-    assert max(given_to) <= 2 * http.BETWEEN_CHUNKS
+    assert max(given_to) <= 2 * http.CHUNK_HEADER_PIECE
 
 
 # --- answers to clients --------------------------------------------------------------------------
@@ -308,7 +308,7 @@
     assert side.next_request() is not None
     data = side.begin(Answer(200), None, False) + side.part(b"o") + side.part(b"k") + side.end()
     assert as_read(asked, data).body == (b"" if asked.startswith(b"HEAD") else b"ok")
-    assert side.tells_its_end() == (b"HTTP/1.1" in asked)
+    assert side.truncation_detectable() == (b"HTTP/1.1" in asked)
 
 
 @pytest.mark.parametrize("status", [204, 304])
@@ -386,7 +386,7 @@
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\nab",
         b"HTTP/1.1 099 OK\r\n\r\n",
         b"HTTP/1.1 101 Switch\r\nUpgrade: x\r\n\r\n",
-        b"HTTP/1.1 103 Hints\r\n\r\n" * (http.MOST_AHEAD + 1),
+        b"HTTP/1.1 103 Hints\r\n\r\n" * (http.MAX_INFORMATIONAL + 1),
         b"HTTP/1.1 200 OK\r\nX: " + b"y" * 17_000 + b"\r\nContent-Length: 0\r\n\r\n",
         b"HTTP/1.1 200 OK\r\n" + b"X: y\r\n" * 4_000 + b"Content-Length: 0\r\n\r\n",
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1;" + b"e" * 3000 + b"\r\na\r\n0\r\n\r\n",
@@ -400,7 +400,7 @@
 
 
 def test_some_informational_answers_are_passed_over():
-    ahead = b"HTTP/1.1 103 Hints\r\n\r\n" * http.MOST_AHEAD
+    ahead = b"HTTP/1.1 103 Hints\r\n\r\n" * http.MAX_INFORMATIONAL
     side = reading(ahead + b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
     assert side.next_answer().status == 200 and side.reusable()
 
@@ -471,4 +471,4 @@
 
     net = on_network(check, always("reset"), endpoint=resets)
     assert len([one for one in seen if one.header(b"req-id")]) == 1
-    assert t.Outcome.HANDLED not in net.ended() or size > http.SMALL
+    assert t.Outcome.HANDLED not in net.ended() or size > http.MAX_BUFFERED_BODY
--- a/tests/test_forwarded_headers.py
+++ b/tests/test_forwarded_headers.py
@@ -51,7 +51,7 @@
         value for name, value in vars(client_requests).items() if name.isupper() and isinstance(value, bytes)
     }
     read -= {client_requests.READY, client_requests.HEALTH, client_requests.STATUS}
-    assert len(read) == 9 and read <= http.ALWAYS_KEPT
+    assert len(read) == 9 and read <= http.ALWAYS_FORWARDED
 
 
 def test_what_is_hop_by_hop_goes_also_when_connection_does_not_name_it():
@@ -91,7 +91,7 @@
     pairs = [*rest, (name, values[0]), (name.lower(), values[1])]
     with pytest.raises(Malformed) as caught:
         client_requests.parse(Request(b"GET", b"/view", pairs), KNOWN)
-    assert caught.value.status == 400 and caught.value.trusted
+    assert caught.value.status == 400 and caught.value.framing_intact
 
 
 @pytest.mark.parametrize("name", [b"Req-Id", b"Req-Kind", b"Req-Deadline"])
@@ -99,7 +99,7 @@
     pairs = [(key, b"" if key == name else value) for key, value in HEADERS]
     with pytest.raises(Malformed) as caught:
         client_requests.parse(Request(b"GET", b"/view", pairs), KNOWN)
-    assert caught.value.status == 400 and caught.value.trusted
+    assert caught.value.status == 400 and caught.value.framing_intact
 
 
 @pytest.mark.parametrize("name", ["Req-Id", "Idempotency-Key", "Req-Kind", "Req-Deadline"])
@@ -182,11 +182,11 @@
         side = ServerSide()
         side.feed(data)
         read = client_requests.parse(side.next_request(), KNOWN)
-        assert (seen.workload, seen.left, seen.tenant, seen.repeated) == (
+        assert (seen.workload, seen.time_left, seen.tenant, seen.is_retry) == (
             read.workload,
-            read.left,
+            read.time_left,
             read.tenant,
-            read.repeated,
+            read.is_retry,
         )
 
 
@@ -230,7 +230,7 @@
     ids = [b"a", b"a\xa0", b"a\x85", b"a\x1f", b"\xe9", "é".encode(), b"\xa0"]
     pairs = [pair for pair in HEADERS if pair[0] != b"Req-Id"]
     read = {
-        client_requests.parse(Request(b"GET", b"/view", [*pairs, (b"Req-Id", one)]), KNOWN).submission
+        client_requests.parse(Request(b"GET", b"/view", [*pairs, (b"Req-Id", one)]), KNOWN).request_id
         for one in ids
     }
     assert len(read) == len(ids)
--- a/tests/test_lab_sockets.py
+++ b/tests/test_lab_sockets.py
@@ -219,7 +219,7 @@
 
 def test_load_reports_are_written_as_the_program_reads_them() -> None:
     load = t.LoadReport(queued=3.0, held=7.0, busy=0.5, service=12_000.0, rate=40.0)
-    assert reports.read(report_text(load)) == load
-    assert report_text(None) == "" and reports.read(report_text(t.LoadReport(busy=1.0))) == t.LoadReport(
+    assert reports.parse(report_text(load)) == load
+    assert report_text(None) == "" and reports.parse(report_text(t.LoadReport(busy=1.0))) == t.LoadReport(
         busy=1.0
     )
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -65,9 +65,14 @@
 
 def test_a_request_becomes_a_submission():
     asked = client_requests.parse(request(**{"Req-Retry": "1", "Req-Owner": "isle"}), {"view"})
-    assert asked == client_requests.ClientRequest("77", "view", 250_000, "isle", True, keyed=False)
+    assert asked == client_requests.ClientRequest(
+        "77", "view", 250_000, "isle", True, has_idempotency_key=False
+    )
     keyed = client_requests.parse(request(**{"Idempotency-Key": "k"}), {"view"})
-    assert keyed.keyed and not client_requests.parse(request(**{"Idempotency-Key": ""}), {"view"}).keyed
+    assert (
+        keyed.has_idempotency_key
+        and not client_requests.parse(request(**{"Idempotency-Key": ""}), {"view"}).has_idempotency_key
+    )
     assert client_requests.parse(request(**{"Req-Kind": "-"}), {"view"}).workload == "view"
 
 
@@ -104,7 +109,7 @@
 def test_bad_headers_get_their_status(headers, status):
     with pytest.raises(Malformed) as caught:
         client_requests.parse(request(**headers), {"view", "bid"})
-    assert caught.value.status == status and caught.value.trusted
+    assert caught.value.status == status and caught.value.framing_intact
 
 
 def test_a_launch_goes_on_unchanged_but_for_the_time_left():
@@ -162,9 +167,11 @@
 def test_reports_by_either_name_and_form():
     whole = t.LoadReport(queued=2.0, busy=0.61)
     for text in ("queue=2,util=0.61", " waiting=2 , cpu=0.61,odd=1", '{"queue":2,"util":0.61}'):
-        assert reports.read(text) == whole
-    assert reports.read("inflight=7,latency_ms=1.5,qps=3") == t.LoadReport(held=7.0, service=1500.0, rate=3.0)
-    assert reports.read("queue=2,util=1e-05") == t.LoadReport(queued=2.0, busy=1e-05)
+        assert reports.parse(text) == whole
+    assert reports.parse("inflight=7,latency_ms=1.5,qps=3") == t.LoadReport(
+        held=7.0, service=1500.0, rate=3.0
+    )
+    assert reports.parse("queue=2,util=1e-05") == t.LoadReport(queued=2.0, busy=1e-05)
     for text in (
         None,
         "",
@@ -179,7 +186,7 @@
         "queue=99999999999,util=0.5",
         '{"queue":[1]}',
     ):
-        assert reports.read(text) is None
+        assert reports.parse(text) is None
 
 
 ROW = {
--- a/tests/test_settings_served.py
+++ b/tests/test_settings_served.py
@@ -332,7 +332,11 @@
 def test_whatever_the_documents_allow_starts_and_keeps_the_rules(table, seed, name):
     found = parse_settings(ADDRESSES | {"settings": table, "seed": seed, "name": name}, {})
     d = found.deployment
-    assert len(d.workloads) == len(table["workloads"]) and found.idle_limit >= 0 and found.connect_limit > 0
+    assert (
+        len(d.workloads) == len(table["workloads"])
+        and found.idle_timeout_s >= 0
+        and found.connect_timeout_s > 0
+    )
     bed = Bed(replace(d, workloads=[one for one in d.workloads]))
     for at in range(6):
         asked = d.workloads[at % len(d.workloads)]
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -13,7 +13,7 @@
 from test_sidecar import always, fine, seen, until
 
 from lupinmill import terms as t
-from lupinmill.protocol.http import SMALL, Answer, ClientSide, Garbled, Request, ServerSide
+from lupinmill.protocol.http import MAX_BUFFERED_BODY, Answer, ClientSide, Garbled, Request, ServerSide
 from lupinmill.routing import body as bodies
 from lupinmill.routing import take_in
 from lupinmill.routing.body import Body, Gone
@@ -238,7 +238,7 @@
 @pytest.mark.parametrize("shelf", [0, 2 * MIB, 64 * MIB])
 @pytest.mark.parametrize("form", ["length", "chunked"])
 def test_bodies_reach_the_endpoint_byte_for_byte(form, shelf):
-    sizes = [SMALL, SMALL + 1, 300_000, MIB + 5, 6 * MIB]
+    sizes = [MAX_BUFFERED_BODY, MAX_BUFFERED_BODY + 1, 300_000, MIB + 5, 6 * MIB]
 
     async def check(net: Net):
         net.program.shelf.limit = shelf
--- a/tests/test_start_faults.py
+++ b/tests/test_start_faults.py
@@ -395,7 +395,7 @@
 
 def test_an_end_waits_for_no_request_beyond_the_longest_deadline(monkeypatch):
     """Guards against a program that never ends, as `leave` waits for a count that a defect has left up."""
-    monkeypatch.setattr(sidecar, "LONGEST", 0.5)
+    monkeypatch.setattr(sidecar, "MAX_DEADLINE_S", 0.5)
     monkeypatch.setattr(sidecar, "ANSWERED", 0.1)
 
     async def check(net: Net):
