--- a/lupinmill/__main__.py
+++ b/lupinmill/__main__.py
@@ -5,7 +5,7 @@
 import sys
 
 from lupinmill.program.signals import Signals
-from lupinmill.program.standard_streams import complain, open_missing
+from lupinmill.program.standard_streams import print_error, open_missing
 
 SERVES = __name__ == "__main__" and len(sys.argv) < 2
 SIGNALS = Signals()
@@ -26,15 +26,17 @@
 def serve() -> int:
     logs = None
     try:
-        start = process_settings.read(os.environ)
-        logs = Logs(start.name)
-        program = Program(start, logs.event, lambda: process_settings.read(os.environ, again=True), SIGNALS)
+        settings = process_settings.read(os.environ)
+        logs = Logs(settings.name)
+        program = Program(
+            settings, logs.event, lambda: process_settings.read(os.environ, reload=True), SIGNALS
+        )
         anyio.run(program.run)
     except process_settings.StartupError as error:
-        complain(str(error))
+        print_error(str(error))
         return 2
     except OSError as error:
-        complain(error.strerror or str(error))
+        print_error(error.strerror or str(error))
         return 2
     finally:
         SIGNALS.ignore()
--- a/lupinmill/config/push.py
+++ b/lupinmill/config/push.py
@@ -159,8 +159,8 @@
     try:
         known_keys(value, Zones, "")
         zones = msgspec.convert(value, Zones)
-        if not 0 < len(zones.map) <= operators_file.MOST_ZONES:
-            raise ConfigFileError(f"map: wants 1 to {operators_file.MOST_ZONES} zones")
+        if not 0 < len(zones.map) <= operators_file.MAX_ZONES:
+            raise ConfigFileError(f"map: wants 1 to {operators_file.MAX_ZONES} zones")
         for name, entry in zones.map.items():
             for other, cost in entry.costs.items():
                 if other not in zones.map:
--- a/lupinmill/config/relay_file.py
+++ b/lupinmill/config/relay_file.py
@@ -12,7 +12,7 @@
 import msgspec
 from msgspec import Struct
 
-from lupinmill.program.operators_file import LONGEST_NAME, ConfigFileError, known_keys, check_address
+from lupinmill.program.operators_file import MAX_NAME_LENGTH, ConfigFileError, known_keys, check_address
 
 LARGEST = 64 * 1024  # bytes of the file
 MOST_UPSTREAMS = 8
@@ -69,8 +69,8 @@
 
 
 def check(file: RelayFile) -> None:
-    if not 0 < len(file.name.encode()) <= LONGEST_NAME or not file.name.isprintable():
-        raise ConfigFileError(f"name: wants 1 to {LONGEST_NAME} bytes")
+    if not 0 < len(file.name.encode()) <= MAX_NAME_LENGTH or not file.name.isprintable():
+        raise ConfigFileError(f"name: wants 1 to {MAX_NAME_LENGTH} bytes")
     check_address(file.listen, "listen")
     if file.operator:
         check_address(file.operator, "operator")
--- a/lupinmill/lab/scale/computed.py
+++ b/lupinmill/lab/scale/computed.py
@@ -58,14 +58,14 @@
     return [
         row(
             "members", "sidecar", "members that one file may have", "members", fleet,
-            operators_file.MOST_MEMBERS, Bound("at", operators_file.MOST_MEMBERS),
+            operators_file.MAX_MEMBERS, Bound("at", operators_file.MAX_MEMBERS),
             "lupinmill/program/operators_file.py", (ROSTERS, CONFIG, CELLS), True,
-            "`MOST_MEMBERS`; one more is refused, from the file or as an entry",
+            "`MAX_MEMBERS`; one more is refused, from the file or as an entry",
         ),
         row(
-            "zones", "sidecar", "zones that one file may have", "zones", zones, operators_file.MOST_ZONES,
-            proportional(zones, operators_file.MOST_ZONES, fleet), "lupinmill/program/operators_file.py",
-            (CELLS, CONFIG), True, "`MOST_ZONES`; the plan's body has 700 bytes",
+            "zones", "sidecar", "zones that one file may have", "zones", zones, operators_file.MAX_ZONES,
+            proportional(zones, operators_file.MAX_ZONES, fleet), "lupinmill/program/operators_file.py",
+            (CELLS, CONFIG), True, "`MAX_ZONES`; the plan's body has 700 bytes",
         ),
     ]  # fmt: skip
 
--- a/lupinmill/lab/scale/settings.py
+++ b/lupinmill/lab/scale/settings.py
@@ -48,12 +48,12 @@
 @contextmanager
 def caps_lifted() -> Iterator[None]:
     """A trial: what reading would cost if the file were taken."""
-    kept = operators_file.LARGEST, operators_file.MOST_MEMBERS
-    operators_file.LARGEST, operators_file.MOST_MEMBERS = 2**30, 10**9
+    kept = operators_file.MAX_FILE_BYTES, operators_file.MAX_MEMBERS
+    operators_file.MAX_FILE_BYTES, operators_file.MAX_MEMBERS = 2**30, 10**9
     try:
         yield
     finally:
-        operators_file.LARGEST, operators_file.MOST_MEMBERS = kept
+        operators_file.MAX_FILE_BYTES, operators_file.MAX_MEMBERS = kept
 
 
 def read_file(members: int) -> tuple[float, float, int]:
--- a/lupinmill/program/__init__.py
+++ b/lupinmill/program/__init__.py
@@ -1,1 +1,1 @@
-"""The running program: configuration, logs, signals, the watch on the list of endpoints."""
+"""The running process: its settings, log, signals and configuration watch, and the wiring of its parts."""
--- a/lupinmill/program/fleet_state.py
+++ b/lupinmill/program/fleet_state.py
@@ -1,7 +1,7 @@
-"""What this sidecar holds in common with the others, told to the decision module once a period, in one note.
+"""Publishes the fleet's shared state to the decision module, once a period in one event.
 
-Owns nothing: the count is the peers', plan and brakes are the zones'. A note counts for some periods; should
-this task end, the module is as told at the start soon after."""
+The number of sidecars comes from the peers, plan and brakes from the zones. An event is valid for some
+periods: should this task end, the module soon falls back to its configured values."""
 
 from __future__ import annotations
 
@@ -18,44 +18,50 @@
 if TYPE_CHECKING:
     from lupinmill.zones.driver import ZoneDriver
 
-PERIOD = 1.0  # seconds
-COUNTS = 3 * SECOND
+PERIOD_S = 1.0
+VALIDITY = 3 * SECOND  # microseconds
 
 
 class FleetStatePublisher:
     def __init__(
-        self, engine: Engine, peers: Driver, told: int, live: bool, zone_driver: ZoneDriver | None, log: Log
+        self,
+        engine: Engine,
+        peers: Driver,
+        configured: int,
+        live: bool,
+        zone_driver: ZoneDriver | None,
+        log: Log,
     ) -> None:
         self.engine, self.peers, self.zone_driver, self.log = engine, peers, zone_driver, log
-        self.live = LiveCount(told, engine.clock.now()) if live else None
-        self.count = told
+        self.live_count = LiveCount(configured, engine.clock.now()) if live else None
+        self.count = configured
 
     async def run(self) -> None:
         while True:
-            self.look()
-            await anyio.sleep(self.zone_driver.period if self.zone_driver is not None else PERIOD)
+            self.publish()
+            await anyio.sleep(self.zone_driver.period if self.zone_driver is not None else PERIOD_S)
 
-    def look(self) -> None:
+    def publish(self) -> None:
         now, sidecars = self.engine.clock.now(), 0
-        if self.live is not None:
-            together = self.peers.quorum_state() in (QuorumState.MAJORITY, QuorumState.UNCERTAIN)
-            sidecars = self.live.step(now, together, len(self.peers.present()))
+        if self.live_count is not None:
+            has_quorum = self.peers.quorum_state() in (QuorumState.MAJORITY, QuorumState.UNCERTAIN)
+            sidecars = self.live_count.step(now, has_quorum, len(self.peers.present()))
             if sidecars != self.count:
                 self.log("mode", text=f"{sidecars} sidecars share the endpoints, {self.count} before")
                 self.count = sidecars
-        found = t.FleetState(until=now + COUNTS)
+        state = t.FleetState(until=now + VALIDITY)
         if self.zone_driver is not None:
             self.zone_driver.send_report()
-            found = self.zone_driver.current_plan(now)
-        found.sidecars = sidecars
-        self.engine.tell(found)
-
-    def change(self, told: int) -> None:
-        """Another figure told of how many share the endpoints."""
-        if self.live is not None:
-            self.live.configured = max(1, told)
+            state = self.zone_driver.current_plan(now)
+        state.sidecars = sidecars
+        self.engine.tell(state)
+
+    def change_configured_count(self, configured: int) -> None:
+        """Takes a new configured number of sidecars that share the endpoints."""
+        if self.live_count is not None:
+            self.live_count.configured = max(1, configured)
         else:
-            self.count = told
+            self.count = configured
 
     def show(self) -> dict[str, object]:
-        return {"sidecars": self.count, "live": self.live is not None}
+        return {"sidecars": self.count, "live": self.live_count is not None}
--- a/lupinmill/program/live_config.py
+++ b/lupinmill/program/live_config.py
@@ -1,9 +1,8 @@
-"""What this process goes by: settings as the platform told them, entries of the configuration over them, put
-in force while it runs, whole or not at all.
+"""The settings in force: the platform's settings, overlaid with configuration entries while running.
 
-All is checked before anything changes; then all parts change in one go, with no pause between them. Work in
-hand keeps the terms under which it was taken. Owns the base (as told last), the version in force with its
-entries, and the newest version that was refused."""
+A change is checked completely before anything is changed, and then applied to all parts without a pause in
+between. Requests in progress keep the terms under which they were accepted. This module owns the base (the
+platform's latest settings), the version in force with its entries, and the newest refused version."""
 
 from __future__ import annotations
 
@@ -26,11 +25,11 @@
 if TYPE_CHECKING:
     from lupinmill.program.sidecar import Program
 
-WAIT = 8_000_000  # microseconds that a relay may hold a watch; one that hangs is left within 12 s
-LONGEST_LINE = 200
+LONG_POLL_WAIT = 8_000_000  # microseconds that a relay may hold a watch; a hanging one is left within 12 s
+MAX_MESSAGE_LENGTH = 200
 
-# What can't change alive: parts are built by it once, or others count on it. By field of `Deployment`, the
-# key; beside these what `operators_file.changes_needing_restart` names.
+# Settings that can't change at run time, since parts are built from them once or others rely on them: the
+# field of `Deployment`, and its key. `operators_file.changes_needing_restart` has further ones.
 RESTART_REQUIRED = (
     ("tier", "tier"),
     ("poll_discovery", "discovery"),
@@ -45,19 +44,19 @@
 
 
 class IncompatibleConfig(Exception):
-    """The text is one line: the key, and what is wrong there."""
+    """The text is one line: the key and the fault."""
 
 
 @dataclass(slots=True)
 class ConfigCandidate:
     version: Version
     entries: Entries
-    why: str = ""
+    reason: str = ""
 
 
 def combine(base: ProcessSettings, entries: Entries) -> ProcessSettings:
-    """What is told with the entries over it. Raises IncompatibleConfig."""
-    found, file = base, base.operators
+    """The platform's settings with the entries laid over them. Raises IncompatibleConfig."""
+    combined, file = base, base.operator_file
     assert file is not None
     try:
         if any(key.kind == SETTINGS for key in entries):
@@ -70,157 +69,161 @@
             deployment = replace(settings.deployment(fields), seed=base.deployment.seed)
             if not deployment.workloads:
                 raise ValueError("settings.workloads: none would be left")
-            DispatchSettings(deployment)  # the module's own reading of it: what fails there fails here
-            found = replace(
+            DispatchSettings(deployment)  # raises what the decision module would raise
+            combined = replace(
                 base,
                 deployment=deployment,
                 idle_timeout_s=settings.idle_timeout_s(fields),
                 connect_timeout_s=settings.connect_timeout_s(fields),
             )
         file = operators_file.with_entries(file, merge.members(entries), merge.zones(entries))
-        operators_file.check_against_platform(file, base.name, found.deployment)
+        operators_file.check_against_platform(file, base.name, combined.deployment)
     except (operators_file.ConfigFileError, ValueError, TypeError, OverflowError, ArithmeticError) as error:
-        raise IncompatibleConfig(" ".join(str(error).split())[:LONGEST_LINE]) from error
-    return replace(found, operators=file)
+        raise IncompatibleConfig(" ".join(str(error).split())[:MAX_MESSAGE_LENGTH]) from error
+    return replace(combined, operator_file=file)
 
 
 def check_restart_required(running: ProcessSettings, new: ProcessSettings) -> None:
-    """Raises IncompatibleConfig, with the key, where this would change what can't change alive."""
+    """Raises IncompatibleConfig, naming the key, for a change that needs a restart."""
     for field, key in RESTART_REQUIRED:
         if getattr(running.deployment, field) != getattr(new.deployment, field):
-            raise IncompatibleConfig(f"settings.{key}: wants a new start")
-    if others := operators_file.changes_needing_restart(running.operators, new.operators, running.name):
-        raise IncompatibleConfig(f"{others[0]}: wants a new start")
-    file = new.operators
+            raise IncompatibleConfig(f"settings.{key}: needs a restart")
+    if others := operators_file.changes_needing_restart(
+        running.operator_file, new.operator_file, running.name
+    ):
+        raise IncompatibleConfig(f"{others[0]}: needs a restart")
+    file = new.operator_file
     if file is not None and file.zones is not None:
-        values = [{w.name: w.value for w in told.deployment.workloads} for told in (running, new)]
+        values = [{w.name: w.value for w in each.deployment.workloads} for each in (running, new)]
         maps = [operators_file.zone_map(file.zones, names) for names in values]
         if maps[0] != maps[1]:
             raise IncompatibleConfig(
-                "settings.workloads: names and values want a new start where [zones] plans by them"
+                "settings.workloads: names and values need a restart where [zones] plans by them"
             )
 
 
-def scopes(told: ProcessSettings) -> tuple[str, ...]:
-    file = told.operators
+def scopes_of(process: ProcessSettings) -> tuple[str, ...]:
+    file = process.operator_file
     assert file is not None and file.config is not None
-    zone, region = operators_file.location(file, told.name, told.deployment.zone)
-    return merge.scopes_of(told.name, zone, region, file.config.service)
+    zone, region = operators_file.location(file, process.name, process.deployment.zone)
+    return merge.scopes_of(process.name, zone, region, file.config.service)
 
 
 def load_kept(base: ProcessSettings, log: Log) -> tuple[ProcessSettings, ConfigCandidate]:
-    """At the start, before any relay answers: the version kept by the process before this one, where it can
-    be read and still fits; else as told."""
-    assert base.operators is not None and base.operators.config is not None
-    path = base.operators.config.keep
+    """The settings for the start, before any relay answers: with the version that an earlier process saved,
+    where it can be read and still applies; else the platform's settings alone."""
+    assert base.operator_file is not None and base.operator_file.config is not None
+    path = base.operator_file.config.keep
     try:
-        found = keep.load(path) if path else None
-        if found is None:
+        saved = keep.load(path) if path else None
+        if saved is None:
             return base, ConfigCandidate(Version(), {})
-        version, entries = found
-        if entries.pop(ConfigWatch.WATCHED, None) != list(scopes(base)):
+        version, entries = saved
+        if entries.pop(ConfigWatch.WATCHED, None) != list(scopes_of(base)):
             raise IncompatibleConfig("kept for other scopes")
-        told = combine(base, entries)
-        check_restart_required(base, told)
+        combined = combine(base, entries)
+        check_restart_required(base, combined)
     except (keep.BadKeep, IncompatibleConfig) as error:
-        log("config", text="what was kept is not gone by", error=str(error))
+        log("config", text="saved configuration ignored", error=str(error))
         return base, ConfigCandidate(Version(), {})
-    return told, ConfigCandidate(version, entries)
+    return combined, ConfigCandidate(version, entries)
 
 
 class LiveConfig:
     def __init__(self, program: Program, base: ProcessSettings, kept: ConfigCandidate, log: Log) -> None:
-        self.program, self.base, self.log = program, base, log
-        self.now, self.source = kept, "kept file" if kept.version.index else "as told"
+        self.program, self.platform_settings, self.log = program, base, log
+        self.current, self.source = kept, "kept file" if kept.version.index else "as told"
         self.refused: ConfigCandidate | None = None
         self.since = time.time()
-        file = base.operators
+        file = base.operator_file
         assert file is not None and file.config is not None
         config = file.config
         self.follower = Follower(
             base.name,
             tuple(config.relays),
             base.deployment.seed ^ crc32(base.name.encode()),
-            WAIT,
+            LONG_POLL_WAIT,
             int(config.spread_s * 1_000_000),
             kept.version,
             kept.entries,
         )
         self.watch = ConfigWatch(
-            self.follower, scopes(base), program.store, self.take, log, config.keep or None
+            self.follower, scopes_of(base), program.store, self.apply_version, log, config.keep or None
         )
         self.watch.kept_index = kept.version.index
         self.run = self.watch.run
 
-    def judge(self, base: ProcessSettings, entries: Entries) -> ProcessSettings:
+    def check(self, base: ProcessSettings, entries: Entries) -> ProcessSettings:
         new = combine(base, entries)
         check_restart_required(self.program.settings, new)
         return new
 
-    def take(self, version: Version, entries: Entries) -> str | None:
-        """A version from the relays; why not, where it can't be."""
+    def apply_version(self, version: Version, entries: Entries) -> str | None:
+        """Applies a version from the relays. Returns the reason where it is refused."""
         try:
-            new = self.judge(self.base, entries)
+            new = self.check(self.platform_settings, entries)
         except IncompatibleConfig as error:
             self.refused = ConfigCandidate(version, entries, str(error))
             return str(error)
-        self.put(new)
-        self.now, self.refused = ConfigCandidate(version, entries), None
+        self.apply(new)
+        self.current, self.refused = ConfigCandidate(version, entries), None
         self.since, self.source = time.time(), self.watch.at
         self.log("config", text=f"version {version.index} in force", source=self.source)
         return None
 
     def rebase(self, base: ProcessSettings) -> str | None:
-        """The platform's file anew; the newest entries that fit lie over it. Why not, where none do."""
-        why = None
-        for offered in (self.refused, self.now):
-            if offered is None:
+        """Applies new platform settings under the newest entries that fit. Returns why where none do."""
+        reason = None
+        for candidate in (self.refused, self.current):
+            if candidate is None:
                 continue
             try:
-                new = self.judge(base, offered.entries)
+                new = self.check(base, candidate.entries)
             except IncompatibleConfig as error:
-                why = str(error)
+                reason = str(error)
                 continue
-            self.base = base
-            self.put(new)
+            self.platform_settings = base
+            self.apply(new)
             if self.refused is not None:
                 self.watch.offer_again()
             return None
-        return why
+        return reason
 
-    def put(self, new: ProcessSettings) -> None:
-        """In one go, with no wait. The module, which alone can fail, comes first."""
+    def apply(self, new: ProcessSettings) -> None:
+        """Changes all parts without a pause in between, first the decision module: it alone can fail."""
         program, old = self.program, self.program.settings
         if new.deployment != old.deployment:
-            self.deploy(new.deployment)
+            self.change_deployment(new.deployment)
         program.settings = new
         program.pool.limit(new.idle_timeout_s, new.connect_timeout_s)
-        if new.operators != old.operators:
+        if new.operator_file != old.operator_file:
             program.change_peers(new)
         relays = self.relays(new)
         if relays != self.relays(old):
             self.watch.change_relays(relays)
 
-    def relays(self, told: ProcessSettings) -> tuple[str, ...]:
-        file = told.operators
+    def relays(self, process: ProcessSettings) -> tuple[str, ...]:
+        file = process.operator_file
         return tuple(file.config.relays) if file is not None and file.config is not None else ()
 
-    def deploy(self, d: t.Deployment) -> None:
-        program, desk = self.program, self.program.engine.sidecar.dispatcher
-        before = desk.settings
+    def change_deployment(self, d: t.Deployment) -> None:
+        program, dispatcher = self.program, self.program.engine.sidecar.dispatcher
+        before = dispatcher.settings
         program.engine.tell(t.DeploymentChanged(d))
-        if desk.settings is before:
-            raise RuntimeError("the module did not take it")  # its own line is in the log
+        if dispatcher.settings is before:
+            raise RuntimeError(
+                "the decision module refused the deployment"
+            )  # the engine has logged the cause
         advice = d.longest_advice // 2 if d.advice_allowed else 0
         program.admit.deploy({w.name for w in d.workloads}, advice)
         program.door.deploy(d)
         program.take_in.advice = advice
         program.discovery.set_instances(d.instances)
         if program.fleet_state is not None:
-            program.fleet_state.change(d.instances)
+            program.fleet_state.change_configured_count(d.instances)
 
     def show(self) -> dict[str, object]:
-        version, refused = self.now.version, self.refused
+        version, refused = self.current.version, self.refused
         return {
             "version": version.index,
             "mark": version.mark,
@@ -228,7 +231,7 @@
             "source": self.source,
             "scopes": list(self.watch.scopes),
             "heard": self.follower.version.index,
-            "refused": None if refused is None else {"version": refused.version.index, "why": refused.why},
+            "refused": None if refused is None else {"version": refused.version.index, "why": refused.reason},
             "relays": list(self.follower.relays),
             "kept": self.watch.kept_index,
         }
--- a/lupinmill/program/logs.py
+++ b/lupinmill/program/logs.py
@@ -1,4 +1,4 @@
-"""The log: one JSON line an event on standard output, written by a thread so that the loop never waits."""
+"""The log: one JSON line per event on standard output. A thread writes it, so the event loop never blocks."""
 
 from __future__ import annotations
 
@@ -12,32 +12,32 @@
 
 import orjson
 
-from lupinmill.program.signals import HANDLED
+from lupinmill.program.signals import HANDLED_SIGNALS
 
-MOST_WAITING = 2000
-LONGEST_FIELD = 2000  # characters of a field that JSON can't hold as it is
-FULL = 1000  # milliseconds between two looks at a full pipe that does not block
+MAX_QUEUED_LINES = 2000
+MAX_FIELD_LENGTH = 2000  # characters of a field that has to be escaped
+FULL_PIPE_POLL_MS = 1000  # for a full pipe in non-blocking mode
 
 
 class Logs:
-    """Owns the queue and its thread. With a reader that is stuck, lines are dropped and counted."""
+    """Owns the queue and the writer thread. Where the reader is stuck, lines are dropped and counted."""
 
     def __init__(self, name: str, descriptor: int = 1) -> None:
         self.name, self.descriptor, self.dropped = name, descriptor, 0
         self.lines: queue.SimpleQueue[bytes | None] = queue.SimpleQueue()
         self.closing = False
-        self.thread = threading.Thread(target=self.write, daemon=True)
-        # The thread has these blocked for good: at the end of the program they are blocked in the main
-        # thread, and the system would deliver them to this one.
-        before = signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED)
+        self.thread = threading.Thread(target=self.write_lines, daemon=True)
+        # The thread inherits these signals as blocked: when the main thread blocks them at shutdown, the
+        # kernel would otherwise deliver them to this thread.
+        before = signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
         try:
             self.thread.start()
         finally:
             signal.pthread_sigmask(signal.SIG_SETMASK, before)
 
     def event(self, event: str, /, **fields: Any) -> None:
-        """Never raises: a line must not cost what it tells of."""
-        if self.lines.qsize() >= MOST_WAITING:
+        """Queues a line. Never raises, so that logging can't break what is logged."""
+        if self.lines.qsize() >= MAX_QUEUED_LINES:
             self.dropped += 1
             return
         if self.dropped:
@@ -45,14 +45,14 @@
         line = {"at": round(time.time(), 3), "sidecar": self.name, "event": event, **fields}
         self.lines.put(encoded(line))
 
-    def write(self) -> None:
+    def write_lines(self) -> None:
         while (line := self.lines.get()) is not None:
             whole = len(line)
             try:
                 while line:
                     line = line[self.write_some(line) :]
             except OSError:
-                # Nobody reads it any more, or the disk is full. What was begun ends with its line.
+                # The reader is gone, or the disk is full. A line that was begun is terminated.
                 if 0 < len(line) < whole:
                     self.end_line()
 
@@ -64,7 +64,7 @@
                 raise
             poll = select.poll()
             poll.register(self.descriptor, select.POLLOUT)
-            poll.poll(FULL)
+            poll.poll(FULL_PIPE_POLL_MS)
             return 0
 
     def end_line(self) -> None:
@@ -82,13 +82,13 @@
 def encoded(line: dict[str, Any]) -> bytes:
     try:
         return orjson.dumps(line, default=str, option=orjson.OPT_APPEND_NEWLINE)
-    except Exception:  # a `__str__` may raise anything
+    except Exception:  # `__str__` of a value may raise anything
         plain = {escaped(key): escaped(value) for key, value in line.items()}
         return orjson.dumps(plain, option=orjson.OPT_APPEND_NEWLINE)
 
 
 def escaped(value: Any) -> Any:
-    """As it is where JSON can hold it, else as Python shows it, in ASCII alone."""
+    """The value itself where JSON can represent it, else its ASCII representation in Python."""
     try:
         orjson.dumps(value)
         return value
@@ -97,6 +97,6 @@
     try:
         return (
             value.encode("ascii", "backslashreplace").decode() if isinstance(value, str) else ascii(value)
-        )[:LONGEST_FIELD]
+        )[:MAX_FIELD_LENGTH]
     except Exception:
         return f"a {type(value).__name__} that can't be shown"
--- a/lupinmill/program/operators_file.py
+++ b/lupinmill/program/operators_file.py
@@ -1,8 +1,8 @@
-"""The operator's own file, beside what the platform tells: TOML, read into closed types.
+"""Reads and validates the operator's TOML file, which complements the platform's settings.
 
-`BALANCER_OPERATOR_FILE` names it. What it doesn't switch on is off. Every fault is one line that names the
-key; an unknown key is refused together with the nearest known one. Imports msgspec, and is imported only
-where a file is named."""
+`BALANCER_OPERATOR_FILE` names it. Features that it doesn't switch on are off. Every fault is reported as one
+line that names the key; for an unknown key also the nearest known one. Requires msgspec, and is therefore
+imported only where a file is named."""
 
 from __future__ import annotations
 
@@ -22,19 +22,19 @@
 from lupinmill.terms import Deployment
 from lupinmill.zones.zone_map import InvalidZoneMap, Workload, Zone, ZoneMap
 
-LARGEST = 2**20  # bytes of the file
-MOST_MEMBERS = 2_000
-LONGEST_NAME = 64
-ELECTORS = (3, 5, 7)
-ZONES = "zones"
-TOPICS = (REHEARSAL_TOPIC, ZONES)
-WANTS = (REHEARSAL_TOPIC,)  # what may stand in `wants`; features that are on ask for their own
-MOST_ZONES = 16
-MOST_RELAYS = 16
+MAX_FILE_BYTES = 2**20
+MAX_MEMBERS = 2_000
+MAX_NAME_LENGTH = 64
+ELECTOR_COUNTS = (3, 5, 7)
+ZONES_TOPIC = "zones"
+TOPICS = (REHEARSAL_TOPIC, ZONES_TOPIC)
+OPTIONAL_TOPICS = (REHEARSAL_TOPIC,)  # allowed in `wants`; enabled features add their own topics
+MAX_ZONES = 16
+MAX_RELAYS = 16
 
 
 class ConfigFileError(Exception):
-    """The text is the one line."""
+    """The text is one line that names the key."""
 
 
 class MemberEntry(Struct, forbid_unknown_fields=True, frozen=True):
@@ -44,51 +44,50 @@
 
 
 class Peers(Struct, forbid_unknown_fields=True, frozen=True):
-    """The sidecars know each other."""
+    """The group of sidecars that know each other."""
 
     members: dict[str, MemberEntry]
     electors: list[str] = []
-    keep: str = ""  # where an elector's promises survive its restart
-    bind: str = ""  # instead of the own address in `members`
-    wants: list[str] = []  # topics whose lease this sidecar asks for
+    keep: str = ""  # file in which an elector's promises survive a restart
+    bind: str = ""  # address to bind, instead of the own one in `members`
+    wants: list[str] = []  # topics whose lease this sidecar competes for
     round_ms: int = 200
     lease_s: float = 6.0
     fades_s: float = 30.0
-    live_count: bool = False  # caps are shared out by how many are there, not by the figure told at the start
+    live_count: bool = False  # divide caps by the sidecars present, not by the configured number
 
 
 class ZoneEntry(Struct, forbid_unknown_fields=True, frozen=True):
     region: str = ""
-    spare: float = 0.1  # part of its capacity that spill from others never takes
-    costs: dict[str, float] = {}  # of a launch to another zone; else by `near` and `far`
+    spare: float = 0.1  # share of its capacity that other zones' spill never uses
+    costs: dict[str, float] = {}  # of an attempt in another zone; the default is `near` or `far`
 
 
 class WorkloadEntry(Struct, forbid_unknown_fields=True, frozen=True):
-    """`worth` 0: as the platform's settings value it. Budgets are parts of a zone's traffic of this
-    workload."""
+    """`worth` 0: the value in the platform's settings. Budgets are shares of the zone's traffic of it."""
 
     worth: float = 0.0
     leave_zone: float = 1.0
-    leave_region: float | None = None  # as `leave_zone` where it isn't told
-    breaks: bool = False  # out of a lost zone it may go beyond its budgets
+    leave_region: float | None = None  # default: `leave_zone`
+    breaks: bool = False  # may exceed its budgets when its zone is lost
 
 
 class Zones(Struct, forbid_unknown_fields=True, frozen=True):
-    """Traffic stays near, and leaves its zone as the sidecars decide in common."""
+    """Traffic stays in its zone, and leaves it by a plan that the sidecars agree on."""
 
-    map: dict[str, ZoneEntry]  # the order matters: of equally near zones the first comes first
+    map: dict[str, ZoneEntry]  # in order of preference among equally near zones
     workloads: dict[str, WorkloadEntry] = {}
-    near: float = 1.0  # cost of a launch within a region, ...
-    far: float = 10.0  # ... and beyond
+    near: float = 1.0  # cost of an attempt within a region
+    far: float = 10.0  # cost of an attempt in another region
 
 
 class Config(Struct, forbid_unknown_fields=True, frozen=True):
-    """Settings and the roster come from relays too, and are in force without a new start."""
+    """Settings and members also come from relays, and are applied without a restart."""
 
     relays: list[str]
-    service: str = ""  # that this sidecar serves: the scope service/NAME concerns it
-    keep: str = ""  # file of the last version in force, which a start goes by before a relay answers
-    spread_s: float = 2.0  # over which all sidecars come to a relay anew, until relays tell their own
+    service: str = ""  # served by this sidecar, which then watches the scope service/NAME
+    keep: str = ""  # file of the last version in force, used at a start until a relay answers
+    spread_s: float = 2.0  # over which all sidecars reconnect to a relay, until relays send their own
 
 
 class File(Struct, forbid_unknown_fields=True, frozen=True):
@@ -105,8 +104,8 @@
     except OSError as error:
         raise ConfigFileError(f"{path}: {error.strerror}") from error
     try:
-        if len(data) > LARGEST:
-            raise ConfigFileError(f"over {LARGEST} bytes")
+        if len(data) > MAX_FILE_BYTES:
+            raise ConfigFileError(f"over {MAX_FILE_BYTES} bytes")
         return parse(tomllib.loads(data.decode()))
     except UnicodeDecodeError as error:
         raise ConfigFileError(f"{path}: no UTF-8") from error
@@ -130,32 +129,32 @@
     return typing.get_type_hints(kind)
 
 
-def known_keys(table: Any, kind: Any, place: str) -> None:
-    """Guards against a switch that was misspelt and is silently off."""
+def known_keys(table: Any, kind: Any, prefix: str) -> None:
+    """Refuses unknown keys: a misspelt switch would silently be off. Raises ConfigFileError."""
     for part in typing.get_args(kind):
         if isinstance(part, type) and issubclass(part, Struct):
             kind = part
     if typing.get_origin(kind) is dict and isinstance(table, dict):
         for name, row in table.items():
-            known_keys(row, typing.get_args(kind)[1], f"{place}{name}.")
+            known_keys(row, typing.get_args(kind)[1], f"{prefix}{name}.")
         return
     if not (isinstance(kind, type) and issubclass(kind, Struct) and isinstance(table, dict)):
         return
     hints = hints_of(kind)
     for key, value in table.items():
         if key not in hints:
-            near = difflib.get_close_matches(key, list(hints), 1, 0.0)
-            raise ConfigFileError(f"{place}{key}: unknown; the nearest known key is {near[0]}")
+            nearest = difflib.get_close_matches(key, list(hints), 1, 0.0)
+            raise ConfigFileError(f"{prefix}{key}: unknown; the nearest known key is {nearest[0]}")
         inner = hints[key]
         if typing.get_origin(inner) is dict and isinstance(value, dict):
             for name, row in value.items():
-                known_keys(row, typing.get_args(inner)[1], f"{place}{key}.{name}.")
+                known_keys(row, typing.get_args(inner)[1], f"{prefix}{key}.{name}.")
         else:
-            known_keys(value, inner, f"{place}{key}.")
+            known_keys(value, inner, f"{prefix}{key}.")
 
 
 def check(file: File) -> None:
-    if not 0 < len(file.site) <= LONGEST_NAME:
+    if not 0 < len(file.site) <= MAX_NAME_LENGTH:
         raise ConfigFileError("site: wants a name of 1 to 64 characters")
     if file.config is not None:
         check_config(file.config)
@@ -164,12 +163,12 @@
         if file.zones is not None:
             raise ConfigFileError("zones: wants [peers], which decide in common")
         return
-    if not 0 < len(peers.members) <= MOST_MEMBERS:
-        raise ConfigFileError(f"peers.members: wants 1 to {MOST_MEMBERS}")
+    if not 0 < len(peers.members) <= MAX_MEMBERS:
+        raise ConfigFileError(f"peers.members: wants 1 to {MAX_MEMBERS}")
     addresses: dict[str, str] = {}
     for name, entry in peers.members.items():
-        if not 0 < len(name.encode()) <= LONGEST_NAME:
-            raise ConfigFileError(f"peers.members.{name}: a name has 1 to {LONGEST_NAME} bytes")
+        if not 0 < len(name.encode()) <= MAX_NAME_LENGTH:
+            raise ConfigFileError(f"peers.members.{name}: a name has 1 to {MAX_NAME_LENGTH} bytes")
         check_address(entry.address, f"peers.members.{name}.address")
         if entry.address in addresses:
             raise ConfigFileError(f"peers.members.{name}.address: {addresses[entry.address]} has it already")
@@ -180,12 +179,12 @@
         if name not in peers.members:
             raise ConfigFileError(f"peers.electors: {name} is none of peers.members")
     if peers.electors and (
-        len(peers.electors) not in ELECTORS or len(set(peers.electors)) < len(peers.electors)
+        len(peers.electors) not in ELECTOR_COUNTS or len(set(peers.electors)) < len(peers.electors)
     ):
         raise ConfigFileError("peers.electors: wants 3, 5 or 7 different members")
     for topic in peers.wants:
-        if topic not in WANTS:
-            raise ConfigFileError(f"peers.wants: {topic} is none of {', '.join(WANTS)}")
+        if topic not in OPTIONAL_TOPICS:
+            raise ConfigFileError(f"peers.wants: {topic} is none of {', '.join(OPTIONAL_TOPICS)}")
     if peers.wants and not peers.electors:
         raise ConfigFileError("peers.wants: there are no peers.electors")
     if peers.keep and not peers.keep.startswith("/"):
@@ -202,12 +201,14 @@
 
 
 def check_config(config: Config) -> None:
-    if not 0 < len(config.relays) <= MOST_RELAYS or len(set(config.relays)) < len(config.relays):
-        raise ConfigFileError(f"config.relays: wants 1 to {MOST_RELAYS} different addresses")
+    if not 0 < len(config.relays) <= MAX_RELAYS or len(set(config.relays)) < len(config.relays):
+        raise ConfigFileError(f"config.relays: wants 1 to {MAX_RELAYS} different addresses")
     for address in config.relays:
         check_address(address, "config.relays")
     if not is_scope_name(config.service):
-        raise ConfigFileError(f"config.service: a name has up to {LONGEST_NAME} bytes, and all can be shown")
+        raise ConfigFileError(
+            f"config.service: a name has up to {MAX_NAME_LENGTH} bytes, and all can be shown"
+        )
     if config.keep and not config.keep.startswith("/"):
         raise ConfigFileError("config.keep: wants a whole path")
     if not 0.1 <= config.spread_s <= 600:
@@ -215,15 +216,15 @@
 
 
 def is_scope_name(name: str) -> bool:
-    """May it stand in a scope, as the name of one sidecar, zone, region or service? None at all may."""
-    return not name or name.isprintable() and len(name.encode()) <= LONGEST_NAME
+    """Whether the name of a sidecar, zone, region or service can be part of a scope. An empty one can."""
+    return not name or name.isprintable() and len(name.encode()) <= MAX_NAME_LENGTH
 
 
 def check_zones(zones: Zones, peers: Peers) -> None:
-    if not 0 < len(zones.map) <= MOST_ZONES:
-        raise ConfigFileError(f"zones.map: wants 1 to {MOST_ZONES} zones")
-    if len(zones.workloads) > MOST_ZONES:
-        raise ConfigFileError(f"zones.workloads: wants {MOST_ZONES} at most")
+    if not 0 < len(zones.map) <= MAX_ZONES:
+        raise ConfigFileError(f"zones.map: wants 1 to {MAX_ZONES} zones")
+    if len(zones.workloads) > MAX_ZONES:
+        raise ConfigFileError(f"zones.workloads: wants {MAX_ZONES} at most")
     if not peers.electors:
         raise ConfigFileError("zones: wants peers.electors, which decide in common")
     for name, entry in zones.map.items():
@@ -235,8 +236,8 @@
     for key, value in (("near", zones.near), ("far", zones.far)):
         if not 0 <= value <= 1e6:
             raise ConfigFileError(f"zones.{key}: wants 0 to 1000000")
-    for name, load in zones.workloads.items():
-        if not 0 <= load.worth <= 1e6:
+    for name, workload in zones.workloads.items():
+        if not 0 <= workload.worth <= 1e6:
             raise ConfigFileError(f"zones.workloads.{name}.worth: wants 0 to 1000000")
     for name, member in peers.members.items():
         if member.zone not in zones.map:
@@ -247,17 +248,19 @@
 
 
 def zone_map(zones: Zones, values: dict[str, float]) -> ZoneMap:
-    """`values`: of the workloads that the platform tells. Raises ConfigFileError."""
+    """`values`: of the workloads in the platform's settings. Raises ConfigFileError."""
     workloads = []
     for name, value in values.items():
-        load = zones.workloads.get(name, WorkloadEntry())
-        region = load.leave_zone if load.leave_region is None else load.leave_region
-        workloads.append(Workload(name, load.worth or value, load.leave_zone, region, load.breaks))
+        workload = zones.workloads.get(name, WorkloadEntry())
+        region = workload.leave_zone if workload.leave_region is None else workload.leave_region
+        workloads.append(
+            Workload(name, workload.worth or value, workload.leave_zone, region, workload.breaks)
+        )
     for name in zones.workloads:
         if name not in values:
             raise ConfigFileError(f"zones.workloads.{name}: the platform tells of no such workload")
-    if len(workloads) > MOST_ZONES:
-        raise ConfigFileError(f"zones: no more than {MOST_ZONES} workloads can be planned for")
+    if len(workloads) > MAX_ZONES:
+        raise ConfigFileError(f"zones: no more than {MAX_ZONES} workloads can be planned for")
     costs = {(a, b): cost for a, entry in zones.map.items() for b, cost in entry.costs.items()}
     try:
         rows = tuple(Zone(name, entry.region, entry.spare) for name, entry in zones.map.items())
@@ -271,12 +274,12 @@
 
 
 def check_address(address: str, key: str) -> None:
-    """Numbers, no names: who sent a datagram is known by its address."""
+    """Refuses host names: the sender of a datagram is identified by its address."""
     if not is_address(address):
         raise ConfigFileError(f"{key}: wants an IPv4 address and port, as 10.0.0.7:7400")
 
 
-@lru_cache(2 * MOST_MEMBERS)  # a roster of thousands is judged anew with each change of one
+@lru_cache(2 * MAX_MEMBERS)  # a roster of thousands is checked again with each change of one member
 def is_address(address: str) -> bool:
     host, _, port = address.rpartition(":")
     try:
@@ -287,18 +290,18 @@
 
 
 def peer_settings(file: File, name: str) -> PeerSettings:
-    """Of the peers, for the sidecar of that name. Raises ConfigFileError."""
+    """The settings of the peers module for the sidecar of that name. Raises ConfigFileError."""
     peers = file.peers
     assert peers is not None
     if name not in peers.members:
         raise ConfigFileError(f"peers.members: has no entry for this sidecar, {name or 'which has no name'}")
-    seats = tuple(RosterEntry(one, e.address, e.zone, e.region) for one, e in peers.members.items())
+    roster = tuple(RosterEntry(one, e.address, e.zone, e.region) for one, e in peers.members.items())
     return PeerSettings(
         name,
-        seats,
+        roster,
         tuple(peers.electors),
         TOPICS,
-        (*peers.wants, *((ZONES,) if file.zones is not None and name in peers.electors else ())),
+        (*peers.wants, *((ZONES_TOPIC,) if file.zones is not None and name in peers.electors else ())),
         int(peers.lease_s * SECOND),
         int(peers.fades_s * SECOND),
         MembershipTiming(round=peers.round_ms * MS),
@@ -306,7 +309,7 @@
 
 
 def check_against_platform(file: File, name: str, deployment: Deployment) -> None:
-    """Beside what the platform tells. Raises ConfigFileError."""
+    """Checks the file against the platform's settings. Raises ConfigFileError."""
     if file.peers is not None:
         peer_settings(file, name)
     if file.zones is not None:
@@ -321,14 +324,15 @@
 
 
 def location(file: File, name: str, zone: str) -> tuple[str, str]:
-    """Zone and region of that sidecar; `zone`: as the platform tells it, where no member's row does."""
+    """Zone and region of that sidecar. `zone`: the platform's value, a default for the member's."""
     entry = file.peers.members.get(name) if file.peers is not None else None
     return (entry.zone, entry.region) if entry is not None and entry.zone else (zone, "")
 
 
 def with_entries(file: File, members: dict[str, Any], zones: Any) -> File:
-    """The file with these members' rows in the place of its own, none for one that is away, and `zones` in
-    the place of [zones]. Raises ConfigFileError."""
+    """The file with these members' entries replaced (None removes a member), and [zones] replaced by `zones`.
+
+    Raises ConfigFileError."""
     if file.peers is None or not members and zones is None:
         return file
     rows, map_ = dict(file.peers.members), file.zones
@@ -339,7 +343,7 @@
             if row is None:
                 rows.pop(name, None)
             else:
-                if not (isinstance(row, dict) and row.keys() <= keys):  # slower: a roster has thousands
+                if not (isinstance(row, dict) and row.keys() <= keys):  # fast path for large rosters
                     known_keys(row, MemberEntry, f"{key}.")
                 rows[name] = msgspec.convert(row, MemberEntry)
         if zones is not None:
@@ -360,33 +364,35 @@
 
 
 def changes_needing_restart(old: File | None, new: File | None, name: str) -> list[str]:
-    """What differs and can't be changed without a new start; members and relays may come, go and move."""
-    return fixed_peers(old, new, name) + fixed_config(old, new, name)
+    """The keys whose change needs a restart; members and relays may be added, removed and moved."""
+    return peer_changes_needing_restart(old, new, name) + config_changes_needing_restart(old, new, name)
 
 
-def fixed_config(old: File | None, new: File | None, name: str) -> list[str]:
-    ones = [file.config if file is not None else None for file in (old, new)]
-    if ones[0] is None or ones[1] is None:
-        return [] if ones[0] is ones[1] else ["config"]
+def config_changes_needing_restart(old: File | None, new: File | None, name: str) -> list[str]:
+    configs = [file.config if file is not None else None for file in (old, new)]
+    if configs[0] is None or configs[1] is None:
+        return [] if configs[0] is configs[1] else ["config"]
     assert old is not None and new is not None
-    same = {
-        f"config.{key}": getattr(ones[0], key) == getattr(ones[1], key)
+    unchanged = {
+        f"config.{key}": getattr(configs[0], key) == getattr(configs[1], key)
         for key in ("service", "keep", "spread_s")
     }
-    same["peers.members: zone or region of this sidecar"] = location(old, name, "") == location(new, name, "")
-    return [key for key, holds in same.items() if not holds]
+    unchanged["peers.members: zone or region of this sidecar"] = location(old, name, "") == location(
+        new, name, ""
+    )
+    return [key for key, holds in unchanged.items() if not holds]
 
 
-def fixed_peers(old: File | None, new: File | None, name: str) -> list[str]:
+def peer_changes_needing_restart(old: File | None, new: File | None, name: str) -> list[str]:
     if old is None or new is None or old.peers is None or new.peers is None:
-        on = [file is not None and file.peers is not None for file in (old, new)]
-        return [] if on[0] == on[1] else ["peers"]
-    same = {"site": old.site == new.site}
+        enabled = [file is not None and file.peers is not None for file in (old, new)]
+        return [] if enabled[0] == enabled[1] else ["peers"]
+    unchanged = {"site": old.site == new.site}
     for key in ("electors", "keep", "wants", "round_ms", "lease_s", "fades_s"):
-        same[f"peers.{key}"] = getattr(old.peers, key) == getattr(new.peers, key)
-    same["peers.live_count"] = old.peers.live_count == new.peers.live_count
-    same["zones"] = old.zones == new.zones
-    homes = [file.peers.members[name].zone if name in file.peers.members else "" for file in (old, new)]
-    same["peers.members.zone of this sidecar"] = old.zones is None or homes[0] == homes[1]
-    same["peers.bind"] = bind_address(old, name) == bind_address(new, name)
-    return [key for key, holds in same.items() if not holds]
+        unchanged[f"peers.{key}"] = getattr(old.peers, key) == getattr(new.peers, key)
+    unchanged["peers.live_count"] = old.peers.live_count == new.peers.live_count
+    unchanged["zones"] = old.zones == new.zones
+    own_zones = [file.peers.members[name].zone if name in file.peers.members else "" for file in (old, new)]
+    unchanged["peers.members.zone of this sidecar"] = old.zones is None or own_zones[0] == own_zones[1]
+    unchanged["peers.bind"] = bind_address(old, name) == bind_address(new, name)
+    return [key for key, holds in unchanged.items() if not holds]
--- a/lupinmill/program/process_settings.py
+++ b/lupinmill/program/process_settings.py
@@ -1,4 +1,4 @@
-"""What this sidecar is told at its start, from the environment and the file that it names."""
+"""The settings of this process, from its environment and the platform's file that this names."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
     from lupinmill.program.operators_file import File
 
 
-LEAST_SOCKETS = 16  # the program's own, one client and one endpoint
-LARGEST_LIMIT = 1e9  # descriptors, or megabytes
-SOCKETS = 1024  # where no limit is told
+MIN_SOCKETS = 16  # the process's own, and those for one client and one endpoint
+MAX_LIMIT = 1e9  # descriptors, or megabytes
+DEFAULT_SOCKETS = 1024
 UNREADABLE = (
     KeyError,
     TypeError,
@@ -43,20 +43,20 @@
     listen: str
     discovery: str
     deployment: t.Deployment
-    known: lists.EndpointList
-    descriptors: int
-    memory: int | None  # bytes
+    initial_list: lists.EndpointList
+    descriptors: int  # the limit on open file descriptors
+    memory: int | None  # limit in bytes
     idle_timeout_s: float
     connect_timeout_s: float
-    operator: str | None = None  # where operators call
-    directory: str | None = None  # common to the processes of an upgrade
-    operators: File | None = None  # the operator's own file, where one is named
-    settings: dict[str, Any] = field(default_factory=dict)  # as the platform's file has them
-    unused: tuple[str, ...] = ()  # keys that ask for what has no use in this shape of deployment
+    admin_address: str | None = None
+    upgrade_directory: str | None = None  # shared by the processes of an upgrade
+    operator_file: File | None = None
+    settings: dict[str, Any] = field(default_factory=dict)  # as in the platform's file
+    unused: tuple[str, ...] = ()  # keys of settings without effect in this topology
 
 
-def read(environ: Mapping[str, str], again: bool = False) -> ProcessSettings:
-    """Read again, after the start, the file goes before the environment, which can't have changed."""
+def read(environ: Mapping[str, str], reload: bool = False) -> ProcessSettings:
+    """`reload`: the file takes precedence over the environment, which can't have changed since the start."""
     path = environ.get("BALANCER_CONFIG")
     if not path:
         raise StartupError("BALANCER_CONFIG is not set")
@@ -69,22 +69,26 @@
     if not isinstance(table, dict):
         raise StartupError(f"{path}: not a JSON object")
     try:
-        told = parse_settings(table, environ, again)
+        found = parse_settings(table, environ, reload)
     except UNREADABLE as error:
         text = f"missing {error}" if isinstance(error, KeyError) else str(error)
         raise StartupError(f"{path}: {' '.join(text.split())[:200]}") from error
     path = environ.get("BALANCER_OPERATOR_FILE")
-    return replace(told, operators=read_operator_file(path, told.name, told.deployment)) if path else told
+    return (
+        replace(found, operator_file=read_operator_file(path, found.name, found.deployment))
+        if path
+        else found
+    )
 
 
 def read_operator_file(path: str, name: str, deployment: t.Deployment) -> File:
-    """What serves without such a file imports nothing for it."""
+    """Reads the operator's file. Its modules are imported only here, where a file is named."""
     try:
         from lupinmill.program import operators_file
     except ModuleNotFoundError as error:
         if error.name not in ("msgspec", "xxhash"):
             raise
-        raise StartupError(f"{path}: wants {error.name}: pip install 'lupinmill[peers]'") from error
+        raise StartupError(f"{path}: requires {error.name}: pip install 'lupinmill[peers]'") from error
     try:
         file = operators_file.read(path)
         operators_file.check_against_platform(file, name, deployment)
@@ -94,10 +98,12 @@
     return file
 
 
-def parse_settings(table: dict[str, Any], environ: Mapping[str, str], again: bool = False) -> ProcessSettings:
-    """Raises one of UNREADABLE, its text the key and what is wrong there."""
+def parse_settings(
+    table: dict[str, Any], environ: Mapping[str, str], reload: bool = False
+) -> ProcessSettings:
+    """Raises one of UNREADABLE, whose text names the key and the fault."""
     if not isinstance(table["settings"], dict):
-        raise ValueError("settings: wants a table")
+        raise ValueError("settings: must be a table")
     fields = settings.flatten(table["settings"])
     settings.check(fields)
     name = printable(environ.get("BALANCER_NAME") or text(table.get("name")))
@@ -107,31 +113,31 @@
         raise ValueError("settings.workloads: there are no workloads")
     limits = table.get("limits") or {}
     if not isinstance(limits, dict):
-        raise ValueError("limits: wants a table")
+        raise ValueError("limits: must be a table")
     memory = number(limits, "memory_mb", None)
     return ProcessSettings(
         name=name,
         listen=address("listen", environ.get("BALANCER_LISTEN") or table["listen"]),
-        discovery=address("discovery", discovery_of(table, environ, again)),
+        discovery=address("discovery", discovery_of(table, environ, reload)),
         deployment=deployment,
-        known=lists.initial_list(table.get("known")),
-        descriptors=int(number(limits, "sockets", SOCKETS, LEAST_SOCKETS) or SOCKETS),
+        initial_list=lists.initial_list(table.get("known")),
+        descriptors=int(number(limits, "sockets", DEFAULT_SOCKETS, MIN_SOCKETS) or DEFAULT_SOCKETS),
         memory=None if memory is None else int(memory * 2**20),
         idle_timeout_s=settings.idle_timeout_s(fields),
         connect_timeout_s=settings.connect_timeout_s(fields),
-        operator=operator_of(table, environ),
-        directory=environ.get("TMPDIR") or None,
+        admin_address=admin_address_of(table, environ),
+        upgrade_directory=environ.get("TMPDIR") or None,
         settings=table["settings"],
         unused=tuple(settings.unused(fields)),
     )
 
 
-def discovery_of(table: dict[str, Any], environ: Mapping[str, str], again: bool) -> Any:
+def discovery_of(table: dict[str, Any], environ: Mapping[str, str], reload: bool) -> Any:
     found = environ.get("BALANCER_DISCOVERY")
-    return table["discovery"] if not found or again and "discovery" in table else found
+    return table["discovery"] if not found or reload and "discovery" in table else found
 
 
-def operator_of(table: dict[str, Any], environ: Mapping[str, str]) -> str | None:
+def admin_address_of(table: dict[str, Any], environ: Mapping[str, str]) -> str | None:
     found = environ.get("BALANCER_OPERATOR") or table.get("operator")
     return address("operator", found) if found else None
 
@@ -144,17 +150,17 @@
     return str(value)
 
 
-def number(limits: dict[str, Any], key: str, usual: float | None, least: float = 1.0) -> float | None:
-    """As JSON may give it. Raises ValueError."""
+def number(limits: dict[str, Any], key: str, default: float | None, minimum: float = 1.0) -> float | None:
+    """A limit in any JSON form of a number. Raises ValueError."""
     value = limits.get(key)
     if value is None:
-        return usual
+        return default
     try:
         found = float("nan") if isinstance(value, bool) else float(value)
     except (TypeError, ValueError):
         found = float("nan")
-    if not isfinite(found) or found < least or found > LARGEST_LIMIT:
-        raise ValueError(f"limits.{key}: {value!r} is not a number of {least:g} or more")
+    if not isfinite(found) or found < minimum or found > MAX_LIMIT:
+        raise ValueError(f"limits.{key}: {value!r} is not a number of {minimum:g} or more")
     return found
 
 
@@ -163,26 +169,25 @@
 
 
 def printable(name: str) -> str:
-    """Bytes of the environment that are no UTF-8 can be neither logged nor sent."""
+    """Escapes bytes of the environment that are not UTF-8, which could be neither logged nor sent."""
     return name.encode("utf-8", "backslashreplace").decode()
 
 
-def changes_needing_restart(old: ProcessSettings, new: ProcessSettings, alive: bool = False) -> list[str]:
-    """What differs and can't be changed without a new start. `alive`: settings are judged key by key, where
-    they are put in force."""
+def changes_needing_restart(old: ProcessSettings, new: ProcessSettings, live: bool = False) -> list[str]:
+    """The keys whose change needs a restart. `live`: `settings` are checked key by key elsewhere."""
 
-    def settings_of(told: ProcessSettings) -> t.Deployment:
-        return replace(told.deployment, seed=0)
+    def without_seed(process: ProcessSettings) -> t.Deployment:
+        return replace(process.deployment, seed=0)
 
-    same = {
+    unchanged = {
         "name": old.name == new.name,
         "listen": old.listen == new.listen,
         "limits": (old.descriptors, old.memory) == (new.descriptors, new.memory),
-        "settings": alive or settings_of(old) == settings_of(new),
+        "settings": live or without_seed(old) == without_seed(new),
     }
-    others = [name for name, holds in same.items() if not holds]
-    if old.operators is not None or new.operators is not None:
+    changed = [name for name, holds in unchanged.items() if not holds]
+    if old.operator_file is not None or new.operator_file is not None:
         from lupinmill.program import operators_file
 
-        others += operators_file.changes_needing_restart(old.operators, new.operators, old.name)
-    return others
+        changed += operators_file.changes_needing_restart(old.operator_file, new.operator_file, old.name)
+    return changed
--- a/lupinmill/program/sidecar.py
+++ b/lupinmill/program/sidecar.py
@@ -1,4 +1,4 @@
-"""One running sidecar: its parts put together, its signals, its end."""
+"""One running sidecar: wires its parts together, handles signals, and shuts down."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from lupinmill.handover.driver import Handover
 from lupinmill.limits.gate import Gate
 from lupinmill.discovery.driver import DiscoveryClient
-from lupinmill.program.signals import ENDING, HANDLED, Signals
+from lupinmill.program.signals import SHUTDOWN_SIGNALS, HANDLED_SIGNALS, Signals
 from lupinmill.program.process_settings import StartupError, ProcessSettings, changes_needing_restart
 from lupinmill.protocol import lists
 from lupinmill.protocol.client_requests import MAX_DEADLINE_S
@@ -47,91 +47,96 @@
     from lupinmill.program.live_config import LiveConfig
     from lupinmill.program.operators_file import File
 
-LAG_EVERY, LAG_HIGH, LAG_LOW = 0.25, 0.05, 0.01  # seconds
-AGAIN = 0.1  # seconds before a task that failed goes on
-STILL_COMING = 0.6  # seconds after SIGTERM for which new connections go on coming, ...
-# ... and beyond the longest hard limit (of 3 s at most) for which the platform lets the program live.
-KILLED_AFTER, LONGEST_WAIT = 0.7, 3.0
-CLOSING, SPARE = 500_000, 0.2  # before that for the last answers (microseconds), and for what comes late
-PEERS_OWN = 3  # descriptors that the peers have: socket, lock, file
-CONFIG_OWN = 3  # the watch on configuration: connection, file, its directory
-# Seconds for which an address that another process still holds is asked for again, and between two tries.
-HELD, HELD_AGAIN = 3.0, 0.05
-ANSWERED = 1.0  # seconds beyond the longest deadline of a request after which the end waits for none any more
-CLOSE_EVERY = 0.02  # seconds between two looks at idle clients while connections are to be closed
-
-
-def allowed(told: int) -> int:
-    """As many descriptors as the sidecar is told, if the system lets it have them."""
+LAG_CHECK_INTERVAL_S, LAG_HIGH_S, LAG_LOW_S = 0.25, 0.05, 0.01
+TASK_RESTART_DELAY_S = 0.1
+LATE_CONNECTIONS_S = 0.6  # after SIGTERM clients still open connections for so long
+# The platform kills the process so many seconds after the longest hard limit, of which at most 3 s count.
+KILL_DELAY_S, MAX_HARD_LIMIT_S = 0.7, 3.0
+# Reserved before that: microseconds for the last answers, and seconds for late work.
+CLOSING_TIME, SHUTDOWN_MARGIN_S = 500_000, 0.2
+PEER_DESCRIPTORS = 3  # socket, lock, file
+CONFIG_DESCRIPTORS = 3  # connection, file, its directory
+# Retries to bind an address that another process still holds.
+BIND_RETRY_S, BIND_RETRY_INTERVAL_S = 3.0, 0.05
+OPEN_REQUEST_GRACE_S = 1.0  # after the longest possible deadline, shutdown stops waiting for open requests
+IDLE_CHECK_INTERVAL_S = 0.02  # while idle clients' connections are being closed
+
+
+def raise_descriptor_limit(wanted: int) -> int:
+    """Raises the soft limit towards `wanted`. Returns the number of descriptors that may be used."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    if soft == resource.RLIM_INFINITY or soft >= told:
-        return told
-    most = told if hard == resource.RLIM_INFINITY else min(told, hard)
+    if soft == resource.RLIM_INFINITY or soft >= wanted:
+        return wanted
+    limit = wanted if hard == resource.RLIM_INFINITY else min(wanted, hard)
     try:
-        resource.setrlimit(resource.RLIMIT_NOFILE, (most, hard))
+        resource.setrlimit(resource.RLIMIT_NOFILE, (limit, hard))
     except (OSError, ValueError):
-        return soft  # the system's own limit is lower than what it tells
-    return most
+        return soft  # the system's actual limit is lower than the one it reports
+    return limit
 
 
 class Program:
-    """`signals`: what came before `run` has its receiver."""
+    """`signals`: records those that arrive before `run` has opened its receiver."""
 
     def __init__(
         self,
-        told: ProcessSettings,
+        settings: ProcessSettings,
         log: Log,
-        read_again: Callable[[], ProcessSettings],
+        read_settings: Callable[[], ProcessSettings],
         signals: Signals | None = None,
     ) -> None:
-        base = told
+        platform_settings = settings
         self.signals = signals
-        self.reloads = 0  # signals to read the configuration again that came while this program started
-        self.told_to_end: signal.Signals | None = None  # while it started
-        self.found: tuple[dict[str, Any], socket.socket] | None = None  # by the process before this one
-        self.beside_older = False  # a process before this one is there, whether or not it is taken over from
+        self.reloads = 0  # SIGHUPs that arrived during the start
+        self.shutdown_signal: signal.Signals | None = None  # that arrived during the start
+        # The state and the listening socket that the predecessor handed over.
+        self.inherited: tuple[dict[str, Any], socket.socket] | None = None
+        self.has_predecessor = False  # even where its state is not taken over
         self.predecessor_state: handover_state.HandoverState | None = None
         self.listener: Listener | None = None
         self.admin_server: AdminServer | None = None
-        if watched := told.operators is not None and told.operators.config is not None:
+        if watched := settings.operator_file is not None and settings.operator_file.config is not None:
             from lupinmill.program import live_config
 
-            told, kept = live_config.load_kept(base, log)
-        self.settings, self.log, self.read_again = told, log, read_again
-        own = (MAX_CONNECTIONS if told.operator is not None else 0) + (
-            PEERS_OWN if told.operators is not None else 0
+            settings, kept = live_config.load_kept(platform_settings, log)
+        self.settings, self.log, self.read_settings = settings, log, read_settings
+        reserved = (MAX_CONNECTIONS if settings.admin_address is not None else 0) + (
+            PEER_DESCRIPTORS if settings.operator_file is not None else 0
         )
-        own += CONFIG_OWN if watched else 0
-        self.store, self.descriptors = Store(), Descriptors(allowed(told.descriptors) - own, told.memory)
-        self.shelf = Shelf(shelf_of(told.memory))
-        self.pool = Pool(self.descriptors, self.store, told.idle_timeout_s, told.connect_timeout_s)
-        self.engine = Engine(told.deployment, Clock(), log)
+        reserved += CONFIG_DESCRIPTORS if watched else 0
+        self.store, self.descriptors = (
+            Store(),
+            Descriptors(raise_descriptor_limit(settings.descriptors) - reserved, settings.memory),
+        )
+        self.shelf = Shelf(shelf_of(settings.memory))
+        self.pool = Pool(self.descriptors, self.store, settings.idle_timeout_s, settings.connect_timeout_s)
+        self.engine = Engine(settings.deployment, Clock(), log)
         self.overrides = OperatorOverrides()
         self.directory = Directory(self.engine, self.pool, self.overrides.cordoned)
         self.book = Book(self.engine)
-        workloads = {w.name for w in told.deployment.workloads}
+        workloads = {w.name for w in settings.deployment.workloads}
         self.admit = Admit(self.book, self.directory, workloads, self.overrides)
         self.admin_handler = AdminHandler(self.overrides, self.directory, self.engine, log)
-        self.discovery = DiscoveryClient(told.discovery, told.deployment, self.directory, self.store, log)
+        self.discovery = DiscoveryClient(
+            settings.discovery, settings.deployment, self.directory, self.store, log
+        )
         self.engine.carriers[t.StartWatch] = self.discovery.watch
         self.admin_handler.discovery = self.discovery.show
-        self.handover = Handover(told.directory, told.name, told.listen, log)
-        self.repeats_before = 0  # launches again of the process before this one, when it told what it knew
-        self.to_close = anyio.Event()  # something may ask for idle clients to be closed or passed
+        self.handover = Handover(settings.upgrade_directory, settings.name, settings.listen, log)
+        self.predecessor_retries = 0  # the predecessor's retries at the time of its state
+        self.close_requested = anyio.Event()  # set when idle connections may have to be closed or passed on
         self.admin_handler.on_mode_change = self.mode_changed
-        self.fleet_state: FleetStatePublisher | None = None  # what the module goes by of the others
-        self.peers = self.know_peers()
-        self.operator: str | None = None  # where operators call, once bound
-        self.live_config: LiveConfig | None = (
-            None  # the watch on configuration, where the operator's file has one
-        )
+        self.fleet_state: FleetStatePublisher | None = None
+        self.peers = self.create_peers()
+        self.operator: str | None = None  # the bound address of the admin server
+        self.live_config: LiveConfig | None = None  # where the operator's file has [config]
         if watched:
-            self.live_config = live_config.LiveConfig(self, base, kept, log)
+            self.live_config = live_config.LiveConfig(self, platform_settings, kept, log)
             self.admin_handler.config = self.live_config.show
 
-    def know_peers(self) -> Driver | None:
-        """Only where the operator's file says so; nothing is imported for it otherwise."""
-        file = self.settings.operators
+    def create_peers(self) -> Driver | None:
+        """Creates the peers' driver if the operator's file asks for it; only then imports its modules."""
+        file = self.settings.operator_file
         if file is None or file.peers is None:
             return None
         from lupinmill.peers.driver import Driver
@@ -147,10 +152,10 @@
         )
         self.admin_handler.peers, self.admin_handler.rehearse = peers.show, peers.rehearse
         if file.peers.live_count or file.zones is not None:
-            self.hold_in_common(file, peers)
+            self.create_fleet_state(file, peers)
         return peers
 
-    def hold_in_common(self, file: File, peers: Driver) -> None:
+    def create_fleet_state(self, file: File, peers: Driver) -> None:
         from lupinmill.program import operators_file
         from lupinmill.program.fleet_state import FleetStatePublisher
 
@@ -172,31 +177,30 @@
         )
 
     def mode_changed(self) -> None:
-        self.to_close.set()
+        self.close_requested.set()
         if self.peers is None:
             return
-        tell = self.peers.rejoin if self.overrides.mode is Mode.SERVING else self.peers.leave
+        announce = self.peers.rejoin if self.overrides.mode is Mode.SERVING else self.peers.leave
         try:
-            tell()
+            announce()
         except Exception as error:
             self.log("task_failed", task="mode_changed", **defect(error))
 
-    async def bound(self, kind: Callable[..., Any], address: str, *more: Any) -> Any:
-        """The process before this one may hold the address for a moment still. Guards also against a line at
-        the start that doesn't say which address can't be had."""
-        given_up = anyio.current_time() + HELD
+    async def bind(self, create: Callable[..., Any], address: str, *args: Any) -> Any:
+        """Binds an address, retrying as the predecessor may still hold it. An OSError names the address."""
+        deadline = anyio.current_time() + BIND_RETRY_S
         while True:
             try:
-                return kind(address, *more)
+                return create(address, *args)
             except OSError as error:
-                waited = anyio.current_time() >= given_up or self.told_to_end is not None
-                if error.errno != errno.EADDRINUSE or waited:
+                final = anyio.current_time() >= deadline or self.shutdown_signal is not None
+                if error.errno != errno.EADDRINUSE or final:
                     raise OSError(error.errno, f"{address}: {error.strerror}") from error
-            await anyio.sleep(HELD_AGAIN)
+            await anyio.sleep(BIND_RETRY_INTERVAL_S)
 
     async def run(self, *, task_status: TaskStatus[str] = anyio.TASK_STATUS_IGNORED) -> None:
-        # The receiver comes first and goes last: without it a signal ends the process.
-        with anyio.open_signal_receiver(*HANDLED) as signals:
+        # The receiver is opened first and closed last: without it a signal ends the process.
+        with anyio.open_signal_receiver(*HANDLED_SIGNALS) as signals:
             try:
                 if await self.begin(signals):
                     await self.serve(signals, task_status)
@@ -206,16 +210,16 @@
                     self.signals.block()
 
     async def begin(self, signals: AsyncIterator[signal.Signals]) -> bool:
-        """Takes over what there is and binds the addresses. False where the signal to end came while nothing
-        was bound or taken over yet: the process before this one goes on as if it had not been asked."""
-        if self.signals is not None and self.signals.ending():
+        """Takes over from a predecessor and binds the addresses. False where a shutdown signal arrived before
+        anything was bound or taken over: the predecessor then goes on as if it had not been asked."""
+        if self.signals is not None and self.signals.shutdown_requested():
             self.log("leaving", signal="before the start", open=0)
             return False
         failed: OSError | None = None
         async with anyio.create_task_group() as group:
-            group.start_soon(self.hear_end, signals, group.cancel_scope)
+            group.start_soon(self.watch_start_signals, signals, group.cancel_scope)
             try:
-                await self.take_over()
+                await self.take_over_and_bind()
             except OSError as error:
                 failed = error
             group.cancel_scope.cancel()
@@ -228,37 +232,39 @@
             raise failed
         return False
 
-    async def hear_end(self, signals: AsyncIterator[signal.Signals], start: anyio.CancelScope) -> None:
-        """While this program starts. Once it has a listening socket, clients may be in its queue already:
-        then it starts, and ends in the usual way."""
+    async def watch_start_signals(
+        self, signals: AsyncIterator[signal.Signals], start: anyio.CancelScope
+    ) -> None:
+        """Handles signals during the start. Once there is a listening socket, clients may be in its queue:
+        then the start is completed before the usual shutdown."""
         async for number in signals:
-            if number in ENDING:
-                self.told_to_end = number
-                if self.found is None:
+            if number in SHUTDOWN_SIGNALS:
+                self.shutdown_signal = number
+                if self.inherited is None:
                     self.log("leaving", signal=number.name, open=0)
                     start.cancel()
                 return
             self.reloads += 1
 
-    async def take_over(self) -> None:
-        """The listener comes last: from then on nothing is waited for before clients are served."""
-        self.found, sock = await self.handover.request_state(), None
-        self.beside_older = self.found is not None
-        if self.found is not None:
-            table, sock = self.found
+    async def take_over_and_bind(self) -> None:
+        """Binds the listener last: from then on clients may wait, and nothing else may delay serving them."""
+        self.inherited, sock = await self.handover.request_state(), None
+        self.has_predecessor = self.inherited is not None
+        if self.inherited is not None:
+            table, sock = self.inherited
             try:
                 self.predecessor_state = handover_state.decode(table, self.overrides)
             except handover_state.InvalidHandoverState as error:
                 self.log("handover_refused", error=str(error))
                 self.handover.decline()
                 sock.close()
-                self.found = sock = None
-        if self.settings.operator is not None:
-            self.admin_server = await self.bound(
-                AdminServer, self.settings.operator, self.admin_handler.handle, self.log
+                self.inherited = sock = None
+        if self.settings.admin_address is not None:
+            self.admin_server = await self.bind(
+                AdminServer, self.settings.admin_address, self.admin_handler.handle, self.log
             )
-        if self.found is not None or self.told_to_end is None:
-            self.listener = await self.bound(
+        if self.inherited is not None or self.shutdown_signal is None:
+            self.listener = await self.bind(
                 Listener, self.settings.listen, self.descriptors, self.store, sock
             )
 
@@ -278,15 +284,15 @@
         try:
             async with anyio.create_task_group() as group:
                 Route(self.engine, self.book, send, group)
-                self.begin_list(self.predecessor_state)
+                self.load_initial_list(self.predecessor_state)
                 self.start_tasks(group, listener)
                 self.log_start(listener)
                 gc.collect()
                 gc.freeze()
                 gc.set_threshold(20_000, 20, 20)
                 task_status.started(listener.address)
-                self.look_again()
-                await self.obey(signals)
+                self.reload_if_changed()
+                await self.handle_signals(signals)
                 await self.leave(listener, take_in)
                 group.cancel_scope.cancel()
         finally:
@@ -305,171 +311,175 @@
             self.measure_lag,
             self.admin_handler.sweep,
         ):
-            group.start_soon(self.keep_up, task)
-        group.start_soon(self.keep_up, listener.run, group, self.take_in.serve)
-        self.hand_over(listener, self.take_in, group)
-        group.start_soon(self.keep_up, self.close_idle, listener)
+            group.start_soon(self.restart_on_failure, task)
+        group.start_soon(self.restart_on_failure, listener.run, group, self.take_in.serve)
+        self.connect_handover(listener, self.take_in, group)
+        group.start_soon(self.restart_on_failure, self.close_idle, listener)
         if self.admin_server is not None:
-            group.start_soon(self.keep_up, self.admin_server.run, group)
+            group.start_soon(self.restart_on_failure, self.admin_server.run, group)
             self.operator = self.admin_server.address
         if self.peers is not None:
-            group.start_soon(self.keep_up, self.peers.run, self.beside_older)
+            group.start_soon(self.restart_on_failure, self.peers.run, self.has_predecessor)
         if self.fleet_state is not None:
-            group.start_soon(self.keep_up, self.fleet_state.run)
+            group.start_soon(self.restart_on_failure, self.fleet_state.run)
         if self.live_config is not None:
-            group.start_soon(self.keep_up, self.live_config.run)
+            group.start_soon(self.restart_on_failure, self.live_config.run)
         self.admin_handler.accepting_clients = lambda: True
 
     def log_start(self, listener: Listener) -> None:
-        told = self.settings
+        settings = self.settings
         self.log(
             "started",
-            tier=told.deployment.tier,
+            tier=settings.deployment.tier,
             listen=listener.address,
             operator=self.operator,
             endpoints=len(self.directory.states),
             descriptors=self.descriptors.limit,
         )
-        if told.unused:
-            self.log("settings_unused", fields=list(told.unused))
-        if told.known.refused:
-            self.log("known_refused", rows=told.known.refused)
-
-    def look_again(self) -> None:
-        """A configuration that came while this program started: a signal that tells of it may have come
-        before its receiver was there."""
-        if self.reloads or self.signals is not None and self.signals.reload():
-            self.reload(always=self.reloads > 0 or signal.SIGHUP in self.signals.came)
-
-    async def keep_up(self, task: Callable[..., Awaitable[None]], *args: object) -> None:
-        """One defect in a task that lasts as long as the program must not end the program."""
+        if settings.unused:
+            self.log("settings_unused", fields=list(settings.unused))
+        if settings.initial_list.refused:
+            self.log("known_refused", rows=settings.initial_list.refused)
+
+    def reload_if_changed(self) -> None:
+        """Reloads settings that may have changed during the start, before the signal receiver was open."""
+        if self.reloads or self.signals is not None and self.signals.reload_needed():
+            self.reload(always=self.reloads > 0 or signal.SIGHUP in self.signals.received)
+
+    async def restart_on_failure(self, task: Callable[..., Awaitable[None]], *args: object) -> None:
+        """Restarts a task that failed: a defect in one long-running task must not end the program."""
         while True:
             try:
                 return await task(*args)
             except Exception as error:
                 self.log("task_failed", task=task.__name__, **defect(error))
-                await anyio.sleep(AGAIN)
+                await anyio.sleep(TASK_RESTART_DELAY_S)
 
-    async def obey(self, signals: AsyncIterator[signal.Signals]) -> None:
-        """Returns at the signal to end."""
-        if self.told_to_end is not None:
-            self.log("leaving", signal=self.told_to_end.name, open=len(self.book.journeys))
+    async def handle_signals(self, signals: AsyncIterator[signal.Signals]) -> None:
+        """Returns on a shutdown signal."""
+        if self.shutdown_signal is not None:
+            self.log("leaving", signal=self.shutdown_signal.name, open=len(self.book.journeys))
             return
         async for signum in signals:
-            if signum in ENDING:
+            if signum in SHUTDOWN_SIGNALS:
                 self.log("leaving", signal=signum.name, open=len(self.book.journeys))
                 return
             self.reload()
 
     def reload(self, always: bool = True) -> None:
-        """The file anew, whole or not at all. A defect costs this one reload. `always`: it was asked for, and
-        is told in the log also where nothing changed."""
+        """Reads the settings again, and applies all changes or none. A defect fails this reload only.
+
+        `always`: the reload was requested, and is logged even where nothing changed."""
         try:
-            told, before = (
-                self.read_again(),
-                self.live_config.base if self.live_config is not None else self.settings,
+            new, old = (
+                self.read_settings(),
+                self.live_config.platform_settings if self.live_config is not None else self.settings,
             )
-            if always or self.differs(before, told):
-                self.put_in_force(before, told)
+            if always or self.differs(old, new):
+                self.apply_settings(old, new)
         except StartupError as error:
             self.log("reload_refused", error=str(error))
         except Exception as error:
             self.log("reload_refused", **defect(error))
 
-    def differs(self, before: ProcessSettings, told: ProcessSettings) -> bool:
-        alive = (before.discovery, before.operators) != (told.discovery, told.operators)
+    def differs(self, old: ProcessSettings, new: ProcessSettings) -> bool:
+        live_changed = (old.discovery, old.operator_file) != (new.discovery, new.operator_file)
         return (
-            alive
-            or before.settings != told.settings
-            or bool(changes_needing_restart(before, told, self.live_config is not None))
+            live_changed
+            or old.settings != new.settings
+            or bool(changes_needing_restart(old, new, self.live_config is not None))
         )
 
-    def put_in_force(self, before: ProcessSettings, told: ProcessSettings) -> None:
-        if others := changes_needing_restart(before, told, self.live_config is not None):
-            self.log("reload_refused", error="these want a new start", fields=others)
+    def apply_settings(self, old: ProcessSettings, new: ProcessSettings) -> None:
+        if changed := changes_needing_restart(old, new, self.live_config is not None):
+            self.log("reload_refused", error="these need a restart", fields=changed)
             return
         if self.live_config is not None:
-            if (why := self.live_config.rebase(told)) is not None:
-                self.log("reload_refused", error=why)
+            if (reason := self.live_config.rebase(new)) is not None:
+                self.log("reload_refused", error=reason)
                 return
         else:
-            if told.operators != before.operators:
-                self.change_peers(told)
-            self.settings = told
-        if told.discovery != before.discovery:
-            self.discovery.move(told.discovery)
-        self.log("reloaded", discovery=told.discovery)
-
-    def change_peers(self, told: ProcessSettings) -> None:
-        """Another roster, from now on."""
-        if self.peers is None or told.operators is None:
+            if new.operator_file != old.operator_file:
+                self.change_peers(new)
+            self.settings = new
+        if new.discovery != old.discovery:
+            self.discovery.move(new.discovery)
+        self.log("reloaded", discovery=new.discovery)
+
+    def change_peers(self, settings: ProcessSettings) -> None:
+        """Applies a changed list of members."""
+        if self.peers is None or settings.operator_file is None:
             return
         from lupinmill.program import operators_file
 
-        peers = operators_file.peer_settings(told.operators, told.name)
+        peers = operators_file.peer_settings(settings.operator_file, settings.name)
         self.peers.change_settings(peers)
         if self.fleet_state is not None and self.fleet_state.zone_driver is not None:
             self.fleet_state.zone_driver.update_members(peers)
 
     async def leave(self, listener: Listener, take_in: TakeIn) -> None:
-        """Clients go on using the connections that they have, and where this is their only sidecar they have
-        no other: they are served until little time is left, and only then sent away."""
+        """Shuts down. Clients keep using their connections, and may have no other sidecar: they are served
+        until little time is left, and only then are their connections closed."""
         longest = max(workload.hard_limit for workload in self.settings.deployment.workloads) / 1_000_000
-        stay = min(longest, LONGEST_WAIT) + KILLED_AFTER - SPARE
-        last = max(stay, MAX_DEADLINE_S + ANSWERED)
+        serving_s = min(longest, MAX_HARD_LIMIT_S) + KILL_DELAY_S - SHUTDOWN_MARGIN_S
+        deadline_s = max(serving_s, MAX_DEADLINE_S + OPEN_REQUEST_GRACE_S)
         self.handover.protocol.on_shutdown()
         now = self.engine.clock.now()
-        ends = now + int(stay * 1_000_000)
-        self.overrides.begin_shutdown(now, ends - CLOSING, ends)
+        end = now + int(serving_s * 1_000_000)
+        self.overrides.begin_shutdown(now, end - CLOSING_TIME, end)
         self.mode_changed()
         began = anyio.current_time()
-        # Answers under way count too: a submission is settled some passes before its client has the answer.
-        while (waited := anyio.current_time() - began) < stay or self.book.journeys or take_in.answering:
-            # Those just accepted count, whose tasks have not begun.
+        # Answers being written count too: a request is settled some passes before its client has the answer.
+        while (waited := anyio.current_time() - began) < serving_s or self.book.journeys or take_in.answering:
+            # Includes accepted connections whose tasks have not started yet.
             clients = self.descriptors.open[Side.CLIENT] + listener.turning_away
-            if not clients and (waited >= STILL_COMING or not self.handover.protocol.accepts_clients()):
+            if not clients and (waited >= LATE_CONNECTIONS_S or not self.handover.protocol.accepts_clients()):
                 break
-            if waited >= last:
-                # Guards against an end that never comes, for a request that a defect has left open.
+            if waited >= deadline_s:
+                # A defect has left a request open: without this, the process would never end.
                 self.log("task_failed", task="leave", error=f"{len(self.book.journeys)} requests left open")
                 break
-            await anyio.sleep(CLOSE_EVERY)
-        with anyio.move_on_after(SPARE):
+            await anyio.sleep(IDLE_CHECK_INTERVAL_S)
+        with anyio.move_on_after(SHUTDOWN_MARGIN_S):
             await self.handover.flush()
 
-    def begin_list(self, taken: handover_state.HandoverState | None) -> None:
-        """As told at the start, or as the process before this one knew it, with what it learned."""
+    def load_initial_list(self, state: handover_state.HandoverState | None) -> None:
+        """Loads the configured list of endpoints, or the predecessor's list with what that has learned."""
         try:
-            self.directory.update(self.settings.known if taken is None else taken.known, t.ListKind.CACHED)
+            self.directory.update(
+                self.settings.initial_list if state is None else state.known, t.ListKind.CACHED
+            )
         except Exception as error:
             self.log("known_refused", **defect(error))
             self.directory.update(lists.EndpointList(0, True, [], {}), t.ListKind.CACHED)
-        if taken is None:
+        if state is None:
             return
         for name in self.overrides.cordoned:
             self.directory.by_hand(name, True)
         try:
-            learned.recall(self.engine.sidecar, taken.learned, self.engine.clock.now())
+            learned.recall(self.engine.sidecar, state.learned, self.engine.clock.now())
         except Exception as error:
             self.log("handover_refused", **defect(error))
         self.engine.tell(t.TimerFired(1))
-        self.descriptors.elsewhere, self.repeats_before = taken.open_descriptors, taken.retries
-        self.discovery.watch(t.StartWatch())  # at once: what it tells from now on binds this process
+        self.descriptors.elsewhere, self.predecessor_retries = state.open_descriptors, state.retries
+        self.discovery.watch(
+            t.StartWatch()
+        )  # at once: changes that discovery sends from now on bind this process
 
-    def hand_over(self, listener: Listener, take_in: TakeIn, group: TaskGroup) -> None:
-        """What an upgrade does to the parts of this program, on either side of it."""
+    def connect_handover(self, listener: Listener, take_in: TakeIn, group: TaskGroup) -> None:
+        """Connects the parts of this program to an upgrade, as the old process or as the new one."""
         handover, descriptors = self.handover, self.descriptors
 
-        def held() -> int:
+        def open_descriptors() -> int:
             return sum(descriptors.open.values())
 
         def state() -> dict[str, Any]:
             known = learned.learned(self.engine.sidecar)
-            return handover_state.encode(listed(), self.overrides, known, held()) | {
+            return handover_state.encode(encoded_list(), self.overrides, known, open_descriptors()) | {
                 "repeats": self.book.repeats
             }
 
-        def listed() -> dict[str, Any]:
+        def encoded_list() -> dict[str, Any]:
             directory = self.directory
             rows = self.engine.sidecar.registry.listed
             return handover_state.encode_list(rows, directory.addresses, directory.index)
@@ -477,21 +487,25 @@
         def later_list(index: int) -> dict[str, Any] | None:
             if self.directory.index in (None, index) or not self.discovery.watcher.list_is_current():
                 return None
-            return {"address": self.discovery.watcher.address, "list": listed()}
-
-        def take_list(told: dict[str, Any]) -> None:
-            """Versions can be compared only where both processes ask the same discovery."""
-            known, before, watcher = lists.parse(told["list"]), self.directory.index, self.discovery.watcher
-            if told["address"] != watcher.address or not watcher.list_is_current():
+            return {"address": self.discovery.watcher.address, "list": encoded_list()}
+
+        def take_list(message: dict[str, Any]) -> None:
+            """Versions are comparable only where both processes ask the same discovery service."""
+            known, before, watcher = (
+                lists.parse(message["list"]),
+                self.directory.index,
+                self.discovery.watcher,
+            )
+            if message["address"] != watcher.address or not watcher.list_is_current():
                 return
             if before is not None and known.index > before:
                 self.log("handover", text=f"list {known.index} of the process before this one")
                 self.directory.update(known, t.ListKind.FULL)
 
-        def yield_() -> None:
+        def pause_serving() -> None:
             listener.pause()
             listener.passing = True
-            self.to_close.set()
+            self.close_requested.set()
             take_in.pass_on = lambda client: handover.send_client(client.sock)
             self.pool.close()
             listener.dismiss_all()
@@ -500,7 +514,7 @@
             if self.live_config is not None:
                 self.live_config.watch.keeping = False
 
-        def take_up() -> None:
+        def resume_serving() -> None:
             take_in.pass_on, listener.passing = None, False
             listener.resume()
             if self.peers is not None:
@@ -513,44 +527,49 @@
             try:
                 listener.adopt(sock, group, take_in.serve)
             except OSError:
-                pass  # that one connection broke; it must not end the link that the others come by
+                pass  # this connection is broken; the link must stay open for the others
 
-        repeats = self.repeats_before
+        retries = self.predecessor_retries
 
-        def still() -> dict[str, Any]:
+        def open_work() -> dict[str, Any]:
             book = self.book
-            return {"held": held(), "flying": book.out(), "ids": list(book.journeys), "repeats": book.repeats}
-
-        def elsewhere(told: dict[str, Any]) -> None:
-            """What the process before this one still has open; nothing once it has ended."""
-            nonlocal repeats
-            now_repeats = int(told.get("repeats", repeats))
-            descriptors.elsewhere = int(told.get("held", 0))
-            self.book.elsewhere = {str(name) for name in told.get("ids", ())}
-            flying = {str(name): int(count) for name, count in dict(told.get("flying", {})).items()}
-            self.engine.tell(t.PredecessorLoad(flying, max(0, now_repeats - repeats)))
-            repeats = now_repeats
+            return {
+                "held": open_descriptors(),
+                "flying": book.out(),
+                "ids": list(book.journeys),
+                "repeats": book.repeats,
+            }
+
+        def update_predecessor_work(message: dict[str, Any]) -> None:
+            """Takes over the count of the predecessor's open work; zero once it has ended."""
+            nonlocal retries
+            new_retries = int(message.get("repeats", retries))
+            descriptors.elsewhere = int(message.get("held", 0))
+            self.book.elsewhere = {str(name) for name in message.get("ids", ())}
+            in_flight = {str(name): int(count) for name, count in dict(message.get("flying", {})).items()}
+            self.engine.tell(t.PredecessorLoad(in_flight, max(0, new_retries - retries)))
+            retries = new_retries
 
         handover.collect_state, handover.collect_open_work, handover.client_listener = (
             state,
-            still,
+            open_work,
             lambda: listener.sock,
         )
-        handover.on_yield, handover.on_resume = yield_, take_up
-        handover.adopt_client, handover.on_predecessor_work = adopt, elsewhere
+        handover.on_yield, handover.on_resume = pause_serving, resume_serving
+        handover.adopt_client, handover.on_predecessor_work = adopt, update_predecessor_work
         handover.newer_list, handover.on_list = later_list, take_list
-        # The other process knew the endpoint; this one's list may be behind.
+        # The other process knows the endpoint, though this one's list may be older.
         handover.apply_call = lambda call: self.admin_handler.apply(call, True)
         self.admin_handler.forward = handover.forward_call
         handover.start(group)
 
     async def close_idle(self, listener: Listener) -> None:
-        """While this sidecar drains, leaves or passes its clients on; else it sleeps."""
+        """Closes idle connections while this sidecar drains, shuts down or passes its clients on."""
         while True:
             while not listener.passing and self.overrides.close_connections_at is None:
-                await self.to_close.wait()
-                self.to_close = anyio.Event()
-            await anyio.sleep(CLOSE_EVERY)
+                await self.close_requested.wait()
+                self.close_requested = anyio.Event()
+            await anyio.sleep(IDLE_CHECK_INTERVAL_S)
             if listener.passing or self.overrides.closes_connections(self.engine.clock.now()):
                 listener.dismiss_all()
 
@@ -560,13 +579,13 @@
             self.pool.sweep()
 
     async def measure_lag(self) -> None:
-        """A loop that lags makes every endpoint look slow: the log must tell the two apart."""
+        """Logs when the event loop lags, which would otherwise look like slow endpoints."""
         lagging = False
         while True:
-            due = anyio.current_time() + LAG_EVERY
-            await anyio.sleep(LAG_EVERY)
+            due = anyio.current_time() + LAG_CHECK_INTERVAL_S
+            await anyio.sleep(LAG_CHECK_INTERVAL_S)
             late = anyio.current_time() - due
-            if late > LAG_HIGH if not lagging else late < LAG_LOW:
+            if late > LAG_HIGH_S if not lagging else late < LAG_LOW_S:
                 lagging = not lagging
                 self.log("lagging" if lagging else "lag_over", late_ms=round(late * 1000, 1))
             if step := wall_clock.SHARED.take_step():
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -342,8 +342,8 @@
 
 
 def test_rows_of_the_text_follow_its_constants(monkeypatch):
-    assert by_key(run())["members"].bound == Bound("at", operators_file.MOST_MEMBERS)
-    monkeypatch.setattr(operators_file, "MOST_MEMBERS", 50_000)
+    assert by_key(run())["members"].bound == Bound("at", operators_file.MAX_MEMBERS)
+    monkeypatch.setattr(operators_file, "MAX_MEMBERS", 50_000)
     found = by_key(run())["members"]
     assert found.verdict == HOLDS and found.bound.size == 50_000
 
--- a/tests/test_config_overlay.py
+++ b/tests/test_config_overlay.py
@@ -152,14 +152,14 @@
         ({"workloads": {"view": None, "bid": None, "issue": None}}, "settings.workloads: none would be left"),
         ({"workloads": [{"name": "a"} | workload()] * 2}, "settings.workloads.1.name: 'a' is none, or there"),
         ({"accounts": {"a": {"quota-per-s": "x"}}}, "settings.accounts.0.quota-per-s: 'x' is not a number"),
-        ({"tier": 1}, "settings.tier: wants a new start"),
-        ({"discovery": "push"}, "settings.discovery: wants a new start"),
-        ({"round-s": 1.0}, "settings.round-s: wants a new start"),
-        ({"load-report": {"how": "off"}}, "settings.load-report.how: wants a new start"),
-        ({"locality": "z"}, "settings.locality: wants a new start"),
+        ({"tier": 1}, "settings.tier: needs a restart"),
+        ({"discovery": "push"}, "settings.discovery: needs a restart"),
+        ({"round-s": 1.0}, "settings.round-s: needs a restart"),
+        ({"load-report": {"how": "off"}}, "settings.load-report.how: needs a restart"),
+        ({"locality": "z"}, "settings.locality: needs a restart"),
         (
             {"invariants": {"dropped-stay-open": True}},
-            "settings.invariants.dropped-stay-open: wants a new start",
+            "settings.invariants.dropped-stay-open: needs a restart",
         ),
     ],
 )
@@ -189,7 +189,7 @@
         value = getattr(usual.deployment, field)
         other = (not value) if isinstance(value, bool) else "other" if isinstance(value, str) else value + 1
         changed = live_config.replace(usual.deployment, **{field: other})
-        with pytest.raises(live_config.IncompatibleConfig, match="wants a new start"):
+        with pytest.raises(live_config.IncompatibleConfig, match="needs a restart"):
             live_config.check_restart_required(usual, live_config.replace(usual, deployment=changed))
 
 
@@ -200,7 +200,7 @@
     text = ZONED.read_text() + '\n[config]\nrelays = ["10.0.0.1:7500"]\n'
     table = {"name": "front-1", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2"}
     told = parse_settings(table | {"settings": settings(**more)}, {})
-    return live_config.replace(told, operators=operators_file.parse(__import__("tomllib").loads(text)))
+    return live_config.replace(told, operator_file=operators_file.parse(__import__("tomllib").loads(text)))
 
 
 def test_where_zones_plan_by_workloads_their_names_and_values_stay_and_limits_change():
@@ -215,18 +215,18 @@
     assert view.workloads[0].hard_limit == 9 * SECOND and view.instances == 7
     for more in ({"view": {"value": 2.0}}, {"view": None}, {"quick": workload()}):
         with pytest.raises(
-            live_config.IncompatibleConfig, match="settings.workloads: names and values want a new start"
+            live_config.IncompatibleConfig, match="settings.workloads: names and values need a restart"
         ):
             judged({FLEET: {"workloads": more}})
     table = {"map": {name: {} for name in ("north", "south", "coast")}}
-    with pytest.raises(live_config.IncompatibleConfig, match="zones: wants a new start"):
+    with pytest.raises(live_config.IncompatibleConfig, match="zones: needs a restart"):
         judged({Key("fleet", "zones"): table})
     with pytest.raises(
         live_config.IncompatibleConfig, match="zones.map.north.sparse: unknown; the nearest known key is"
     ):
         judged({Key("fleet", "zones"): {"map": {"north": {"sparse": 1}}}})
     moved = {"address": "10.0.1.11:7400", "zone": "south", "region": "west"}
-    with pytest.raises(live_config.IncompatibleConfig, match="wants a new start"):
+    with pytest.raises(live_config.IncompatibleConfig, match="needs a restart"):
         judged({Key("fleet", "member/front-1"): moved})
 
 
--- a/tests/test_config_sidecar.py
+++ b/tests/test_config_sidecar.py
@@ -95,7 +95,7 @@
         found = operators_file.parse(__import__("tomllib").loads(f'site = "x"\n{self.file}\n{text}'))
         told = parse_settings(self.table, {})
         operators_file.check_against_platform(found, told.name, told.deployment)
-        return live_config.replace(told, operators=found)
+        return live_config.replace(told, operator_file=found)
 
     async def start_program(self, group) -> None:
         await group.start(self.relay.run)
@@ -107,7 +107,7 @@
         self.address = await group.start(self.program.run)
 
     def version(self) -> int:
-        return self.program.live_config.now.version.index
+        return self.program.live_config.current.version.index
 
     async def in_force(self, entries: Entries) -> None:
         version = self.relay.push(entries)
@@ -116,7 +116,7 @@
     async def refused(self, entries: Entries) -> str:
         version, held = self.relay.push(entries), self.program.live_config
         await until(lambda: held.refused is not None and held.refused.version == version)
-        return held.refused.why
+        return held.refused.reason
 
     async def shown(self) -> dict:
         status, text = await send_admin_request(self, admin_request("GET", "/admin/config"))
@@ -234,13 +234,13 @@
         # A file that does not fit is refused with its key; what was in force stays.
         net.table["settings"] = settings(workloads=more, tier=1)
         net.program.reload()
-        assert ("reload_refused", {"error": "settings.tier: wants a new start"}) in net.logs
+        assert ("reload_refused", {"error": "settings.tier: needs a restart"}) in net.logs
         net.table["settings"] = settings()
         net.program.reload()
         assert "settings.workloads.3" in net.logs[-1][1]["error"]
         assert (
             net.program.settings.deployment is deployment_
-            and net.program.live_config.base.settings != settings()
+            and net.program.live_config.platform_settings.settings != settings()
         )
 
     network(check, fine)
@@ -250,9 +250,9 @@
     async def check(net):
         net.table["settings"] = settings(instances=5)
         told = parse_settings(net.table, {})
-        net.program.read_again = lambda: told
+        net.program.read_settings = lambda: told
         net.program.reload()
-        assert net.logs[-1] == ("reload_refused", {"error": "these want a new start", "fields": ["settings"]})
+        assert net.logs[-1] == ("reload_refused", {"error": "these need a restart", "fields": ["settings"]})
         assert net.program.live_config is None
 
     on_network(check, fine)
@@ -343,7 +343,7 @@
             "cut": "cut or damaged",
             "other scopes": "other scopes",
             "unfit": "settings.workloads.3",
-            "fixed": "settings.tier: wants a new start",
+            "fixed": "settings.tier: needs a restart",
         }
         assert len(lines) == 1 and said_[spoil] in lines[0]["error"]
         assert net.version() == 0 and net.program.live_config.follower.version.index == 0
@@ -719,7 +719,7 @@
         net.program.reload()
         assert net.logs[-1] == (
             "reload_refused",
-            {"error": "these want a new start", "fields": ["peers.lease_s"]},
+            {"error": "these need a restart", "fields": ["peers.lease_s"]},
         )
 
     network(check, fine, file=PEERS.format(ports=ports))
--- a/tests/test_scale_slopes.py
+++ b/tests/test_scale_slopes.py
@@ -208,13 +208,13 @@
 
 
 def test_a_file_over_its_cap_is_refused_and_read_by_a_trial_alone(monkeypatch):
-    monkeypatch.setattr(operators_file, "MOST_MEMBERS", 200)
-    kept = operators_file.MOST_MEMBERS, operators_file.LARGEST
+    monkeypatch.setattr(operators_file, "MAX_MEMBERS", 200)
+    kept = operators_file.MAX_MEMBERS, operators_file.MAX_FILE_BYTES
     with pytest.raises(operators_file.ConfigFileError, match="200"):
         costs.read_file(210)
     rows = runs.file(runs.Run("file", 210, 1))
     assert all("trial with the caps lifted" in row.note for row in rows)
-    assert (operators_file.MOST_MEMBERS, operators_file.LARGEST) == kept
+    assert (operators_file.MAX_MEMBERS, operators_file.MAX_FILE_BYTES) == kept
     assert not any(row.note for row in runs.file(runs.Run("file", 100, 1)))
 
 
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -475,7 +475,7 @@
             if len(calls) == 1:
                 raise RuntimeError("a defect")
 
-        await net.program.keep_up(broken)
+        await net.program.restart_on_failure(broken)
         assert (await net.ask(wanted("s1"))).status == 200
 
     net = on_network(check, fine)
--- a/tests/test_start_faults.py
+++ b/tests/test_start_faults.py
@@ -273,7 +273,7 @@
     from lupinmill.handover.handover_state import HandoverState
     from lupinmill.protocol import lists
 
-    begin_list = Program.begin_list
+    load_initial_list = Program.load_initial_list
 
     async def check(net: Net):
         assert (await net.ask(wanted("s1"))).status == 200
@@ -281,7 +281,7 @@
 
     def recalled(self, taken) -> None:
         known = lists.parse(net_table["known"])
-        begin_list(self, HandoverState(known, {"beside": False} | kept, 0, 0))
+        load_initial_list(self, HandoverState(known, {"beside": False} | kept, 0, 0))
 
     net_table: dict = {}
 
@@ -291,7 +291,7 @@
             net_table.update(self.table)
 
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(Program, "begin_list", recalled)
+        patch.setattr(Program, "load_initial_list", recalled)
         on_network(check, fine, net_of=Recalling)
 
 
@@ -311,10 +311,10 @@
         if part == "discovery.move":
             from dataclasses import replace
 
-            net.program.read_again = lambda: replace(moved, discovery="127.0.0.1:2")
+            net.program.read_settings = lambda: replace(moved, discovery="127.0.0.1:2")
             net.program.discovery.move = raising
         elif part == "read_again":
-            net.program.read_again = raising
+            net.program.read_settings = raising
         else:
             monkeypatch.setattr(sidecar, "changes_needing_restart", raising)
         os.kill(os.getpid(), signal.SIGHUP)
@@ -396,7 +396,7 @@
 def test_an_end_waits_for_no_request_beyond_the_longest_deadline(monkeypatch):
     """Guards against a program that never ends, as `leave` waits for a count that a defect has left up."""
     monkeypatch.setattr(sidecar, "MAX_DEADLINE_S", 0.5)
-    monkeypatch.setattr(sidecar, "ANSWERED", 0.1)
+    monkeypatch.setattr(sidecar, "OPEN_REQUEST_GRACE_S", 0.1)
 
     async def check(net: Net):
         program = net.program
