--- a/tests/start_bed.py
+++ b/tests/start_bed.py
@@ -1,4 +1,4 @@
-"""Starts of `python -m lupinmill` as real processes, with faults forced at a told moment of the start."""
+"""Starts `python -m lupinmill` as real processes, with a signal sent at a chosen moment of the start."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 from bed import settings
 
 ROOT = Path(__file__).resolve().parent.parent
-LIMIT = 20  # seconds after which a process of a test is stuck
+LIMIT = 20  # seconds after which a test's process counts as stuck
 
-# Loaded by Python before the program's first line. At the audit event that MOMENT names, whose first argument
-# ends with OF, it does what DO says, once.
+# Python loads this before the program's first line. MOMENT is an audit event and the end of its argument:
+# when it first occurs, MOVED, if set, replaces the configuration, and SIGNAL is sent to the process.
 HOOK = """
 import atexit, os, signal, sys
 
@@ -57,16 +57,16 @@
 
 
 def hooked(folder: Path, moment: str, number: signal.Signals, **more: str) -> dict[str, str]:
-    """Of the environment: that signal at that moment of the start."""
+    """Environment variables that send this signal at this moment of the start."""
     (folder / "hook").mkdir(exist_ok=True)
     (folder / "hook" / "sitecustomize.py").write_text(HOOK)
     path = os.pathsep.join((str(folder / "hook"), str(ROOT)))
     return {"MOMENT": moment, "SIGNAL": number.name, "PYTHONPATH": path} | more
 
 
-def begin(folder: Path, told: dict, command: list[str] | None = None, **more: str) -> subprocess.Popen:
+def begin(folder: Path, config: dict, command: list[str] | None = None, **more: str) -> subprocess.Popen:
     path = folder / "told.json"
-    path.write_bytes(orjson.dumps(told))
+    path.write_bytes(orjson.dumps(config))
     return subprocess.Popen(
         command or [sys.executable, "-m", "lupinmill"],
         env=environment(path, **more),
@@ -79,7 +79,7 @@
 
 @contextmanager
 def running(process: subprocess.Popen) -> Iterator[subprocess.Popen]:
-    """One that is stuck is killed, and what waits for it fails."""
+    """Kills the process if it is stuck, so that whatever waits for it fails."""
     watch = threading.Timer(LIMIT, process.kill)
     watch.start()
     try:
@@ -91,7 +91,7 @@
 
 
 def line_of(process: subprocess.Popen, event: str) -> dict:
-    """The next line of its log with this event. Fails where the process ends before."""
+    """The next log line with this event. Fails where the process ends before."""
     while line := process.stdout.readline():
         if (found := orjson.loads(line))["event"] == event:
             return found
@@ -103,8 +103,8 @@
     return [orjson.loads(line)["event"] for line in output.splitlines()]
 
 
-def wait_for(holds, what: str) -> None:
+def wait_for(condition, what: str) -> None:
     end = time.monotonic() + LIMIT
-    while not holds():
+    while not condition():
         assert time.monotonic() < end, f"never: {what}"
         time.sleep(0.01)
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,5 +1,4 @@
-"""What KNOWN-RED.txt lets pass, and what it never does: each case a test run of its own in an empty
-folder."""
+"""Which failures KNOWN-RED.txt allows. Each case is a test run of its own in an empty folder."""
 
 import subprocess
 import sys
@@ -24,15 +23,15 @@
 SOME = "tests/test_it.py::test_some[2] | lupinmill lab faults --seed 7 | 2 for 1 | issue 39"
 
 
-def run(folder: Path, lines: list[str] | None, *more: str) -> subprocess.CompletedProcess:
+def run(folder: Path, lines: list[str] | None, *options: str) -> subprocess.CompletedProcess:
     (folder / "tests").mkdir()
     (folder / "tests" / "test_it.py").write_text(TESTS)
     (folder / "tests" / "conftest.py").write_text((Path(__file__).parent / "conftest.py").read_text())
     (folder / "pytest.ini").write_text("[pytest]\n")
     if lines is not None:
         (folder / "KNOWN-RED.txt").write_text("".join(f"{line}\n" for line in lines))
-    asked = [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider", *more]
-    return subprocess.run(asked, cwd=folder, capture_output=True, text=True, timeout=60)
+    command = [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider", *options]
+    return subprocess.run(command, cwd=folder, capture_output=True, text=True, timeout=60)
 
 
 @pytest.mark.parametrize("more", [(), ("-n", "2")])
--- a/tests/test_operators_file.py
+++ b/tests/test_operators_file.py
@@ -1,4 +1,4 @@
-"""The operator's own file: each fault is one line that names the key; without it nothing is imported."""
+"""The operator's file: each fault is one line that names the key; without the file nothing is imported."""
 
 import subprocess
 import sys
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -1,4 +1,4 @@
-"""What comes as bytes: whole messages, the table of outcomes, and what is refused as bad input."""
+"""Parsing: requests, answers, outcomes, load reports and lists, and malformed input."""
 
 import random
 
@@ -18,16 +18,16 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_a_request_is_the_same_however_its_bytes_are_cut(seed):
-    chance, side, rest, got = random.Random(seed), ServerSide(), REQUEST, None
+    random_source, side, rest, got = random.Random(seed), ServerSide(), REQUEST, None
     while rest:
         assert got is None
-        count = chance.randint(1, 40)
+        count = random_source.randint(1, 40)
         side.feed(rest[:count])
         rest = rest[count:]
         got = side.next_request()
     assert (got.method, got.target, got.body) == (b"POST", b"/view?q=1", b"abcde")
-    on = http.end_to_end(got.headers)
-    assert [key for key, _ in on] == [b"Host", b"Req-Id", b"Req-Deadline", b"Cookie"]
+    forwarded = http.end_to_end(got.headers)
+    assert [key for key, _ in forwarded] == [b"Host", b"Req-Id", b"Req-Deadline", b"Cookie"]
 
 
 @pytest.mark.parametrize(
@@ -165,9 +165,9 @@
 
 
 def test_reports_by_either_name_and_form():
-    whole = t.LoadReport(queued=2.0, busy=0.61)
+    expected = t.LoadReport(queued=2.0, busy=0.61)
     for text in ("queue=2,util=0.61", " waiting=2 , cpu=0.61,odd=1", '{"queue":2,"util":0.61}'):
-        assert reports.parse(text) == whole
+        assert reports.parse(text) == expected
     assert reports.parse("inflight=7,latency_ms=1.5,qps=3") == t.LoadReport(
         held=7.0, service=1500.0, rate=3.0
     )
--- a/tests/test_settings_served.py
+++ b/tests/test_settings_served.py
@@ -1,5 +1,5 @@
-"""Settings of any customer: what the documents allow starts and keeps the rules, what can't be served ends
-with one line that names the key, and a reload to it changes nothing."""
+"""Settings of any deployment. Valid ones start and keep the rules. Unusable ones end the start with one line
+that names the key, and a reload to them changes nothing."""
 
 import os
 import signal
@@ -19,11 +19,11 @@
 VIEW = usual()["workloads"][0]
 
 
-def told(more: dict | None = None, **top) -> ProcessSettings:
+def parsed(more: dict | None = None, **top) -> ProcessSettings:
     return parse_settings(ADDRESSES | {"name": "n1", "settings": usual(**(more or {}))} | top, {})
 
 
-# --- mixes of shapes ----------------------------------------------------------------------------
+# --- mixed topologies ----------------------------------------------------------------------------
 
 POOL = {"limits": usual()["limits"]}
 MESH = {"family": "mesh", "locality": "z", "areas": ["z", "y"]}
@@ -40,9 +40,9 @@
 
 @pytest.mark.parametrize("key, more", MIXES)
 def test_what_is_without_use_in_a_shape_is_ignored_and_named(key, more):
-    """Seen failing as `settings.weights: 'nominal' has no place where clients share sidecars`: a start that
-    was refused for a price or a weight that any platform may send."""
-    found = told(more)
+    """Regression: a start was refused for a price or a weight that any platform may send, with
+    `settings.weights: 'nominal' has no place where clients share sidecars`."""
+    found = parsed(more)
     assert f"settings.{key}" in found.unused
     d = found.deployment
     if d.sidecar_per_client:
@@ -63,7 +63,7 @@
 
 
 def test_a_tier_goes_with_either_shape():
-    assert told(MESH | {"tier": 1}).deployment.tier == 1
+    assert parsed(MESH | {"tier": 1}).deployment.tier == 1
 
 
 # --- values as JSON may give them ---------------------------------------------------------------
@@ -87,41 +87,41 @@
 @pytest.mark.parametrize("yes, no", [(True, False), (1, 0), (1.0, 0.0), ("true", "false"), ("1", "0")])
 @pytest.mark.parametrize("key", ["cancel", "probes", "may-duplicate", "retry-after"])
 def test_switches_in_all_their_forms(key, yes, no):
-    """Seen failing for 1.0: read as off."""
+    """Regression: 1.0 was read as off."""
     field = {"cancel": "cancel_allowed", "probes": "probes_allowed"} | {
         "may-duplicate": "hedging_allowed",
         "retry-after": "advice_allowed",
     }
     for value, holds in ((yes, True), (no, False), (None, False)):
-        assert getattr(told({"limits": {key: value}}).deployment, field[key]) is holds
+        assert getattr(parsed({"limits": {key: value}}).deployment, field[key]) is holds
 
 
 @pytest.mark.parametrize("value", [3, 3.0, "3", "3.0", "3e0", 3.7])
 def test_whole_numbers_in_all_their_forms(value):
-    found = told({"instances": value, "tier": value, "limits": {"most-launches": value}}).deployment
+    found = parsed({"instances": value, "tier": value, "limits": {"most-launches": value}}).deployment
     assert (found.instances, found.tier, found.max_attempts) == (3, 3, 3)
 
 
 @pytest.mark.parametrize("value", ["5.0", "0x1f", "8c1f30d27a5be964", "", None, 7, 7.5, "seed of the day"])
 def test_the_simulators_seed_never_costs_a_start(value):
-    """Seen failing as `invalid literal for int() with base 10`."""
-    assert isinstance(told({"random-seed": value}).deployment.seed, int)
+    """Regression: `invalid literal for int() with base 10`."""
+    assert isinstance(parsed({"random-seed": value}).deployment.seed, int)
 
 
 def test_the_seed_of_a_start_in_all_its_forms():
-    """Seen failing as a start refused for null, and as 0 for every sidecar where none is told."""
-    assert told(seed="8c1f30d27a5be964").deployment.seed == 0x8C1F30D27A5BE964
-    assert told(seed=12).deployment.seed == told(seed=12.0).deployment.seed == 12
+    """Regression: null refused the start, and without a seed every sidecar had the seed 0."""
+    assert parsed(seed="8c1f30d27a5be964").deployment.seed == 0x8C1F30D27A5BE964
+    assert parsed(seed=12).deployment.seed == parsed(seed=12.0).deployment.seed == 12
     for nothing in (None, "", "no digits", [], True, {}):
-        one, other = (told(seed=nothing, name=name).deployment.seed for name in ("n1", "n2"))
+        one, other = (parsed(seed=nothing, name=name).deployment.seed for name in ("n1", "n2"))
         assert one != other
 
 
 def test_names_with_commas_and_letters_of_any_script_stay_whole():
-    """Seen failing as `settings.workloads.0.confined-to: 'Skt' is none of St, Petri, Hof`."""
+    """Regression: `settings.workloads.0.confined-to: 'Skt' is none of St, Petri, Hof`."""
     areas, kinds = ["St, Petri", "Zürich", "東"], ["a,b", "ç"]
     load = VIEW | {"name": "vis, både", "confined-to": ["St, Petri", "東"], "bound-to": ["a,b"]}
-    found = told({"areas": areas, "kinds": kinds, "locality": "St, Petri", "workloads": [load]}).deployment
+    found = parsed({"areas": areas, "kinds": kinds, "locality": "St, Petri", "workloads": [load]}).deployment
     (made,) = found.workloads
     assert (made.name, made.zones, made.kinds) == ("vis, både", ("St, Petri", "東"), ("a,b",))
     assert found.zone == "St, Petri"
@@ -129,13 +129,14 @@
 
 def test_an_empty_list_of_zones_confines_to_none():
     assert (
-        told({"workloads": [VIEW | {"confined-to": [], "bound-to": []}]}).deployment.workloads[0].zones == ()
+        parsed({"workloads": [VIEW | {"confined-to": [], "bound-to": []}]}).deployment.workloads[0].zones
+        == ()
     )
 
 
 def test_a_group_that_no_rule_asks_for_is_no_fault():
-    """Seen failing as `settings.workloads.0.group: 'rack' is none of all, zone, cell`."""
-    assert told({"workloads": [VIEW | {"group": "rack", "window-s": None}]}).deployment.workloads
+    """Regression: `settings.workloads.0.group: 'rack' is none of all, zone, cell`."""
+    assert parsed({"workloads": [VIEW | {"group": "rack", "window-s": None}]}).deployment.workloads
 
 
 @pytest.mark.parametrize(
@@ -144,22 +145,22 @@
 def test_limits_that_are_not_told_are_none(limits):
     if limits and limits.get("sockets") == "":
         with pytest.raises(ValueError, match="limits.sockets: "):
-            told(limits=limits)
+            parsed(limits=limits)
         return
-    found = told(limits=limits)
+    found = parsed(limits=limits)
     assert (found.descriptors, found.memory) == (1024, None)
 
 
 @pytest.mark.parametrize("value", [256, 256.0, "256", "256.0", 2.56e2])
 def test_limits_in_all_their_forms(value):
-    found = told(limits={"sockets": value, "memory_mb": value})
+    found = parsed(limits={"sockets": value, "memory_mb": value})
     assert (found.descriptors, found.memory) == (256, 256 << 20)
 
 
 @pytest.mark.parametrize("name, found", [(None, ""), (7, "7"), ("é", "é"), ("", "")])
 def test_a_name_in_all_its_forms(name, found):
-    """Seen failing as a sidecar called None."""
-    assert told(name=name).name == found
+    """Regression: the sidecar was called None."""
+    assert parsed(name=name).name == found
 
 
 # --- what can't be served -----------------------------------------------------------------------
@@ -250,7 +251,7 @@
 
 
 def number(least: float, most: float) -> strategies.SearchStrategy:
-    """As JSON may hold it: whole, decimal, in digits, or not told."""
+    """A number in the forms that JSON may have: integer, decimal, or a string of digits."""
     decimal = strategies.floats(least, most, allow_subnormal=False)
     whole = strategies.integers(int(least) + (least > int(least)), max(int(most), int(least) + 1))
     return strategies.one_of(decimal, whole, whole.map(float), decimal.map(repr))
@@ -261,7 +262,7 @@
 
 
 def some(**fields: strategies.SearchStrategy) -> strategies.SearchStrategy:
-    """A table in which any key may be missing, and unknown ones may be."""
+    """A table in which any key may be missing, and which may have unknown keys."""
     more = {"new-key": strategies.sampled_from([None, [], {"deep": [1]}, [{}], "x"])}
     return strategies.fixed_dictionaries({}, optional=fields | more)
 
@@ -337,22 +338,22 @@
         and found.idle_timeout_s >= 0
         and found.connect_timeout_s > 0
     )
-    bed = Bed(replace(d, workloads=[one for one in d.workloads]))
+    bed = Bed(replace(d, workloads=[workload for workload in d.workloads]))
     for at in range(6):
         asked = d.workloads[at % len(d.workloads)]
-        submission = bed.arrive(asked)
+        request = bed.arrive(asked)
         bed.run(20_000)
-        for launch in bed.out(submission):
-            bed.end(submission, launch, t.Outcome.HANDLED if at % 2 else t.Outcome.ERROR)
+        for attempt in bed.out(request):
+            bed.end(request, attempt, t.Outcome.HANDLED if at % 2 else t.Outcome.ERROR)
     bed.run(max(one.hard_limit for one in d.workloads) + 100_000)
     assert not bed.owed
 
 
-# --- a crash of the module at its start ---------------------------------------------------------
+# --- the time that a refused start takes ---------------------------------------------------------
 
 
 def test_a_start_that_is_refused_comes_soon(tmp_path):
-    """By the processor time of the process, which other work on the machine does not change."""
+    """Measured in processor time, which other load on the machine does not change."""
     process = begin(tmp_path, table(settings=usual(tier="x")))
     process.stdout.read()
     _, status, usage = os.wait4(process.pid, 0)
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -1,5 +1,6 @@
-"""One build, two shapes of deployment: which is in force follows from the settings. What has no
-use in a shape is ignored, see test_settings_served.py; a value that can't be used is refused."""
+"""The two topologies, shared sidecars and one sidecar per client, are chosen by the settings.
+
+Unusable values are refused. Settings without effect in a topology are ignored (test_settings_served.py)."""
 
 import subprocess
 import sys
@@ -14,11 +15,11 @@
 from lupinmill.protocol import settings as protocol_settings
 
 LIMITS = settings()["limits"]
-ALONE = LIMITS | {"may-duplicate": False, "probes": False, "streams-per-conn": 100}
+PER_CLIENT_LIMITS = LIMITS | {"may-duplicate": False, "probes": False, "streams-per-conn": 100}
 PRICES = {"cross-zone": 0.1, "connection": 0.05}
-BESIDE = {
+PER_CLIENT = {
     "family": "mesh",
-    "limits": ALONE,
+    "limits": PER_CLIENT_LIMITS,
     "load-report": {"how": "off", "fields": []},
     "weights": "nominal",
     "family-info": {"warm-keys": True},
@@ -41,26 +42,26 @@
 
 
 def test_the_new_shape_is_read_from_its_settings():
-    protocol_settings.check(fields(settings(**BESIDE)))
-    d = protocol_settings.deployment(fields(settings(**BESIDE)))
+    protocol_settings.check(fields(settings(**PER_CLIENT)))
+    d = protocol_settings.deployment(fields(settings(**PER_CLIENT)))
     assert (d.sidecar_per_client, d.zone, d.crossing_price, d.warm_keys) == (True, "z", 0.1, True)
     assert d.few_connections and d.weights_tell_speed and not d.hedging_allowed
 
 
 STAR = {"name": "star", "contract-time-s": 0.5, "hard-limit-s": 1.0, "repeat": "repeatable"}
 UNUSABLE = [
-    ("family", BESIDE | {"family": "meshed"}),
-    ("weights", BESIDE | {"weights": "heavy"}),
-    ("family-info.warm-keys", BESIDE | {"family-info": {"warm-keys": "often"}}),
-    ("limits.streams-per-conn", BESIDE | {"limits": ALONE | {"streams-per-conn": 0}}),
-    ("prices.cross-zone", BESIDE | {"prices": PRICES | {"cross-zone": "much"}}),
-    ("prices.connection", BESIDE | {"prices": PRICES | {"connection": -1}}),
-    ("prices.connection", BESIDE | {"prices": PRICES | {"connection": "nan"}}),
+    ("family", PER_CLIENT | {"family": "meshed"}),
+    ("weights", PER_CLIENT | {"weights": "heavy"}),
+    ("family-info.warm-keys", PER_CLIENT | {"family-info": {"warm-keys": "often"}}),
+    ("limits.streams-per-conn", PER_CLIENT | {"limits": PER_CLIENT_LIMITS | {"streams-per-conn": 0}}),
+    ("prices.cross-zone", PER_CLIENT | {"prices": PRICES | {"cross-zone": "much"}}),
+    ("prices.connection", PER_CLIENT | {"prices": PRICES | {"connection": -1}}),
+    ("prices.connection", PER_CLIENT | {"prices": PRICES | {"connection": "nan"}}),
     ("invariants.dropped-stay-open", {"invariants": {"dropped-stay-open": "perhaps"}}),
     ("workloads.0.confined-to", {"workloads": [STAR | {"confined-to": ["n", "moon"]}], "areas": ["n"]}),
     ("workloads.0.bound-to", {"workloads": [STAR | {"bound-to": ["huge"]}], "kinds": ["big", "small"]}),
-    ("locality", BESIDE | {"locality": ""}),
-    ("locality", BESIDE | {"locality": "x"}),
+    ("locality", PER_CLIENT | {"locality": ""}),
+    ("locality", PER_CLIENT | {"locality": "x"}),
 ]
 
 
@@ -92,7 +93,7 @@
     async def check(net: Net):
         for at in range(6):
             assert (await net.ask(wanted(f"s{at}", "star"))).status == 200
-        stars = [[one for one in stand.seen if b"star" in one.target] for stand in net.stands]
+        stars = [[request for request in stand.seen if b"star" in request.target] for stand in net.stands]
         assert [len(seen) for seen in stars] == [0, 0, 6]
         update = {"index": 9, "endpoints": [net.discovery.rows[2] | {"status": "DRAINING"}]}
         net.program.directory.update(lists.parse(update), t.ListKind.CHANGES)
@@ -119,15 +120,17 @@
         keys = [event.key for event in net.events if isinstance(event, t.RequestArrived)]
         assert keys == [f"week{at % 3}" for at in range(12)]
         assert not any(isinstance(event, t.ProbeEnded) for event in net.events)
-        seats = net.program.engine.sidecar.dispatcher.endpoint_states.values()
-        assert sum(seat.used for seat in seats) <= 4 < len(seats)
+        states = net.program.engine.sidecar.dispatcher.endpoint_states.values()
+        assert sum(state.used for state in states) <= 4 < len(states)
         overlong = await net.ask(wanted("s99", more=f"Req-Key: {'k' * 201}\r\n"))
         assert overlong.status == 400
 
-    on_network(check, *[fine] * 8, **BESIDE)
+    on_network(check, *[fine] * 8, **PER_CLIENT)
 
 
-@pytest.mark.parametrize("told, taken", [(2.5, 2.5), (3, 3.0), (0, 1.0), (-1, 1.0), ("x", 1.0), (None, 1.0)])
-def test_a_weight_that_is_no_size_counts_as_one(told, taken):
-    row = {"name": "e0", "address": "127.0.0.1:1", "status": "SERVING", "weight": told}
-    assert lists.parse({"index": 1, "endpoints": [row]}).entries[0].weight == taken
+@pytest.mark.parametrize(
+    "weight, expected", [(2.5, 2.5), (3, 3.0), (0, 1.0), (-1, 1.0), ("x", 1.0), (None, 1.0)]
+)
+def test_a_weight_that_is_no_size_counts_as_one(weight, expected):
+    row = {"name": "e0", "address": "127.0.0.1:1", "status": "SERVING", "weight": weight}
+    assert lists.parse({"index": 1, "endpoints": [row]}).entries[0].weight == expected
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -1,4 +1,5 @@
-"""Whole sidecars on loopback: one answer each, by the rules, whatever endpoints, clients and discovery do."""
+"""Complete sidecars on loopback: each request gets one answer that keeps the rules, whatever endpoints,
+clients and discovery do."""
 
 import itertools
 import os
@@ -47,7 +48,7 @@
 
 
 def seen(net: Net, name: str) -> list[int]:
-    """The endpoints that got this submission whole."""
+    """The indexes of the endpoints that received this request completely."""
     return [at for at, stand in enumerate(net.stands) for one in stand.seen if one.header(b"req-id") == name]
 
 
@@ -159,13 +160,13 @@
 
 
 def test_an_idle_connection_that_broke_costs_no_launch():
-    """Guards against booking an endpoint as gone because a kept connection could not be written to."""
+    """Guards against counting an endpoint as gone because an idle connection could not be written to."""
     broke = []
 
     async def check(net: Net):
         assert (await net.ask(wanted("s1"))).status == 200
         (kept,) = [one for some in net.program.pool.idle.values() for one in some]
-        kept.idle_since -= REST  # it has rested
+        kept.idle_since -= REST  # as if it had been idle for long
 
         async def broken(data):
             broke.append(data)
@@ -208,7 +209,7 @@
             await stream.send(wanted("s1").replace(b"Length: 0", b"Length: 40000000") + b"z" * 99_000)
             assert (await stream.receive()).startswith(b"HTTP/1.1 413 ")
             for _ in range(4):
-                await stream.send(b"z" * 25_000)  # a connection closed over unread bytes would be reset
+                await stream.send(b"z" * 25_000)  # closing with unread bytes would reset the connection
                 await anyio.sleep(0.01)
             with pytest.raises(anyio.EndOfStream):
                 await stream.receive()
@@ -255,7 +256,7 @@
             assert (await stuck.receive()).startswith(b"HTTP/1.1 408 ")
             with pytest.raises(anyio.EndOfStream):
                 await stuck.receive()
-            while net.program.descriptors.open[Side.CLIENT]:  # though its client stays
+            while net.program.descriptors.open[Side.CLIENT]:  # though the client keeps its side open
                 await anyio.sleep(0.01)
         async with await anyio.connect_tcp(host, int(port)) as leaving:
             await leaving.send(wanted("s2")[:50])
@@ -266,7 +267,8 @@
 
 
 def test_what_trickles_or_says_nothing_is_closed_in_time_and_drives_out_no_client_in_use(monkeypatch):
-    """Seen failing with 10 s between two parts of a request, none for a first, and room made by age alone."""
+    """Regression: 10 s were allowed between two parts of a request, no limit held for the first one, and
+    connections were closed by age alone."""
     for module in (take_in, listener):
         monkeypatch.setattr(module, "WHOLE", 0.4)
 
@@ -341,7 +343,9 @@
             stuck = []
             for _ in range(24):
                 stuck.append(await anyio.connect_tcp(host, int(port)))
-                await stuck[-1].send(b"POST /view HTTP/1.1\r\n")  # an idle one would be closed for the next
+                await stuck[-1].send(
+                    b"POST /view HTTP/1.1\r\n"
+                )  # an idle connection would be closed to make room
                 await anyio.sleep(0.005)
             await anyio.sleep(0.3)
             began = time.monotonic()
@@ -367,14 +371,17 @@
 
 def test_a_failing_module_costs_no_other_submission_and_its_own_gets_a_break_off():
     async def check(net: Net):
-        desk, whole = net.program.engine.sidecar.dispatcher, net.program.engine.sidecar.dispatcher.arrive
+        dispatcher, whole = (
+            net.program.engine.sidecar.dispatcher,
+            net.program.engine.sidecar.dispatcher.arrive,
+        )
 
         def broken(event):
             if event.request == "bad":
                 raise RuntimeError("a defect")
             whole(event)
 
-        desk.handlers[t.RequestArrived] = broken
+        dispatcher.handlers[t.RequestArrived] = broken
         got = {}
 
         async def ask(name: str):
@@ -393,8 +400,9 @@
 
 @pytest.mark.parametrize("stepped_by", [0, 11, -3600, 3600])
 def test_a_loop_that_lags_gives_up_earlier(stepped_by, monkeypatch):
-    """Seen: answers 100 ms and more after the hard limit where many sidecars shared two cores. The limit is a
-    span of real time: this test failed itself where the machine's clock was set by 11 s in its middle."""
+    """Regression: answers came 100 ms and more after the hard limit where many sidecars shared two cores.
+
+    The limit is a span of real time: this test itself failed when the machine's clock was set by 11 s."""
 
     async def check(net: Net):
         nonlocal clock
@@ -431,19 +439,19 @@
 
 def test_notes_told_behind_one_that_fails_are_not_lost():
     async def check(net: Net):
-        engine, desk = net.program.engine, net.program.engine.sidecar.dispatcher
-        whole = desk.arrive
+        engine, dispatcher = net.program.engine, net.program.engine.sidecar.dispatcher
+        whole = dispatcher.arrive
 
         def arrive(event):
             whole(event)
-            if event.request == "s1":  # told while its orders are carried out, as a failing launch would
+            if event.request == "s1":  # sent while the commands are executed, as by a failing attempt
                 engine.carriers[t.StartAttempt] = lambda command: [engine.tell(one) for one in (bad, emptied)]
 
         def broken(event):
             raise RuntimeError("a defect")
 
         bad, emptied = t.RequestCancelled("none"), t.ListReceived(t.ListKind.FULL, [])
-        desk.handlers |= {t.RequestArrived: arrive, t.RequestCancelled: broken}
+        dispatcher.handlers |= {t.RequestArrived: arrive, t.RequestCancelled: broken}
         engine.tell(t.RequestArrived("s1", "view", engine.clock.now() + 300_000))
         await anyio.sleep(0)
         assert not engine.sidecar.registry.listed
@@ -504,14 +512,14 @@
 
 
 def test_a_discovery_that_fell_silent_is_noticed_and_asked_anew(monkeypatch):
-    """Seen failing with 23 s of silence: launches went on to endpoints that drained, and to no new one."""
+    """Regression: in 23 s of silence attempts went on to draining endpoints, and to no new one."""
     monkeypatch.setattr(driver, "watch_wait", lambda instances: 0.3)
     monkeypatch.setattr(watcher, "PARALLEL_CALL_INTERVAL_S", 0.5)
 
     async def check(net: Net):
         await until(lambda: len(net.discovery.seen) == 1)
         net.discovery.fault = "silent"
-        # Noticed: another call is out beside the silent one, which is not dropped for it.
+        # Noticed: a second call runs in parallel to the silent one, which is kept.
         await until(lambda: len(net.program.discovery.watcher.calls) > 1)
         net.discovery.fault = None
         net.discovery.change(net.discovery.rows[0], status="DRAINING")
@@ -521,8 +529,8 @@
 
 
 def test_a_new_endpoint_at_an_old_address_inherits_no_connection_and_loses_none():
-    """Seen failing with connections kept by address: the newcomer got its predecessor's, and lost its own as
-    that one left the list."""
+    """Regression: idle connections were kept by address. The new endpoint got its predecessor's, and lost its
+    own when that one left the list."""
 
     async def check(net: Net):
         directory, pool, row = net.program.directory, net.program.pool, net.discovery.rows[0]
@@ -565,7 +573,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_random_troubles_keep_the_rules(seed):
-    chance, ran, answers, late = random.Random(seed), {}, {}, []
+    random_source, ran, answers, late = random.Random(seed), {}, {}, []
     faults = [Answer(500), DECLINED, "silent", "cut", "reset", "garbled"]
 
     def endpoint(number: int):
@@ -573,10 +581,10 @@
             name = request.header(b"req-id")
             if name is None:
                 return Answer(200, [], b"queue=1,util=0.5")
-            what = chance.choice(faults) if chance.random() < 0.35 else None
+            what = random_source.choice(faults) if random_source.random() < 0.35 else None
             if what is not DECLINED:
                 ran.setdefault(name, []).append((number, time.monotonic()))
-            await anyio.sleep(chance.uniform(0, 0.15))
+            await anyio.sleep(random_source.uniform(0, 0.15))
             return what or Answer(200, [], b"done-" + name.encode())
 
         return act
@@ -584,8 +592,8 @@
     async def check(net: Net):
         async def ask(name: str, workload: str, deadline: float):
             began = time.monotonic()
-            gone = 0.05 if chance.random() < 0.1 else None
-            body = b"b" * chance.randrange(3000)
+            gone = 0.05 if random_source.random() < 0.1 else None
+            body = b"b" * random_source.randrange(3000)
             answer = await net.ask(wanted(name, workload, f"{deadline:.3f}", body), gone)
             if gone is None:
                 answers[name] = workload, answer
@@ -594,15 +602,15 @@
         async def flap():
             for _ in range(8):
                 await anyio.sleep(0.15)
-                row = chance.choice(net.discovery.rows)
+                row = random_source.choice(net.discovery.rows)
                 net.discovery.change(row, status="SERVING" if row["status"] != "SERVING" else "DRAINING")
 
         async with anyio.create_task_group() as group:
             group.start_soon(flap)
             for at in range(150):
-                await anyio.sleep(chance.uniform(0, 0.02))
-                workload = chance.choice(["view", "bid", "issue"])
-                group.start_soon(ask, f"s{at}", workload, chance.uniform(0.3, 0.8))
+                await anyio.sleep(random_source.uniform(0, 0.02))
+                workload = random_source.choice(["view", "bid", "issue"])
+                group.start_soon(ask, f"s{at}", workload, random_source.uniform(0.3, 0.8))
 
     net = on_network(check, *(endpoint(number) for number in range(4)))
     assert len(answers) > 100 and max(late) < 0.07
@@ -649,11 +657,11 @@
         for at in range(6000):
             logs.event("mode", text="x" * 100, at_=at)
 
-    # Nothing is read before all is logged: an event that waited for the reader would wait for ever.
+    # Nothing is read before all is logged: an event that waited for the reader would block for ever.
     logging = threading.Thread(target=log, daemon=True)
     logging.start()
     logging.join(20)
-    assert not logging.is_alive() and logs.dropped > 100  # the writer may take many between
+    assert not logging.is_alive() and logs.dropped > 100  # the writer may take many in between
     got = b""
 
     def end() -> None:
@@ -668,7 +676,7 @@
         got += part
     lines = [orjson.loads(line) for line in got.splitlines()]
     assert {(line["sidecar"], line["event"]) for line in lines} == {("n1", "mode")}
-    # A reader that takes some between may be told of dropped lines more than once.
+    # A reader that takes some in between may see dropped lines reported more than once.
     assert len(lines) + sum(line.get("dropped", 0) for line in lines) == 6001
     os.close(reader)
 
@@ -690,11 +698,11 @@
 
 @pytest.mark.parametrize("clients", [True, False])
 def test_sigterm_serves_kept_connections_to_near_the_end_and_answers_all_that_was_taken(tmp_path, clients):
-    """Seen failing with the kept connection closed 0.6 s after the signal, while its client had no other."""
+    """Regression: a kept connection was closed 0.6 s after the signal, while its client had no other."""
     net = Net([always(Answer(200, [], b"late"), 0.25)])
 
     async def keep_asking(began: float) -> float:
-        """On one connection for as long as it stays open; when that was."""
+        """Sends requests on one connection until it is closed. Returns when that was."""
         host, port = net.address.split(":")
         async with await anyio.connect_tcp(host, int(port)) as stream:
             for at in itertools.count():
@@ -737,11 +745,11 @@
 
 
 def test_sighup_moves_to_the_discovery_that_the_file_names_and_a_bad_file_changes_nothing(tmp_path):
-    """Seen failing as exit -1: the program had no handler, and SIGHUP ended it."""
+    """Regression: exit status -1, as the program had no handler and SIGHUP ended it."""
     net, other = Net([always(Answer(200, [], b"late"), 0.3)], discovery="push"), DiscoveryStand()
     path = tmp_path / "told.json"
 
-    def told_again(process, table) -> dict:
+    def reload(process, table) -> dict:
         path.write_bytes(table if isinstance(table, bytes) else orjson.dumps(table))
         process.send_signal(signal.SIGHUP)
         while not (line := orjson.loads(process.stdout.readline()))["event"].startswith("reload"):
@@ -756,11 +764,11 @@
             net.table | {"settings": settings(tier=1)},
             net.table | {"limits": {"sockets": 99}},
         ):
-            line = await anyio.to_thread.run_sync(told_again, process, bad)
+            line = await anyio.to_thread.run_sync(reload, process, bad)
             assert line["event"] == "reload_refused"
         assert not other.seen
         moved = net.table | {"discovery": other.address, "seed": "22", "known": None}
-        assert (await anyio.to_thread.run_sync(told_again, process, moved))["event"] == "reloaded"
+        assert (await anyio.to_thread.run_sync(reload, process, moved))["event"] == "reloaded"
         other.change(other.rows[0], status="DRAINING")
         await until(lambda: len(other.seen) > 1)
         assert other.seen[0].target == b"/v1/endpoints" and b"index=" in other.seen[1].target
--- a/tests/test_start_faults.py
+++ b/tests/test_start_faults.py
@@ -1,5 +1,5 @@
-"""Starts, reloads and ends beside what is broken: descriptors, directories, the log, the other process of an
-upgrade, a defect in one part."""
+"""Starts, reloads and shutdowns with something broken: descriptors, directories, the log, the other process
+of an upgrade, or a defect in one part."""
 
 import errno
 import os
@@ -35,14 +35,14 @@
         with socket.create_connection((host, int(port)), 1) as client:
             client.settimeout(LIMIT)
             client.sendall(b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n")
-            return client.recv(4096).startswith(b"HTTP/1.1 503 ")  # no endpoint is told
+            return client.recv(4096).startswith(b"HTTP/1.1 503 ")  # there is no endpoint
     except (ConnectionRefusedError, ConnectionResetError):
         return False
 
 
 @pytest.mark.parametrize("closed", ["<&-", ">&-", "2>&-", "<&- >&- 2>&-"])
 def test_a_closed_standard_stream_never_becomes_a_socket_that_the_log_is_written_to(tmp_path, closed):
-    """Seen failing with `/proc/PID/fd/1` as a socket or the event loop's own."""
+    """Regression: `/proc/PID/fd/1` was a socket, or a descriptor of the event loop."""
     listen = free_address()
     command = ["/bin/sh", "-c", f'exec "{sys.executable}" -m lupinmill {closed}']
     with running(begin(tmp_path, table(listen=listen), command)) as process:
@@ -97,7 +97,7 @@
 
 
 @pytest.mark.parametrize(
-    "value, told",
+    "value, expected",
     [
         ("a\ud800b", "a\\ud800b"),
         (2**70, str(2**70)),
@@ -105,8 +105,8 @@
         ({1: 2}, "{1: 2}"),
     ],
 )
-def test_a_log_line_never_raises_and_says_what_it_can(value, told):
-    """Seen failing as `TypeError: str is not valid UTF-8: surrogates not allowed`, of an exception's text."""
+def test_a_log_line_never_raises_and_says_what_it_can(value, expected):
+    """Regression: `TypeError: str is not valid UTF-8: surrogates not allowed`, for an exception's text."""
     reader, writer = os.pipe()
     logs = Logs("n1", writer)
     logs.event("mode", text=value, other="kept")
@@ -115,11 +115,16 @@
     os.close(writer)
     with os.fdopen(reader, "rb") as lines:
         first, second = (orjson.loads(line) for line in lines)
-    assert (first["event"], first["text"], first["other"], second["event"]) == ("mode", told, "kept", "next")
+    assert (first["event"], first["text"], first["other"], second["event"]) == (
+        "mode",
+        expected,
+        "kept",
+        "next",
+    )
 
 
 def test_a_log_on_a_full_pipe_that_does_not_block_loses_no_part_of_a_line():
-    """Seen failing as a line cut in its middle, with the next one joined to it."""
+    """Regression: a line was cut in the middle, and the next one joined to it."""
     reader, writer = os.pipe()
     os.set_blocking(writer, False)
     logs, got = Logs("n1", writer), []
@@ -171,7 +176,7 @@
 
 
 def test_an_address_that_is_still_held_is_asked_for_again(monkeypatch):
-    """Seen failing as `OSError: [Errno 98]` out of the start."""
+    """Regression: the start ended with `OSError: [Errno 98]`."""
     tries = []
 
     def held(*args) -> Listener:
@@ -196,13 +201,13 @@
     "said", [None, b"\x00\x00\x00\x40{", b"\x00\x00\x00\x02{}", "no descriptor", "no socket", "no listener"]
 )
 def test_another_process_that_dies_or_tells_nonsense_means_an_ordinary_start(tmp_path, said, monkeypatch):
-    """Seen failing for a file and for a socket that does not listen: taken up as the listening socket."""
+    """Regression: a file, and a socket that does not listen, were used as the listening socket."""
     monkeypatch.setattr(driver, "STATE_TIMEOUT_S", 5.0)
     logs = []
 
-    async def other(door: socket.socket) -> None:
-        await anyio.wait_readable(door)
-        sock, _ = door.accept()
+    async def other(listening: socket.socket) -> None:
+        await anyio.wait_readable(listening)
+        sock, _ = listening.accept()
         sock.setblocking(False)
         link = Link(sock)
         await link.hear_one()
@@ -223,8 +228,8 @@
         with anyio.fail_after(LIMIT):
             async with anyio.create_task_group() as group:
                 found = Handover(str(tmp_path), "n1", "a:1", lambda event, **f: logs.append(event))
-                with UpgradeSocket(str(tmp_path), "n1", "a:1").listen() as door:
-                    group.start_soon(other, door)
+                with UpgradeSocket(str(tmp_path), "n1", "a:1").listen() as listening:
+                    group.start_soon(other, listening)
                     assert await found.request_state() is None
                 group.cancel_scope.cancel()
 
@@ -248,7 +253,7 @@
     [{"held": 1e400}, {"held": -1}, {"out": [["e0", 1e400]]}, {"mode": ["serving", 1e400]}, {"mode": 5}],
 )
 def test_a_state_with_no_figures_is_refused_and_not_a_crash(bad):
-    """Seen failing as `OverflowError: cannot convert float infinity to integer`."""
+    """Regression: `OverflowError: cannot convert float infinity to integer`."""
     from lupinmill.admin.operator_overrides import OperatorOverrides
     from lupinmill.handover import handover_state
 
@@ -269,7 +274,7 @@
     ],
 )
 def test_learned_figures_that_are_none_cost_the_learned_alone(kept):
-    """Seen failing as `OverflowError` out of the start, and as defects in each later step."""
+    """Regression: `OverflowError` out of the start, and defects in each later step."""
     from lupinmill.handover.handover_state import HandoverState
     from lupinmill.protocol import lists
 
@@ -304,7 +309,7 @@
 
 @pytest.mark.parametrize("part", ["read_again", "discovery.move", "log line"])
 def test_a_defect_in_a_reload_costs_that_reload(part, monkeypatch):
-    """Seen failing as an exception group out of `Program.run`."""
+    """Regression: an exception group out of `Program.run`."""
 
     async def check(net: Net):
         moved = net.program.settings
@@ -322,13 +327,13 @@
         assert (await net.ask(wanted("s1"))).status == 200
 
     net = on_network(check, fine)
-    (told,) = [fields for event, fields in net.logs if event == "reload_refused"]
-    assert told["error"] == "RuntimeError: a defect"
+    (refused,) = [fields for event, fields in net.logs if event == "reload_refused"]
+    assert refused["error"] == "RuntimeError: a defect"
 
 
 @pytest.mark.parametrize("task", ["accept_successors", "follow_predecessor"])
 def test_a_defect_in_a_task_of_the_handover_costs_the_handover_alone(task, tmp_path, monkeypatch):
-    """Seen failing as an exception group out of `Program.run`."""
+    """Regression: an exception group out of `Program.run`."""
 
     async def fails(self, *_: object) -> None:
         raise RuntimeError("a defect")
@@ -338,10 +343,10 @@
 
     class InDirectory(Net):
         async def start_program(self, group) -> None:
-            understand = sidecar.Handover.__init__
+            create = sidecar.Handover.__init__
 
             def in_directory(self, _, *more) -> None:
-                understand(self, str(tmp_path), *more)
+                create(self, str(tmp_path), *more)
                 if task == "follow_predecessor":
                     ends = socket.socketpair(socket.AF_UNIX, socket.SOCK_STREAM)
                     ends[0].setblocking(False)
@@ -394,13 +399,13 @@
 
 
 def test_an_end_waits_for_no_request_beyond_the_longest_deadline(monkeypatch):
-    """Guards against a program that never ends, as `leave` waits for a count that a defect has left up."""
+    """Guards against a program that never ends: `leave` waits for a count that a defect has left too high."""
     monkeypatch.setattr(sidecar, "MAX_DEADLINE_S", 0.5)
     monkeypatch.setattr(sidecar, "OPEN_REQUEST_GRACE_S", 0.1)
 
     async def check(net: Net):
         program = net.program
-        program.take_in.taken += 1  # what a defect would leave
+        program.take_in.taken += 1  # what a defect would leave behind
         program.descriptors.open[Side.CLIENT] += 1
         os.kill(os.getpid(), signal.SIGTERM)
         await until(lambda: any(event == "stopped" for event, _ in net.logs))
--- a/tests/test_start_signals.py
+++ b/tests/test_start_signals.py
@@ -1,4 +1,4 @@
-"""Signals at each phase of a start and of an end, forced at that moment in a real process."""
+"""Signals in each phase of a start and of a shutdown, sent at that moment to a real process."""
 
 import os
 import signal
@@ -29,7 +29,7 @@
 
 
 def moved(folder) -> str:
-    """A configuration that takes the place of the first, as the platform writes it before it sends SIGHUP."""
+    """A configuration that replaces the first one, as the platform writes it before it sends SIGHUP."""
     path = folder / "moved.json"
     path.write_bytes(orjson.dumps(table(discovery=NEW)))
     return str(path)
@@ -37,7 +37,7 @@
 
 @pytest.mark.parametrize("moment", MOMENTS)
 def test_a_signal_to_read_again_neither_ends_a_start_nor_is_missed(tmp_path, moment):
-    """Seen failing as `ended with -1 before 'started'`."""
+    """Regression: the process ended with -1 before it logged `started`."""
     more = hooked(tmp_path, moment, signal.SIGHUP, MOVED=moved(tmp_path), BALANCER_DISCOVERY="127.0.0.1:1")
     with running(begin(tmp_path, table(), **more)) as process:
         line_of(process, "started")
@@ -48,7 +48,7 @@
 
 
 def test_the_command_that_operators_run_survives_one_before_its_first_line(tmp_path):
-    """Seen failing as `ended with -1 before 'started'`: no handler can be there so early."""
+    """Regression: the process ended with -1 before it logged `started`. No handler can be set so early."""
     run = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
     more = hooked(
         tmp_path, "python -", signal.SIGHUP, MOVED=moved(tmp_path), BALANCER_DISCOVERY="127.0.0.1:1"
@@ -73,7 +73,7 @@
 @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGINT])
 @pytest.mark.parametrize("moment", MOMENTS)
 def test_a_signal_to_end_ends_a_start_in_order(tmp_path, moment, number):
-    """Seen failing as exit -15, and for SIGINT as a traceback and exit -2."""
+    """Regression: exit status -15, and for SIGINT a traceback and -2."""
     with running(begin(tmp_path, table(), **hooked(tmp_path, moment, number))) as process:
         output, errors = process.communicate(timeout=LIMIT)
     assert process.returncode == 0 and errors == b""
@@ -82,7 +82,7 @@
 
 @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGHUP])
 def test_a_late_signal_does_not_become_the_status_of_a_process_that_has_ended(tmp_path, number):
-    """Seen failing as exit -15 and -1: the receiver's end had set the default actions again."""
+    """Regression: exit status -15 and -1, as the receiver's end had restored the default actions."""
     with running(begin(tmp_path, table(), **hooked(tmp_path, "atexit -", number))) as process:
         line_of(process, "started")
         process.send_signal(signal.SIGTERM)
@@ -91,47 +91,49 @@
 
 
 def test_a_signal_to_end_while_the_other_process_of_an_upgrade_says_nothing(tmp_path):
-    """Seen failing as exit -15."""
+    """Regression: exit status -15."""
     listen = "127.0.0.1:0"
-    mute = UpgradeSocket(str(tmp_path), "n1", listen).listen()
-    mute.setblocking(True)
-    mute.settimeout(LIMIT)
-    with mute, running(begin(tmp_path, table(), TMPDIR=str(tmp_path))) as process:
-        other, _ = mute.accept()
+    silent = UpgradeSocket(str(tmp_path), "n1", listen).listen()
+    silent.setblocking(True)
+    silent.settimeout(LIMIT)
+    with silent, running(begin(tmp_path, table(), TMPDIR=str(tmp_path))) as process:
+        other, _ = silent.accept()
         with other:
             other.settimeout(LIMIT)
-            assert b"hello" in other.recv(4096)  # it waits for the answer now
+            assert b"hello" in other.recv(4096)  # the program waits for the answer now
             process.send_signal(signal.SIGTERM)
             output, errors = process.communicate(timeout=LIMIT)
-            assert other.recv(1) == b""  # it did not say that it serves
+            assert other.recv(1) == b""  # the program did not report that it serves
     assert process.returncode == 0 and errors == b""
     assert events(output) == ["leaving", "stopped"]
 
 
 def test_a_signal_to_end_once_clients_can_be_in_the_queue_leaves_none_without_an_answer(monkeypatch):
-    answers = []
+    clients = []
 
     def bound(*args) -> Listener:
-        """A client connects and asks, and the signal comes, before the program has the listener in hand."""
+        """A client sends a request, and the signal comes, before the program has the listener."""
         made = Listener(*args)
         client = socket.create_connection(made.sock.getsockname())
         client.sendall(wanted("s1"))
-        answers.append(client)
+        clients.append(client)
         os.kill(os.getpid(), signal.SIGTERM)
         return made
 
     monkeypatch.setattr(sidecar, "Listener", bound)
 
     def read_all() -> bytes:
-        answers[0].settimeout(LIMIT)
-        return answers[0].recv(4096)
+        clients[0].settimeout(LIMIT)
+        return clients[0].recv(4096)
 
     async def check(net: Net):
         assert (await anyio.to_thread.run_sync(read_all)).startswith(b"HTTP/1.1 200")
-        answers[0].close()
+        clients[0].close()
         await until(lambda: any(event == "stopped" for event, _ in net.logs))
 
-    before = signal.signal(signal.SIGTERM, lambda *_: None)  # lest a program with no receiver ends the tests
+    before = signal.signal(
+        signal.SIGTERM, lambda *_: None
+    )  # a program without its receiver must not end the test run
     try:
         net = on_network(check, fine)
     finally:
