--- a/lupinmill/__main__.py
+++ b/lupinmill/__main__.py
@@ -5,7 +5,7 @@
 import sys
 
 from lupinmill.program.signals import Signals
-from lupinmill.program.standard_streams import complain, open_missing
+from lupinmill.program.standard_streams import print_error, open_missing
 
 SERVES = __name__ == "__main__" and len(sys.argv) < 2
 SIGNALS = Signals()
@@ -18,7 +18,7 @@
 
 import anyio  # noqa: E402
 
-from lupinmill.program import told  # noqa: E402
+from lupinmill.program import process_settings  # noqa: E402
 from lupinmill.program.logs import Logs  # noqa: E402
 from lupinmill.program.sidecar import Program  # noqa: E402
 
@@ -26,15 +26,17 @@
 def serve() -> int:
     logs = None
     try:
-        start = told.read(os.environ)
-        logs = Logs(start.name)
-        program = Program(start, logs.event, lambda: told.read(os.environ, again=True), SIGNALS)
+        settings = process_settings.read(os.environ)
+        logs = Logs(settings.name)
+        program = Program(
+            settings, logs.event, lambda: process_settings.read(os.environ, reload=True), SIGNALS
+        )
         anyio.run(program.run)
-    except told.BadStart as error:
-        complain(str(error))
+    except process_settings.StartupError as error:
+        print_error(str(error))
         return 2
     except OSError as error:
-        complain(error.strerror or str(error))
+        print_error(error.strerror or str(error))
         return 2
     finally:
         SIGNALS.ignore()
--- a/lupinmill/config/relay_file.py
+++ b/lupinmill/config/relay_file.py
@@ -13,7 +13,7 @@
 import msgspec
 from msgspec import Struct
 
-from lupinmill.program.operators_file import LONGEST_NAME, BadFile, known_keys, usable
+from lupinmill.program.operators_file import MAX_NAME_LENGTH, ConfigFileError, known_keys, check_address
 
 MAX_FILE_BYTES = 64 * 1024
 MAX_UPSTREAMS = 8
@@ -41,19 +41,19 @@
 
 
 def read(path: str) -> RelayFile:
-    """Raises BadFile."""
+    """Raises ConfigFileError."""
     try:
         data = Path(path).read_bytes()
     except OSError as error:
-        raise BadFile(f"{path}: {error.strerror}") from error
+        raise ConfigFileError(f"{path}: {error.strerror}") from error
     try:
         if len(data) > MAX_FILE_BYTES:
-            raise BadFile(f"over {MAX_FILE_BYTES} bytes")
+            raise ConfigFileError(f"over {MAX_FILE_BYTES} bytes")
         return parse(tomllib.loads(data.decode()))
     except UnicodeDecodeError as error:
-        raise BadFile(f"{path}: not UTF-8") from error
-    except (tomllib.TOMLDecodeError, BadFile) as error:
-        raise BadFile(f"{path}: {error}") from error
+        raise ConfigFileError(f"{path}: not UTF-8") from error
+    except (tomllib.TOMLDecodeError, ConfigFileError) as error:
+        raise ConfigFileError(f"{path}: {error}") from error
 
 
 def parse(table: dict[str, object]) -> RelayFile:
@@ -62,31 +62,33 @@
         file = msgspec.convert(table, RelayFile)
     except msgspec.ValidationError as error:
         text, _, place = str(error).partition(" - at `$")
-        raise BadFile(f"{place.rstrip('`').lstrip('.') or 'the file'}: {text}") from error
+        raise ConfigFileError(f"{place.rstrip('`').lstrip('.') or 'the file'}: {text}") from error
     check(file)
     return file
 
 
 def check(file: RelayFile) -> None:
-    if not 0 < len(file.name.encode()) <= LONGEST_NAME or not file.name.isprintable():
-        raise BadFile(f"name: must be 1 to {LONGEST_NAME} printable bytes")
-    usable(file.listen, "listen")
+    if not 0 < len(file.name.encode()) <= MAX_NAME_LENGTH or not file.name.isprintable():
+        raise ConfigFileError(f"name: must be 1 to {MAX_NAME_LENGTH} printable bytes")
+    check_address(file.listen, "listen")
     if file.operator:
-        usable(file.operator, "operator")
+        check_address(file.operator, "operator")
         if file.operator == file.listen:
-            raise BadFile("operator: must differ from `listen`; operators need a separate address")
+            raise ConfigFileError("operator: must differ from `listen`; operators need a separate address")
     elif file.is_source:
-        raise BadFile("operator: missing; without it nobody can push to a source (a file without upstreams)")
+        raise ConfigFileError(
+            "operator: missing; without it nobody can push to a source (a file without upstreams)"
+        )
     if not file.keep.startswith("/"):
-        raise BadFile("keep: must be an absolute path")
+        raise ConfigFileError("keep: must be an absolute path")
     if len(file.upstreams) > MAX_UPSTREAMS:
-        raise BadFile(f"upstreams: must be at most {MAX_UPSTREAMS}")
+        raise ConfigFileError(f"upstreams: must be at most {MAX_UPSTREAMS}")
     for index, upstream in enumerate(file.upstreams):
-        usable(upstream, f"upstreams.{index}")
+        check_address(upstream, f"upstreams.{index}")
         if upstream == file.listen:
-            raise BadFile(f"upstreams.{index}: is `listen`, the relay's own address")
+            raise ConfigFileError(f"upstreams.{index}: is `listen`, the relay's own address")
         if upstream in file.upstreams[:index]:
-            raise BadFile(f"upstreams.{index}: {upstream} is listed twice")
+            raise ConfigFileError(f"upstreams.{index}: {upstream} is listed twice")
     for key, value, minimum, maximum in (
         ("sidecars", file.sidecars, 1, 100_000),
         ("calls_per_s", file.calls_per_s, 1, 100_000),
@@ -94,7 +96,7 @@
         ("memory_mb", file.memory_mb, 32, 4_096),
     ):
         if not minimum <= value <= maximum:
-            raise BadFile(f"{key}: must be {minimum} to {maximum}")
+            raise ConfigFileError(f"{key}: must be {minimum} to {maximum}")
 
 
 def describe(file: RelayFile) -> list[str]:
--- a/lupinmill/config/server.py
+++ b/lupinmill/config/server.py
@@ -98,7 +98,7 @@
         if request is None:
             with anyio.fail_after(self.call_timeout_s):  # in total, however slowly the bytes arrive
                 while request is None:
-                    if go_ahead := side.go_ahead():
+                    if go_ahead := side.continue_response():
                         await client.send(go_ahead)
                     if not (data := await client.receive()):
                         return None
--- a/lupinmill/config/wire.py
+++ b/lupinmill/config/wire.py
@@ -103,16 +103,16 @@
 def decode_watch(request: Request) -> WatchRequest:
     """Raises Malformed, and nothing else, for any invalid request."""
     if request.method != b"GET":
-        raise Malformed(405, "only GET", trusted=True)
+        raise Malformed(405, "only GET", framing_intact=True)
     path, _, query = request.target.partition(b"?")
     if path != PATH:
-        raise Malformed(404, "no such path", trusted=True)
+        raise Malformed(404, "no such path", framing_intact=True)
     if request.body:
-        raise Malformed(400, "a watch has no body", trusted=True)
+        raise Malformed(400, "a watch has no body", framing_intact=True)
     single, scopes = parse_query(query)
     name = single.get("name", "")
     if not is_valid_name(name):
-        raise Malformed(400, "name: none, or not a name", trusted=True)
+        raise Malformed(400, "name: none, or not a name", framing_intact=True)
     status = Status(
         name,
         query_version(single, "in_force", "in_force_mark"),
@@ -121,7 +121,7 @@
         query_version(single, "ahead", "ahead_mark"),
     )
     if len(status.why) > MAX_REASON_CHARS:
-        raise Malformed(400, f"why: over {MAX_REASON_CHARS} characters", trusted=True)
+        raise Malformed(400, f"why: over {MAX_REASON_CHARS} characters", framing_intact=True)
     wait_ms = min(MAX_WAIT_MS, query_number(single, "wait", MAX_INDEX))
     return WatchRequest(query_version(single, "index", "mark"), wait_ms, scopes, status)
 
@@ -136,35 +136,35 @@
             max_num_fields=MAX_SCOPES + len(SINGLE_KEYS),
         )
     except ValueError as error:  # also raised for non-ASCII bytes and escapes that are not UTF-8
-        raise Malformed(400, "query: can't be read", trusted=True) from error
+        raise Malformed(400, "query: can't be read", framing_intact=True) from error
     single: dict[str, str] = {}
     scopes: dict[str, None] = {}
     for key, value in pairs:
         if key == "scope":
             if not is_valid_scope(value):
-                raise Malformed(400, "scope: not a scope", trusted=True)
+                raise Malformed(400, "scope: not a scope", framing_intact=True)
             scopes[value] = None
         elif key not in SINGLE_KEYS:
-            raise Malformed(400, "query: a key that is not known", trusted=True)
+            raise Malformed(400, "query: a key that is not known", framing_intact=True)
         elif key in single:
-            raise Malformed(400, f"{key}: given twice", trusted=True)
+            raise Malformed(400, f"{key}: given twice", framing_intact=True)
         else:
             single[key] = value
     if len(scopes) > MAX_SCOPES:
-        raise Malformed(400, f"scope: over {MAX_SCOPES}", trusted=True)
+        raise Malformed(400, f"scope: over {MAX_SCOPES}", framing_intact=True)
     return single, tuple(scopes)
 
 
 def query_number(single: dict[str, str], key: str, maximum: int) -> int:
     value = single.get(key, "0")
     if not DIGITS.fullmatch(value) or int(value) > maximum:
-        raise Malformed(400, f"{key}: not a whole number from 0 to {maximum}", trusted=True)
+        raise Malformed(400, f"{key}: not a whole number from 0 to {maximum}", framing_intact=True)
     return int(value)
 
 
 def query_version(single: dict[str, str], index: str, mark: str) -> Version:
     if not MARK.fullmatch(single.get(mark, "")):
-        raise Malformed(400, f"{mark}: not a mark", trusted=True)
+        raise Malformed(400, f"{mark}: not a mark", framing_intact=True)
     return Version(query_number(single, index, MAX_INDEX), single.get(mark, ""))
 
 
--- a/lupinmill/routing/admission.py
+++ b/lupinmill/routing/admission.py
@@ -10,7 +10,7 @@
 
 from lupinmill import terms as t
 from lupinmill.limits.gate import AdmissionGate, AdmissionRequest, Verdict
-from lupinmill.protocol import quick
+from lupinmill.protocol import fast_path
 from lupinmill.routing.engine import Log, error_fields
 from lupinmill.routing.request_table import RequestTable
 from lupinmill.transport.client import Client
@@ -64,11 +64,11 @@
 
     def decide(self, client: Client, data: bytes) -> bool:
         began = perf_counter()
-        metadata = quick.glance(data, self.workloads)
+        metadata = fast_path.parse_simple_request(data, self.workloads)
         if metadata is None:
             return True
-        left = max(0, metadata.left - client.max_elapsed_wait(metadata.left))
-        offer = AdmissionRequest(metadata.workload, left, metadata.repeated, metadata.tenant, client=client)
+        left = max(0, metadata.time_left - client.max_elapsed_wait(metadata.time_left))
+        offer = AdmissionRequest(metadata.workload, left, metadata.is_retry, metadata.tenant, client=client)
         fate = self.gate.admit(self.engine.clock.now(), offer)
         if fate is Verdict.DENIED:
             denied = self.send_denial(client)
@@ -98,7 +98,7 @@
 
     def send_denial(self, client: Client) -> bool:
         """Writes the response at once and in full; a client that does not read is not waited for."""
-        data = quick.denial(self.gate.retry_advice())
+        data = fast_path.rejection(self.gate.retry_advice())
         try:
             whole = client.sock.send(data) == len(data)
         except OSError:
--- a/lupinmill/routing/attempt_runner.py
+++ b/lupinmill/routing/attempt_runner.py
@@ -7,7 +7,7 @@
 import anyio
 
 from lupinmill import terms as t
-from lupinmill.protocol import submission
+from lupinmill.protocol import client_requests
 from lupinmill.protocol.http import Answer, ClientSide, Garbled, Request
 from lupinmill.routing.deadline import MAX_PAUSE_S, Deadline
 from lupinmill.routing.directory import EndpointDirectory
@@ -81,7 +81,7 @@
         try:
             with attempt.deadline.scope:
                 answer = await self.send_request(pending, attempt)
-                result.load = submission.load_report(answer)
+                result.load = client_requests.load_report(answer)
                 self.classify_response(pending, attempt, answer, result)
             if result.outcome is None and attempt.fully_sent:
                 result.outcome = t.Outcome.CALLED_OFF if attempt.cancelled else t.Outcome.TIMED_OUT
@@ -99,14 +99,14 @@
     def classify_response(
         self, pending: PendingRequest, attempt: Attempt, answer: Answer, result: Result
     ) -> None:
-        result.outcome = submission.outcome(answer)
+        result.outcome = client_requests.outcome(answer)
         if pending.stream is not None and pending.stream.attempt is attempt:
             result.outcome = pending.stream.outcome
         elif result.outcome is t.Outcome.ERROR and not attempt.fully_sent:
             result.outcome = t.Outcome.REFUSED  # it arrived before the last byte was written, so nothing ran
         # Retrying a rejected request would use up retries and count against endpoints.
         elif result.outcome in (t.Outcome.HANDLED, t.Outcome.REJECTED):
-            result.final_answer = submission.passed_on(answer)
+            result.final_answer = client_requests.client_response(answer)
 
     async def send_request(self, pending: PendingRequest, attempt: Attempt) -> Answer:
         endpoint = attempt.endpoint
@@ -129,7 +129,7 @@
                     connection = None
                     raise AttemptNotSent
                 side = ClientSide()
-                request = submission.launch(pending.request, left)
+                request = client_requests.attempt_request(pending.request, left)
                 if pending.body is None:
                     try:
                         for piece in side.pieces(request):
@@ -182,8 +182,8 @@
         if not side.large or answer.status != 200 or pending.settled:
             return
         stream = ResponseStream(connection, side, attempt)
-        load = submission.load_report(answer)
-        self.request_table.start_response_stream(pending, attempt, submission.passed_on(answer), stream, load)
+        load = client_requests.load_report(answer)
+        self.request_table.start_response_stream(pending, attempt, client_requests.client_response(answer), stream, load)
         await stream.finished.wait()
 
     async def exchange_streaming(
@@ -260,8 +260,8 @@
         would leave no time for another attempt. For a large response this returns the head, and the body is
         taken from `side`."""
         while (answer := side.next_answer()) is None:
-            if side.large and side.got is not None:
-                return side.got
+            if side.large and side.received_answer is not None:
+                return side.received_answer
             side.feed(await deadline.receive(connection, side.begun()))
         return answer
 
@@ -271,8 +271,8 @@
         deadline = Deadline(anyio.current_time() + 2 * self.pool.timeout_s)
         try:
             with deadline.scope:
-                answer = await self.exchange(endpoint, submission.probe(self.load_reported), deadline)
-                outcome, load = submission.probed(answer)
+                answer = await self.exchange(endpoint, client_requests.probe_request(self.load_reported), deadline)
+                outcome, load = client_requests.probe_result(answer)
         except Unconnected:
             outcome = t.Outcome.UNCONNECTED
         except (OSError, Garbled):
--- a/lupinmill/routing/client_handler.py
+++ b/lupinmill/routing/client_handler.py
@@ -10,8 +10,8 @@
 
 from lupinmill.protocol.http import (
     END,
-    LARGEST_BODY,
-    SMALL,
+    MAX_BODY_BYTES,
+    MAX_BUFFERED_BODY,
     Answer,
     Malformed,
     Request,
@@ -19,7 +19,7 @@
     length_of,
     plain,
 )
-from lupinmill.protocol.submission import denied
+from lupinmill.protocol.client_requests import denied
 from lupinmill.routing.admission import AdmissionController
 from lupinmill.routing.engine import Log, error_fields
 from lupinmill.routing.request_body import RequestBody
@@ -132,7 +132,7 @@
     async def send_rejection(self, client: Client, side: ServerSide, answer: Answer) -> None:
         """Answers a request that is malformed or incomplete."""
         client.response_due = True
-        await self.response_writer.send_answer(client, side, answer, True, LARGEST_BODY)
+        await self.response_writer.send_answer(client, side, answer, True, MAX_BODY_BYTES)
 
     async def handle_request(
         self, client: Client, side: ServerSide, request: Request, body: RequestBody | None
@@ -190,7 +190,7 @@
                     client, side, answer, pending.stream, self.must_close(client, side)
                 )
             return await self.response_writer.send_answer(
-                client, side, answer, self.must_close(client, side), LARGEST_BODY
+                client, side, answer, self.must_close(client, side), MAX_BODY_BYTES
             )
         finally:
             if pending.stream is not None:
@@ -223,7 +223,7 @@
     ) -> PendingRequest | Answer:
         to_come = 0.0
         if body is not None and not body.complete:
-            to_come = REQUEST_TIMEOUT_S + ((body.length or LARGEST_BODY) - body.end) / MIN_UPLOAD_RATE
+            to_come = REQUEST_TIMEOUT_S + ((body.length or MAX_BODY_BYTES) - body.end) / MIN_UPLOAD_RATE
         opened: PendingRequest | Answer | None = None
         try:
             opened = self.request_factory.create(request, client, body, to_come)
@@ -242,7 +242,7 @@
             with anyio.move_on_after(self.response_writer.seconds_to_decision(pending)) as scope:
                 pending.client_wait = scope
                 if not pending.settled:
-                    complete = await self.collect_body(client, side, body, LARGEST_BODY)
+                    complete = await self.collect_body(client, side, body, MAX_BODY_BYTES)
         except Malformed:
             if not pending.settled:
                 raise
@@ -257,7 +257,7 @@
             client.disconnected = True
             self.response_writer.request_table.withdraw(pending)
             return False
-        left, waits = pending.metadata.left, client.elapsed_wait()
+        left, waits = pending.metadata.time_left, client.elapsed_wait()
         due, latest_start = (
             self.request_factory.due(left, waits.at_least),
             self.request_factory.due(left, waits.at_most),
@@ -293,7 +293,7 @@
         """Reads up to 64 KiB, or up to 1 MiB if the memory budget allows."""
         received, began = bytearray(), 0.0
         deadline: ReadDeadline | None = None  # most bodies arrive together with their head and need none
-        while (part := side.next_part()) is not END and len(received) <= SMALL:
+        while (part := side.next_part()) is not END and len(received) <= MAX_BUFFERED_BODY:
             if isinstance(part, (bytes, bytearray)):
                 received += part
                 continue
@@ -326,7 +326,7 @@
         Returns False if the client disconnected."""
         began, before = anyio.current_time(), side.size
         deadline = ReadDeadline(began + REQUEST_TIMEOUT_S)
-        while body.end < max_bytes or max_bytes == LARGEST_BODY:
+        while body.end < max_bytes or max_bytes == MAX_BODY_BYTES:
             part = side.next_part()
             if part is END:
                 body.finish()
@@ -336,9 +336,9 @@
                     return False
             else:
                 asked = anyio.current_time()
-                await body.put(part, max_bytes == LARGEST_BODY)
+                await body.put(part, max_bytes == MAX_BODY_BYTES)
                 began += anyio.current_time() - asked
-                if max_bytes < LARGEST_BODY and not body.fully_buffered():
+                if max_bytes < MAX_BODY_BYTES and not body.fully_buffered():
                     break
                 deadline.until = began + REQUEST_TIMEOUT_S + (side.size - before) / MIN_UPLOAD_RATE
         return True
@@ -348,7 +348,7 @@
         already unread are read once more, because it may be this event loop that was late."""
         data = b""
         with anyio.CancelScope(deadline=deadline.until) as scope:
-            if ahead := side.go_ahead():
+            if ahead := side.continue_response():
                 await client.send(ahead)
             data = await client.receive()
         if scope.cancelled_caught:
@@ -371,7 +371,7 @@
         """Rejects requests on a connection for which no descriptor is free; no attempt is made for them. A
         readiness check still gets the true answer: a load balancer that receives 503 would not add this
         sidecar."""
-        side, deadline = ServerSide(SMALL), ReadDeadline(anyio.current_time() + TURN_AWAY_TIMEOUT_S)
+        side, deadline = ServerSide(MAX_BUFFERED_BODY), ReadDeadline(anyio.current_time() + TURN_AWAY_TIMEOUT_S)
         goes_on = True
         while goes_on:
             try:
@@ -382,12 +382,12 @@
                 await self.turn_away_malformed(client, side, error)
                 return
             client.response_due = True
-            answer = self.request_factory.readiness(request) or denied(self.retry_after)
+            answer = self.request_factory.readiness(request) or rejection(self.retry_after)
             goes_on = await self.response_writer.send_answer(client, side, answer, not side.begun())
 
     async def turn_away_malformed(self, client: Client, side: ServerSide, error: Malformed) -> None:
         if error.status == 408 and not side.begun():
             return  # it never sent a byte
         # A request that is too large only for this path is rejected like any other.
-        answer = denied(self.retry_after) if error.status == 413 else plain(error.status, f"{error}\n")
+        answer = rejection(self.retry_after) if error.status == 413 else plain(error.status, f"{error}\n")
         await self.send_rejection(client, side, answer)
--- a/lupinmill/routing/command_executor.py
+++ b/lupinmill/routing/command_executor.py
@@ -6,7 +6,7 @@
 from anyio.abc import TaskGroup
 
 from lupinmill import terms as t
-from lupinmill.protocol import submission
+from lupinmill.protocol import client_requests
 from lupinmill.routing.attempt_runner import AttemptRunner
 from lupinmill.routing.deadline import Deadline
 from lupinmill.routing.engine import Engine
@@ -68,11 +68,11 @@
 
     def reject_request(self, command: t.RejectRequest) -> None:
         if pending := self.request_table.pending_requests.get(command.request):
-            self.request_table.settle(pending, submission.denied(command.retry_after))
+            self.request_table.settle(pending, client_requests.rejection(command.retry_after))
 
     def abort_response(self, command: t.AbortResponse) -> None:
         if pending := self.request_table.pending_requests.get(command.request):
-            self.request_table.settle(pending, submission.broken_off())
+            self.request_table.settle(pending, client_requests.aborted_response())
 
     def start_probe(self, command: t.StartProbe) -> None:
         self.group.start_soon(self.attempt_runner.probe, command.endpoint)
--- a/lupinmill/routing/directory.py
+++ b/lupinmill/routing/directory.py
@@ -5,7 +5,7 @@
 from collections.abc import Container
 
 from lupinmill import terms as t
-from lupinmill.protocol.lists import Known
+from lupinmill.protocol.lists import EndpointList
 from lupinmill.routing.engine import Engine
 from lupinmill.routing.start_times import StartTimes
 from lupinmill.transport import wall_clock
@@ -28,7 +28,7 @@
         self.start_times = StartTimes(wall_clock.SHARED)
         engine.failure_listeners.append(self.on_module_failure)
 
-    def update(self, known: Known, kind: t.ListKind) -> None:
+    def update(self, known: EndpointList, kind: t.ListKind) -> None:
         """Applies a list as a whole: nothing is changed before the new state is complete. If the decision
         module fails on it, `index` becomes None and the whole list must be requested again."""
         # The last entry for a name applies, here as in the decision module: a response may hold a name's end
--- a/lupinmill/routing/request_body.py
+++ b/lupinmill/routing/request_body.py
@@ -9,10 +9,10 @@
 
 import anyio
 
-from lupinmill.protocol.http import SMALL
+from lupinmill.protocol.http import MAX_BUFFERED_BODY
 from lupinmill.transport.buffers import MemoryBudget
 
-MAX_UNSENT_BYTES = SMALL  # bytes beyond the memory budget that may wait for an attempt
+MAX_UNSENT_BYTES = MAX_BUFFERED_BODY  # bytes beyond the memory budget that may wait for an attempt
 
 
 class BodyUnavailable(Exception):
--- a/lupinmill/routing/request_factory.py
+++ b/lupinmill/routing/request_factory.py
@@ -4,7 +4,7 @@
 from __future__ import annotations
 
 from lupinmill.admin.operator_overrides import OperatorOverrides
-from lupinmill.protocol import submission
+from lupinmill.protocol import client_requests
 from lupinmill.protocol.http import Answer, Malformed, Request, plain
 from lupinmill.routing.directory import EndpointDirectory
 from lupinmill.routing.request_body import RequestBody
@@ -53,24 +53,24 @@
         if (answer := self.readiness(request)) is not None:
             return answer
         try:
-            metadata = submission.read(request, self.known_workloads)
-            if self.request_table.is_open(metadata.submission):
+            metadata = client_requests.parse(request, self.known_workloads)
+            if self.request_table.is_open(metadata.request_id):
                 # The decision module would take both for the same request, and one client would get no
                 # response.
                 raise Malformed(400, "this Req-Id is still open", True)
         except Malformed as error:
             return plain(error.status, f"{error}\n")
         if metadata.workload in self.removed_workloads:
-            return submission.denied(self.retry_after)
+            return client_requests.rejection(self.retry_after)
         incomplete = body is not None and not body.complete
-        waited = client.max_elapsed_wait(metadata.left, incomplete)
-        if incomplete and waited >= metadata.left:
-            return submission.denied(self.retry_after)  # the client's whole deadline may have passed
+        waited = client.max_elapsed_wait(metadata.time_left, incomplete)
+        if incomplete and waited >= metadata.time_left:
+            return client_requests.rejection(self.retry_after)  # the client's whole deadline may have passed
         # The client may still be writing while the body arrives, and waits for no response yet.
         due = (
-            self.due(metadata.left, 0, int(to_come * 1_000_000))
+            self.due(metadata.time_left, 0, int(to_come * 1_000_000))
             if incomplete
-            else self.due(metadata.left, waited)
+            else self.due(metadata.time_left, waited)
         )
         pending = PendingRequest(
             metadata, request, due, client, self.request_table.engine.clock.now() - waited, body=body
@@ -85,7 +85,7 @@
 
     def readiness(self, request: Request) -> Answer | None:
         """Returns None if the request is not a readiness check."""
-        if request.target.split(b"?", 1)[0] != submission.READY or request.method not in (b"GET", b"HEAD"):
+        if request.target.split(b"?", 1)[0] != client_requests.READY or request.method not in (b"GET", b"HEAD"):
             return None
         return plain(200, "ready\n") if self.is_ready() else plain(503, "not ready\n")
 
--- a/lupinmill/routing/request_table.py
+++ b/lupinmill/routing/request_table.py
@@ -10,7 +10,7 @@
 
 from lupinmill import terms as t
 from lupinmill.protocol.http import Answer, Request
-from lupinmill.protocol.submission import Asked, broken_off
+from lupinmill.protocol.client_requests import ClientRequest, aborted_response
 from lupinmill.routing.deadline import Deadline
 from lupinmill.routing.engine import Engine
 from lupinmill.routing.request_body import RequestBody
@@ -39,7 +39,7 @@
 class PendingRequest:
     """One request from its arrival until its last attempt has ended."""
 
-    metadata: Asked
+    metadata: ClientRequest
     request: Request
     due: int
     client: Client
@@ -67,10 +67,10 @@
 
     def add(self, pending: PendingRequest) -> None:
         metadata = pending.metadata
-        self.pending_requests[metadata.submission] = pending
+        self.pending_requests[metadata.request_id] = pending
         self.unattempted += 1
         whole = pending.body is None or pending.body.complete
-        name, repeated = metadata.submission, metadata.repeated
+        name, repeated = metadata.request_id, metadata.is_retry
         self.engine.handle_event(
             t.RequestArrived(
                 name,
@@ -80,7 +80,7 @@
                 repeated,
                 whole,
                 metadata.key,
-                metadata.keyed,
+                metadata.has_idempotency_key,
             )
         )
 
@@ -91,7 +91,7 @@
         for attempt in pending.attempts:
             if attempt.in_flight:
                 attempt.deadline.reschedule(clock + (due - now) / 1_000_000)
-        self.engine.handle_event(t.RequestBodyReceived(pending.metadata.submission, due))
+        self.engine.handle_event(t.RequestBodyReceived(pending.metadata.request_id, due))
 
     def start_response_stream(
         self,
@@ -137,7 +137,7 @@
     def withdraw(self, pending: PendingRequest) -> None:
         """Settles a request whose client has disconnected, or whose response came from no decision."""
         if self.settle(pending, None):
-            self.engine.handle_event(t.RequestCancelled(pending.metadata.submission))
+            self.engine.handle_event(t.RequestCancelled(pending.metadata.request_id))
 
     def on_module_failure(self, event: Any) -> None:
         """The decision module failed on this event and may never decide on its request. If no attempt is in
@@ -153,9 +153,9 @@
 
     def abort_after_module_failure(self, pending: PendingRequest) -> None:
         """Gives a final response that comes from no decision."""
-        if self.settle(pending, broken_off()):
-            self.engine.log("backstop", submission=pending.metadata.submission)
-            self.engine.handle_event(t.RequestCancelled(pending.metadata.submission))
+        if self.settle(pending, aborted_response()):
+            self.engine.log("backstop", submission=pending.metadata.request_id)
+            self.engine.handle_event(t.RequestCancelled(pending.metadata.request_id))
 
     def attempt_ended(
         self,
@@ -182,7 +182,7 @@
     ) -> None:
         # Counted from the last byte sent: before that, event loop and connection took the time.
         began = attempt.sent_at or attempt.started_at
-        name, took = pending.metadata.submission, self.engine.clock.now() - began - attempt.unread_time
+        name, took = pending.metadata.request_id, self.engine.clock.now() - began - attempt.unread_time
         took = max(took, MIN_DURATION_US)
         last = pending.body is not None and not (pending.body.can_restart() and self.time_left(pending) > 0)
         self.engine.handle_event(
@@ -198,14 +198,14 @@
             left = min(left, pending.latest_start - now)
         elif pending.body is not None and not pending.body.complete:
             left = min(
-                left, pending.metadata.left - pending.client.max_elapsed_wait(pending.metadata.left, True)
+                left, pending.metadata.time_left - pending.client.max_elapsed_wait(pending.metadata.time_left, True)
             )
         return left
 
     def remove_if_finished(self, pending: PendingRequest) -> None:
         if pending.settled and not any(attempt.in_flight for attempt in pending.attempts):
             if (
-                self.pending_requests.pop(pending.metadata.submission, None) is not None
+                self.pending_requests.pop(pending.metadata.request_id, None) is not None
                 and not pending.attempts
             ):
                 self.unattempted -= 1
--- a/lupinmill/routing/response_writer.py
+++ b/lupinmill/routing/response_writer.py
@@ -6,7 +6,7 @@
 import h11
 
 from lupinmill.protocol.http import Answer, ServerSide
-from lupinmill.protocol.submission import broken_off
+from lupinmill.protocol.client_requests import aborted_response
 from lupinmill.routing.engine import Log
 from lupinmill.routing.request_table import PendingRequest, RequestTable
 from lupinmill.routing.response_stream import IncompleteResponse, ResponseStream
@@ -47,8 +47,8 @@
         """Aborts a request without a decision. An attempt may have run, so this is no rejection."""
         if not pending.settled:
             self.request_table.withdraw(pending)
-            pending.answer = broken_off()
-            self.log("backstop", submission=pending.metadata.submission)
+            pending.answer = aborted_response()
+            self.log("backstop", submission=pending.metadata.request_id)
 
     async def send_stream(
         self, client: Client, side: ServerSide, answer: Answer, stream: ResponseStream, close: bool
@@ -71,7 +71,7 @@
         except (IncompleteResponse, h11.LocalProtocolError) as error:
             self.log("answer_broken", error=str(error), began=began)
         finally:
-            if not complete and not client.response_due and not side.tells_its_end():
+            if not complete and not client.response_due and not side.truncation_detectable():
                 client.reset_on_close()
             stream.finish()
         if not complete:
--- a/tests/bed.py
+++ b/tests/bed.py
@@ -14,8 +14,8 @@
 
 from lupinmill import terms as t
 from lupinmill.program.sidecar import Program
-from lupinmill.program.told import understand
-from lupinmill.protocol.http import LARGEST_BODY, Answer, ClientSide, Garbled, ServerSide
+from lupinmill.program.process_settings import parse_settings
+from lupinmill.protocol.http import MAX_BODY_BYTES, Answer, ClientSide, Garbled, ServerSide
 from lupinmill.rules import SECOND, Sidecar
 
 NEVER = {t.Outcome.REFUSED, t.Outcome.UNCONNECTED, t.Outcome.UNSENT}
@@ -353,7 +353,7 @@
     async def start_program(self, group) -> None:
         if self.operator:
             self.table["operator"] = "127.0.0.1:0"
-        told = understand(self.table, {})
+        told = parse_settings(self.table, {})
         self.program = Program(told, lambda event, **f: self.logs.append((event, f)), lambda: told)
         tell = self.program.engine.handle_event
         self.program.engine.handle_event = lambda event: (self.events.append(event), tell(event))
@@ -368,7 +368,7 @@
         host, port = self.address.split(":")
         async with await anyio.connect_tcp(host, int(port)) as stream:
             await stream.send(data)
-            side = ClientSide(LARGEST_BODY)
+            side = ClientSide(MAX_BODY_BYTES)
             side.http.send(h11.Request(method="GET", target="/", headers=[("Host", "x")]))
             side.http.send(h11.EndOfMessage())
             with anyio.move_on_after(gone_after if gone_after is not None else 10):
--- a/tests/test_config_overlay.py
+++ b/tests/test_config_overlay.py
@@ -12,8 +12,8 @@
 from lupinmill.config import checks, merge
 from lupinmill.config.model import Entries, Key
 from lupinmill.limits.gate import Verdict, AdmissionGate, AdmissionRequest
-from lupinmill.program import in_force, operators_file
-from lupinmill.program.told import understand
+from lupinmill.program import live_config, operators_file
+from lupinmill.program.process_settings import parse_settings
 from lupinmill.protocol import settings as protocol_settings
 
 FLEET, MINE = Key("fleet", "settings"), Key("sidecar/n1", "settings")
@@ -120,8 +120,8 @@
     usual, protocol_settings.Settings = protocol_settings.Settings, RecordingSettings
     try:
         protocol_settings.deployment(fields)
-        protocol_settings.idle_limit(fields)
-        protocol_settings.connect_limit(fields)
+        protocol_settings.idle_timeout_s(fields)
+        protocol_settings.connect_timeout_s(fields)
     finally:
         protocol_settings.Settings = usual
     protocol_settings.check(fields)
@@ -141,35 +141,35 @@
         ),
         ({"instance": 3}, "settings.instance: unknown; the nearest known key is instances"),
         ({"instances": 0}, "settings.instances: '0' is not within 1"),
-        ({"instances": "many"}, "settings.instances: 'many' is no number"),
+        ({"instances": "many"}, "settings.instances: 'many' is not a number"),
         ({"limits": {"cancel": "perhaps"}}, "settings.limits.cancel: 'perhaps' is neither"),
         ({"workloads": {"view": {"value": -1}}}, "settings.workloads.0.value: '-1' is not within 0"),
         (
             {"workloads": {"view": {"hard-limit-s": 0}}},
-            "settings.workloads.0.hard-limit-s: '0' is not over 0",
+            "settings.workloads.0.hard-limit-s: '0' is not above 0",
         ),
         ({"workloads": {"new": {"repeat": "once"}}}, "settings.workloads.3.contract-time-s: missing"),
         ({"workloads": {"view": None, "bid": None, "issue": None}}, "settings.workloads: none would be left"),
         ({"workloads": [{"name": "a"} | workload()] * 2}, "settings.workloads.1.name: 'a' is none, or there"),
-        ({"accounts": {"a": {"quota-per-s": "x"}}}, "settings.accounts.0.quota-per-s: 'x' is no number"),
-        ({"tier": 1}, "settings.tier: wants a new start"),
-        ({"discovery": "push"}, "settings.discovery: wants a new start"),
-        ({"round-s": 1.0}, "settings.round-s: wants a new start"),
-        ({"load-report": {"how": "off"}}, "settings.load-report.how: wants a new start"),
-        ({"locality": "z"}, "settings.locality: wants a new start"),
+        ({"accounts": {"a": {"quota-per-s": "x"}}}, "settings.accounts.0.quota-per-s: 'x' is not a number"),
+        ({"tier": 1}, "settings.tier: needs a restart"),
+        ({"discovery": "push"}, "settings.discovery: needs a restart"),
+        ({"round-s": 1.0}, "settings.round-s: needs a restart"),
+        ({"load-report": {"how": "off"}}, "settings.load-report.how: needs a restart"),
+        ({"locality": "z"}, "settings.locality: needs a restart"),
         (
             {"invariants": {"dropped-stay-open": True}},
-            "settings.invariants.dropped-stay-open: wants a new start",
+            "settings.invariants.dropped-stay-open: needs a restart",
         ),
     ],
 )
 def test_what_does_not_fit_is_refused_whole_with_its_key_and_the_old_version_stays(more, key):
     async def check(net):
         await net.in_force({FLEET: {"limits": {"most-launches": 3}}})
-        before, told = net.program.engine.sidecar.dispatcher.settings, net.program.told
+        before, told = net.program.engine.sidecar.dispatcher.settings, net.program.settings
         why = await net.refused({MINE: {"beyond-share-value": 0.5} | more})
         assert key in why, why
-        assert net.program.engine.sidecar.dispatcher.settings is before and net.program.told is told
+        assert net.program.engine.sidecar.dispatcher.settings is before and net.program.settings is told
         assert net.version() == 1 and (await net.ask(wanted("s1"))).status == 200
         await until(lambda: net.relay.statuses[-1].refused == 2)
         assert net.relay.statuses[-1].in_force.index == 1 and key[:60] in net.relay.statuses[-1].why
@@ -182,15 +182,15 @@
 
 
 def test_every_field_of_a_deployment_either_changes_alive_or_is_fixed():
-    fixed = {field for field, _ in in_force.FIXED}
+    fixed = {field for field, _ in live_config.RESTART_REQUIRED}
     assert fixed < set(t.Deployment.__dataclass_fields__)
-    usual = understand({"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": settings()}, {})
+    usual = parse_settings({"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": settings()}, {})
     for field in fixed:
         value = getattr(usual.deployment, field)
         other = (not value) if isinstance(value, bool) else "other" if isinstance(value, str) else value + 1
-        changed = in_force.replace(usual.deployment, **{field: other})
-        with pytest.raises(in_force.Unfit, match="wants a new start"):
-            in_force.stays(usual, in_force.replace(usual, deployment=changed))
+        changed = live_config.replace(usual.deployment, **{field: other})
+        with pytest.raises(live_config.IncompatibleConfig, match="needs a restart"):
+            live_config.check_restart_required(usual, live_config.replace(usual, deployment=changed))
 
 
 ZONED = Path(__file__).parent.parent / "deploy" / "operator.toml"
@@ -199,30 +199,34 @@
 def zoned(**more):
     text = ZONED.read_text() + '\n[config]\nrelays = ["10.0.0.1:7500"]\n'
     table = {"name": "front-1", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2"}
-    told = understand(table | {"settings": settings(**more)}, {})
-    return in_force.replace(told, operators=operators_file.understand(__import__("tomllib").loads(text)))
+    told = parse_settings(table | {"settings": settings(**more)}, {})
+    return live_config.replace(told, operator_file=operators_file.parse(__import__("tomllib").loads(text)))
 
 
 def test_where_zones_plan_by_workloads_their_names_and_values_stay_and_limits_change():
     running = zoned()
 
     def judged(entries: Entries) -> t.Deployment:
-        new = in_force.combine(running, entries)
-        in_force.stays(running, new)
+        new = live_config.combine(running, entries)
+        live_config.check_restart_required(running, new)
         return new.deployment
 
     view = judged({FLEET: {"workloads": {"view": {"hard-limit-s": 9.0}}, "instances": 7}})
     assert view.workloads[0].hard_limit == 9 * SECOND and view.instances == 7
     for more in ({"view": {"value": 2.0}}, {"view": None}, {"quick": workload()}):
-        with pytest.raises(in_force.Unfit, match="settings.workloads: names and values want a new start"):
+        with pytest.raises(
+            live_config.IncompatibleConfig, match="settings.workloads: names and values need a restart"
+        ):
             judged({FLEET: {"workloads": more}})
     table = {"map": {name: {} for name in ("north", "south", "coast")}}
-    with pytest.raises(in_force.Unfit, match="zones: wants a new start"):
+    with pytest.raises(live_config.IncompatibleConfig, match="zones: needs a restart"):
         judged({Key("fleet", "zones"): table})
-    with pytest.raises(in_force.Unfit, match="zones.map.north.sparse: unknown; the nearest known key is"):
+    with pytest.raises(
+        live_config.IncompatibleConfig, match="zones.map.north.sparse: unknown; the nearest known key is"
+    ):
         judged({Key("fleet", "zones"): {"map": {"north": {"sparse": 1}}}})
     moved = {"address": "10.0.1.11:7400", "zone": "south", "region": "west"}
-    with pytest.raises(in_force.Unfit, match="wants a new start"):
+    with pytest.raises(live_config.IncompatibleConfig, match="needs a restart"):
         judged({Key("fleet", "member/front-1"): moved})
 
 
@@ -231,7 +235,7 @@
     gate.active, gate.window, gate.peak_rate, now = True, 0.0, 1_000.0, 100 * SECOND
     offers = {name: AdmissionRequest(name, 3 * SECOND) for name in ("view", "bid")}
     assert {gate.admit(now, offer) for offer in offers.values()} == {Verdict.HELD}
-    gate.deploy(deployment(workloads=[in_force.replace(IDEM, value=9.0, contract=2 * SECOND)]))
+    gate.deploy(deployment(workloads=[live_config.replace(IDEM, value=9.0, contract=2 * SECOND)]))
     assert [line.priority for line in gate.queues_by_priority] == [9.0, KEYED.value]
     assert gate.queues["view", False].contract == 2 * SECOND and set(gate.workloads) == {"view"}
     gate.window = 2.0
--- a/tests/test_config_push.py
+++ b/tests/test_config_push.py
@@ -10,7 +10,7 @@
 from lupinmill.config import push, relay_file
 from lupinmill.config.model import Key
 from lupinmill.config.push import InvalidPush
-from lupinmill.program.operators_file import BadFile
+from lupinmill.program.operators_file import ConfigFileError
 
 RELAY = {"name": "r", "listen": "127.0.0.1:7500", "keep": "/k/r", "upstreams": ["127.0.0.1:7501"]}
 
@@ -37,7 +37,7 @@
 )
 def test_a_fault_in_a_relays_file_is_one_line_that_names_the_key(change, text):
     table = {key: value for key, value in {**RELAY, **change}.items() if value is not None}
-    with pytest.raises(BadFile) as caught:
+    with pytest.raises(ConfigFileError) as caught:
         relay_file.parse(table)
     assert text in str(caught.value) and "\n" not in str(caught.value)
 
@@ -125,7 +125,7 @@
     (FLEET, {"instances": 0}, "settings.instances: '0' is not within 1 to"),
     (FLEET, {"workloads": {"view": {"hard-limit-s": "long"}}}, "settings.workloads.0.hard-limit-s"),
     (FLEET, {"workloads": {"view": {"repeat": "often"}}}, "settings.workloads.0.repeat: 'often'"),
-    (FLEET, {"workloads": [{"name": "view"}]}, "settings.workloads.0.repeat: '' is none of"),
+    (FLEET, {"workloads": [{"name": "view"}]}, "settings.workloads.0.repeat: '' is not one of"),
     (FLEET, {"workloads": 7}, "settings.workloads: wants a list"),
     (
         service_settings("s"),
--- a/tests/test_crossings_endpoints.py
+++ b/tests/test_crossings_endpoints.py
@@ -16,8 +16,8 @@
 from test_sidecar import DECLINED, always, fine, seen, until
 
 from lupinmill import terms as t
-from lupinmill.program.told import understand
-from lupinmill.protocol import submission
+from lupinmill.program.process_settings import parse_settings
+from lupinmill.protocol import client_requests
 from lupinmill.protocol.http import Answer, Request
 from lupinmill.routing.request_table import RequestTable, PendingRequest, Attempt
 from lupinmill.routing.deadline import Deadline
@@ -163,13 +163,13 @@
     async def main():
         told = []
         table = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "settings": settings()}
-        engine = Engine(understand(table, {}).deployment, Clock(), lambda *_, **__: None)
+        engine = Engine(parse_settings(table, {}).deployment, Clock(), lambda *_, **__: None)
         engine.handle_event = told.append
         request_table = RequestTable(engine)
         async with anyio.create_task_group() as group:
             executor = CommandExecutor(engine, request_table, None, group)
             request = Request(b"GET", b"/view", [(b"Req-Id", b"s1"), (b"Req-Deadline", b"1")])
-            metadata = submission.read(request, {"view"})
+            metadata = client_requests.parse(request, {"view"})
             pending = PendingRequest(
                 metadata, request, engine.clock.now() + 1_000_000, None, engine.clock.now()
             )
--- a/tests/test_engine_defects.py
+++ b/tests/test_engine_defects.py
@@ -73,7 +73,7 @@
         ended = net.program.request_table.report_attempt_ended
 
         def broken(pending, *more):
-            if pending.metadata.submission == "bad":
+            if pending.metadata.request_id == "bad":
                 raise KeyError("planted")
             ended(pending, *more)
 
--- a/tests/test_fault_campaign.py
+++ b/tests/test_fault_campaign.py
@@ -47,8 +47,8 @@
 RequestTable.attempt_ended = planted
 """
 LAUNCH = """
-from lupinmill.protocol import submission
-launch = submission.launch
+from lupinmill.protocol import client_requests
+launch = client_requests.attempt_request
 """
 
 # The code that plants a fault, and the kind and rule of the violation that the referee has to find.
@@ -75,7 +75,7 @@
         "    made = launch(request, left)\n"
         "    made.body = made.body[::-1]\n"
         "    return made\n"
-        "submission.launch = planted",
+        "client_requests.attempt_request = planted",
         Fault.NOT_FROM_CLIENT,
         "body changed",
     ),
@@ -84,17 +84,17 @@
         "    made = launch(request, left)\n"
         "    made.headers = [one for one in made.headers if one[0].lower() != b'idempotency-key']\n"
         "    return made\n"
-        "submission.launch = planted",
+        "client_requests.attempt_request = planted",
         Fault.NOT_FROM_CLIENT,
         "keys changed",
     ),
     "another's answer": (
-        "from lupinmill.protocol import submission\n"
-        "passed, kept = submission.passed_on, []\n"
+        "from lupinmill.protocol import client_requests\n"
+        "passed, kept = client_requests.client_response, []\n"
         "def planted(answer):\n"
         "    kept.append(passed(answer))\n"
         "    return kept[0]\n"
-        "submission.passed_on = planted",
+        "client_requests.client_response = planted",
         Fault.NOT_FROM_CLIENT,
         "served with what was not made",
     ),
@@ -111,7 +111,7 @@
         None,  # varies: run twice, outside its group, or refused after an attempt that may have run
     ),
     "more time than is left": (
-        LAUNCH + "submission.launch = lambda request, left: launch(request, left + 1_000_000)",
+        LAUNCH + "client_requests.attempt_request = lambda request, left: launch(request, left + 1_000_000)",
         Fault.TOO_LATE,
         "told more time than is left",
     ),
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -1,4 +1,4 @@
-"""What comes as bytes: whole messages, the table of outcomes, and what is refused as bad input."""
+"""Parsing: requests, answers, outcomes, load reports and lists, and malformed input."""
 
 import random
 
@@ -6,7 +6,7 @@
 import pytest
 
 from lupinmill import terms as t
-from lupinmill.protocol import http, lists, reports, settings, submission
+from lupinmill.protocol import http, lists, reports, settings, client_requests
 from lupinmill.protocol.http import Answer, ClientSide, Garbled, Malformed, Request, ServerSide
 
 REQUEST = (
@@ -18,16 +18,16 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_a_request_is_the_same_however_its_bytes_are_cut(seed):
-    chance, side, rest, got = random.Random(seed), ServerSide(), REQUEST, None
+    random_source, side, rest, got = random.Random(seed), ServerSide(), REQUEST, None
     while rest:
         assert got is None
-        count = chance.randint(1, 40)
+        count = random_source.randint(1, 40)
         side.feed(rest[:count])
         rest = rest[count:]
         got = side.next_request()
     assert (got.method, got.target, got.body) == (b"POST", b"/view?q=1", b"abcde")
-    on = http.end_to_end(got.headers)
-    assert [key for key, _ in on] == [b"Host", b"Req-Id", b"Req-Deadline", b"Cookie"]
+    forwarded = http.end_to_end(got.headers)
+    assert [key for key, _ in forwarded] == [b"Host", b"Req-Id", b"Req-Deadline", b"Cookie"]
 
 
 @pytest.mark.parametrize(
@@ -64,11 +64,16 @@
 
 
 def test_a_request_becomes_a_submission():
-    asked = submission.read(request(**{"Req-Retry": "1", "Req-Owner": "isle"}), {"view"})
-    assert asked == submission.Asked("77", "view", 250_000, "isle", True, keyed=False)
-    keyed = submission.read(request(**{"Idempotency-Key": "k"}), {"view"})
-    assert keyed.keyed and not submission.read(request(**{"Idempotency-Key": ""}), {"view"}).keyed
-    assert submission.read(request(**{"Req-Kind": "-"}), {"view"}).workload == "view"
+    asked = client_requests.parse(request(**{"Req-Retry": "1", "Req-Owner": "isle"}), {"view"})
+    assert asked == client_requests.ClientRequest(
+        "77", "view", 250_000, "isle", True, has_idempotency_key=False
+    )
+    keyed = client_requests.parse(request(**{"Idempotency-Key": "k"}), {"view"})
+    assert (
+        keyed.has_idempotency_key
+        and not client_requests.parse(request(**{"Idempotency-Key": ""}), {"view"}).has_idempotency_key
+    )
+    assert client_requests.parse(request(**{"Req-Kind": "-"}), {"view"}).workload == "view"
 
 
 @pytest.mark.parametrize(
@@ -103,13 +108,13 @@
 )
 def test_bad_headers_get_their_status(headers, status):
     with pytest.raises(Malformed) as caught:
-        submission.read(request(**headers), {"view", "bid"})
-    assert caught.value.status == status and caught.value.trusted
+        client_requests.parse(request(**headers), {"view", "bid"})
+    assert caught.value.status == status and caught.value.framing_intact
 
 
 def test_a_launch_goes_on_unchanged_but_for_the_time_left():
     headers = [(b"Req-Deadline", b"9"), (b"A", b"b")]
-    sent = submission.launch(Request(b"POST", b"/view?q", headers, b"body"), 250_000)
+    sent = client_requests.attempt_request(Request(b"POST", b"/view?q", headers, b"body"), 250_000)
     assert (sent.target, sent.body) == (b"/view?q", b"body")
     assert sent.headers == [(b"A", b"b"), (b"Req-Deadline", b"0.250000")]
 
@@ -130,7 +135,7 @@
     ],
 )
 def test_outcomes_by_the_protocols_table(status, headers, how):
-    assert submission.outcome(Answer(status, headers)) is how
+    assert client_requests.outcome(Answer(status, headers)) is how
 
 
 @pytest.mark.parametrize(
@@ -160,11 +165,13 @@
 
 
 def test_reports_by_either_name_and_form():
-    whole = t.LoadReport(queued=2.0, busy=0.61)
+    expected = t.LoadReport(queued=2.0, busy=0.61)
     for text in ("queue=2,util=0.61", " waiting=2 , cpu=0.61,odd=1", '{"queue":2,"util":0.61}'):
-        assert reports.read(text) == whole
-    assert reports.read("inflight=7,latency_ms=1.5,qps=3") == t.LoadReport(held=7.0, service=1500.0, rate=3.0)
-    assert reports.read("queue=2,util=1e-05") == t.LoadReport(queued=2.0, busy=1e-05)
+        assert reports.parse(text) == expected
+    assert reports.parse("inflight=7,latency_ms=1.5,qps=3") == t.LoadReport(
+        held=7.0, service=1500.0, rate=3.0
+    )
+    assert reports.parse("queue=2,util=1e-05") == t.LoadReport(queued=2.0, busy=1e-05)
     for text in (
         None,
         "",
@@ -179,7 +186,7 @@
         "queue=99999999999,util=0.5",
         '{"queue":[1]}',
     ):
-        assert reports.read(text) is None
+        assert reports.parse(text) is None
 
 
 ROW = {
@@ -195,7 +202,9 @@
 
 
 def test_a_list_is_read_with_its_starts_on_the_modules_clock():
-    known = lists.read(Answer(200, [], orjson.dumps({"index": 7, "snapshot": False, "endpoints": [ROW]})))
+    known = lists.parse_response(
+        Answer(200, [], orjson.dumps({"index": 7, "snapshot": False, "endpoints": [ROW]}))
+    )
     entry = t.ListEntry("s-5", t.EndpointStatus.DRAINING, "a", "m", "3", 1_700_000_000_123_000)
     assert (known.index, known.whole, known.entries) == (7, False, [entry])
     assert known.addresses == {"s-5": "127.0.0.1:1"}
@@ -214,7 +223,7 @@
 )
 def test_a_broken_list_is_garbled_and_nothing_else(status, body):
     with pytest.raises(Garbled):
-        lists.read(Answer(status, [], body))
+        lists.parse_response(Answer(status, [], body))
 
 
 def test_nested_settings_and_pairs_give_the_same_deployment():
