--- a/lupinmill/program/sidecar.py
+++ b/lupinmill/program/sidecar.py
@@ -109,7 +109,9 @@
             DescriptorBudget(raise_descriptor_limit(settings.descriptors) - reserved, settings.memory),
         )
         self.body_memory = MemoryBudget(body_memory_limit(settings.memory))
-        self.connection_pool = ConnectionPool(self.descriptors, self.block_pool, settings.idle_timeout_s, settings.connect_timeout_s)
+        self.connection_pool = ConnectionPool(
+            self.descriptors, self.block_pool, settings.idle_timeout_s, settings.connect_timeout_s
+        )
         self.engine = Engine(settings.deployment, Clock(), log)
         self.overrides = OperatorOverrides()
         self.directory = EndpointDirectory(self.engine, self.connection_pool, self.overrides.cordoned)
@@ -271,12 +273,22 @@
     async def serve(self, signals: AsyncIterator[signal.Signals], task_status: TaskStatus[str]) -> None:
         deployment, listener = self.settings.deployment, self.listener
         assert listener is not None
-        attempt_runner = AttemptRunner(self.connection_pool, self.directory, self.request_table, deployment.reports_asked, self.log)
+        attempt_runner = AttemptRunner(
+            self.connection_pool, self.directory, self.request_table, deployment.reports_asked, self.log
+        )
         advice = deployment.longest_advice // 2 if deployment.advice_allowed else 0
         self.request_factory.retry_after = advice
-        self.admission = admission = listener.admission = AdmissionController(AdmissionGate(deployment), self.request_table, self.log)
+        self.admission = admission = listener.admission = AdmissionController(
+            AdmissionGate(deployment), self.request_table, self.log
+        )
         self.client_handler = client_handler = ClientHandler(
-            listener, self.request_factory, ResponseWriter(self.request_table, self.log), admission, advice, self.log, self.body_memory
+            listener,
+            self.request_factory,
+            ResponseWriter(self.request_table, self.log),
+            admission,
+            advice,
+            self.log,
+            self.body_memory,
         )
         client_handler.closing = lambda: not listener.handing_over and self.overrides.closes_connections(
             self.engine.clock.now()
@@ -358,7 +370,9 @@
     async def handle_signals(self, signals: AsyncIterator[signal.Signals]) -> None:
         """Returns on a shutdown signal."""
         if self.shutdown_signal is not None:
-            self.log("leaving", signal=self.shutdown_signal.name, open=len(self.request_table.pending_requests))
+            self.log(
+                "leaving", signal=self.shutdown_signal.name, open=len(self.request_table.pending_requests)
+            )
             return
         async for signum in signals:
             if signum in SHUTDOWN_SIGNALS:
@@ -430,14 +444,22 @@
         self.mode_changed()
         began = anyio.current_time()
         # Answers being written count too: a request is settled some passes before its client has the answer.
-        while (waited := anyio.current_time() - began) < serving_s or self.request_table.pending_requests or client_handler.answering:
+        while (
+            (waited := anyio.current_time() - began) < serving_s
+            or self.request_table.pending_requests
+            or client_handler.answering
+        ):
             # Includes accepted connections whose tasks have not started yet.
             clients = self.descriptors.open[ConnectionKind.CLIENT] + listener.turning_away
             if not clients and (waited >= LATE_CONNECTIONS_S or not self.handover.protocol.accepts_clients()):
                 break
             if waited >= deadline_s:
                 # A defect has left a request open: without this, the process would never end.
-                self.log("task_failed", task="leave", error=f"{len(self.request_table.pending_requests)} requests left open")
+                self.log(
+                    "task_failed",
+                    task="leave",
+                    error=f"{len(self.request_table.pending_requests)} requests left open",
+                )
                 break
             await anyio.sleep(IDLE_CHECK_INTERVAL_S)
         with anyio.move_on_after(SHUTDOWN_MARGIN_S):
--- a/lupinmill/routing/attempt_runner.py
+++ b/lupinmill/routing/attempt_runner.py
@@ -183,7 +183,9 @@
             return
         stream = ResponseStream(connection, side, attempt)
         load = client_requests.load_report(answer)
-        self.request_table.start_response_stream(pending, attempt, client_requests.client_response(answer), stream, load)
+        self.request_table.start_response_stream(
+            pending, attempt, client_requests.client_response(answer), stream, load
+        )
         await stream.finished.wait()
 
     async def exchange_streaming(
@@ -271,7 +273,9 @@
         deadline = Deadline(anyio.current_time() + 2 * self.pool.timeout_s)
         try:
             with deadline.scope:
-                answer = await self.exchange(endpoint, client_requests.probe_request(self.load_reported), deadline)
+                answer = await self.exchange(
+                    endpoint, client_requests.probe_request(self.load_reported), deadline
+                )
                 outcome, load = client_requests.probe_result(answer)
         except Unconnected:
             outcome = t.Outcome.UNCONNECTED
--- a/lupinmill/routing/client_handler.py
+++ b/lupinmill/routing/client_handler.py
@@ -19,7 +19,7 @@
     length_of,
     plain,
 )
-from lupinmill.protocol.client_requests import denied
+from lupinmill.protocol.client_requests import rejection
 from lupinmill.routing.admission import AdmissionController
 from lupinmill.routing.engine import Log, error_fields
 from lupinmill.routing.request_body import RequestBody
@@ -371,7 +371,10 @@
         """Rejects requests on a connection for which no descriptor is free; no attempt is made for them. A
         readiness check still gets the true answer: a load balancer that receives 503 would not add this
         sidecar."""
-        side, deadline = ServerSide(MAX_BUFFERED_BODY), ReadDeadline(anyio.current_time() + TURN_AWAY_TIMEOUT_S)
+        side, deadline = (
+            ServerSide(MAX_BUFFERED_BODY),
+            ReadDeadline(anyio.current_time() + TURN_AWAY_TIMEOUT_S),
+        )
         goes_on = True
         while goes_on:
             try:
--- a/lupinmill/routing/request_factory.py
+++ b/lupinmill/routing/request_factory.py
@@ -85,7 +85,10 @@
 
     def readiness(self, request: Request) -> Answer | None:
         """Returns None if the request is not a readiness check."""
-        if request.target.split(b"?", 1)[0] != client_requests.READY or request.method not in (b"GET", b"HEAD"):
+        if request.target.split(b"?", 1)[0] != client_requests.READY or request.method not in (
+            b"GET",
+            b"HEAD",
+        ):
             return None
         return plain(200, "ready\n") if self.is_ready() else plain(503, "not ready\n")
 
--- a/lupinmill/routing/request_table.py
+++ b/lupinmill/routing/request_table.py
@@ -198,7 +198,9 @@
             left = min(left, pending.latest_start - now)
         elif pending.body is not None and not pending.body.complete:
             left = min(
-                left, pending.metadata.time_left - pending.client.max_elapsed_wait(pending.metadata.time_left, True)
+                left,
+                pending.metadata.time_left
+                - pending.client.max_elapsed_wait(pending.metadata.time_left, True),
             )
         return left
 
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -256,7 +256,9 @@
             assert (await stuck.receive()).startswith(b"HTTP/1.1 408 ")
             with pytest.raises(anyio.EndOfStream):
                 await stuck.receive()
-            while net.program.descriptors.open[ConnectionKind.CLIENT]:  # though the client keeps its side open
+            while net.program.descriptors.open[
+                ConnectionKind.CLIENT
+            ]:  # though the client keeps its side open
                 await anyio.sleep(0.01)
         async with await anyio.connect_tcp(host, int(port)) as leaving:
             await leaving.send(wanted("s2")[:50])
@@ -445,7 +447,9 @@
         def arrive(event):
             whole(event)
             if event.request == "s1":  # sent while the commands are executed, as by a failing attempt
-                engine.command_handlers[t.StartAttempt] = lambda command: [engine.handle_event(one) for one in (bad, emptied)]
+                engine.command_handlers[t.StartAttempt] = lambda command: [
+                    engine.handle_event(one) for one in (bad, emptied)
+                ]
 
         def broken(event):
             raise RuntimeError("a defect")
