--- a/lupinmill/cli/fleets.py
+++ b/lupinmill/cli/fleets.py
@@ -80,13 +80,13 @@
     """
     import os
 
-    from lupinmill.lab import commons, zones_measure
+    from lupinmill.lab import virtual_peers, zones_measure
 
     chosen = modes.split(",")
     try:
         scenario.load(name)
-        if wrong := [mode for mode in chosen if mode not in commons.MODES]:
-            raise ValueError(f"--modes {wrong[0]}: one of {', '.join(commons.MODES)}")
+        if wrong := [mode for mode in chosen if mode not in virtual_peers.MODES]:
+            raise ValueError(f"--modes {wrong[0]}: one of {', '.join(virtual_peers.MODES)}")
         pairs = tuple((key.strip(), value.strip()) for key, _, value in (c.partition("=") for c in changes))
         found = zones_measure.compare_modes(
             name, chosen, list(range(1, seeds + 1)), pairs, jobs or os.cpu_count() or 1, click.echo
--- a/lupinmill/lab/sockets/configuration.py
+++ b/lupinmill/lab/sockets/configuration.py
@@ -5,7 +5,7 @@
 import orjson
 
 from lupinmill.lab.registry import Entry
-from lupinmill.lab.stands import HOST, STATUS
+from lupinmill.lab.stand_ins import HOST, STATUS
 from lupinmill.peers.peer import REHEARSAL_TOPIC
 
 ELECTORS = (0, 3, 5)  # how many there may be
--- a/lupinmill/lab/sockets/endpoints.py
+++ b/lupinmill/lab/sockets/endpoints.py
@@ -6,7 +6,7 @@
 
 from lupinmill.lab.endpoint import Endpoint
 from lupinmill.lab.registry import Registry
-from lupinmill.lab.stands import EndpointServer
+from lupinmill.lab.stand_ins import EndpointServer
 
 if TYPE_CHECKING:
     from lupinmill.lab.sockets.run import SocketRun
--- a/lupinmill/lab/sockets/requests.py
+++ b/lupinmill/lab/sockets/requests.py
@@ -11,7 +11,7 @@
 from lupinmill import terms as t
 from lupinmill.lab.outcome import Outcome
 from lupinmill.lab.processes import Process
-from lupinmill.lab.stands import AskPool, Exchange
+from lupinmill.lab.stand_ins import AskPool, Exchange
 from lupinmill.lab.timeline import SECOND
 from lupinmill.lab.world import RequestClass
 from lupinmill.protocol.http import Answer, Request
--- a/lupinmill/lab/sockets/run.py
+++ b/lupinmill/lab/sockets/run.py
@@ -24,7 +24,7 @@
 from lupinmill.lab.sockets.inner import InnerCalls
 from lupinmill.lab.sockets.sidecars import SetAside, until_ready
 from lupinmill.lab.sockets.slow_clients import stay_idle, trickle
-from lupinmill.lab.stands import HOST, DiscoveryServer
+from lupinmill.lab.stand_ins import HOST, DiscoveryServer
 from lupinmill.lab.timeline import MS, SECOND, Timeline
 from lupinmill.lab.world import World, chance_for, draw
 from lupinmill.lab.world.troubles.plan import plan
--- a/lupinmill/lab/sockets/sidecars.py
+++ b/lupinmill/lab/sockets/sidecars.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from lupinmill.lab.processes import Process
-from lupinmill.lab.stands import AskPool, Exchange
+from lupinmill.lab.stand_ins import AskPool, Exchange
 from lupinmill.protocol.http import Answer, Request
 
 READY_LIMIT = 20.0  # seconds
--- a/lupinmill/lab/zones_measure.py
+++ b/lupinmill/lab/zones_measure.py
@@ -10,7 +10,7 @@
 from statistics import mean
 from typing import Any
 
-from lupinmill.lab import commons
+from lupinmill.lab import virtual_peers
 from lupinmill.lab.experiments import interval, nested
 from lupinmill.lab.scenario import check, find, over, raw
 from lupinmill.lab.timeline import SECOND
@@ -39,7 +39,7 @@
     for key, value in trial.changes:
         table = over(table, nested(table, key, value, trial.scenario))
     scenario = check(table, trial.scenario)
-    run = VirtualRun(scenario, trial.seed, commons=commons.of(trial.mode))
+    run = VirtualRun(scenario, trial.seed, commons=virtual_peers.of(trial.mode))
     run.play()
     endpoints = [e for tier in run.world.tiers for e in tier]
     found = run.measure.figures(scenario.goal, endpoints, 0, 1.0, 1.0)
@@ -53,7 +53,7 @@
         **{f"service of {name}": part for name, part in found.by_workload.items()},
     }
     broken = [f"rule {b.rule}, second {b.second}, {b.what}: {b.text}" for b in referee.broken]
-    if isinstance(run.commons, commons.Together):
+    if isinstance(run.commons, virtual_peers.Together):
         figures |= run.commons.figures()
         cuts = [record for record in run.world.trouble_records if record.kind == "zone_cut"]
         if cuts:
--- a/tests/test_lab_sockets.py
+++ b/tests/test_lab_sockets.py
@@ -17,7 +17,7 @@
 from lupinmill.lab.experiments import play
 from lupinmill.lab.scenario import Scenario
 from lupinmill.lab.sockets import SocketRun
-from lupinmill.lab.stands import AskPool, Exchange, Listening, Served, report_text
+from lupinmill.lab.stand_ins import AskPool, Exchange, Listening, Served, report_text
 from lupinmill import terms as t
 from lupinmill.protocol import reports
 from lupinmill.protocol.http import Answer, Request
--- a/tests/test_zones_member.py
+++ b/tests/test_zones_member.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from lupinmill import terms as t
-from lupinmill.lab import commons, scenario
+from lupinmill.lab import scenario, virtual_peers
 from lupinmill.lab.virtual import VirtualRun
 from lupinmill.rules import Sidecar
 from lupinmill.zones import member, messages
@@ -482,7 +482,7 @@
 
 def play_scenario(name: str, seed: int, seconds: int, **changes) -> VirtualRun:
     table = scenario.over(scenario.raw(scenario.find(name)), {"seconds": seconds, **changes})
-    run = VirtualRun(scenario.check(table, name), seed, commons=commons.of("plan"))
+    run = VirtualRun(scenario.check(table, name), seed, commons=virtual_peers.of("plan"))
     run.play()
     return run
 
