--- a/lupinmill/cli/fleets.py
+++ b/lupinmill/cli/fleets.py
@@ -125,9 +125,9 @@
     from lupinmill.lab import explore_config
 
     outcome = explore_config.check(departures, states)
-    how = "all" if outcome.whole else "not all"
+    how = "all" if outcome.complete else "not all"
     click.echo(f"{outcome.states} states, {how} schedules with up to {outcome.departures} departures")
-    wrong = f"{outcome.found.wrong}: {outcome.found.text()}" if outcome.found is not None else ""
+    wrong = f"{outcome.failure.violation}: {outcome.failure.text()}" if outcome.failure is not None else ""
     if not wrong:
         count, wrong = explore_config.walks(range(walks))
         click.echo(f"{count} walks")
@@ -178,16 +178,16 @@
         click.echo(wrong or "nothing goes wrong")
         sys.exit(EXIT_BROKEN if wrong else 0)
     outcome = explorer.explore(make, departures, states)
-    how = "all" if outcome.whole else "not all"
+    how = "all" if outcome.complete else "not all"
     click.echo(f"{outcome.states} states, {how} schedules with up to {outcome.departures} departures")
-    found = outcome.found
+    found = outcome.failure
     for seed in range(walks if found is None else 0):
         found = explorer.walk(make, seed, 0.1)
         if found is not None:
             click.echo(f"walk {seed}")
             break
     if found is not None:
-        short = explorer.shortened(make, found)
-        click.echo(f"BROKEN: {short.wrong}\n{short.text()}")
+        short = explorer.shrink(make, found)
+        click.echo(f"BROKEN: {short.violation}\n{short.text()}")
         sys.exit(EXIT_BROKEN)
     click.echo(f"nothing broken, also in {walks} walks" if walks else "nothing broken")
--- a/lupinmill/lab/explore_config.py
+++ b/lupinmill/lab/explore_config.py
@@ -38,23 +38,23 @@
 from lupinmill.lab.explorer import Action, Outcome, explore, walk
 
 SOURCE, RELAYS, SIDECARS = "source", ("r0", "r1"), ("s0", "s1")
-WATCHED = {
+WATCHED_SCOPES = {
     "r0": (),
     "r1": (),
     "s0": ("fleet", "service/one"),
     "s1": ("fleet", "service/two", "sidecar/s1"),
 }
 LINKS = (("r0", SOURCE), ("r1", SOURCE), ("s0", "r0"), ("s0", "r1"))  # that can be cut
-WAIT, SPREAD = 400 * MS, 40 * MS
-QUIET = 60 * SECOND
-BAD = "bad"  # a value that s0 refuses
+WATCH_TIMEOUT, REPLY_SPREAD = 400 * MS, 40 * MS
+QUIET_PERIOD = 60 * SECOND
+REFUSED_VALUE = "bad"  # a value that s0 refuses
 
 FLEET, ONE, TWO = Key("fleet", "settings"), Key("service/one", "settings"), Key("service/two", "settings")
 OWN, MEMBER = Key("sidecar/s1", "settings"), Key("service/one", "member/m1")
 # What is pushed, and when: the second is refused by s0; the last takes an entry away, and is not refused.
 SCRIPT: tuple[tuple[int, Entries], ...] = (
     (0, {FLEET: {"limit": 1}, ONE: "a", TWO: "a", MEMBER: [1]}),
-    (150 * MS, {ONE: BAD, TWO: "b"}),
+    (150 * MS, {ONE: REFUSED_VALUE, TWO: "b"}),
     (250 * MS, {FLEET: {"limit": 2}, OWN: 3, ONE: "c"}),
     (300 * MS, {MEMBER: None, TWO: "d", ONE: "d"}),
 )
@@ -68,17 +68,17 @@
     follower: Follower
     in_force: Version
     entries: Entries
-    kept: tuple[Version, Entries]
+    stored: tuple[Version, Entries]
     history: History | None = None  # of a relay
     applying: ApplyVersion | None = None
-    calls: int = 0  # number of the call that is out
-    wake: int = 0
-    lives: int = 1
-    last: dict[str, Reply] = field(default_factory=dict)  # by server: the answer that came last
+    call_number: int = 0  # number of the call that is out
+    timer: int = 0
+    starts: int = 1
+    last_replies: dict[str, Reply] = field(default_factory=dict)  # by server: the answer that came last
 
 
 @dataclass
-class Call:
+class WatchCall:
     """On its way to a server, or parked there."""
 
     client: str
@@ -89,10 +89,10 @@
 
 
 @dataclass
-class Back:
+class WatchReply:
     """An answer on its way to its client."""
 
-    call: Call
+    call: WatchCall
     reply: Reply
 
 
@@ -100,37 +100,46 @@
 class ConfigWorld:
     follower: type[Follower] = Follower  # planted faults put theirs here
     history: type[History] = History
-    serves_first: bool = False  # a relay serves a version and keeps it later: may then come back with less
-    may_lack: bool = False  # which is allowed; else it is a planted fault
+    serves_before_storing: bool = (
+        False  # a relay serves a version and keeps it later: may then come back with less
+    )
+    may_fall_behind: bool = False  # which is allowed; else it is a planted fault
     horizon: int = 700 * MS  # departures end there
     now: int = 0
     nodes: dict[str, Node] = field(default_factory=dict)
     source: History = field(default_factory=lambda: History(Version(), {}))
     backup: tuple[Version, Entries] = (Version(), {})  # of the source, after the first push
     pushed: int = 0  # of the script
-    flying: list[Call | Back] = field(default_factory=list)
-    parked: list[Call] = field(default_factory=list)
+    in_flight: list[WatchCall | WatchReply] = field(default_factory=list)
+    parked: list[WatchCall] = field(default_factory=list)
     cut: set[tuple[str, str]] = field(default_factory=set)
-    keeping: dict[str, tuple[Version, Entries]] = field(default_factory=dict)  # not on disk yet
-    reached: dict[str, int] = field(default_factory=dict)  # highest index that was in force at each
+    being_stored: dict[str, tuple[Version, Entries]] = field(default_factory=dict)  # not on disk yet
+    highest_applied: dict[str, int] = field(default_factory=dict)  # highest index that was in force at each
     published: dict[Version, Entries] = field(default_factory=lambda: {Version(): {}})
-    wrong: str = ""
+    violation: str = ""
 
     def __post_init__(self) -> None:
         self.source = self.history(Version(), {}, max_changes=3)
         for name in RELAYS + SIDECARS:
             self.start(name, (Version(), {}), 1)
 
-    def start(self, name: str, kept: tuple[Version, Entries], life: int) -> None:
-        version, entries = kept
+    def start(self, name: str, stored: tuple[Version, Entries], start_number: int) -> None:
+        version, entries = stored
         relay = name in RELAYS
-        servers, seed = (SOURCE,) if relay else RELAYS, life * 1000 + sum(name.encode())
-        follower = self.follower(name, servers, seed, WAIT, SPREAD, version, entries)
+        servers, seed = (SOURCE,) if relay else RELAYS, start_number * 1000 + sum(name.encode())
+        follower = self.follower(name, servers, seed, WATCH_TIMEOUT, REPLY_SPREAD, version, entries)
         history = self.history(version, entries, max_changes=3) if relay else None
         if not relay:
             follower.refresh()  # as the sidecar's driver does at a start
         self.nodes[name] = Node(
-            name, follower, version, dict(entries), kept, history, lives=life, calls=life * 1000
+            name,
+            follower,
+            version,
+            dict(entries),
+            stored,
+            history,
+            starts=start_number,
+            call_number=start_number * 1000,
         )
         self.step(name, [])
 
@@ -138,98 +147,104 @@
 
     def actions(self) -> list[Action]:
         """The plain one first. Empty: the world has ended."""
-        if self.wrong or self.now >= self.horizon:
+        if self.violation or self.now >= self.horizon:
             return []
-        applying = [at for at, name in enumerate(self.nodes) if self.nodes[name].applying]
-        found: list[Action] = [("apply", at) for at in applying]
-        found += [("deliver", index) for index in range(len(self.flying))]
+        applying = [index for index, name in enumerate(self.nodes) if self.nodes[name].applying]
+        found: list[Action] = [("apply", index) for index in applying]
+        found += [("deliver", index) for index in range(len(self.in_flight))]
         found.append(("wait", 0))
-        found += [("keep", at) for at, name in enumerate(self.nodes) if name in self.keeping]
-        found += [("lose", index) for index in range(len(self.flying))]
-        for index, one in enumerate(self.flying):
-            if isinstance(one, Back) and self.open(one.call):
+        found += [("keep", index) for index, name in enumerate(self.nodes) if name in self.being_stored]
+        found += [("lose", index) for index in range(len(self.in_flight))]
+        for index, message in enumerate(self.in_flight):
+            if isinstance(message, WatchReply) and self.reachable(message.call):
                 found.append(("garble", index))
-                if one.call.server in self.nodes[one.call.client].last:
+                if message.call.server in self.nodes[message.call.client].last_replies:
                     found.append(("repeat", index))
-        found += [("restart", at) for at in range(len(self.nodes))]
-        found += [("restart empty", at) for at in range(len(self.nodes))]
-        found += [("heal" if link in self.cut else "cut", at) for at, link in enumerate(LINKS)]
+        found += [("restart", index) for index in range(len(self.nodes))]
+        found += [("restart empty", index) for index in range(len(self.nodes))]
+        found += [("heal" if link in self.cut else "cut", index) for index, link in enumerate(LINKS)]
         if self.source.version.index > self.backup[0].index:
             found.append(("back up", 0))
         return found
 
     def apply(self, action: Action) -> None:
-        what, at = action
-        if what == "deliver":
-            self.deliver(self.flying.pop(at))
-        elif what == "lose":
-            self.flying.pop(at)
-        elif what == "garble":
-            call = self.call_of(self.flying.pop(at))
+        kind, index = action
+        if kind == "deliver":
+            self.deliver(self.in_flight.pop(index))
+        elif kind == "lose":
+            self.in_flight.pop(index)
+        elif kind == "garble":
+            call = self.call_of(self.in_flight.pop(index))
             self.step(call.client, [WatchFailed(call.server, "garbage", garbled=True)])
-        elif what == "repeat":
-            call = self.call_of(self.flying.pop(at))
-            self.step(call.client, [ReplyReceived(call.server, self.nodes[call.client].last[call.server])])
-        elif what == "apply":
-            self.put_in_force(self.nodes[list(self.nodes)[at]])
-        elif what == "keep":
-            name = list(self.nodes)[at]
-            self.nodes[name].kept = self.keeping.pop(name)
-        elif what in ("restart", "restart empty"):
-            self.restart(list(self.nodes)[at], what == "restart empty")
-        elif what == "cut":
-            self.cut.add(LINKS[at])
-        elif what == "heal":
-            self.cut.discard(LINKS[at])
-        elif what == "back up":
-            self.hang_up(SOURCE)
+        elif kind == "repeat":
+            call = self.call_of(self.in_flight.pop(index))
+            self.step(
+                call.client, [ReplyReceived(call.server, self.nodes[call.client].last_replies[call.server])]
+            )
+        elif kind == "apply":
+            self.apply_version(self.nodes[list(self.nodes)[index]])
+        elif kind == "keep":
+            name = list(self.nodes)[index]
+            self.nodes[name].stored = self.being_stored.pop(name)
+        elif kind in ("restart", "restart empty"):
+            self.restart(list(self.nodes)[index], kind == "restart empty")
+        elif kind == "cut":
+            self.cut.add(LINKS[index])
+        elif kind == "heal":
+            self.cut.discard(LINKS[index])
+        elif kind == "back up":
+            self.break_connections(SOURCE)
             self.source = self.history(*self.backup, max_changes=3)
         else:
-            self.pass_time()
-        self.judge()
+            self.advance_time()
+        self.check_invariants()
 
     def restart(self, name: str, empty: bool) -> None:
         node = self.nodes[name]
-        self.keeping.pop(name, None)
+        self.being_stored.pop(name, None)
         if empty:
-            self.reached.pop(name, None)
-        self.flying = [one for one in self.flying if self.call_of(one).client != name]
-        self.parked = [one for one in self.parked if one.client != name]
+            self.highest_applied.pop(name, None)
+        self.in_flight = [message for message in self.in_flight if self.call_of(message).client != name]
+        self.parked = [message for message in self.parked if message.client != name]
         # Its place in `nodes` stays; what it asks first comes before its callers notice.
-        self.start(name, (Version(), {}) if empty else node.kept, node.lives + 1)
-        self.hang_up(name)
+        self.start(name, (Version(), {}) if empty else node.stored, node.starts + 1)
+        self.break_connections(name)
 
-    def hang_up(self, server: str) -> None:
+    def break_connections(self, server: str) -> None:
         """Connections break: who can hear it does."""
-        broken = [self.call_of(one) for one in self.flying if self.call_of(one).server == server]
-        broken += [one for one in self.parked if one.server == server]
-        self.flying = [one for one in self.flying if self.call_of(one).server != server]
-        self.parked = [one for one in self.parked if one.server != server]
+        broken = [
+            self.call_of(message) for message in self.in_flight if self.call_of(message).server == server
+        ]
+        broken += [message for message in self.parked if message.server == server]
+        self.in_flight = [message for message in self.in_flight if self.call_of(message).server != server]
+        self.parked = [message for message in self.parked if message.server != server]
         for call in broken:
-            if self.open(call):
+            if self.reachable(call):
                 self.step(call.client, [WatchFailed(server, "broke")])
 
     @staticmethod
-    def call_of(one: Call | Back) -> Call:
-        return one.call if isinstance(one, Back) else one
+    def call_of(message: WatchCall | WatchReply) -> WatchCall:
+        return message.call if isinstance(message, WatchReply) else message
 
     # --- messages ---
 
-    def deliver(self, one: Call | Back) -> None:
-        call = self.call_of(one)
-        if isinstance(one, Back):
-            if self.open(call):
-                self.nodes[call.client].last[call.server] = one.reply
-                self.step(call.client, [ReplyReceived(call.server, one.reply)])
+    def deliver(self, message: WatchCall | WatchReply) -> None:
+        call = self.call_of(message)
+        if isinstance(message, WatchReply):
+            if self.reachable(call):
+                self.nodes[call.client].last_replies[call.server] = message.reply
+                self.step(call.client, [ReplyReceived(call.server, message.reply)])
         elif (call.client, call.server) not in self.cut:
-            self.parked.append(one)
+            self.parked.append(message)
             self.answer(call.server)
 
-    def open(self, call: Call) -> bool:
+    def reachable(self, call: WatchCall) -> bool:
         """Can its client still hear of it? One that called again has closed the connection before."""
-        return (call.client, call.server) not in self.cut and self.nodes[call.client].calls == call.number
+        return (call.client, call.server) not in self.cut and self.nodes[
+            call.client
+        ].call_number == call.number
 
-    def served_by(self, server: str) -> History:
+    def history_of(self, server: str) -> History:
         if server == SOURCE:
             return self.source
         history = self.nodes[server].history
@@ -238,55 +253,63 @@
 
     def answer(self, server: str) -> None:
         """Parked watches with news, and those whose time is over."""
-        history = self.served_by(server)
-        for call in [one for one in self.parked if one.server == server]:
-            if self.now >= call.until or history.has_changes(call.since, WATCHED[call.client]):
+        history = self.history_of(server)
+        for call in [message for message in self.parked if message.server == server]:
+            if self.now >= call.until or history.has_changes(call.since, WATCHED_SCOPES[call.client]):
                 self.parked.remove(call)
-                self.flying.append(Back(call, history.reply(call.since, WATCHED[call.client], SPREAD // MS)))
+                self.in_flight.append(
+                    WatchReply(
+                        call, history.reply(call.since, WATCHED_SCOPES[call.client], REPLY_SPREAD // MS)
+                    )
+                )
             if server == SOURCE:
-                ahead = self.served_by(call.client).ahead  # as the relay's driver tells with each call
+                ahead = self.history_of(call.client).ahead  # as the relay's driver tells with each call
                 self.source.observe_version(ahead or Version())
 
-    def step(self, name: str, notes: list[FollowerEvent]) -> None:
+    def step(self, name: str, events: list[FollowerEvent]) -> None:
         node = self.nodes[name]
-        orders: list[FollowerCommand] = node.follower.step(self.now, notes)
-        for order in orders:
-            if isinstance(order, SendWatch):
-                node.calls += 1
-                self.flying.append(Call(name, order.relay, node.calls, order.since, self.now + order.wait_us))
-                self.parked = [one for one in self.parked if one.client != name]
-            elif isinstance(order, ApplyVersion):
-                node.applying = order
-            elif isinstance(order, SetTimer):
-                node.wake = order.at
-
-    def put_in_force(self, node: Node) -> None:
-        order = node.applying
-        assert order is not None
+        commands: list[FollowerCommand] = node.follower.step(self.now, events)
+        for command in commands:
+            if isinstance(command, SendWatch):
+                node.call_number += 1
+                self.in_flight.append(
+                    WatchCall(
+                        name, command.relay, node.call_number, command.since, self.now + command.wait_us
+                    )
+                )
+                self.parked = [message for message in self.parked if message.client != name]
+            elif isinstance(command, ApplyVersion):
+                node.applying = command
+            elif isinstance(command, SetTimer):
+                node.timer = command.at
+
+    def apply_version(self, node: Node) -> None:
+        command = node.applying
+        assert command is not None
         node.applying = None
-        if node.name == "s0" and order.entries.get(ONE) == BAD:
-            self.step(node.name, [VersionRefused(order.version, "service/one settings: bad")])
+        if node.name == "s0" and command.entries.get(ONE) == REFUSED_VALUE:
+            self.step(node.name, [VersionRefused(command.version, "service/one settings: bad")])
             return
-        if order.version.index <= node.in_force.index:
-            self.wrong = f"{node.name} falls back from {node.in_force.index} to {order.version.index}"
+        if command.version.index <= node.in_force.index:
+            self.violation = f"{node.name} falls back from {node.in_force.index} to {command.version.index}"
             return
-        node.in_force, node.entries = order.version, order.entries
-        self.reached[node.name] = order.version.index
-        if self.serves_first and node.history is not None:
-            self.keeping[node.name] = (order.version, order.entries)
+        node.in_force, node.entries = command.version, command.entries
+        self.highest_applied[node.name] = command.version.index
+        if self.serves_before_storing and node.history is not None:
+            self.being_stored[node.name] = (command.version, command.entries)
         else:
-            node.kept = (order.version, order.entries)
+            node.stored = (command.version, command.entries)
         if node.history is not None:
-            node.history.replace(order.version, order.entries)
-        self.step(node.name, [VersionApplied(order.version)])
+            node.history.replace(command.version, command.entries)
+        self.step(node.name, [VersionApplied(command.version)])
         if node.history is not None:
             self.answer(node.name)
 
     # --- time, and the source ---
 
-    def pass_time(self) -> None:
+    def advance_time(self) -> None:
         """To when the next has something to do."""
-        due = [node.wake for node in self.nodes.values()] + [call.until for call in self.parked]
+        due = [node.timer for node in self.nodes.values()] + [call.until for call in self.parked]
         if self.pushed < len(SCRIPT):
             due.append(SCRIPT[self.pushed][0])
         self.now = max(self.now, min(due))
@@ -295,7 +318,7 @@
         for server in (SOURCE, *RELAYS):
             self.answer(server)
         for name in RELAYS + SIDECARS:
-            if self.now >= self.nodes[name].wake:
+            if self.now >= self.nodes[name].timer:
                 self.step(name, [TimerFired()])
 
     def push(self, entries: Entries) -> None:
@@ -320,25 +343,29 @@
 
     # --- what must hold ---
 
-    def judge(self) -> None:
+    def check_invariants(self) -> None:
         for node in self.nodes.values():
-            if self.wrong:
+            if self.violation:
                 return
             index = node.in_force.index
-            if node.entries != self.part(node.in_force, node.name):
-                self.wrong = f"{node.name}: what is in force is not version {index}"
+            if node.entries != self.watched_entries(node.in_force, node.name):
+                self.violation = f"{node.name}: what is in force is not version {index}"
             elif node.follower.status().in_force != node.in_force:
-                self.wrong = f"{node.name} says that {node.follower.in_force.index} is in force, not {index}"
-            elif index < self.reached.get(node.name, 0) and not (self.may_lack and node.history is not None):
-                self.wrong = f"{node.name} came back with {index} after {self.reached[node.name]}"
+                self.violation = (
+                    f"{node.name} says that {node.follower.in_force.index} is in force, not {index}"
+                )
+            elif index < self.highest_applied.get(node.name, 0) and not (
+                self.may_fall_behind and node.history is not None
+            ):
+                self.violation = f"{node.name} came back with {index} after {self.highest_applied[node.name]}"
             elif (served := node.history) and served.entries != self.published.get(served.version):
-                self.wrong = f"{node.name} serves what is not version {served.version.index}"
+                self.violation = f"{node.name} serves what is not version {served.version.index}"
 
-    def part(self, version: Version, name: str) -> Entries | None:
-        whole = self.published.get(version)
-        if whole is None or not WATCHED[name]:
-            return whole
-        return {key: value for key, value in whole.items() if key.scope in WATCHED[name]}
+    def watched_entries(self, version: Version, name: str) -> Entries | None:
+        published = self.published.get(version)
+        if published is None or not WATCHED_SCOPES[name]:
+            return published
+        return {key: value for key, value in published.items() if key.scope in WATCHED_SCOPES[name]}
 
     def agreed(self) -> bool:
         newest = self.source.version
@@ -351,16 +378,16 @@
     def finish(self) -> None:
         """Nothing is lost any more: soon all go by the source's newest."""
         self.cut.clear()
-        ends = self.now + QUIET
-        self.horizon = ends
-        while not self.wrong and not self.agreed() and self.now < ends:
+        deadline = self.now + QUIET_PERIOD
+        self.horizon = deadline
+        while not self.violation and not self.agreed() and self.now < deadline:
             if self.source.ahead is not None:
                 self.restore()
                 self.answer(SOURCE)
             self.apply(self.actions()[0])
-        if not self.wrong and not self.agreed():
-            held = ", ".join(f"{node.name} at {node.in_force.index}" for node in self.nodes.values())
-            self.wrong = f"no agreement: source at {self.source.version.index}, {held}"
+        if not self.violation and not self.agreed():
+            versions = ", ".join(f"{node.name} at {node.in_force.index}" for node in self.nodes.values())
+            self.violation = f"no agreement: source at {self.source.version.index}, {versions}"
 
 
 def check(departures: int, states: int = 10**9) -> Outcome:
@@ -371,5 +398,5 @@
     """Schedules by chance, deeper than every order can be tried: how many, and the first failure."""
     for count, seed in enumerate(seeds):
         if found := walk(ConfigWorld, seed, share):
-            return count + 1, f"seed {seed}: {found.wrong}: {found.text()}"
+            return count + 1, f"seed {seed}: {found.violation}: {found.text()}"
     return len(seeds), ""
--- a/lupinmill/lab/explorer.py
+++ b/lupinmill/lab/explorer.py
@@ -27,22 +27,22 @@
 from lupinmill.workings import RandomSource
 
 TOPIC = "rehearsal"
-SPAN = SECOND
-BEGIN = 1_000 * SECOND
-QUIET = 10 * SECOND
+LEASE_DURATION = SECOND
+CLOCK_START = 1_000 * SECOND
+QUIET_PERIOD = 10 * SECOND
 World = Any  # an `AgreementWorld` or a `MembershipWorld`
 
 Action = tuple[str, int]  # what, and with which datagram or host
 
 
 @dataclass
-class Planted:
+class InjectedFaults:
     """Faults that the explorer must find: each makes one part of a core wrong."""
 
-    forgets: bool = False  # an elector votes after a restart without its memory
-    miscounts: bool = False  # half of the electors count as a majority
-    wall: bool = False  # an elector judges leases by the wall clock
-    reuses: bool = False  # a claim that is wanted anew begins its ballots anew
+    elector_forgets: bool = False  # an elector votes after a restart without its memory
+    half_is_majority: bool = False  # half of the electors count as a majority
+    wall_clock_leases: bool = False  # an elector judges leases by the wall clock
+    reuses_ballots: bool = False  # a claim that is wanted anew begins its ballots anew
 
 
 def half(electors: int) -> int:
@@ -50,19 +50,19 @@
 
 
 @dataclass
-class Box:
+class ModelProcess:
     """A process of the small world, and what outlives it."""
 
     name: str
     elector: Elector | None = None
-    claims: Proposer | None = None
-    disk: bytes = b""
-    ahead: int = 0  # of its monotonic clock, ...
-    pace: int = 0  # ... which runs so many thousandths faster
-    wall: int = 0  # by which its wall clock was moved
+    proposer: Proposer | None = None
+    stored: bytes = b""
+    clock_offset: int = 0  # of its monotonic clock, ...
+    clock_drift: int = 0  # ... which runs so many thousandths faster
+    wall_clock_offset: int = 0  # by which its wall clock was moved
     paused: bool = False
-    lives: int = 0
-    decided: int = 0  # epoch under which it has decided
+    starts: int = 0
+    decided_epoch: int = 0  # epoch under which it has decided
 
 
 @dataclass
@@ -70,195 +70,205 @@
     """Electors, some of whom want one lease and decide once under each holding of it."""
 
     size: int = 3
-    wanting: int = 2  # the first ones
-    keeps: bool = True  # promises outlive a restart
+    proposer_count: int = 2  # the first ones
+    has_storage: bool = True  # promises outlive a restart
     horizon: int = 3 * SECOND
-    planted: Planted = field(default_factory=Planted)
+    faults: InjectedFaults = field(default_factory=InjectedFaults)
     now: int = 0
-    boxes: list[Box] = field(default_factory=list)
-    flying: list[tuple[int, int, object]] = field(default_factory=list)  # from, to, body
-    made: dict[int, tuple[int, bytes]] = field(default_factory=dict)
-    taken: dict[int, str] = field(default_factory=dict)
-    wrong: str = ""
+    processes: list[ModelProcess] = field(default_factory=list)
+    in_flight: list[tuple[int, int, object]] = field(default_factory=list)  # from, to, body
+    decisions: dict[int, tuple[int, bytes]] = field(default_factory=dict)
+    epoch_holders: dict[int, str] = field(default_factory=dict)
+    violation: str = ""
 
     def __post_init__(self) -> None:
-        self.boxes = [
-            Box(f"m{at}", ahead=BEGIN + 17 * at * SECOND, pace=(-4, 5, 0)[at % 3]) for at in range(self.size)
+        self.processes = [
+            ModelProcess(
+                f"m{index}", clock_offset=CLOCK_START + 17 * index * SECOND, clock_drift=(-4, 5, 0)[index % 3]
+            )
+            for index in range(self.size)
         ]
-        for at in range(self.size):
-            self.start(at, True)
-        for at in range(self.size):
-            self.step(at, [])
-
-    def start(self, at: int, first: bool = False) -> None:
-        box = self.boxes[at]
-        box.lives += 1
-        life, now = box.lives * 100 + at, self.clock(at)
-        names = [one.name for one in self.boxes]
-        memory = Memory() if first or self.planted.forgets else None
-        if self.keeps and box.disk and not self.planted.forgets:
-            memory = msgspec.msgpack.decode(box.disk, type=Memory)
-        box.elector = Elector(box.name, names, [TOPIC], SPAN, life, now, memory)
-        box.claims = Proposer(box.name, names, SPAN, life, life, now)
-        if self.planted.miscounts:
-            box.claims.majority = half
-        box.decided = 0
-
-    def clock(self, at: int) -> int:
-        box = self.boxes[at]
-        return box.ahead + self.now + self.now * box.pace // 1000
+        for index in range(self.size):
+            self.start(index, True)
+        for index in range(self.size):
+            self.step(index, [])
+
+    def start(self, index: int, first: bool = False) -> None:
+        process = self.processes[index]
+        process.starts += 1
+        life, now = process.starts * 100 + index, self.clock(index)
+        names = [one.name for one in self.processes]
+        memory = Memory() if first or self.faults.elector_forgets else None
+        if self.has_storage and process.stored and not self.faults.elector_forgets:
+            memory = msgspec.msgpack.decode(process.stored, type=Memory)
+        process.elector = Elector(process.name, names, [TOPIC], LEASE_DURATION, life, now, memory)
+        process.proposer = Proposer(process.name, names, LEASE_DURATION, life, life, now)
+        if self.faults.half_is_majority:
+            process.proposer.majority = half
+        process.decided_epoch = 0
+
+    def clock(self, index: int) -> int:
+        process = self.processes[index]
+        return process.clock_offset + self.now + self.now * process.clock_drift // 1000
 
     # What can happen.
 
     def actions(self) -> list[Action]:
         """The plain one first. Empty: the world has ended."""
-        if self.wrong or self.now >= self.horizon:
+        if self.violation or self.now >= self.horizon:
             return []
         found: list[Action] = []
-        for index, (_, to, _) in enumerate(self.flying):
-            if not self.boxes[to].paused:
+        for index, (_, to, _) in enumerate(self.in_flight):
+            if not self.processes[to].paused:
                 found.append(("deliver", index))
         found.append(("wait", 0))
-        found += [("lose", index) for index in range(len(self.flying))]
-        found += [("double", index) for index in range(len(self.flying))]
-        for at, box in enumerate(self.boxes):
-            if self.may_restart(at):
-                found.append(("restart", at))
-            found.append(("go on" if box.paused else "stop", at))
-            if box.claims is not None and TOPIC in box.claims.claims and not box.paused:
-                found.append(("give up", at))
-            if self.planted.wall:
-                found.append(("move wall clock", at))
+        found += [("lose", index) for index in range(len(self.in_flight))]
+        found += [("double", index) for index in range(len(self.in_flight))]
+        for index, process in enumerate(self.processes):
+            if self.may_restart(index):
+                found.append(("restart", index))
+            found.append(("go on" if process.paused else "stop", index))
+            if process.proposer is not None and TOPIC in process.proposer.claims and not process.paused:
+                found.append(("give up", index))
+            if self.faults.wall_clock_leases:
+                found.append(("move wall clock", index))
         return found
 
-    def may_restart(self, at: int) -> bool:
+    def may_restart(self, index: int) -> bool:
         """Without a directory decisions are promised to last only while no majority of the electors has
         forgotten at a time: beyond that each begins anew, as docs/peers.md says."""
-        if self.keeps or self.planted.forgets:
+        if self.has_storage or self.faults.elector_forgets:
             return True
-        forgot = sum(box.elector is not None and not box.elector.votes() for box in self.boxes)
+        forgot = sum(
+            process.elector is not None and not process.elector.votes() for process in self.processes
+        )
         return (forgot + 1) * 2 < self.size
 
     def apply(self, action: Action) -> None:
-        what, at = action
+        what, index = action
         if what == "deliver":
-            sender, to, body = self.flying.pop(at)
-            self.step(to, [Received(self.boxes[sender].name, body)])
+            sender, to, body = self.in_flight.pop(index)
+            self.step(to, [Received(self.processes[sender].name, body)])
         elif what == "lose":
-            self.flying.pop(at)
+            self.in_flight.pop(index)
         elif what == "double":
-            self.flying.append(self.flying[at])
+            self.in_flight.append(self.in_flight[index])
         elif what == "restart":
-            self.boxes[at].paused = False
-            self.start(at)
-            self.step(at, [])
+            self.processes[index].paused = False
+            self.start(index)
+            self.step(index, [])
         elif what == "stop":
-            self.boxes[at].paused = True
+            self.processes[index].paused = True
         elif what == "go on":
-            self.boxes[at].paused = False
-            self.step(at, [])
+            self.processes[index].paused = False
+            self.step(index, [])
         elif what == "give up":
-            box = self.boxes[at]
-            assert box.claims is not None
-            box.claims.now = self.clock(at)
-            box.claims.release(TOPIC)
-            if self.planted.reuses:
-                box.claims.ballot_numbers.clear()
-            self.step(at, [])
+            process = self.processes[index]
+            assert process.proposer is not None
+            process.proposer.now = self.clock(index)
+            process.proposer.release(TOPIC)
+            if self.faults.reuses_ballots:
+                process.proposer.ballot_numbers.clear()
+            self.step(index, [])
         elif what == "move wall clock":
-            self.boxes[at].wall += 60 * SECOND
+            self.processes[index].wall_clock_offset += 60 * SECOND
         else:
-            self.pass_time()
+            self.advance_time()
 
-    def pass_time(self) -> None:
+    def advance_time(self) -> None:
         """To when the next process has something to do."""
-        due = min((self.due(at) for at, box in enumerate(self.boxes) if not box.paused), default=SPAN // 2)
+        due = min(
+            (self.due(index) for index, process in enumerate(self.processes) if not process.paused),
+            default=LEASE_DURATION // 2,
+        )
         self.now = min(self.horizon, self.now + max(MS, due))
-        for at, box in enumerate(self.boxes):
-            if not box.paused and self.due(at) <= 0:
-                self.step(at, [])
+        for index, process in enumerate(self.processes):
+            if not process.paused and self.due(index) <= 0:
+                self.step(index, [])
 
-    def due(self, at: int) -> int:
+    def due(self, index: int) -> int:
         """Microseconds from now until the process has something to do."""
-        box = self.boxes[at]
-        assert box.claims is not None and box.elector is not None
-        times = [box.claims.next_due(), box.elector.next_due()]
-        now = self.clock(at)
-        return min((when for when in times if when is not None), default=now + SPAN // 2) - now
-
-    def step(self, at: int, notes: list[Received]) -> None:
-        box = self.boxes[at]
-        assert box.claims is not None and box.elector is not None
-        pending, first = notes, True
+        process = self.processes[index]
+        assert process.proposer is not None and process.elector is not None
+        times = [process.proposer.next_due(), process.elector.next_due()]
+        now = self.clock(index)
+        return min((when for when in times if when is not None), default=now + LEASE_DURATION // 2) - now
+
+    def step(self, index: int, events: list[Received]) -> None:
+        process = self.processes[index]
+        assert process.proposer is not None and process.elector is not None
+        pending, first = events, True
         while pending or first:
             first = False
-            now, own = self.clock(at), []
-            box.claims.now = now
-            if at < self.wanting:
-                box.claims.request(TOPIC)
-            orders: list[object] = list(
-                box.elector.step(now + (box.wall if self.planted.wall else 0), pending)
+            now, to_self = self.clock(index), []
+            process.proposer.now = now
+            if index < self.proposer_count:
+                process.proposer.request(TOPIC)
+            commands: list[object] = list(
+                process.elector.step(
+                    now + (process.wall_clock_offset if self.faults.wall_clock_leases else 0), pending
+                )
             )
-            orders += box.claims.step(now, pending)
-            if (epoch := box.claims.held_epoch(TOPIC, now)) and box.decided != epoch:
-                if box.claims.decide(TOPIC, f"{box.name} {epoch}".encode()):
-                    box.decided = epoch
-                    orders += box.claims.step(now, [])
-            for order in orders:
-                self.carry_out(at, order, own)
-            pending = own
-        self.judge()
-
-    def carry_out(self, at: int, order: object, own: list[Received]) -> None:
-        box = self.boxes[at]
-        if isinstance(order, Persist):
-            box.disk = order.data
-            for send in order.then_send:
-                self.carry_out(at, send, own)
-        elif isinstance(order, Send):
-            if order.to == box.name:
-                own.append(Received(box.name, order.body))
+            commands += process.proposer.step(now, pending)
+            if (epoch := process.proposer.held_epoch(TOPIC, now)) and process.decided_epoch != epoch:
+                if process.proposer.decide(TOPIC, f"{process.name} {epoch}".encode()):
+                    process.decided_epoch = epoch
+                    commands += process.proposer.step(now, [])
+            for command in commands:
+                self.execute(index, command, to_self)
+            pending = to_self
+        self.check_invariants()
+
+    def execute(self, index: int, command: object, to_self: list[Received]) -> None:
+        process = self.processes[index]
+        if isinstance(command, Persist):
+            process.stored = command.data
+            for send in command.then_send:
+                self.execute(index, send, to_self)
+        elif isinstance(command, Send):
+            if command.to == process.name:
+                to_self.append(Received(process.name, command.body))
             else:
-                to = next(index for index, one in enumerate(self.boxes) if one.name == order.to)
-                self.flying.append((at, to, order.body))
-        elif isinstance(order, LeaseAcquired):
-            if self.taken.setdefault(order.epoch, box.name) != box.name:
-                self.wrong = f"epoch {order.epoch} was taken by {self.taken[order.epoch]} and by {box.name}"
-        elif isinstance(order, DecisionAccepted):
-            told = self.made.setdefault(order.version, (order.epoch, order.body))
-            if told[1] != order.body:
-                self.wrong = f"decision {order.version} is {told[1]!r} and {order.body!r}"
-            elif order.version < max(self.made):
-                self.wrong = f"decision {max(self.made)} was told as made and is lost"
+                to = next(number for number, one in enumerate(self.processes) if one.name == command.to)
+                self.in_flight.append((index, to, command.body))
+        elif isinstance(command, LeaseAcquired):
+            if self.epoch_holders.setdefault(command.epoch, process.name) != process.name:
+                self.violation = f"epoch {command.epoch} was taken by {self.epoch_holders[command.epoch]} and by {process.name}"
+        elif isinstance(command, DecisionAccepted):
+            previous = self.decisions.setdefault(command.version, (command.epoch, command.body))
+            if previous[1] != command.body:
+                self.violation = f"decision {command.version} is {previous[1]!r} and {command.body!r}"
+            elif command.version < max(self.decisions):
+                self.violation = f"decision {max(self.decisions)} was told as made and is lost"
         else:
-            assert isinstance(order, LeaseLost)
+            assert isinstance(command, LeaseLost)
 
     def finish(self) -> None:
         """Nothing is owed at the end."""
 
-    def judge(self) -> None:
+    def check_invariants(self) -> None:
         holders = [
-            box.name
-            for at, box in enumerate(self.boxes)
-            if box.claims is not None and box.claims.held_epoch(TOPIC, self.clock(at))
+            process.name
+            for index, process in enumerate(self.processes)
+            if process.proposer is not None and process.proposer.held_epoch(TOPIC, self.clock(index))
         ]
-        if len(holders) > 1 and not self.wrong:
-            self.wrong = f"{' and '.join(holders)} hold one lease at the same moment"
+        if len(holders) > 1 and not self.violation:
+            self.violation = f"{' and '.join(holders)} hold one lease at the same moment"
 
 
-def nothing_decided(sender: str, told: list[wire.TopicProgress]) -> None:
+def ignore_progress(sender: str, previous: list[wire.TopicProgress]) -> None:
     """In place of what a whole member does about another's table; by name, so that a world can be copied."""
 
 
-class Gullible(Membership):
+class BelievesHearsay(Membership):
     """A planted fault: hearsay of a death is believed at once, whatever the incarnation."""
 
-    def apply_update(self, note: wire.MemberUpdate, reporter: str) -> None:
-        member = self.members.get(note.name)
-        if member is not None and note.status is Status.DEAD:
-            self.set_status(member, Status.DEAD, note.incarnation, note.source, "told")
+    def apply_update(self, update: wire.MemberUpdate, reporter: str) -> None:
+        target = self.members.get(update.name)
+        if target is not None and update.status is Status.DEAD:
+            self.set_status(target, Status.DEAD, update.incarnation, update.source, "told")
             return
-        super().apply_update(note, reporter)
+        super().apply_update(update, reporter)
 
 
 @dataclass
@@ -269,213 +279,229 @@
 
     size: int = 3
     horizon: int = 400 * MS
-    gullible: bool = False
-    liar: bool = False  # old and false words of a death may be said of each, in the last member's name
+    believes_hearsay: bool = False
+    false_deaths: bool = (
+        False  # old and false words of a death may be said of each, in the last member's name
+    )
     now: int = 0
-    cores: list[Membership | None] = field(default_factory=list)
+    members: list[Membership | None] = field(default_factory=list)
     paused: list[bool] = field(default_factory=list)
-    flying: list[tuple[int, int, Received]] = field(default_factory=list)
-    alive_at: dict[tuple[int, str], int] = field(default_factory=dict)  # incarnation held for alive, by whom
-    lives: int = 0
-    wrong: str = ""
+    in_flight: list[tuple[int, int, Received]] = field(default_factory=list)
+    alive_incarnations: dict[tuple[int, str], int] = field(
+        default_factory=dict
+    )  # incarnation held for alive, by whom
+    starts: int = 0
+    violation: str = ""
 
     def __post_init__(self) -> None:
-        self.names = [f"m{at}" for at in range(self.size)]
-        self.cores, self.paused = [None] * self.size, [False] * self.size
+        self.names = [f"m{index}" for index in range(self.size)]
+        self.members, self.paused = [None] * self.size, [False] * self.size
         horizon, self.horizon = self.horizon, 10**12
-        for at in range(self.size):
-            self.start(at)
+        for index in range(self.size):
+            self.start(index)
         while self.now < 3 * SECOND or not self.agreed():
             self.apply(self.actions()[0])
         self.horizon = self.now + horizon
 
-    def start(self, at: int) -> None:
-        self.lives += 1
-        kind = Gullible if self.gullible else Membership
-        seats = [RosterEntry(name, f"127.0.0.1:{index + 1}") for index, name in enumerate(self.names)]
-        core = kind(self.names[at], seats, MembershipTiming(), self.lives, BEGIN + self.now)
-        core.on_progress = nothing_decided
-        self.cores[at], self.paused[at] = core, False
+    def start(self, index: int) -> None:
+        self.starts += 1
+        membership_type = BelievesHearsay if self.believes_hearsay else Membership
+        roster = [RosterEntry(name, f"127.0.0.1:{number + 1}") for number, name in enumerate(self.names)]
+        member = membership_type(
+            self.names[index], roster, MembershipTiming(), self.starts, CLOCK_START + self.now
+        )
+        member.on_progress = ignore_progress
+        self.members[index], self.paused[index] = member, False
         for observer in range(self.size):
-            self.alive_at.pop((at, self.names[observer]), None)
+            self.alive_incarnations.pop((index, self.names[observer]), None)
 
     def actions(self) -> list[Action]:
-        if self.wrong or self.now >= self.horizon:
+        if self.violation or self.now >= self.horizon:
             return []
         found: list[Action] = [
-            ("deliver", n) for n, (_, to, _) in enumerate(self.flying) if not self.paused[to]
+            ("deliver", n) for n, (_, to, _) in enumerate(self.in_flight) if not self.paused[to]
         ]
         found.append(("wait", 0))
-        found += [("lose", n) for n in range(len(self.flying))]
-        found += [("double", n) for n in range(len(self.flying))]
-        for at in range(self.size):
-            found += [("restart", at), ("go on" if self.paused[at] else "stop", at)]
-            if self.liar and at < self.size - 1:
-                found.append(("lie about", at))
+        found += [("lose", n) for n in range(len(self.in_flight))]
+        found += [("double", n) for n in range(len(self.in_flight))]
+        for index in range(self.size):
+            found += [("restart", index), ("go on" if self.paused[index] else "stop", index)]
+            if self.false_deaths and index < self.size - 1:
+                found.append(("lie about", index))
         return found
 
     def apply(self, action: Action) -> None:
-        what, at = action
+        what, index = action
         if what == "deliver":
-            sender, to, heard = self.flying.pop(at)
-            self.step(to, [heard])
+            sender, to, received = self.in_flight.pop(index)
+            self.step(to, [received])
         elif what == "lose":
-            self.flying.pop(at)
+            self.in_flight.pop(index)
         elif what == "double":
-            self.flying.append(self.flying[at])
+            self.in_flight.append(self.in_flight[index])
         elif what == "restart":
-            self.start(at)
+            self.start(index)
         elif what in ("stop", "go on"):
-            self.paused[at] = what == "stop"
+            self.paused[index] = what == "stop"
         elif what == "lie about":
-            self.lie(at)
+            self.report_false_death(index)
         else:
-            self.pass_time()
+            self.advance_time()
 
-    def lie(self, at: int) -> None:
+    def report_false_death(self, index: int) -> None:
         """The last member says to all that one is dead, under the incarnation that it holds."""
-        core = self.cores[-1]
-        assert core is not None
-        incarnation = core.members[self.names[at]].incarnation
-        ping = wire.Ping(0, Status.ALIVE, core.incarnation, Status.ALIVE, 0, 0)
-        note = wire.MemberUpdate(self.names[at], Status.DEAD, incarnation, self.names[-1])
+        member = self.members[-1]
+        assert member is not None
+        incarnation = member.members[self.names[index]].incarnation
+        ping = wire.Ping(0, Status.ALIVE, member.incarnation, Status.ALIVE, 0, 0)
+        update = wire.MemberUpdate(self.names[index], Status.DEAD, incarnation, self.names[-1])
         for to in range(self.size - 1):
-            self.flying.append((self.size - 1, to, Received(self.names[-1], ping, [note])))
+            self.in_flight.append((self.size - 1, to, Received(self.names[-1], ping, [update])))
 
-    def pass_time(self) -> None:
-        running = [core for at, core in enumerate(self.cores) if core is not None and not self.paused[at]]
-        due = min((core.next_due() - BEGIN for core in running), default=self.now + 50 * MS)
+    def advance_time(self) -> None:
+        running = [
+            member
+            for index, member in enumerate(self.members)
+            if member is not None and not self.paused[index]
+        ]
+        due = min((member.next_due() - CLOCK_START for member in running), default=self.now + 50 * MS)
         self.now = min(self.horizon, max(self.now + MS, due))
-        for at, core in enumerate(self.cores):
-            if core is not None and not self.paused[at] and core.next_due() <= BEGIN + self.now:
-                self.step(at, [])
-
-    def step(self, at: int, notes: list[Received]) -> None:
-        core = self.cores[at]
-        assert core is not None
-        for order in core.step(BEGIN + self.now, notes):
-            if isinstance(order, Send):
-                to = self.names.index(order.to)
-                self.flying.append((at, to, Received(self.names[at], order.body, order.updates)))
-            elif isinstance(order, MemberChanged):
-                self.judge(at, order, core.members[order.name].incarnation)
-
-    def judge(self, at: int, order: MemberChanged, incarnation: int) -> None:
-        key = (at, order.name)
-        if order.after is Status.ALIVE:
-            self.alive_at[key] = max(incarnation, self.alive_at.get(key, 0))
-        elif order.after is Status.DEAD and incarnation < self.alive_at.get(key, 0):
-            self.wrong = f"{self.names[at]} holds {order.name} dead that had refuted it"
+        for index, member in enumerate(self.members):
+            if member is not None and not self.paused[index] and member.next_due() <= CLOCK_START + self.now:
+                self.step(index, [])
+
+    def step(self, index: int, events: list[Received]) -> None:
+        member = self.members[index]
+        assert member is not None
+        for command in member.step(CLOCK_START + self.now, events):
+            if isinstance(command, Send):
+                to = self.names.index(command.to)
+                self.in_flight.append((index, to, Received(self.names[index], command.body, command.updates)))
+            elif isinstance(command, MemberChanged):
+                self.check_invariants(index, command, member.members[command.name].incarnation)
+
+    def check_invariants(self, index: int, command: MemberChanged, incarnation: int) -> None:
+        key = (index, command.name)
+        if command.after is Status.ALIVE:
+            self.alive_incarnations[key] = max(incarnation, self.alive_incarnations.get(key, 0))
+        elif command.after is Status.DEAD and incarnation < self.alive_incarnations.get(key, 0):
+            self.violation = f"{self.names[index]} holds {command.name} dead that had refuted it"
 
     def agreed(self) -> bool:
         return all(
-            core is not None and all(one.status is Status.ALIVE for one in core.members.values())
-            for core in self.cores
+            member is not None and all(one.status is Status.ALIVE for one in member.members.values())
+            for member in self.members
         )
 
     def finish(self) -> None:
         """Everyone goes on and nothing is lost any more: within some seconds all hold all for alive."""
-        if self.wrong:
+        if self.violation:
             return
-        for at in range(self.size):
-            self.paused[at] = False
-        ends = self.now + QUIET
-        self.horizon = ends
-        while self.now < ends and not self.wrong and not (self.agreed() and self.now > ends - QUIET + SECOND):
+        for index in range(self.size):
+            self.paused[index] = False
+        deadline = self.now + QUIET_PERIOD
+        self.horizon = deadline
+        while (
+            self.now < deadline
+            and not self.violation
+            and not (self.agreed() and self.now > deadline - QUIET_PERIOD + SECOND)
+        ):
             self.apply(self.actions()[0])
-        if not self.wrong and not self.agreed():
+        if not self.violation and not self.agreed():
             held = [
-                f"{core.name} holds {name} {one.status.name.lower()}"
-                for core in self.cores
-                if core is not None
-                for name, one in core.members.items()
+                f"{member.name} holds {name} {one.status.name.lower()}"
+                for member in self.members
+                if member is not None
+                for name, one in member.members.items()
                 if one.status is not Status.ALIVE
             ]
-            self.wrong = f"no agreement {QUIET // SECOND} s after the network is quiet: {', '.join(held)}"
+            self.violation = (
+                f"no agreement {QUIET_PERIOD // SECOND} s after the network is quiet: {', '.join(held)}"
+            )
 
 
 @dataclass
-class Found:
+class Failure:
     """A failing schedule: its departures, and all steps."""
 
-    wrong: str
+    violation: str
     departures: int
     schedule: list[Action]
 
     def text(self) -> str:
-        return "; ".join(f"{what} {at}" for what, at in self.schedule)
+        return "; ".join(f"{what} {index}" for what, index in self.schedule)
 
 
 @dataclass
 class Outcome:
-    found: Found | None
+    failure: Failure | None
     states: int
     departures: int  # all schedules with so many were played
-    whole: bool  # else the bound on states ended it
+    complete: bool  # else the bound on states ended it
 
 
-def explore(make: Callable[[], World], departures: int, states: int = 10**9) -> Outcome:
+def explore(make_world: Callable[[], World], departures: int, states: int = 10**9) -> Outcome:
     """Breadth first by departures, so that the first failure has the fewest."""
     seen: set[int] = set()
-    level: list[tuple[bytes, Action | None, list[Action]]] = [(pickle.dumps(make()), None, [])]
+    pending: list[tuple[bytes, Action | None, list[Action]]] = [(pickle.dumps(make_world()), None, [])]
     random_source = RandomSource(1)
-    for deep in range(departures + 1):
-        following: list[tuple[bytes, Action | None, list[Action]]] = []
+    for depth in range(departures + 1):
+        next_pending: list[tuple[bytes, Action | None, list[Action]]] = []
         if len(seen) < states:
-            shuffle(level, random_source)
-        for data, action, before in level:
+            shuffle(pending, random_source)
+        for data, action, prefix in pending:
             world = pickle.loads(data)
-            schedule = list(before)
+            schedule = list(prefix)
             if action is not None:
                 world.apply(action)
                 schedule.append(action)
             while True:
-                if world.wrong:
-                    return Outcome(Found(world.wrong, deep, schedule), len(seen), deep, False)
+                if world.violation:
+                    return Outcome(Failure(world.violation, depth, schedule), len(seen), depth, False)
                 data = pickle.dumps(world)
-                mark = hash(data)
+                state_hash = hash(data)
                 actions = world.actions()
-                if mark in seen:
+                if state_hash in seen:
                     break
                 if not actions:
                     world.finish()
-                    if world.wrong:
-                        return Outcome(Found(world.wrong, deep, schedule), len(seen), deep, False)
+                    if world.violation:
+                        return Outcome(Failure(world.violation, depth, schedule), len(seen), depth, False)
                     break
-                seen.add(mark)
+                seen.add(state_hash)
                 if len(seen) >= states:
-                    return Outcome(None, len(seen), deep, False)
-                if deep < departures:
-                    following += [(data, other, schedule[:]) for other in actions[1:]]
+                    return Outcome(None, len(seen), depth, False)
+                if depth < departures:
+                    next_pending += [(data, other, schedule[:]) for other in actions[1:]]
                 world.apply(actions[0])
                 schedule.append(actions[0])
-        level = following
+        pending = next_pending
     return Outcome(None, len(seen), departures, True)
 
 
-def shuffle(level: list, random_source: RandomSource) -> None:
+def shuffle(pending: list, random_source: RandomSource) -> None:
     """A bounded search shall see some of every part of a level."""
-    for at in range(len(level) - 1, 0, -1):
-        other = random_source.upto(at)
-        level[at], level[other] = level[other], level[at]
+    for index in range(len(pending) - 1, 0, -1):
+        other = random_source.upto(index)
+        pending[index], pending[other] = pending[other], pending[index]
 
 
-def replay(make: Callable[[], World], text: str) -> str:
+def replay(make_world: Callable[[], World], text: str) -> str:
     """What goes wrong under a schedule as `Found.text` writes it; empty: nothing."""
-    world = make()
+    world = make_world()
     for part in text.split("; "):
-        what, _, at = part.rpartition(" ")
-        world.apply((what, int(at)))
-        if world.wrong:
+        what, _, index = part.rpartition(" ")
+        world.apply((what, int(index)))
+        if world.violation:
             break
     world.finish()
-    return world.wrong
+    return world.violation
 
 
-def walk(make: Callable[[], World], seed: int, share: float = 0.15) -> Found | None:
+def walk(make_world: Callable[[], World], seed: int, share: float = 0.15) -> Failure | None:
     """One schedule by chance, with departures at `share` of its steps: deeper than every order can be
     tried."""
-    random_source, world, schedule, departures = RandomSource(seed), make(), [], 0
+    random_source, world, schedule, departures = RandomSource(seed), make_world(), [], 0
     while actions := world.actions():
         action = actions[0]
         if random_source.draw() < share:
@@ -483,38 +509,38 @@
         world.apply(action)
         schedule.append(action)
     world.finish()
-    return Found(world.wrong, departures, schedule) if world.wrong else None
+    return Failure(world.violation, departures, schedule) if world.violation else None
 
 
-def shortened(make: Callable[[], World], found: Found) -> Found:
+def shrink(make_world: Callable[[], World], found: Failure) -> Failure:
     """Leaves out steps as long as it still goes wrong."""
     schedule = found.schedule
     size = max(1, len(schedule) // 2)
     while True:
-        at = 0
-        while at < len(schedule):
-            shorter = schedule[:at] + schedule[at + size :]
-            if wrong := played(make, shorter):
-                schedule, found = shorter, Found(wrong, found.departures, shorter)
+        index = 0
+        while index < len(schedule):
+            shorter = schedule[:index] + schedule[index + size :]
+            if violation := violation_of(make_world, shorter):
+                schedule, found = shorter, Failure(violation, found.departures, shorter)
             else:
-                at += size
+                index += size
         if size == 1:
             return found
         size = max(1, size // 2)
 
 
-def played(make: Callable[[], World], schedule: list[Action]) -> str:
-    world = make()
-    for what, at in schedule:
+def violation_of(make_world: Callable[[], World], schedule: list[Action]) -> str:
+    world = make_world()
+    for what, index in schedule:
         bound = (
-            len(world.boxes)
+            len(world.processes)
             if what in ("restart", "stop", "go on", "give up", "move wall clock", "wait")
-            else len(world.flying)
+            else len(world.in_flight)
         )
-        if at >= bound:
+        if index >= bound:
             return ""
-        world.apply((what, at))
-        if world.wrong:
-            return world.wrong
+        world.apply((what, index))
+        if world.violation:
+            return world.violation
     world.finish()
-    return world.wrong
+    return world.violation
--- a/tests/test_config_explorer.py
+++ b/tests/test_config_explorer.py
@@ -93,21 +93,21 @@
 
 def first_found(make, departures: int = 1, seeds: int = 400) -> str:
     outcome: Outcome = explore(make, departures, 3_000)
-    if outcome.found is not None:
+    if outcome.failure is not None:
         # the trace alone reproduces the failure
-        assert replay(make, outcome.found.text()) == outcome.found.wrong
-        return outcome.found.wrong
+        assert replay(make, outcome.failure.text()) == outcome.failure.violation
+        return outcome.failure.violation
     for seed in range(seeds):
         if found := walk(make, seed, 0.1):
-            assert replay(make, found.text()) == found.wrong
-            return found.wrong
+            assert replay(make, found.text()) == found.violation
+            return found.violation
     return ""
 
 
 def test_every_schedule_with_one_departure_keeps_what_is_promised():
     outcome = check(1)
-    assert outcome.found is None, f"{outcome.found.wrong}: {outcome.found.text()}"
-    assert outcome.whole and outcome.states > 5_000
+    assert outcome.failure is None, f"{outcome.failure.violation}: {outcome.failure.text()}"
+    assert outcome.complete and outcome.states > 5_000
 
 
 def test_walks_with_many_departures_keep_what_is_promised():
@@ -121,7 +121,7 @@
     while world.actions():
         world.apply(world.actions()[0])
         refused.add(world.nodes["s0"].follower.status().refused)
-    assert not world.wrong and world.agreed() and refused == {0, 2}
+    assert not world.violation and world.agreed() and refused == {0, 2}
     assert world.source.version.index == len(SCRIPT)
 
 
@@ -130,7 +130,7 @@
     [
         (partial(ConfigWorld, follower=AcceptsOlderSnapshot), "falls back"),
         (partial(ConfigWorld, history=ServesHalfVersion), "what is in force is not|serves what is not"),
-        (partial(ConfigWorld, serves_first=True), "came back with"),
+        (partial(ConfigWorld, serves_before_storing=True), "came back with"),
         (partial(ConfigWorld, history=OmitsFirstChange), "what is in force is not"),
         (
             partial(ConfigWorld, follower=AppliesOverGaps, history=IncompleteChanges),
@@ -156,7 +156,9 @@
 
 def test_a_relay_that_keeps_late_harms_nobody():
     """It may restart with an older version than it served; newer watchers use another relay meanwhile."""
-    assert first_found(partial(ConfigWorld, serves_first=True, may_lack=True), seeds=150) == ""
+    assert (
+        first_found(partial(ConfigWorld, serves_before_storing=True, may_fall_behind=True), seeds=150) == ""
+    )
 
 
 def test_a_terse_relay_harms_nobody():
--- a/tests/test_peers_decisions.py
+++ b/tests/test_peers_decisions.py
@@ -7,7 +7,7 @@
 import pytest
 
 from lupinmill.lab import fleet
-from lupinmill.lab.explorer import TOPIC, AgreementWorld, Planted, explore, replay, shortened, walk
+from lupinmill.lab.explorer import TOPIC, AgreementWorld, InjectedFaults, explore, replay, shrink, walk
 from lupinmill.lab.fleet_virtual import VirtualFleet
 from lupinmill.peers import wire
 from lupinmill.peers.elector import Elector, Memory, Persist, majority
@@ -27,25 +27,25 @@
 def test_every_schedule_with_one_departure_keeps_the_invariants(keeps):
     """Invariants: never two holders at the same time, never two decisions with one version, and no accepted
     decision is lost."""
-    outcome = explore(partial(AgreementWorld, keeps=keeps), 1)
-    assert outcome.found is None and outcome.whole and outcome.states > 5_000
+    outcome = explore(partial(AgreementWorld, has_storage=keeps), 1)
+    assert outcome.failure is None and outcome.complete and outcome.states > 5_000
 
 
 @pytest.mark.parametrize(
     "planted, within",
     [
-        (Planted(miscounts=True), 1),
-        (Planted(forgets=True), 2),
-        (Planted(wall=True), 2),
+        (InjectedFaults(half_is_majority=True), 1),
+        (InjectedFaults(elector_forgets=True), 2),
+        (InjectedFaults(wall_clock_leases=True), 2),
     ],
 )
 def test_a_planted_fault_is_found_and_its_schedule_replays(planted, within):
-    make = partial(AgreementWorld, planted=planted)
-    found = explore(make, within, 200_000).found
+    make = partial(AgreementWorld, faults=planted)
+    found = explore(make, within, 200_000).failure
     assert found is not None and found.departures <= within
-    assert replay(make, found.text()) == found.wrong
-    short = shortened(make, found)
-    assert len(short.schedule) <= len(found.schedule) and replay(make, short.text()) == short.wrong
+    assert replay(make, found.text()) == found.violation
+    short = shrink(make, found)
+    assert len(short.schedule) <= len(found.schedule) and replay(make, short.text()) == short.violation
     make_sound = AgreementWorld
     assert not violation_on_replay(make_sound, found.schedule)
 
@@ -55,7 +55,7 @@
     started its ballots at 1. All schedules with two departures find it too, in 350,000 states; this test
     uses random walks."""
     make = partial(AgreementWorld, 3, 3, True, 4 * SECOND)
-    found = [walk(partial(make, planted=Planted(reuses=True)), seed, 0.1) for seed in SEEDS]
+    found = [walk(partial(make, faults=InjectedFaults(reuses_ballots=True)), seed, 0.1) for seed in SEEDS]
     assert any(found) and not any(walk(make, seed, 0.1) for seed in SEEDS)
 
 
@@ -63,10 +63,10 @@
     """Replays a schedule on the sound cores, up to the first step that is no longer possible."""
     world = make()
     for action in schedule:
-        if world.wrong or action not in world.actions():
+        if world.violation or action not in world.actions():
             break
         world.apply(action)
-    return world.wrong
+    return world.violation
 
 
 @pytest.mark.parametrize(
@@ -83,7 +83,7 @@
     seeds = [*range(60), 921]  # 921 lost a decision: replies of different moments were combined
     for seed in seeds:
         found = walk(make, seed, 0.1)
-        assert found is None, f"seed {seed}: {found.wrong}: {shortened(make, found).text()}"
+        assert found is None, f"seed {seed}: {found.violation}: {shrink(make, found).text()}"
 
 
 @pytest.mark.parametrize(
--- a/tests/test_peers_members.py
+++ b/tests/test_peers_members.py
@@ -181,21 +181,21 @@
 def test_every_schedule_with_one_departure_refutes_and_agrees(liar):
     """Three members for 0.4 s with loss, duplication, reordering, restarts, pauses and false reports, then
     a quiet network. A refuted suspicion never ends in a death, and all members agree in the end."""
-    outcome = explore(partial(MembershipWorld, liar=liar), 1)
-    assert outcome.found is None and outcome.whole and outcome.states > 2_000
+    outcome = explore(partial(MembershipWorld, false_deaths=liar), 1)
+    assert outcome.failure is None and outcome.complete and outcome.states > 2_000
 
 
 def test_walks_with_many_departures_refute_and_agree():
     for seed in range(60):
-        found = walk(partial(MembershipWorld, 4, 3 * SECOND, liar=True), seed, 0.1)
-        assert found is None, f"seed {seed}: {found.wrong}"
+        found = walk(partial(MembershipWorld, 4, 3 * SECOND, false_deaths=True), seed, 0.1)
+        assert found is None, f"seed {seed}: {found.violation}"
 
 
 def test_a_core_that_believes_hearsay_is_found():
-    make = partial(MembershipWorld, liar=True, gullible=True, horizon=250_000)
-    found = explore(make, 1).found
-    assert found is not None and found.departures == 1 and "dead" in found.wrong
-    assert replay(make, found.text()) == found.wrong
+    make = partial(MembershipWorld, false_deaths=True, believes_hearsay=True, horizon=250_000)
+    found = explore(make, 1).failure
+    assert found is not None and found.departures == 1 and "dead" in found.violation
+    assert replay(make, found.text()) == found.violation
 
 
 # --- a single core ----------------------------------------------------------------------------------------
