--- a/lupinmill/lab/explore_config.py
+++ b/lupinmill/lab/explore_config.py
@@ -1,17 +1,18 @@
-"""A model check of the very cores of `config/`: a source, two relays, two sidecars, every schedule with a few
-departures from the plain one, by `explorer.explore`.
+"""Model check of the pure cores of `config/`, run unchanged: a source, two relays and two sidecars, under every
+schedule with a bounded number of departures from the default one (`explorer.explore`).
 
-The plain schedule delivers what was sent in its order, and lets time pass when nothing is left. A departure
-delivers another message first, loses or garbles one, or the server's answer before it once more in its place;
-lets time pass early; restarts a relay or a sidecar (with or without its kept state); cuts a link or heals it;
-brings the source back from an older backup. Where a node has
-something to put in force that is a step of its own, so that a restart can come between.
+The default schedule delivers messages in the order in which they were sent and advances time when none is in
+flight. A departure delivers another message first, loses or garbles one, or replaces a reply by the server's
+previous one; advances time early; restarts a relay or a sidecar (with or without its stored state); cuts or
+heals a link; or restores the source from an older backup. Applying a version is a step of its own, so that a
+restart can come between receiving and applying it.
 
-Checked with each step: what is in force is exactly what the source published under that version, of the
-scopes watched; it never falls back, nor what a relay serves while it keeps its state. In the end, once the
-network is quiet: all go by the source's newest.
+Checked after each step: the entries in force are exactly those that the source published under that version,
+limited to the watched scopes; the version in force never goes back, nor does the version that a relay serves
+while it keeps its stored state. At the end, once the network is quiet, all nodes apply the source's newest
+version.
 
-Owns nothing: worlds are values, copied as pickles."""
+Worlds are plain values, copied by pickling; the module holds no state."""
 
 from __future__ import annotations
 
@@ -44,14 +45,14 @@
     "s0": ("fleet", "service/one"),
     "s1": ("fleet", "service/two", "sidecar/s1"),
 }
-LINKS = (("r0", SOURCE), ("r1", SOURCE), ("s0", "r0"), ("s0", "r1"))  # that can be cut
+LINKS = (("r0", SOURCE), ("r1", SOURCE), ("s0", "r0"), ("s0", "r1"))  # links that can be cut
 WATCH_TIMEOUT, REPLY_SPREAD = 400 * MS, 40 * MS
 QUIET_PERIOD = 60 * SECOND
-REFUSED_VALUE = "bad"  # a value that s0 refuses
+REFUSED_VALUE = "bad"  # refused by s0
 
 FLEET, ONE, TWO = Key("fleet", "settings"), Key("service/one", "settings"), Key("service/two", "settings")
 OWN, MEMBER = Key("sidecar/s1", "settings"), Key("service/one", "member/m1")
-# What is pushed, and when: the second is refused by s0; the last takes an entry away, and is not refused.
+# Pushes by time: s0 refuses the second; the last one removes an entry and is not refused.
 SCRIPT: tuple[tuple[int, Entries], ...] = (
     (0, {FLEET: {"limit": 1}, ONE: "a", TWO: "a", MEMBER: [1]}),
     (150 * MS, {ONE: REFUSED_VALUE, TWO: "b"}),
@@ -62,35 +63,35 @@
 
 @dataclass
 class Node:
-    """A relay or a sidecar, and what outlives its process."""
+    """A relay or a sidecar, and the state that outlives its process."""
 
     name: str
     follower: Follower
     in_force: Version
     entries: Entries
     stored: tuple[Version, Entries]
-    history: History | None = None  # of a relay
+    history: History | None = None  # of a relay only
     applying: ApplyVersion | None = None
-    call_number: int = 0  # number of the call that is out
+    call_number: int = 0  # number of the outstanding call
     timer: int = 0
     starts: int = 1
-    last_replies: dict[str, Reply] = field(default_factory=dict)  # by server: the answer that came last
+    last_replies: dict[str, Reply] = field(default_factory=dict)  # by server
 
 
 @dataclass
 class WatchCall:
-    """On its way to a server, or parked there."""
+    """A watch on its way to a server, or parked there."""
 
     client: str
     server: str
     number: int
     since: Version
-    until: int  # when it is answered in any case
+    until: int  # time at which it is answered even without news
 
 
 @dataclass
 class WatchReply:
-    """An answer on its way to its client."""
+    """A reply on its way to its client."""
 
     call: WatchCall
     reply: Reply
@@ -98,23 +99,22 @@
 
 @dataclass
 class ConfigWorld:
-    follower: type[Follower] = Follower  # planted faults put theirs here
+    follower: type[Follower] = Follower  # replaced to inject faults
     history: type[History] = History
-    serves_before_storing: bool = (
-        False  # a relay serves a version and keeps it later: may then come back with less
-    )
-    may_fall_behind: bool = False  # which is allowed; else it is a planted fault
-    horizon: int = 700 * MS  # departures end there
+    # A relay serves a version before it is stored, and may restart with an older one.
+    serves_before_storing: bool = False
+    may_fall_behind: bool = False  # whether such a restart is allowed; else it is an injected fault
+    horizon: int = 700 * MS  # end of the departures
     now: int = 0
     nodes: dict[str, Node] = field(default_factory=dict)
     source: History = field(default_factory=lambda: History(Version(), {}))
-    backup: tuple[Version, Entries] = (Version(), {})  # of the source, after the first push
-    pushed: int = 0  # of the script
+    backup: tuple[Version, Entries] = (Version(), {})  # the source's state after the first push
+    pushed: int = 0  # number of pushes of `SCRIPT` so far
     in_flight: list[WatchCall | WatchReply] = field(default_factory=list)
     parked: list[WatchCall] = field(default_factory=list)
     cut: set[tuple[str, str]] = field(default_factory=set)
-    being_stored: dict[str, tuple[Version, Entries]] = field(default_factory=dict)  # not on disk yet
-    highest_applied: dict[str, int] = field(default_factory=dict)  # highest index that was in force at each
+    being_stored: dict[str, tuple[Version, Entries]] = field(default_factory=dict)  # not on disk yet, by node
+    highest_applied: dict[str, int] = field(default_factory=dict)  # index, by node
     published: dict[Version, Entries] = field(default_factory=lambda: {Version(): {}})
     violation: str = ""
 
@@ -130,7 +130,7 @@
         follower = self.follower(name, servers, seed, WATCH_TIMEOUT, REPLY_SPREAD, version, entries)
         history = self.history(version, entries, max_changes=3) if relay else None
         if not relay:
-            follower.refresh()  # as the sidecar's driver does at a start
+            follower.refresh()  # as the sidecar's driver does on start
         self.nodes[name] = Node(
             name,
             follower,
@@ -143,10 +143,10 @@
         )
         self.step(name, [])
 
-    # --- what can happen ---
+    # --- actions ---
 
     def actions(self) -> list[Action]:
-        """The plain one first. Empty: the world has ended."""
+        """Possible actions, the default one first; empty at the end of the schedule."""
         if self.violation or self.now >= self.horizon:
             return []
         applying = [index for index, name in enumerate(self.nodes) if self.nodes[name].applying]
@@ -206,12 +206,12 @@
             self.highest_applied.pop(name, None)
         self.in_flight = [message for message in self.in_flight if self.call_of(message).client != name]
         self.parked = [message for message in self.parked if message.client != name]
-        # Its place in `nodes` stays; what it asks first comes before its callers notice.
+        # It keeps its position in `nodes`. Its first call is sent before its clients notice the restart.
         self.start(name, (Version(), {}) if empty else node.stored, node.starts + 1)
         self.break_connections(name)
 
     def break_connections(self, server: str) -> None:
-        """Connections break: who can hear it does."""
+        """Breaks all connections to a server; each client whose link is up is notified."""
         broken = [
             self.call_of(message) for message in self.in_flight if self.call_of(message).server == server
         ]
@@ -239,7 +239,7 @@
             self.answer(call.server)
 
     def reachable(self, call: WatchCall) -> bool:
-        """Can its client still hear of it? One that called again has closed the connection before."""
+        """Whether the client can still receive the reply: a client that calls again has closed the connection."""
         return (call.client, call.server) not in self.cut and self.nodes[
             call.client
         ].call_number == call.number
@@ -252,7 +252,7 @@
         return history
 
     def answer(self, server: str) -> None:
-        """Parked watches with news, and those whose time is over."""
+        """Replies to parked watches that have changes to report or have expired."""
         history = self.history_of(server)
         for call in [message for message in self.parked if message.server == server]:
             if self.now >= call.until or history.has_changes(call.since, WATCHED_SCOPES[call.client]):
@@ -263,7 +263,7 @@
                     )
                 )
             if server == SOURCE:
-                ahead = self.history_of(call.client).ahead  # as the relay's driver tells with each call
+                ahead = self.history_of(call.client).ahead  # as the relay's driver reports with each call
                 self.source.observe_version(ahead or Version())
 
     def step(self, name: str, events: list[FollowerEvent]) -> None:
@@ -308,7 +308,7 @@
     # --- time, and the source ---
 
     def advance_time(self) -> None:
-        """To when the next has something to do."""
+        """Advances to the next time at which something is due."""
         due = [node.timer for node in self.nodes.values()] + [call.until for call in self.parked]
         if self.pushed < len(SCRIPT):
             due.append(SCRIPT[self.pushed][0])
@@ -334,14 +334,14 @@
         self.answer(SOURCE)
 
     def restore(self) -> None:
-        """What the operator does who is told that the source is behind."""
+        """What an operator does when a push reports that the source is behind."""
         self.source.restore()
         self.publish()
 
     def publish(self) -> None:
         self.published[self.source.version] = self.source.entries
 
-    # --- what must hold ---
+    # --- invariants ---
 
     def check_invariants(self) -> None:
         for node in self.nodes.values():
@@ -376,7 +376,7 @@
         )
 
     def finish(self) -> None:
-        """Nothing is lost any more: soon all go by the source's newest."""
+        """Nothing is lost any more: within `QUIET_PERIOD` all nodes must apply the source's newest version."""
         self.cut.clear()
         deadline = self.now + QUIET_PERIOD
         self.horizon = deadline
@@ -395,7 +395,7 @@
 
 
 def walks(seeds: range, share: float = 0.1) -> tuple[int, str]:
-    """Schedules by chance, deeper than every order can be tried: how many, and the first failure."""
+    """Random schedules, deeper than exhaustive search reaches: their number, and the first failure."""
     for count, seed in enumerate(seeds):
         if found := walk(ConfigWorld, seed, share):
             return count + 1, f"seed {seed}: {found.violation}: {found.text()}"
--- a/lupinmill/lab/explorer.py
+++ b/lupinmill/lab/explorer.py
@@ -1,13 +1,14 @@
-"""A model check of the very cores of `peers/`: small worlds, every schedule with a few departures from the
-plain one.
+"""Model checker for the pure cores of `peers/`, run unchanged in small worlds: it explores every schedule with
+a bounded number of departures from the default schedule.
 
-The plain schedule delivers datagrams in the order in which they were sent and lets time pass when none is
-left. A departure, one of the world's `departures`, delivers another one first, loses or doubles one, restarts
-or stops a process, lets time pass early, moves a wall clock. All schedules with no departure are played
-first, then all with one, with two, and so on (delay bounding: Emmi, Qadeer, Rakamaric 2011), each state once;
-so the first failure found is among the simplest, and `replay` plays it from its text alone.
+The default schedule delivers datagrams in the order in which they were sent and advances time when none is in
+flight. A departure is any other action that the world allows: it delivers another datagram first, loses or
+duplicates one, restarts or pauses a process, advances time early, or moves a wall clock. All schedules without
+departures are explored first, then all with one, with two, and so on (delay bounding: Emmi, Qadeer, Rakamaric
+2011), each state once. So the first failure found is among the simplest, and `replay` reproduces it from its
+text alone.
 
-Owns nothing: worlds are values, copied as pickles."""
+Worlds are plain values, copied by pickling; the module holds no state."""
 
 from __future__ import annotations
 
@@ -32,17 +33,17 @@
 QUIET_PERIOD = 10 * SECOND
 World = Any  # an `AgreementWorld` or a `MembershipWorld`
 
-Action = tuple[str, int]  # what, and with which datagram or host
+Action = tuple[str, int]  # kind of action, and index of its datagram or process
 
 
 @dataclass
 class InjectedFaults:
-    """Faults that the explorer must find: each makes one part of a core wrong."""
+    """Faults that the explorer must detect: each breaks one part of a core."""
 
-    elector_forgets: bool = False  # an elector votes after a restart without its memory
-    half_is_majority: bool = False  # half of the electors count as a majority
-    wall_clock_leases: bool = False  # an elector judges leases by the wall clock
-    reuses_ballots: bool = False  # a claim that is wanted anew begins its ballots anew
+    elector_forgets: bool = False  # an elector votes after a restart without its stored promises
+    half_is_majority: bool = False  # half of the electors counts as a majority
+    wall_clock_leases: bool = False  # an elector measures leases by the wall clock
+    reuses_ballots: bool = False  # a released and repeated claim restarts its ballot numbers
 
 
 def half(electors: int) -> int:
@@ -51,27 +52,27 @@
 
 @dataclass
 class ModelProcess:
-    """A process of the small world, and what outlives it."""
+    """A process of the small world, and the state that outlives it."""
 
     name: str
     elector: Elector | None = None
     proposer: Proposer | None = None
     stored: bytes = b""
-    clock_offset: int = 0  # of its monotonic clock, ...
-    clock_drift: int = 0  # ... which runs so many thousandths faster
-    wall_clock_offset: int = 0  # by which its wall clock was moved
+    clock_offset: int = 0  # of its monotonic clock
+    clock_drift: int = 0  # of its monotonic clock, in thousandths
+    wall_clock_offset: int = 0
     paused: bool = False
     starts: int = 0
-    decided_epoch: int = 0  # epoch under which it has decided
+    decided_epoch: int = 0  # epoch of its last decision
 
 
 @dataclass
 class AgreementWorld:
-    """Electors, some of whom want one lease and decide once under each holding of it."""
+    """Electors, some of which request one lease and make one decision in each epoch they hold it."""
 
     size: int = 3
-    proposer_count: int = 2  # the first ones
-    has_storage: bool = True  # promises outlive a restart
+    proposer_count: int = 2  # the first processes propose
+    has_storage: bool = True  # promises survive a restart
     horizon: int = 3 * SECOND
     faults: InjectedFaults = field(default_factory=InjectedFaults)
     now: int = 0
@@ -111,10 +112,10 @@
         process = self.processes[index]
         return process.clock_offset + self.now + self.now * process.clock_drift // 1000
 
-    # What can happen.
+    # Actions.
 
     def actions(self) -> list[Action]:
-        """The plain one first. Empty: the world has ended."""
+        """Possible actions, the default one first; empty at the end of the schedule."""
         if self.violation or self.now >= self.horizon:
             return []
         found: list[Action] = []
@@ -135,8 +136,8 @@
         return found
 
     def may_restart(self, index: int) -> bool:
-        """Without a directory decisions are promised to last only while no majority of the electors has
-        forgotten at a time: beyond that each begins anew, as docs/peers.md says."""
+        """Without stable storage, decisions are guaranteed to last only while no majority of the electors has
+        lost its memory at the same time; beyond that, electors start from nothing (docs/peers.md)."""
         if self.has_storage or self.faults.elector_forgets:
             return True
         forgot = sum(
@@ -176,7 +177,7 @@
             self.advance_time()
 
     def advance_time(self) -> None:
-        """To when the next process has something to do."""
+        """Advances to the next time at which a process has something to do."""
         due = min(
             (self.due(index) for index, process in enumerate(self.processes) if not process.paused),
             default=LEASE_DURATION // 2,
@@ -233,18 +234,21 @@
                 self.in_flight.append((index, to, command.body))
         elif isinstance(command, LeaseAcquired):
             if self.epoch_holders.setdefault(command.epoch, process.name) != process.name:
-                self.violation = f"epoch {command.epoch} was taken by {self.epoch_holders[command.epoch]} and by {process.name}"
+                self.violation = (
+                    f"epoch {command.epoch} was taken by {self.epoch_holders[command.epoch]}"
+                    f" and by {process.name}"
+                )
         elif isinstance(command, DecisionAccepted):
             previous = self.decisions.setdefault(command.version, (command.epoch, command.body))
             if previous[1] != command.body:
                 self.violation = f"decision {command.version} is {previous[1]!r} and {command.body!r}"
             elif command.version < max(self.decisions):
-                self.violation = f"decision {max(self.decisions)} was told as made and is lost"
+                self.violation = f"decision {max(self.decisions)} was reported as accepted and is lost"
         else:
             assert isinstance(command, LeaseLost)
 
     def finish(self) -> None:
-        """Nothing is owed at the end."""
+        """Nothing remains to be checked at the end."""
 
     def check_invariants(self) -> None:
         holders = [
@@ -257,11 +261,11 @@
 
 
 def ignore_progress(sender: str, previous: list[wire.TopicProgress]) -> None:
-    """In place of what a whole member does about another's table; by name, so that a world can be copied."""
+    """Replaces a member's handler of topic progress. A module-level function, so that a world can be pickled."""
 
 
 class BelievesHearsay(Membership):
-    """A planted fault: hearsay of a death is believed at once, whatever the incarnation."""
+    """An injected fault: a reported death is believed at once, whatever its incarnation."""
 
     def apply_update(self, update: wire.MemberUpdate, reporter: str) -> None:
         target = self.members.get(update.name)
@@ -273,23 +277,21 @@
 
 @dataclass
 class MembershipWorld:
-    """Members that know each other already; then departures until the horizon, then a quiet network.
+    """Members that already know each other, with departures until the horizon and then a quiet network.
 
-    A refuted suspicion never ends as a death, and views agree in the end."""
+    Invariants: a refuted suspicion never ends in a death, and all views agree in the end."""
 
     size: int = 3
     horizon: int = 400 * MS
     believes_hearsay: bool = False
-    false_deaths: bool = (
-        False  # old and false words of a death may be said of each, in the last member's name
-    )
+    # The last member may report any other as dead, with its current incarnation.
+    false_deaths: bool = False
     now: int = 0
     members: list[Membership | None] = field(default_factory=list)
     paused: list[bool] = field(default_factory=list)
     in_flight: list[tuple[int, int, Received]] = field(default_factory=list)
-    alive_incarnations: dict[tuple[int, str], int] = field(
-        default_factory=dict
-    )  # incarnation held for alive, by whom
+    # Highest incarnation seen alive, by observer and name.
+    alive_incarnations: dict[tuple[int, str], int] = field(default_factory=dict)
     starts: int = 0
     violation: str = ""
 
@@ -349,7 +351,7 @@
             self.advance_time()
 
     def report_false_death(self, index: int) -> None:
-        """The last member says to all that one is dead, under the incarnation that it holds."""
+        """The last member reports one as dead to all others, with the incarnation that it knows."""
         member = self.members[-1]
         assert member is not None
         incarnation = member.members[self.names[index]].incarnation
@@ -385,7 +387,7 @@
         if command.after is Status.ALIVE:
             self.alive_incarnations[key] = max(incarnation, self.alive_incarnations.get(key, 0))
         elif command.after is Status.DEAD and incarnation < self.alive_incarnations.get(key, 0):
-            self.violation = f"{self.names[index]} holds {command.name} dead that had refuted it"
+            self.violation = f"{self.names[index]} holds {command.name} dead although it had refuted that"
 
     def agreed(self) -> bool:
         return all(
@@ -394,7 +396,7 @@
         )
 
     def finish(self) -> None:
-        """Everyone goes on and nothing is lost any more: within some seconds all hold all for alive."""
+        """All resume and nothing is lost any more: within `QUIET_PERIOD` every member must hold every other alive."""
         if self.violation:
             return
         for index in range(self.size):
@@ -422,7 +424,7 @@
 
 @dataclass
 class Failure:
-    """A failing schedule: its departures, and all steps."""
+    """A failing schedule: its number of departures, and all its steps."""
 
     violation: str
     departures: int
@@ -436,12 +438,12 @@
 class Outcome:
     failure: Failure | None
     states: int
-    departures: int  # all schedules with so many were played
-    complete: bool  # else the bound on states ended it
+    departures: int  # all schedules with up to this many were explored
+    complete: bool  # False: stopped at the limit on states
 
 
 def explore(make_world: Callable[[], World], departures: int, states: int = 10**9) -> Outcome:
-    """Breadth first by departures, so that the first failure has the fewest."""
+    """Explores breadth first by number of departures, so that the first failure has the fewest."""
     seen: set[int] = set()
     pending: list[tuple[bytes, Action | None, list[Action]]] = [(pickle.dumps(make_world()), None, [])]
     random_source = RandomSource(1)
@@ -480,14 +482,14 @@
 
 
 def shuffle(pending: list, random_source: RandomSource) -> None:
-    """A bounded search shall see some of every part of a level."""
+    """Shuffles one depth, so that a search with a limit on states samples all parts of it."""
     for index in range(len(pending) - 1, 0, -1):
         other = random_source.upto(index)
         pending[index], pending[other] = pending[other], pending[index]
 
 
 def replay(make_world: Callable[[], World], text: str) -> str:
-    """What goes wrong under a schedule as `Found.text` writes it; empty: nothing."""
+    """The violation under a schedule in the form of `Failure.text`; empty if there is none."""
     world = make_world()
     for part in text.split("; "):
         what, _, index = part.rpartition(" ")
@@ -499,8 +501,7 @@
 
 
 def walk(make_world: Callable[[], World], seed: int, share: float = 0.15) -> Failure | None:
-    """One schedule by chance, with departures at `share` of its steps: deeper than every order can be
-    tried."""
+    """One random schedule, with departures at `share` of its steps; reaches deeper than exhaustive search."""
     random_source, world, schedule, departures = RandomSource(seed), make_world(), [], 0
     while actions := world.actions():
         action = actions[0]
@@ -513,7 +514,7 @@
 
 
 def shrink(make_world: Callable[[], World], found: Failure) -> Failure:
-    """Leaves out steps as long as it still goes wrong."""
+    """Minimizes a failing schedule by removing steps as long as it still fails."""
     schedule = found.schedule
     size = max(1, len(schedule) // 2)
     while True:
@@ -530,6 +531,7 @@
 
 
 def violation_of(make_world: Callable[[], World], schedule: list[Action]) -> str:
+    """The violation under a schedule; empty if there is none, or if a step is not possible."""
     world = make_world()
     for what, index in schedule:
         bound = (
