--- a/lupinmill/lab/explore_config.py
+++ b/lupinmill/lab/explore_config.py
@@ -1,5 +1,5 @@
-"""Model check of the pure cores of `config/`, run unchanged: a source, two relays and two sidecars, under every
-schedule with a bounded number of departures from the default one (`explorer.explore`).
+"""Model check of the pure cores of `config/`, run unchanged: a source, two relays and two sidecars, under
+every schedule with a bounded number of departures from the default one (`explorer.explore`).
 
 The default schedule delivers messages in the order in which they were sent and advances time when none is in
 flight. A departure delivers another message first, loses or garbles one, or replaces a reply by the server's
@@ -239,7 +239,7 @@
             self.answer(call.server)
 
     def reachable(self, call: WatchCall) -> bool:
-        """Whether the client can still receive the reply: a client that calls again has closed the connection."""
+        """Whether the client can still receive the reply; by calling again it closes the connection."""
         return (call.client, call.server) not in self.cut and self.nodes[
             call.client
         ].call_number == call.number
@@ -376,7 +376,7 @@
         )
 
     def finish(self) -> None:
-        """Nothing is lost any more: within `QUIET_PERIOD` all nodes must apply the source's newest version."""
+        """Nothing is lost any more: within `QUIET_PERIOD` all nodes must apply the newest version."""
         self.cut.clear()
         deadline = self.now + QUIET_PERIOD
         self.horizon = deadline
--- a/lupinmill/lab/explorer.py
+++ b/lupinmill/lab/explorer.py
@@ -1,12 +1,12 @@
-"""Model checker for the pure cores of `peers/`, run unchanged in small worlds: it explores every schedule with
-a bounded number of departures from the default schedule.
+"""Model checker for the pure cores of `peers/`, run unchanged in small worlds: it explores every schedule
+with a bounded number of departures from the default schedule.
 
 The default schedule delivers datagrams in the order in which they were sent and advances time when none is in
 flight. A departure is any other action that the world allows: it delivers another datagram first, loses or
-duplicates one, restarts or pauses a process, advances time early, or moves a wall clock. All schedules without
-departures are explored first, then all with one, with two, and so on (delay bounding: Emmi, Qadeer, Rakamaric
-2011), each state once. So the first failure found is among the simplest, and `replay` reproduces it from its
-text alone.
+duplicates one, restarts or pauses a process, advances time early, or moves a wall clock. All schedules
+without departures are explored first, then all with one, with two, and so on (delay bounding: Emmi, Qadeer,
+Rakamaric 2011), each state once. So the first failure found is among the simplest, and `replay` reproduces
+it from its text alone.
 
 Worlds are plain values, copied by pickling; the module holds no state."""
 
@@ -261,7 +261,7 @@
 
 
 def ignore_progress(sender: str, previous: list[wire.TopicProgress]) -> None:
-    """Replaces a member's handler of topic progress. A module-level function, so that a world can be pickled."""
+    """Replaces a member's handler of topic progress; module-level, so that a world can be pickled."""
 
 
 class BelievesHearsay(Membership):
@@ -396,7 +396,7 @@
         )
 
     def finish(self) -> None:
-        """All resume and nothing is lost any more: within `QUIET_PERIOD` every member must hold every other alive."""
+        """All resume and nothing is lost: within `QUIET_PERIOD` each member must hold every other alive."""
         if self.violation:
             return
         for index in range(self.size):
--- a/lupinmill/lab/hand_world.py
+++ b/lupinmill/lab/hand_world.py
@@ -1,8 +1,9 @@
-"""A small world around the very cores of `takeover/`: an owner, two others, three keepers, one submission,
-and every order of delivery, loss, doubling, crash, restart and delay within bounds. A schedule is a list of
-departures from the plain run, so that what fails is told shortest first and can be played again.
+"""Model checker for the pure cores of `takeover/`, run unchanged: an owner, two other sidecars, three keepers
+and one request, under every order of delivery, loss, duplication, crash, restart and delay within bounds. A
+schedule is a list of departures from the default run, so that failures are found with the fewest departures
+first and can be replayed.
 
-Owns nothing that outlives a run."""
+No state outlives a run."""
 
 from __future__ import annotations
 
@@ -32,39 +33,40 @@
 from lupinmill.takeover.record import Intent, NextAction, Outcome, RequestInfo, next_step
 
 MS = 1_000
-LONGEST = 8_000 * MS
-WINDOW = 3_000 * MS
-HARD = 2_000 * MS
-STEP = MS // 2  # that each event takes
-STOPPED = 5_000 * MS
-MOST_EVENTS = 260
+RETENTION = 8_000 * MS
+DEDUPLICATION_WINDOW = 3_000 * MS
+HARD_LIMIT = 2_000 * MS
+EVENT_DURATION = MS // 2
+PAUSE_DURATION = 5_000 * MS
+MAX_EVENTS = 260
 KEEPERS = ("k0", "k1", "k2")
 PROCESSES = ("o", "t", "u")
 KEY = "bid-1"
 GROUPS = {"e1": "north", "e2": "south"}
-PLANTS = ("", "launch before intent", "claim by minority", "keeper forgets", "stale clearance")
+INJECTED_FAULTS = ("", "launch before intent", "claim by minority", "keeper forgets", "stale clearance")
 
 
 @dataclass(frozen=True)
 class Departure:
-    """At event `at` something else than the next in line. `what`: late (the message goes to the end of the
-    line), lost, twice, crash (of the owner), stop (of the owner, for longer than the window), again (the
-    client comes to another sidecar), early (another takes over though the owner lives), restart (of a keeper,
-    its records gone)."""
+    """At event number `at`, something other than the next event in the queue.
+
+    `kind`: late (the message moves to the end of the queue), lost, twice, crash (of the owner), stop (of the
+    owner, for longer than the window), again (the client retries at another sidecar), early (another sidecar
+    takes over although the owner is alive), restart (of a keeper, which loses its records)."""
 
     at: int
-    what: str
-    whom: int = 0
+    kind: str
+    target: int = 0
 
 
-KINDS = ("late", "lost", "twice", "crash", "stop", "again", "early", "restart")
+DEPARTURE_KINDS = ("late", "lost", "twice", "crash", "stop", "again", "early", "restart")
 
 
 @dataclass
 class Event:
     to: str
     sender: str
-    body: object  # a message, a launch's Intent, or an outcome
+    body: object  # a message, a cleared attempt, or the outcome of an attempt
 
 
 @dataclass
@@ -75,215 +77,229 @@
 
 
 class World:
-    def __init__(self, repeat: t.RepeatPolicy, first_refused: bool, plant: str = "") -> None:
-        self.repeat, self.first_refused, self.plant = repeat, first_refused, plant
+    def __init__(self, repeat: t.RepeatPolicy, first_refused: bool, fault: str = "") -> None:
+        self.repeat, self.first_refused, self.fault = repeat, first_refused, fault
         self.now = 1_000 * MS
-        self.keepers = {name: Keeper(self.now, LONGEST, 100, 10**6, has_memory=True) for name in KEEPERS}
-        self.hands = {name: self.hand(f"{name}:1") for name in PROCESSES}
-        self.line: list[Event] = []
+        self.keepers = {name: Keeper(self.now, RETENTION, 100, 10**6, has_memory=True) for name in KEEPERS}
+        self.claimants = {name: self.make_claimant(f"{name}:1") for name in PROCESSES}
+        self.queue: list[Event] = []
         self.effects: list[Effect] = []
         self.cleared: dict[Intent, str] = {}
-        self.answers: dict[str, str] = {}  # what a process told its client
-        self.kept = False
-        self.down: set[str] = set()
-        self.stopped: dict[str, int] = {}
-        self.began = self.now
-        self.taken_over, self.came_again = 0, False
+        self.replies: dict[str, str] = {}  # by process: what it answered its client
+        self.end_stored = False
+        self.crashed: set[str] = set()
+        self.paused_until: dict[str, int] = {}
+        self.started_at = self.now
+        self.takeover_count, self.client_retried = 0, False
         self.trace: list[str] = []
 
-    def hand(self, process: str) -> Claimant:
-        hand = Claimant(process, lambda key: KEEPERS)
-        if self.plant == "claim by minority":
-            hand.majority = lambda count: 1
-        return hand
+    def make_claimant(self, process: str) -> Claimant:
+        claimant = Claimant(process, lambda key: KEEPERS)
+        if self.fault == "claim by minority":
+            claimant.majority = lambda count: 1
+        return claimant
 
-    # The run.
+    # Events.
 
-    def play(self, schedule: tuple[Departure, ...]) -> None:
+    def run(self, schedule: tuple[Departure, ...]) -> None:
         due = {departure.at: departure for departure in schedule}
-        work = RequestInfo(
-            KEY, "bid", self.repeat, WINDOW if self.repeat is t.RepeatPolicy.DEDUPLICATED else 0, digest=7
+        request_info = RequestInfo(
+            KEY,
+            "bid",
+            self.repeat,
+            DEDUPLICATION_WINDOW if self.repeat is t.RepeatPolicy.DEDUPLICATED else 0,
+            digest=7,
         )
-        self.work = work
-        self.tell("o", StartRecord(work, "e1", GROUPS["e1"]))
-        for number in range(MOST_EVENTS):
+        self.request_info = request_info
+        self.step_claimant("o", StartRecord(request_info, "e1", GROUPS["e1"]))
+        for number in range(MAX_EVENTS):
             if number in due:
-                self.depart(due[number])
-            if not self.one_event() and number > max(due, default=0):
+                self.apply_departure(due[number])
+            if not self.run_next_event() and number > max(due, default=0):
                 break
 
-    def one_event(self) -> bool:
-        """The next in line, else the clock goes on to what is due; False: nothing more happens."""
-        self.now += STEP
-        for name, until in list(self.stopped.items()):
+    def run_next_event(self) -> bool:
+        """Delivers the next event, or advances to the next timer. False if nothing is left to do."""
+        self.now += EVENT_DURATION
+        for name, until in list(self.paused_until.items()):
             if self.now >= until:
-                del self.stopped[name]
-        ready = [at for at, event in enumerate(self.line) if event.to not in self.stopped]
+                del self.paused_until[name]
+        ready = [at for at, event in enumerate(self.queue) if event.to not in self.paused_until]
         if ready:
-            self.deliver(self.line.pop(ready[0]))
+            self.deliver(self.queue.pop(ready[0]))
             return True
-        if "o" in self.stopped and not self.taken_over:
-            self.take_over()  # others hold it dead long before it goes on
+        if "o" in self.paused_until and not self.takeover_count:
+            self.take_over()  # the others hold the owner dead long before it resumes
             return True
-        times = [h.next_due() for n, h in self.hands.items() if n not in self.down and n not in self.stopped]
-        times += list(self.stopped.values())
+        times = [
+            h.next_due()
+            for n, h in self.claimants.items()
+            if n not in self.crashed and n not in self.paused_until
+        ]
+        times += list(self.paused_until.values())
         times = [at for at in times if at is not None]
         if times:
             self.now = max(self.now, min(times))
             for name in PROCESSES:
-                if name not in self.down and name not in self.stopped:
-                    self.tell(name)
+                if name not in self.crashed and name not in self.paused_until:
+                    self.step_claimant(name)
             return True
-        if "o" in self.down and not self.came_again:
-            self.come_again()  # its client, at another sidecar
+        if "o" in self.crashed and not self.client_retried:
+            self.retry_from_client()  # at another sidecar
             return True
-        if not self.kept and self.taken_over < 4 and self.now < self.began + LONGEST:
+        if not self.end_stored and self.takeover_count < 4 and self.now < self.started_at + RETENTION:
             self.take_over()
             return True
         return False
 
-    def come_again(self) -> None:
-        """Within the hard limit; what a client asks for long after that is a new thing to do."""
-        self.came_again = True
-        if self.now - self.began < HARD:
-            self.tell("u", StartRecord(self.work, "e2", GROUPS["e2"]))
+    def retry_from_client(self) -> None:
+        """Only within the hard limit: what a client sends long after that is a new request."""
+        self.client_retried = True
+        if self.now - self.started_at < HARD_LIMIT:
+            self.step_claimant("u", StartRecord(self.request_info, "e2", GROUPS["e2"]))
 
     def take_over(self) -> None:
-        """Sooner or later the owner is held dead, and somebody's turn comes."""
-        self.taken_over += 1
-        self.tell("t" if self.taken_over % 2 else "u", TakeOver(KEY))
+        """Eventually the owner is held dead, and another sidecar takes over."""
+        self.takeover_count += 1
+        self.step_claimant("t" if self.takeover_count % 2 else "u", TakeOver(KEY))
 
-    def depart(self, departure: Departure) -> None:
-        what = departure.what
+    def apply_departure(self, departure: Departure) -> None:
+        kind = departure.kind
         self.trace.append(f"{departure}")
-        if what in ("late", "lost", "twice"):
-            at = min(departure.whom, len(self.line) - 1)
-            if at < 0 or not self.is_message(self.line[at]) and what != "late":
+        if kind in ("late", "lost", "twice"):
+            at = min(departure.target, len(self.queue) - 1)
+            if at < 0 or not self.is_message(self.queue[at]) and kind != "late":
                 return
-            event = self.line.pop(at) if what != "twice" else self.line[at]
-            if what != "lost":
-                self.line.append(replace(event))
-        elif what == "crash":
-            self.down.add("o")
-            self.line = [event for event in self.line if event.to != "o"]
-        elif what == "stop":
-            self.stopped["o"] = self.now + STOPPED
-        elif what == "again":
-            self.come_again()
-        elif what == "early":
+            event = self.queue.pop(at) if kind != "twice" else self.queue[at]
+            if kind != "lost":
+                self.queue.append(replace(event))
+        elif kind == "crash":
+            self.crashed.add("o")
+            self.queue = [event for event in self.queue if event.to != "o"]
+        elif kind == "stop":
+            self.paused_until["o"] = self.now + PAUSE_DURATION
+        elif kind == "again":
+            self.retry_from_client()
+        elif kind == "early":
             self.take_over()
-        elif what == "restart":
-            name = KEEPERS[departure.whom % len(KEEPERS)]
+        elif kind == "restart":
+            name = KEEPERS[departure.target % len(KEEPERS)]
             self.keepers[name] = Keeper(
-                self.now, LONGEST, 100, 10**6, has_memory=self.plant == "keeper forgets"
+                self.now, RETENTION, 100, 10**6, has_memory=self.fault == "keeper forgets"
             )
 
     def is_message(self, event: Event) -> bool:
         return event.to in KEEPERS or event.sender in KEEPERS
 
     def deliver(self, event: Event) -> None:
-        self.trace.append(f"{self.now - self.began:>9} {event.sender}>{event.to} {event.body}"[:160])
+        self.trace.append(f"{self.now - self.started_at:>9} {event.sender}>{event.to} {event.body}"[:160])
         if event.to in KEEPERS:
             answer = self.keepers[event.to].step(self.now, event.body)  # type: ignore[arg-type]
             if answer is not None:
-                self.line.append(Event(event.sender, event.to, answer))
+                self.queue.append(Event(event.sender, event.to, answer))
         elif event.sender in KEEPERS:
-            self.tell(event.to, KeeperReply(event.sender, event.body))  # type: ignore[arg-type]
-        elif event.to in self.down:
+            self.step_claimant(event.to, KeeperReply(event.sender, event.body))  # type: ignore[arg-type]
+        elif event.to in self.crashed:
             return
         elif isinstance(event.body, SendRequest):
-            self.line.append(Event(event.body.to, event.to, event.body.body))
+            self.queue.append(Event(event.body.to, event.to, event.body.body))
         elif isinstance(event.body, AttemptCleared):
-            self.launch(event.to, event.body)
+            self.send_attempt(event.to, event.body)
         elif isinstance(event.body, tuple):
-            self.outcome(event.to, *event.body)
+            self.attempt_ended(event.to, *event.body)
 
-    # What the program around the cores does.
+    # The role of the program around the cores.
 
-    def tell(self, name: str, *notes: ClaimantEvent) -> None:
-        if name in self.down:
+    def step_claimant(self, name: str, *events: ClaimantEvent) -> None:
+        if name in self.crashed:
             return
-        for order in self.hands[name].step(self.now, list(notes)):
-            if isinstance(order, SendRequest):
-                if self.plant == "launch before intent":
-                    self.launch_unasked(name, order.body)
-                    self.line.append(Event(name, name, order))
+        for command in self.claimants[name].step(self.now, list(events)):
+            if isinstance(command, SendRequest):
+                if self.fault == "launch before intent":
+                    self.send_without_clearance(name, command.body)
+                    self.queue.append(Event(name, name, command))
                 else:
-                    self.line.append(Event(order.to, name, order.body))
-            elif isinstance(order, AttemptCleared):
-                if self.plant != "launch before intent":
-                    self.cleared[order.intent] = name
-                    self.line.append(Event(name, name, order))
-            elif isinstance(order, RecordClaimed):
-                self.go_on(name, order)
-            elif isinstance(order, Unprotected):
-                self.answers.setdefault(name, "denied")
-            elif isinstance(order, EndStored):
-                self.kept = True
-            elif isinstance(order, Fenced):
+                    self.queue.append(Event(command.to, name, command.body))
+            elif isinstance(command, AttemptCleared):
+                if self.fault != "launch before intent":
+                    self.cleared[command.intent] = name
+                    self.queue.append(Event(name, name, command))
+            elif isinstance(command, RecordClaimed):
+                self.continue_request(name, command)
+            elif isinstance(command, Unprotected):
+                self.replies.setdefault(name, "denied")
+            elif isinstance(command, EndStored):
+                self.end_stored = True
+            elif isinstance(command, Fenced):
                 self.trace.append(f"{name} is fenced")
 
-    def launch_unasked(self, name: str, body: Request) -> None:
+    def send_without_clearance(self, name: str, body: Request) -> None:
         record = getattr(body, "record", None)
         for intent in sorted(record.intents if record else (), key=lambda i: (i.ballot, i.number)):
             if intent.ballot.process == f"{name}:1" and intent not in self.cleared:
                 self.cleared[intent] = name
-                self.line.append(Event(name, name, AttemptCleared(KEY, intent, self.now + 10**12)))
+                self.queue.append(Event(name, name, AttemptCleared(KEY, intent, self.now + 10**12)))
 
-    def launch(self, name: str, order: AttemptCleared) -> None:
-        """The last look at the clock is just before the first byte."""
-        if self.now > order.deadline and self.plant != "stale clearance":
-            self.trace.append(f"{name} lets {order.intent.number} go: it was cleared too long ago")
+    def send_attempt(self, name: str, command: AttemptCleared) -> None:
+        """The clearance is checked against the clock just before the first byte is sent."""
+        if self.now > command.deadline and self.fault != "stale clearance":
+            self.trace.append(f"{name} drops attempt {command.intent.number}: it was cleared too long ago")
             return
-        refused = self.first_refused and order.intent.ballot.number == 1 and order.intent.number == 0
+        refused = self.first_refused and command.intent.ballot.number == 1 and command.intent.number == 0
         if not refused:
-            self.effects.append(Effect(self.now, name, order.intent))
-        how = Outcome.NEVER_RAN if refused else Outcome.HANDLED
-        self.line.append(Event(name, "endpoint", (order.intent, how)))
-
-    def outcome(self, name: str, intent: Intent, how: Outcome) -> None:
-        self.tell(name, AttemptEnded(intent, KEY, how))
-        if how is Outcome.HANDLED:
-            self.answers.setdefault(name, "handled")
-            self.tell(name, FinishRecord(KEY, "handled", b"yes"))
+            self.effects.append(Effect(self.now, name, command.intent))
+        outcome = Outcome.NEVER_RAN if refused else Outcome.HANDLED
+        self.queue.append(Event(name, "endpoint", (command.intent, outcome)))
+
+    def attempt_ended(self, name: str, intent: Intent, outcome: Outcome) -> None:
+        self.step_claimant(name, AttemptEnded(intent, KEY, outcome))
+        if outcome is Outcome.HANDLED:
+            self.replies.setdefault(name, "handled")
+            self.step_claimant(name, FinishRecord(KEY, "handled", b"yes"))
         else:
-            self.tell(name, AddIntent(KEY, "e2", GROUPS["e2"]))
+            self.step_claimant(name, AddIntent(KEY, "e2", GROUPS["e2"]))
 
-    def go_on(self, name: str, order: RecordClaimed) -> None:
-        step = next_step(order.record, order.oldest_age, self.began + HARD - self.now + LONGEST, 20 * MS)
+    def continue_request(self, name: str, command: RecordClaimed) -> None:
+        step = next_step(
+            command.record, command.oldest_age, self.started_at + HARD_LIMIT - self.now + RETENTION, 20 * MS
+        )
         if step.action is NextAction.ANYWHERE:
-            self.tell(name, AddIntent(KEY, "e2", GROUPS["e2"]))
+            self.step_claimant(name, AddIntent(KEY, "e2", GROUPS["e2"]))
         elif step.action is NextAction.IN_GROUP:
             endpoint = next(e for e, group in GROUPS.items() if group == step.group)
-            self.tell(name, AddIntent(KEY, endpoint, step.group))
+            self.step_claimant(name, AddIntent(KEY, endpoint, step.group))
         elif step.action is not NextAction.ENDED:
-            self.tell(name, FinishRecord(KEY, step.action.value))
+            self.step_claimant(name, FinishRecord(KEY, step.action.value))
 
-    # What must hold.
+    # Invariants.
 
-    def broken(self) -> list[str]:
+    def violations(self) -> list[str]:
         found = []
         if self.repeat is t.RepeatPolicy.UNREPEATABLE and len(self.effects) > 1:
             found.append(f"ran {len(self.effects)} times")
         if self.repeat is t.RepeatPolicy.DEDUPLICATED:
             groups = {effect.intent.group for effect in self.effects}
             if len(groups) > 1:
-                found.append(f"its effect came about in {len(groups)} groups")
+                found.append(f"its effect happened in {len(groups)} groups")
             for group in groups:
                 times = [effect.at for effect in self.effects if effect.intent.group == group]
-                if max(times) - min(times) >= WINDOW:
-                    found.append("its effect came about again after the window")
+                if max(times) - min(times) >= DEDUPLICATION_WINDOW:
+                    found.append("its effect happened again after the window")
         ballots: dict[object, set[str]] = {}
         for intent, name in self.cleared.items():
             ballots.setdefault(intent.ballot, set()).add(name)
-        found += [f"two launch under {ballot}" for ballot, names in ballots.items() if len(names) > 1]
+        found += [
+            f"two processes send attempts under {ballot}"
+            for ballot, names in ballots.items()
+            if len(names) > 1
+        ]
         return found
 
 
 @dataclass
-class Found:
-    played: int = 0
-    broken: list[tuple[tuple[Departure, ...], list[str], list[str]]] = field(default_factory=list)
+class ExplorationResult:
+    runs: int = 0
+    violations: list[tuple[tuple[Departure, ...], list[str], list[str]]] = field(default_factory=list)
     stuck: list[tuple[Departure, ...]] = field(default_factory=list)
 
 
@@ -295,44 +311,46 @@
 ]
 
 
-def moves(events: int) -> list[Departure]:
+def all_departures(events: int) -> list[Departure]:
     found = []
-    for at, what in product(range(events), KINDS):
-        some = {"late": 3, "lost": 3, "twice": 3, "restart": 3}.get(what, 1)
-        found += [Departure(at, what, whom) for whom in range(some)]
+    for at, kind in product(range(events), DEPARTURE_KINDS):
+        target_count = {"late": 3, "lost": 3, "twice": 3, "restart": 3}.get(kind, 1)
+        found += [Departure(at, kind, target) for target in range(target_count)]
     return found
 
 
 def schedules(departures: int, events: int) -> Iterator[tuple[Departure, ...]]:
-    """All with up to so many, the shortest first; one at each event."""
-    every = moves(events)
+    """All schedules with up to `departures` departures, the shortest first; at most one at each event."""
+    candidates = all_departures(events)
     for count in range(departures + 1):
-        for chosen in combinations(every, count):
-            if len({departure.at for departure in chosen}) == count:
-                yield chosen
+        for selected in combinations(candidates, count):
+            if len({departure.at for departure in selected}) == count:
+                yield selected
 
 
-def walks(seed: int, count: int, events: int) -> Iterator[tuple[Departure, ...]]:
-    chance, every = random.Random(seed), moves(events)
+def random_schedules(seed: int, count: int, events: int) -> Iterator[tuple[Departure, ...]]:
+    random_source, candidates = random.Random(seed), all_departures(events)
     for _ in range(count):
-        chosen = chance.sample(every, chance.randint(2, 7))
-        yield tuple({departure.at: departure for departure in chosen}.values())
+        selected = random_source.sample(candidates, random_source.randint(2, 7))
+        yield tuple({departure.at: departure for departure in selected}.values())
 
 
-def look(chosen: Iterator[tuple[Departure, ...]], plant: str = "", most_broken: int = 1) -> Found:
-    """Plays each schedule in each world. `stuck`: nobody ended it, though a majority of the keepers answers
-    and somebody took over."""
-    found = Found()
-    for schedule in chosen:
+def explore_schedules(
+    selected: Iterator[tuple[Departure, ...]], fault: str = "", max_violations: int = 1
+) -> ExplorationResult:
+    """Runs each schedule in each world. `stuck`: schedules in which no process ended the request, although a
+    majority of the keepers kept its records and takeovers happened."""
+    found = ExplorationResult()
+    for schedule in selected:
         for repeat, refused in WORLDS:
-            world = World(repeat, refused, plant)
-            world.play(schedule)
-            found.played += 1
-            if broken := world.broken():
-                found.broken.append((schedule, broken, world.trace))
-                if len(found.broken) >= most_broken:
+            world = World(repeat, refused, fault)
+            world.run(schedule)
+            found.runs += 1
+            if violations := world.violations():
+                found.violations.append((schedule, violations, world.trace))
+                if len(found.violations) >= max_violations:
                     return found
-            restarts = len({d.whom % 3 for d in schedule if d.what == "restart"})
-            if not world.kept and restarts < 2:
+            restarts = len({d.target % 3 for d in schedule if d.kind == "restart"})
+            if not world.end_stored and restarts < 2:
                 found.stuck.append(schedule)
     return found
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -7,7 +7,7 @@
 
 from lupinmill import terms as t
 from lupinmill.lab import hand_world
-from lupinmill.lab.hand_world import Departure, World, look, schedules, walks
+from lupinmill.lab.hand_world import Departure, World, explore_schedules, random_schedules, schedules
 from lupinmill.takeover import placement
 from lupinmill.takeover.claimant import (
     CLEARANCE_LIFETIME_US,
@@ -318,40 +318,42 @@
 
 
 def describe(found) -> str:
-    return "\n".join(f"{schedule}: {broken}\n" + "\n".join(trace) for schedule, broken, trace in found.broken)
+    return "\n".join(
+        f"{schedule}: {broken}\n" + "\n".join(trace) for schedule, broken, trace in found.violations
+    )
 
 
 def test_every_schedule_with_one_departure_keeps_once_and_is_brought_to_an_end():
-    found = look(schedules(1, 36))
-    assert found.played > 2_000 and not found.broken, describe(found)
+    found = explore_schedules(schedules(1, 36))
+    assert found.runs > 2_000 and not found.violations, describe(found)
     assert not found.stuck, found.stuck[:3]
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_walks_with_many_departures_keep_once(seed):
-    found = look(walks(seed, 250, 45))
-    assert not found.broken, describe(found)
+    found = explore_schedules(random_schedules(seed, 250, 45))
+    assert not found.violations, describe(found)
     assert not found.stuck, found.stuck[:3]
 
 
-@pytest.mark.parametrize("planted", hand_world.PLANTS[1:])
+@pytest.mark.parametrize("planted", hand_world.INJECTED_FAULTS[1:])
 def test_planted_faults_are_found_and_played_again(planted):
-    found = look(schedules(1, 30), planted)
-    if not found.broken:
-        found = look(walks(1, 1_500, 40), planted)
-    assert found.broken, f"{planted} was not found"
-    schedule, broken, _ = found.broken[0]
+    found = explore_schedules(schedules(1, 30), planted)
+    if not found.violations:
+        found = explore_schedules(random_schedules(1, 1_500, 40), planted)
+    assert found.violations, f"{planted} was not found"
+    schedule, broken, _ = found.violations[0]
     again = [World(repeat, refused, planted) for repeat, refused in hand_world.WORLDS]
     for world in again:
-        world.play(schedule)
-    assert broken in [world.broken() for world in again]
+        world.run(schedule)
+    assert broken in [world.violations() for world in again]
     sound = [World(repeat, refused) for repeat, refused in hand_world.WORLDS]
     for world in sound:
-        world.play(schedule)
-        assert not world.broken(), "the same schedule is harmless without the plant"
+        world.run(schedule)
+        assert not world.violations(), "the same schedule is harmless without the injected fault"
 
 
 def test_an_owner_that_is_stopped_before_its_first_byte_lets_the_launch_go():
     world = World(t.RepeatPolicy.DEDUPLICATED, False)
-    world.play((Departure(6, "stop"),))
-    assert not world.broken() and any("cleared too long ago" in line for line in world.trace)
+    world.run((Departure(6, "stop"),))
+    assert not world.violations() and any("cleared too long ago" in line for line in world.trace)
