--- a/lupinmill/lab/sockets/endpoints.py
+++ b/lupinmill/lab/sockets/endpoints.py
@@ -47,9 +47,9 @@
         """Its connections are reset, or say nothing any more."""
         server = self.servers[endpoint.shape.name]
         if endpoint.silent:
-            server.fall_silent()
+            server.stop_accepting()
         else:
-            server.refuse()
+            server.refuse_connections()
 
     def close(self) -> None:
         """All of them."""
--- a/lupinmill/lab/sockets/requests.py
+++ b/lupinmill/lab/sockets/requests.py
@@ -11,7 +11,7 @@
 from lupinmill import terms as t
 from lupinmill.lab.outcome import Outcome
 from lupinmill.lab.processes import Process
-from lupinmill.lab.stand_ins import AskPool, Exchange
+from lupinmill.lab.stand_ins import ConnectionPool, Exchange
 from lupinmill.lab.timeline import SECOND
 from lupinmill.lab.world import RequestClass
 from lupinmill.protocol.http import Answer, Request
@@ -42,11 +42,11 @@
         self.run, self.referee = run, run.world.referee
         self.sent: dict[str, SentRequest] = {}
         self.exchanges: dict[str, Exchange] = {}
-        self.pools: dict[str, AskPool] = {}  # by the sidecar's name
+        self.pools: dict[str, ConnectionPool] = {}  # by the sidecar's name
 
     def open_pool(self, process: Process) -> None:
         """Connections to one sidecar; they follow its address over restarts."""
-        self.pools[process.name] = AskPool(lambda: process.address)
+        self.pools[process.name] = ConnectionPool(lambda: process.address)
 
     def close(self) -> None:
         """All connections."""
--- a/lupinmill/lab/sockets/sidecars.py
+++ b/lupinmill/lab/sockets/sidecars.py
@@ -6,14 +6,14 @@
 from typing import Any
 
 from lupinmill.lab.processes import Process
-from lupinmill.lab.stand_ins import AskPool, Exchange
+from lupinmill.lab.stand_ins import ConnectionPool, Exchange
 from lupinmill.protocol.http import Answer, Request
 
 READY_LIMIT = 20.0  # seconds
 READY_EVERY = 0.05
 
 
-async def until_ready(process: Process, pool: AskPool) -> None:
+async def until_ready(process: Process, pool: ConnectionPool) -> None:
     """Waits for the process to say that it is ready; raises RuntimeError where it does not in time."""
     loop = asyncio.get_running_loop()
     limit = loop.time() + READY_LIMIT
--- a/lupinmill/lab/stand_ins.py
+++ b/lupinmill/lab/stand_ins.py
@@ -28,7 +28,7 @@
     t.EndpointStatus.DRAINING: "DRAINING",
     t.EndpointStatus.GONE: "DELETED",
 }
-SPOILT = b"HTTP/1.1 200 OK\r\nContent-Length: 9 or so\r\n\r\n"
+MALFORMED_ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 9 or so\r\n\r\n"
 
 
 def report_text(load: t.LoadReport | None) -> str:
@@ -40,17 +40,17 @@
     return ",".join(f"{outer}={value / unit:.4f}" for (outer, unit), value in figures if value is not None)
 
 
-class Served(asyncio.Protocol):
+class ServerConnection(asyncio.Protocol):
     """One accepted connection: whole requests in, in order, one at a time."""
 
     def __init__(
         self,
-        opened: Callable[[Served], None],
-        request: Callable[[Served, Request], None],
-        lost: Callable[[Served], None],
+        opened: Callable[[ServerConnection], None],
+        request: Callable[[ServerConnection, Request], None],
+        lost: Callable[[ServerConnection], None],
     ) -> None:
         self.opened, self.request, self.lost = opened, request, lost
-        self.side, self.transport = ServerSide(), None
+        self.http_side, self.transport = ServerSide(), None
         self.job: Job | None = None
         self.record: Any = None
         self.epoch = 0
@@ -61,8 +61,8 @@
 
     def data_received(self, data: bytes) -> None:
         try:
-            self.side.feed(data)
-            if (request := self.side.next_request()) is not None:
+            self.http_side.feed(data)
+            if (request := self.http_side.next_request()) is not None:
                 self.request(self, request)
         except Malformed as error:
             self.answer(Answer(error.status, [], str(error).encode()), True)
@@ -70,20 +70,20 @@
     def answer(self, answer: Answer, close: bool = False) -> None:
         if self.transport is None or self.transport.is_closing():
             return
-        self.transport.write(self.side.answer(answer, close))
-        if close or not self.side.goes_on():
+        self.transport.write(self.http_side.answer(answer, close))
+        if close or not self.http_side.goes_on():
             self.transport.close()
             return
         try:
-            following = self.side.next_request()
+            following = self.http_side.next_request()
         except Malformed:
             return self.transport.close()
         if following is not None:
             self.request(self, following)
 
-    def spoil(self) -> None:
+    def send_malformed(self) -> None:
         if self.transport is not None and not self.transport.is_closing():
-            self.transport.write(SPOILT)
+            self.transport.write(MALFORMED_ANSWER)
             self.transport.close()
 
     def reset(self) -> None:
@@ -94,12 +94,12 @@
         self.lost(self)
 
 
-class Listening:
+class ListeningServer:
     """A listening socket of its own port, which outlives a stop."""
 
     def __init__(self) -> None:
         self.address, self.server = "", None
-        self.connections: dict[Served, None] = {}
+        self.connections: dict[ServerConnection, None] = {}
         self.fillers: list[socket.socket] = []
         self.socket: socket.socket | None = None
 
@@ -114,39 +114,39 @@
         )
         self.address = "%s:%d" % self.socket.getsockname()[:2]
 
-    def protocol(self) -> Served:
-        return Served(self.opened, self.asked, self.lost)
+    def protocol(self) -> ServerConnection:
+        return ServerConnection(self.opened, self.request_received, self.lost)
 
-    def opened(self, served: Served) -> None:
-        self.connections[served] = None
+    def opened(self, connection: ServerConnection) -> None:
+        self.connections[connection] = None
 
-    def lost(self, served: Served) -> None:
-        self.connections.pop(served, None)
+    def lost(self, connection: ServerConnection) -> None:
+        self.connections.pop(connection, None)
 
-    def asked(self, served: Served, request: Request) -> None:
+    def request_received(self, connection: ServerConnection, request: Request) -> None:
         raise NotImplementedError
 
     def reset_all(self) -> None:
-        for served in list(self.connections):
-            served.reset()
+        for connection in list(self.connections):
+            connection.reset()
 
-    def refuse(self) -> None:
+    def refuse_connections(self) -> None:
         """Dies: connections reset, new ones refused."""
         if self.server is not None:
             self.server.close()
             self.server = None
         self.reset_all()
 
-    def fall_silent(self) -> None:
+    def stop_accepting(self) -> None:
         """New connections never come up: nobody accepts, and the kernel's own queue, cut to one, is filled
         up. Open ones stay and say nothing."""
         if self.server is None or self.socket is None:
             return
         asyncio.get_running_loop().remove_reader(self.socket.fileno())
         self.socket.listen(0)
-        for served in list(self.connections):
-            if served.transport is not None and not served.transport.is_closing():
-                served.transport.pause_reading()
+        for connection in list(self.connections):
+            if connection.transport is not None and not connection.transport.is_closing():
+                connection.transport.pause_reading()
         host, _, port = self.address.partition(":")
         for _ in range(2):
             filler = socket.socket()
@@ -158,10 +158,10 @@
         for filler in self.fillers:
             filler.close()
         self.fillers = []
-        self.refuse()
+        self.refuse_connections()
 
 
-class EndpointServer(Listening):
+class EndpointServer(ListeningServer):
     """An endpoint's model on a socket. `run.work_of(request_id)` gives what was sent, or None where no
     client sent it."""
 
@@ -169,151 +169,155 @@
         super().__init__()
         self.endpoint, self.run = endpoint, run
 
-    def opened(self, served: Served) -> None:
-        super().opened(served)
-        served.epoch = self.endpoint.epoch
+    def opened(self, connection: ServerConnection) -> None:
+        super().opened(connection)
+        connection.epoch = self.endpoint.epoch
         if not self.run.act(self.endpoint.connect):
-            served.reset()
+            connection.reset()
 
-    def lost(self, served: Served) -> None:
-        super().lost(served)
-        self.endpoint.disconnect(served.epoch)
-        if served.record is not None:
-            served.record.out = False
-        if served.job is not None:
-            self.run.act(self.endpoint.cancel, served.job)
-            served.job = None
+    def lost(self, connection: ServerConnection) -> None:
+        super().lost(connection)
+        self.endpoint.disconnect(connection.epoch)
+        if connection.record is not None:
+            connection.record.out = False
+        if connection.job is not None:
+            self.run.act(self.endpoint.cancel, connection.job)
+            connection.job = None
 
-    def asked(self, served: Served, request: Request) -> None:
-        self.run.act(self.take, served, request)
+    def request_received(self, connection: ServerConnection, request: Request) -> None:
+        self.run.act(self.handle_request, connection, request)
 
-    def take(self, served: Served, request: Request) -> None:
+    def handle_request(self, connection: ServerConnection, request: Request) -> None:
         run, endpoint = self.run, self.endpoint
         if endpoint.silent or not endpoint.alive:
             return
         path = request.target.split(b"?", 1)[0]
         if path in (b"/health", b"/status/load"):
-            return self.probed(served, path == b"/status/load")
+            return self.handle_probe(connection, path == b"/status/load")
         name = request.header(b"req-id")
         sent = run.work_of(name) if name else None
         if sent is None:
-            return served.answer(Answer(400 if name else 404, [], b"no client sent this"))
+            return connection.answer(Answer(400 if name else 404, [], b"no client sent this"))
         now = run.timeline.now
-        served.record = run.world.referee.sent(now, name, endpoint, sent.sidecar)
+        connection.record = run.world.referee.sent(now, name, endpoint, sent.sidecar)
         run.measure.at(now).launches += 1 if endpoint.shape.tier == 0 else 0
         try:
-            left = float(request.header(b"req-deadline") or 0)
+            remaining_s = float(request.header(b"req-deadline") or 0)
         except ValueError:
-            left = 0.0
+            remaining_s = 0.0
 
-        def reply(how: t.Outcome, load: t.LoadReport | None) -> None:
-            served.job = None
-            if served.record is not None:
-                served.record.out = False
-            self.reply(served, name, how, load)
+        def reply(outcome: t.Outcome, load: t.LoadReport | None) -> None:
+            connection.job = None
+            if connection.record is not None:
+                connection.record.out = False
+            self.reply(connection, name, outcome, load)
 
-        due, calls = now + int(left * SECOND), run.inner.calls_of(endpoint)
+        due, calls = now + int(remaining_s * SECOND), run.inner.calls_of(endpoint)
         work = run.world.attempt_work(sent.request_class, sent.work, endpoint.shape.tier)
-        served.job = Job(name, sent.key, sent.request_class, work, due, reply, calls=calls)
-        endpoint.receive(served.job)
+        connection.job = Job(name, sent.key, sent.request_class, work, due, reply, calls=calls)
+        endpoint.receive(connection.job)
 
-    def probed(self, served: Served, whole: bool) -> None:
+    def handle_probe(self, connection: ServerConnection, with_load: bool) -> None:
         self.run.measure.at(self.run.timeline.now).probes += 1
-        got = self.endpoint.probe()
-        if got is None:
+        result = self.endpoint.probe()
+        if result is None:
             return  # nothing answers
-        how, load = got
-        body = report_text(load).encode() if whole else b"ok"
-        served.answer(Answer(200 if how is t.Outcome.HANDLED else 503, [], body))
+        outcome, load = result
+        body = report_text(load).encode() if with_load else b"ok"
+        connection.answer(Answer(200 if outcome is t.Outcome.HANDLED else 503, [], body))
 
-    def reply(self, served: Served, name: str, how: t.Outcome, load: t.LoadReport | None) -> None:
+    def reply(
+        self, connection: ServerConnection, name: str, outcome: t.Outcome, load: t.LoadReport | None
+    ) -> None:
         text = report_text(load)
         headers = [(b"Srv-Load", text.encode())] if text else []
-        if how is t.Outcome.HANDLED:
-            served.answer(Answer(200, headers, orjson.dumps({"for": name, "by": self.endpoint.shape.name})))
-        elif how is t.Outcome.REFUSED:
-            served.answer(Answer(503, [*headers, (b"Srv-Declined", b"1")], b"declined"))
-        elif how is t.Outcome.ERROR:
-            served.answer(Answer(500, headers, b"error"))
-        elif how is t.Outcome.SPOILT:
-            served.spoil()
+        if outcome is t.Outcome.HANDLED:
+            connection.answer(
+                Answer(200, headers, orjson.dumps({"for": name, "by": self.endpoint.shape.name}))
+            )
+        elif outcome is t.Outcome.REFUSED:
+            connection.answer(Answer(503, [*headers, (b"Srv-Declined", b"1")], b"declined"))
+        elif outcome is t.Outcome.ERROR:
+            connection.answer(Answer(500, headers, b"error"))
+        elif outcome is t.Outcome.SPOILT:
+            connection.send_malformed()
         else:
-            served.reset()
+            connection.reset()
 
 
-class DiscoveryServer(Listening):
+class DiscoveryServer(ListeningServer):
     """The list of one tier for one sidecar, so that it is known who was told what, and when."""
 
     def __init__(self, registry: Registry, sidecar: str, run: Any) -> None:
         super().__init__()
         self.registry, self.sidecar, self.run = registry, sidecar, run
-        self.waiting: dict[Served, int] = {}
-        registry.listen(sidecar, self.published, self.broke)
+        self.waiting: dict[ServerConnection, int] = {}
+        registry.listen(sidecar, self.entry_published, self.availability_changed)
 
-    def lost(self, served: Served) -> None:
-        super().lost(served)
-        self.waiting.pop(served, None)
+    def lost(self, connection: ServerConnection) -> None:
+        super().lost(connection)
+        self.waiting.pop(connection, None)
 
-    def asked(self, served: Served, request: Request) -> None:
-        self.run.act(self.call, served, request)
+    def request_received(self, connection: ServerConnection, request: Request) -> None:
+        self.run.act(self.handle_call, connection, request)
 
-    def call(self, served: Served, request: Request) -> None:
+    def handle_call(self, connection: ServerConnection, request: Request) -> None:
         registry = self.registry
         if registry.silent:
             return
         if registry.down:
-            return served.answer(Answer(503, [], b"down"), True)
+            return connection.answer(Answer(503, [], b"down"), True)
         watch = WATCH.search(request.target)
         if watch is None:
-            return self.tell(served, None)
+            return self.send_list(connection, None)
         index, wait = int(watch[1]), min(LARGEST_WAIT_MS, int(watch[2] or 0))
         if registry.index > index:
-            return self.tell(served, index)
-        self.waiting[served] = index
-        self.run.timeline.after(wait * 1000, self.no_news, served, index)
+            return self.send_list(connection, index)
+        self.waiting[connection] = index
+        self.run.timeline.after(wait * 1000, self.watch_expired, connection, index)
 
-    def no_news(self, served: Served, index: int) -> None:
-        if self.waiting.get(served) == index and not self.registry.silent:
-            self.tell(served, index)
+    def watch_expired(self, connection: ServerConnection, index: int) -> None:
+        if self.waiting.get(connection) == index and not self.registry.silent:
+            self.send_list(connection, index)
 
-    def published(self, index: int, entry: Entry) -> None:
-        self.run.timeline.after(self.run.spread(), self.news)
+    def entry_published(self, index: int, entry: Entry) -> None:
+        self.run.timeline.after(self.run.spread(), self.notify_watchers)
 
-    def news(self) -> None:
+    def notify_watchers(self) -> None:
         if self.registry.down or self.registry.silent:
             return
-        for served, index in list(self.waiting.items()):
+        for connection, index in list(self.waiting.items()):
             if self.registry.index > index:
-                self.tell(served, index)
+                self.send_list(connection, index)
 
-    def broke(self) -> None:
+    def availability_changed(self) -> None:
         """Goes down (watches end) or silent (they stand)."""
         if self.registry.down:
             self.waiting.clear()
             self.reset_all()
 
-    def tell(self, served: Served, index: int | None) -> None:
-        self.waiting.pop(served, None)
-        whole, entries = self.registry.since(index)
+    def send_list(self, connection: ServerConnection, index: int | None) -> None:
+        self.waiting.pop(connection, None)
+        is_snapshot, entries = self.registry.since(index)
         now, referee = self.run.timeline.now, self.run.world.referee
-        if whole:
-            named = {entry.name for entry in entries}
+        if is_snapshot:
+            listed = {entry.name for entry in entries}
             for name in self.run.endpoints.listed_names(self.registry):
-                if name not in named:
+                if name not in listed:
                     referee.heard(now, self.sidecar, name, True)
         for entry in entries:
             referee.heard(now, self.sidecar, entry.name, entry.state is not t.EndpointStatus.READY)
         rows = [self.run.row(entry, self.sidecar) for entry in entries]
-        body = {"index": self.registry.index, "snapshot": whole, "endpoints": rows}
-        served.answer(Answer(200, [(b"Content-Type", b"application/json")], orjson.dumps(body)))
+        body = {"index": self.registry.index, "snapshot": is_snapshot, "endpoints": rows}
+        connection.answer(Answer(200, [(b"Content-Type", b"application/json")], orjson.dumps(body)))
 
 
-class Asking(asyncio.Protocol):
+class ClientConnection(asyncio.Protocol):
     """A client's connection to a sidecar; one request at a time."""
 
-    def __init__(self, pool: AskPool) -> None:
+    def __init__(self, pool: ConnectionPool) -> None:
         self.pool, self.transport = pool, None
-        self.side: ClientSide | None = None
+        self.http_side: ClientSide | None = None
         self.exchange: Exchange | None = None
         self.used = 0
 
@@ -321,46 +325,46 @@
         self.transport = transport
 
     def ask(self, exchange: Exchange) -> None:
-        self.exchange, self.side = exchange, ClientSide()
+        self.exchange, self.http_side = exchange, ClientSide()
         self.used += 1
         if self.transport is not None:
-            self.transport.write(self.side.ask(exchange.request))
+            self.transport.write(self.http_side.ask(exchange.request))
 
     def data_received(self, data: bytes) -> None:
-        if self.side is None or self.exchange is None:
+        if self.http_side is None or self.exchange is None:
             return
         try:
-            self.side.feed(data)
-            answer = self.side.next_answer()
+            self.http_side.feed(data)
+            answer = self.http_side.next_answer()
         except Garbled:
             return self.end(None)
         if answer is not None:
-            reusable = self.side.reusable()
-            exchange, self.exchange, self.side = self.exchange, None, None
+            reusable = self.http_side.reusable()
+            exchange, self.exchange, self.http_side = self.exchange, None, None
             if reusable:
-                self.pool.keep(self)
+                self.pool.release(self)
             elif self.transport is not None:
                 self.transport.close()
-            exchange.answered(answer)
+            exchange.finish(answer)
 
     def connection_lost(self, error: Exception | None) -> None:
-        self.pool.drop(self)
+        self.pool.remove(self)
         self.end(None)
 
     def end(self, answer: Answer | None) -> None:
-        exchange, self.exchange, self.side = self.exchange, None, None
+        exchange, self.exchange, self.http_side = self.exchange, None, None
         if self.transport is not None:
             self.transport.abort()
         if exchange is not None:
             # Nothing of an answer on a connection that was kept: the sidecar may have closed it just then.
-            if self.used > 1 and not exchange.again:
-                exchange.again = True
+            if self.used > 1 and not exchange.retried:
+                exchange.retried = True
                 self.pool.send(exchange)
             else:
-                exchange.answered(answer)
+                exchange.finish(answer)
 
     def abandon(self) -> None:
-        self.exchange = self.side = None
+        self.exchange = self.http_side = None
         if self.transport is not None:
             self.transport.abort()
 
@@ -369,41 +373,41 @@
     """One request and what comes of it: `done(answer)` once, None where the connection ended without one."""
 
     def __init__(self, request: Request, done: Callable[[Answer | None], None]) -> None:
-        self.request, self.done, self.again, self.over = request, done, False, False
-        self.asking: Asking | None = None
+        self.request, self.done, self.retried, self.finished = request, done, False, False
+        self.connection: ClientConnection | None = None
 
-    def answered(self, answer: Answer | None) -> None:
-        self.asking = None
-        if not self.over:
-            self.over = True
+    def finish(self, answer: Answer | None) -> None:
+        self.connection = None
+        if not self.finished:
+            self.finished = True
             self.done(answer)
 
     def abandon(self) -> None:
-        self.over = True
-        if self.asking is not None:
-            self.asking.abandon()
-            self.asking = None
+        self.finished = True
+        if self.connection is not None:
+            self.connection.abandon()
+            self.connection = None
 
 
-class AskPool:
+class ConnectionPool:
     """Connections to one sidecar, kept between requests, and the tasks that open new ones."""
 
-    MOST = 300
+    MAX_CONNECTIONS = 300
 
     def __init__(self, address: Callable[[], str]) -> None:
         self.address = address
-        self.idle: deque[Asking] = deque()
-        self.open: dict[Asking, None] = {}
+        self.idle: deque[ClientConnection] = deque()
+        self.open: dict[ClientConnection, None] = {}
         self.tasks: dict[asyncio.Task[None], None] = {}
 
     def send(self, exchange: Exchange) -> None:
         while self.idle:
-            asking = self.idle.pop()
-            if asking.transport is not None and not asking.transport.is_closing():
-                exchange.asking = asking
-                return asking.ask(exchange)
-        if len(self.open) >= self.MOST:
-            return exchange.answered(None)
+            connection = self.idle.pop()
+            if connection.transport is not None and not connection.transport.is_closing():
+                exchange.connection = connection
+                return connection.ask(exchange)
+        if len(self.open) >= self.MAX_CONNECTIONS:
+            return exchange.finish(None)
         task = asyncio.get_running_loop().create_task(self.connect(exchange))
         self.tasks[task] = None
         task.add_done_callback(lambda done: self.tasks.pop(done, None))
@@ -411,26 +415,26 @@
     async def connect(self, exchange: Exchange) -> None:
         host, _, port = self.address().partition(":")
         try:
-            _, asking = await asyncio.get_running_loop().create_connection(
-                lambda: Asking(self), host, int(port or 1)
+            _, connection = await asyncio.get_running_loop().create_connection(
+                lambda: ClientConnection(self), host, int(port or 1)
             )
         except OSError:
-            return exchange.answered(None)
-        self.open[asking] = None
-        if exchange.over:
-            return self.keep(asking)
-        exchange.asking = asking
-        asking.ask(exchange)
+            return exchange.finish(None)
+        self.open[connection] = None
+        if exchange.finished:
+            return self.release(connection)
+        exchange.connection = connection
+        connection.ask(exchange)
 
-    def keep(self, asking: Asking) -> None:
-        self.idle.append(asking)
+    def release(self, connection: ClientConnection) -> None:
+        self.idle.append(connection)
 
-    def drop(self, asking: Asking) -> None:
-        self.open.pop(asking, None)
+    def remove(self, connection: ClientConnection) -> None:
+        self.open.pop(connection, None)
 
     def close(self) -> None:
         for task in list(self.tasks):
             task.cancel()
-        for asking in list(self.open):
-            asking.abandon()
+        for connection in list(self.open):
+            connection.abandon()
         self.idle.clear()
--- a/lupinmill/lab/virtual_peers.py
+++ b/lupinmill/lab/virtual_peers.py
@@ -28,57 +28,59 @@
 from lupinmill.zones.zone_map import Workload, Zone, ZoneMap
 
 TOPIC = "zones"
-COUNTS = 3 * SECOND
+STATE_VALIDITY = 3 * SECOND
 MODES = ("off", "near", "alone", "plan", "sight")
-MOST_LARGE = 250
+MAX_REPORTS_PER_SECOND = 250
 
 
-def map_of(run: Any, **more: Any) -> ZoneMap:
+def build_zone_map(run: Any, **options: Any) -> ZoneMap:
     """As an operator would write it of this site: bids out of a lost zone may break their budget."""
     world = run.world
-    zones = tuple(Zone(name, world.network.regions[name], more.get("spare", 0.1)) for name in world.zones)
+    zones = tuple(Zone(name, world.network.regions[name], options.get("spare", 0.1)) for name in world.zones)
     most = max(w.terms.value for w in world.classes)
     loads = tuple(Workload(w.name, w.terms.value, breaks=w.terms.value == most) for w in world.classes)
     return ZoneMap(zones, loads)
 
 
-class Post:
+class SidecarCores:
     """One sidecar's cores, over its lives."""
 
-    def __init__(self, commons: Together, seat: Any) -> None:
-        self.commons, self.seat, self.name = commons, seat, seat.name
+    def __init__(self, shared: VirtualPeers, sidecar: Any) -> None:
+        self.shared, self.sidecar, self.name = shared, sidecar, sidecar.name
         self.disk: bytes | None = None
         self.peer: Peer | None = None
         self.member: Member | None = None
-        self.tally: TrafficMonitor | None = None
-        self.count: LiveCount | None = None
+        self.traffic_monitor: TrafficMonitor | None = None
+        self.live_count: LiveCount | None = None
         self.life = 0
-        self.wakes = -1
-        self.sent = self.bytes = self.said = 0
-        self.told: dict[str, Any] = {}  # what the module was told last
+        self.wake_due = -1
+        self.sent = self.feature_bytes = self.feature_messages = 0
+        self.settings: dict[str, Any] = {}  # what the module was told last
 
     def start(self) -> None:
-        run, now = self.commons.run, self.commons.run.timeline.now
+        run, now = self.shared.run, self.shared.run.timeline.now
         self.life += 1
         memory = msgspec.msgpack.decode(self.disk, type=Memory) if self.disk is not None else None
-        electors = self.commons.electors
-        told = PeerSettings(
+        electors = self.shared.electors
+        settings = PeerSettings(
             self.name,
-            self.commons.seats,
+            self.shared.roster,
             electors,
             (TOPIC,),
             (TOPIC,) if self.name in electors else (),
-            lease=self.commons.lease,
+            lease=self.shared.lease,
         )
-        seed = int(self.commons.chance.integers(2**60))
-        self.peer = Peer(told, seed, seed ^ 0x5851F42D, now, memory)
-        map_ = self.commons.map
-        self.member = Member(map_, self.name, self.seat.zone, electors, tuple(run.world.zones), now)
-        self.tally = TrafficMonitor(map_, self.seat.zone, now)
-        self.count = LiveCount(run.instances[0], now)
-        attach_monitor(self.seat.module, self.tally)
+        seed = int(self.shared.random_source.integers(2**60))
+        self.peer = Peer(settings, seed, seed ^ 0x5851F42D, now, memory)
+        zone_map = self.shared.map
+        self.member = Member(zone_map, self.name, self.sidecar.zone, electors, tuple(run.world.zones), now)
+        self.traffic_monitor = TrafficMonitor(zone_map, self.sidecar.zone, now)
+        self.live_count = LiveCount(run.instances[0], now)
+        attach_monitor(self.sidecar.module, self.traffic_monitor)
         self.wake(self.life)
-        run.timeline.after(1 + int(self.commons.chance.integers(SECOND // 20)), self.look, self.life)
+        run.timeline.after(
+            1 + int(self.shared.random_source.integers(SECOND // 20)), self.report_traffic, self.life
+        )
 
     def end(self) -> None:
         self.peer = self.member = None
@@ -88,201 +90,216 @@
 
     def wake(self, life: int) -> None:
         if life == self.life and self.peer is not None:
-            self.wakes = -1
+            self.wake_due = -1
             self.step([])
 
-    def step(self, notes: list[Any]) -> None:
+    def step(self, events: list[Any]) -> None:
         assert self.peer is not None
-        timeline = self.commons.run.timeline
+        timeline = self.shared.run.timeline
         while True:
-            inbox: list[Any] = []
-            for order in self.peer.step(timeline.now, notes):
-                self.carry_out(order, inbox)
-            if not inbox:
+            to_self: list[Any] = []
+            for command in self.peer.step(timeline.now, events):
+                self.execute(command, to_self)
+            if not to_self:
                 break
-            notes = inbox
+            events = to_self
         due = max(timeline.now + 1, self.peer.next_due())
-        if self.wakes < 0 or due < self.wakes:
-            self.wakes = due
+        if self.wake_due < 0 or due < self.wake_due:
+            self.wake_due = due
             timeline.at(due, self.wake_at, due, self.life)
 
     def wake_at(self, due: int, life: int) -> None:
-        if due == self.wakes:
+        if due == self.wake_due:
             self.wake(life)
 
-    def carry_out(self, order: Any, inbox: list[Any]) -> None:
-        if isinstance(order, Send):
-            if order.to == self.name:
-                inbox.append(Received(order.to, order.body))
+    def execute(self, command: Any, to_self: list[Any]) -> None:
+        if isinstance(command, Send):
+            if command.to == self.name:
+                to_self.append(Received(command.to, command.body))
             else:
-                self.commons.send(self, order)
-        elif isinstance(order, Persist):
-            self.disk = order.data
-            for send in order.then_send:
-                self.carry_out(send, inbox)
-        elif getattr(order, "topic", "") == TOPIC:
-            if isinstance(order, peer.FeatureMessageReceived):
-                self.tell(member.MessageReceived(order.sender, order.payload))
-            elif isinstance(order, peer.DecisionAdopted):
-                self.commons.note_known(self, order)
-                self.tell(member.PlanDecided(order.version, order.body))
-            elif isinstance(order, proposer.LeaseAcquired):
-                self.commons.note_took(self, order)
-                self.tell(member.LeaseAcquired(order.epoch))
-            elif isinstance(order, proposer.LeaseLost):
-                self.tell(member.LeaseLost())
-            elif isinstance(order, peer.DecisionExpired):
-                self.tell(member.PlanExpired())
+                self.shared.send(self, command)
+        elif isinstance(command, Persist):
+            self.disk = command.data
+            for send in command.then_send:
+                self.execute(send, to_self)
+        elif getattr(command, "topic", "") == TOPIC:
+            if isinstance(command, peer.FeatureMessageReceived):
+                self.step_member(member.MessageReceived(command.sender, command.payload))
+            elif isinstance(command, peer.DecisionAdopted):
+                self.shared.record_decision(self, command)
+                self.step_member(member.PlanDecided(command.version, command.body))
+            elif isinstance(command, proposer.LeaseAcquired):
+                self.shared.record_lease(self, command)
+                self.step_member(member.LeaseAcquired(command.epoch))
+            elif isinstance(command, proposer.LeaseLost):
+                self.step_member(member.LeaseLost())
+            elif isinstance(command, peer.DecisionExpired):
+                self.step_member(member.PlanExpired())
 
     # The zones' core.
 
-    def tell(self, *notes: member.Event) -> None:
+    def step_member(self, *events: member.Event) -> None:
         if self.member is None or self.peer is None:
             return
-        now = self.commons.run.timeline.now
+        now = self.shared.run.timeline.now
         decide = None
-        for order in self.member.step(now, list(notes), self.peer.held_epoch(TOPIC, now), self.present()):
-            if isinstance(order, member.SendMessage):
-                self.commons.send(self, Send(order.to, wire.FeatureMessage(TOPIC, order.data), []))
-            elif isinstance(order, member.ProposePlan):
-                decide = order.body
-            elif isinstance(order, member.ApplyPlan):
-                self.go(order)
-            elif isinstance(order, member.RequestFinished):
-                self.commons.done.append((now, order.done, order.text))
+        for command in self.member.step(now, list(events), self.peer.held_epoch(TOPIC, now), self.present()):
+            if isinstance(command, member.SendMessage):
+                self.shared.send(self, Send(command.to, wire.FeatureMessage(TOPIC, command.data), []))
+            elif isinstance(command, member.ProposePlan):
+                decide = command.body
+            elif isinstance(command, member.ApplyPlan):
+                self.apply_plan(command)
+            elif isinstance(command, member.RequestFinished):
+                self.shared.finished_requests.append((now, command.done, command.text))
         if decide is not None:
             self.peer.proposer.now = now
             self.peer.decide(TOPIC, decide)
-            self.commons.run.timeline.after(1, self.wake, self.life)
+            self.shared.run.timeline.after(1, self.wake, self.life)
 
     def present(self) -> list[str]:
         assert self.peer is not None
         members = self.peer.membership.members
         return [self.name, *(name for name, one in members.items() if one.status in PRESENT)]
 
-    def look(self, life: int) -> None:
+    def report_traffic(self, life: int) -> None:
         """Once a second, as `program/common.py` does."""
-        if life != self.life or self.peer is None or self.tally is None:
+        if life != self.life or self.peer is None or self.traffic_monitor is None:
             return
-        run = self.commons.run
-        dispatcher = self.seat.module.dispatcher
-        report = self.tally.report(run.timeline.now, self.name, self.seat.module)
-        self.tell(member.OwnReport(report, dict(dispatcher.ready_by_zone)))
-        run.timeline.after(self.commons.period, self.look, life)
-
-    def go(self, order: member.ApplyPlan) -> None:
-        assert self.peer is not None and self.count is not None
-        seats, marks = self.seat.module.dispatcher.endpoint_states, order.brakes
+        run = self.shared.run
+        dispatcher = self.sidecar.module.dispatcher
+        report = self.traffic_monitor.report(run.timeline.now, self.name, self.sidecar.module)
+        self.step_member(member.OwnReport(report, dict(dispatcher.ready_by_zone)))
+        run.timeline.after(self.shared.period, self.report_traffic, life)
+
+    def apply_plan(self, command: member.ApplyPlan) -> None:
+        assert self.peer is not None and self.live_count is not None
+        endpoints, marks = self.sidecar.module.dispatcher.endpoint_states, command.brakes
         brakes = (
-            {name: marks[endpoint_hash(name)] for name in seats if endpoint_hash(name) in marks}
+            {name: marks[endpoint_hash(name)] for name in endpoints if endpoint_hash(name) in marks}
             if marks
             else {}
         )
-        sidecars = 0
-        if self.commons.live:
+        sidecar_count = 0
+        if self.shared.live:
             together = self.peer.membership.quorum_state in (QuorumState.MAJORITY, QuorumState.UNCERTAIN)
-            sidecars = self.count.step(self.commons.run.timeline.now, together, len(self.present()))
-        assert self.tally is not None
-        self.seat.tell(
+            sidecar_count = self.live_count.step(self.shared.run.timeline.now, together, len(self.present()))
+        assert self.traffic_monitor is not None
+        self.sidecar.tell(
             t.FleetState(
-                sidecars, order.plan, brakes, self.tally.listed_by_zone(self.seat.module), order.until
+                sidecar_count,
+                command.plan,
+                brakes,
+                self.traffic_monitor.listed_by_zone(self.sidecar.module),
+                command.until,
             )
         )
 
 
 @dataclass
-class Force:
+class PlanRecord:
     """When a plan came about and when each member went by it."""
 
     at: int
     holder: str
-    known: dict[str, int]
-    left: tuple[str, ...] = ()  # zones whose traffic mostly goes elsewhere by it
+    known_at: dict[str, int]
+    left_zones: tuple[str, ...] = ()  # zones whose traffic mostly goes elsewhere by it
 
 
-class Together:
+class VirtualPeers:
     """All posts of a run."""
 
     def __init__(
-        self, run: Any, live: bool = False, lease: float = 2.0, loss: float = 0.0, **more: Any
+        self, run: Any, live: bool = False, lease: float = 2.0, loss: float = 0.0, **options: Any
     ) -> None:
         self.run, self.live, self.loss = run, live, loss
         self.lease = int(lease * SECOND)
-        self.map = map_of(run, **more)
-        self.chance = chance_for(run.world.seed, "commons")
-        names = [seat.name for seat in run.sidecars]
-        self.seats = tuple(
-            RosterEntry(seat.name, f"127.0.0.1:{at + 1}", seat.zone) for at, seat in enumerate(run.sidecars)
+        self.map = build_zone_map(run, **options)
+        self.random_source = chance_for(run.world.seed, "commons")
+        names = [sidecar.name for sidecar in run.sidecars]
+        self.roster = tuple(
+            RosterEntry(sidecar.name, f"127.0.0.1:{at + 1}", sidecar.zone)
+            for at, sidecar in enumerate(run.sidecars)
         )
-        count = 5 if len(names) >= 5 else 3
+        elector_count = 5 if len(names) >= 5 else 3
         self.electors = (
-            tuple(names[at * len(names) // count] for at in range(count)) if len(names) >= 3 else ()
+            tuple(names[at * len(names) // elector_count] for at in range(elector_count))
+            if len(names) >= 3
+            else ()
         )
-        self.posts = {seat.name: Post(self, seat) for seat in run.sidecars}
-        self.zone_of = {seat.name: seat.zone for seat in run.sidecars}
-        self.period = int(SECOND * max(1.0, len(names) / MOST_LARGE))
-        self.versions: dict[int, Force] = {}
-        self.epochs: dict[int, str] = {}
-        self.broken: list[str] = []
-        self.done: list[tuple[int, bool, str]] = []
-
-    def started(self, seat: Any) -> None:
-        self.posts[seat.name].start()
-
-    def killed(self, seat: Any) -> None:
-        if seat.name in self.posts:
-            self.posts[seat.name].end()
-
-    def send(self, post: Post, order: Send) -> None:
+        self.cores = {sidecar.name: SidecarCores(self, sidecar) for sidecar in run.sidecars}
+        self.zone_of = {sidecar.name: sidecar.zone for sidecar in run.sidecars}
+        self.period = int(SECOND * max(1.0, len(names) / MAX_REPORTS_PER_SECOND))
+        self.plans: dict[int, PlanRecord] = {}
+        self.epoch_holders: dict[int, str] = {}
+        self.violations: list[str] = []
+        self.finished_requests: list[tuple[int, bool, str]] = []
+
+    def started(self, sidecar: Any) -> None:
+        self.cores[sidecar.name].start()
+
+    def killed(self, sidecar: Any) -> None:
+        if sidecar.name in self.cores:
+            self.cores[sidecar.name].end()
+
+    def send(self, cores: SidecarCores, command: Send) -> None:
         """A datagram by way of the run's network: lost behind a cut, late by the zones' distance."""
         world, timeline = self.run.world, self.run.timeline
-        here, there = self.zone_of[post.name], self.zone_of[order.to]
-        post.sent += 1
-        if isinstance(order.body, wire.FeatureMessage):
-            post.said += 1
-            post.bytes += len(order.body.payload) + 20
-        if world.network.blocked(here, there) or self.loss and self.chance.random() < self.loss:
+        here, there = self.zone_of[cores.name], self.zone_of[command.to]
+        cores.sent += 1
+        if isinstance(command.body, wire.FeatureMessage):
+            cores.feature_messages += 1
+            cores.feature_bytes += len(command.body.payload) + 20
+        if world.network.blocked(here, there) or self.loss and self.random_source.random() < self.loss:
             return
-        timeline.after(world.network.delay(here, there), self.deliver, post.name, order)
+        timeline.after(world.network.delay(here, there), self.deliver, cores.name, command)
 
-    def deliver(self, sender: str, order: Send) -> None:
-        post = self.posts[order.to]
-        if post.peer is not None and post.seat.alive:
-            post.step([Received(sender, order.body, order.updates)])
+    def deliver(self, sender: str, command: Send) -> None:
+        cores = self.cores[command.to]
+        if cores.peer is not None and cores.sidecar.alive:
+            cores.step([Received(sender, command.body, command.updates)])
 
     # What must hold.
 
-    def note_took(self, post: Post, order: proposer.LeaseAcquired) -> None:
-        if order.epoch in self.epochs:
-            self.broken.append(f"epoch {order.epoch}: {self.epochs[order.epoch]} and {post.name}")
-        self.epochs[order.epoch] = post.name
+    def record_lease(self, cores: SidecarCores, command: proposer.LeaseAcquired) -> None:
+        if command.epoch in self.epoch_holders:
+            self.violations.append(
+                f"epoch {command.epoch}: {self.epoch_holders[command.epoch]} and {cores.name}"
+            )
+        self.epoch_holders[command.epoch] = cores.name
 
-    def note_known(self, post: Post, order: peer.DecisionAdopted) -> None:
+    def record_decision(self, cores: SidecarCores, command: peer.DecisionAdopted) -> None:
         now = self.run.timeline.now
-        force = self.versions.get(order.version)
-        if force is None:
-            plan = decode_plan(self.map, order.version, order.body)
-            left = tuple(
+        plan_record = self.plans.get(command.version)
+        if plan_record is None:
+            plan = decode_plan(self.map, command.version, command.body)
+            left_zones = tuple(
                 zone.name
                 for zone in self.map.zones
                 if all(plan.shares(zone.name, w.name).get(zone.name, 0.0) < 0.5 for w in self.map.workloads)
             )
-            force = self.versions[order.version] = Force(now, post.name, {}, left)
-        force.known.setdefault(post.name, now)
+            plan_record = self.plans[command.version] = PlanRecord(now, cores.name, {}, left_zones)
+        plan_record.known_at.setdefault(cores.name, now)
 
     def figures(self) -> dict[str, float]:
         seconds = max(1e-9, (self.run.timeline.now - self.run.world.start) / SECOND)
-        count = len(self.posts)
+        sidecar_count = len(self.cores)
         spans = [
-            (max(f.known.values()) - f.at) / SECOND for f in self.versions.values() if len(f.known) == count
+            (max(f.known_at.values()) - f.at) / SECOND
+            for f in self.plans.values()
+            if len(f.known_at) == sidecar_count
         ]
         return {
-            "plans": float(len(self.versions)),
-            "plans_a_minute": 60 * len(self.versions) / seconds,
+            "plans": float(len(self.plans)),
+            "plans_a_minute": 60 * len(self.plans) / seconds,
             "to_all_s": max(spans, default=0.0),
-            "words_a_member_and_second": sum(p.said for p in self.posts.values()) / count / seconds,
-            "bytes_a_member_and_second": sum(p.bytes for p in self.posts.values()) / count / seconds,
-            "broken": float(len(self.broken)),
+            "words_a_member_and_second": sum(p.feature_messages for p in self.cores.values())
+            / sidecar_count
+            / seconds,
+            "bytes_a_member_and_second": sum(p.feature_bytes for p in self.cores.values())
+            / sidecar_count
+            / seconds,
+            "broken": float(len(self.violations)),
         }
 
 
@@ -290,66 +307,71 @@
     """Each sidecar by itself, or one that sees all: no messages."""
 
     def __init__(self, run: Any, mode: str) -> None:
-        self.run, self.mode, self.map = run, mode, map_of(run)
-        self.rows: Any = {}
+        self.run, self.mode, self.map = run, mode, build_zone_map(run)
+        self.target_shares: Any = {}
         if mode == "sight":
-            run.timeline.after(1, self.see)
+            run.timeline.after(1, self.update_target)
 
-    def started(self, seat: Any) -> None:
-        self.look(seat, seat.life)
+    def started(self, sidecar: Any) -> None:
+        self.update_state(sidecar, sidecar.life)
 
-    def killed(self, seat: Any) -> None:
+    def killed(self, sidecar: Any) -> None:
         pass
 
-    def look(self, seat: Any, life: int) -> None:
-        if not seat.alive or seat.life != life:
+    def update_state(self, sidecar: Any, life: int) -> None:
+        if not sidecar.alive or sidecar.life != life:
             return
         now = self.run.timeline.now
-        others = [zone for zone in self.run.world.zones if zone != seat.zone]
+        others = [zone for zone in self.run.world.zones if zone != sidecar.zone]
         plan = {}
         for w in self.map.workloads:
             if self.mode == "sight":
-                shares = self.rows.get(seat.zone, {}).get(w.name, {seat.zone: 1.0})
+                shares = self.target_shares.get(sidecar.zone, {}).get(w.name, {sidecar.zone: 1.0})
                 plan[w.name] = (dict(shares), dict(shares))
             else:
                 # Alone: out of a zone where it finds nothing open, to the others alike.
-                way = dict.fromkeys(others, 1 / len(others)) if self.mode == "alone" and others else {}
-                plan[w.name] = ({seat.zone: 1.0}, way)
-        seat.tell(t.FleetState(0, plan, {}, {}, now + COUNTS))
-        self.run.timeline.after(SECOND // 4 if self.mode == "sight" else SECOND, self.look, seat, life)
+                overflow = dict.fromkeys(others, 1 / len(others)) if self.mode == "alone" and others else {}
+                plan[w.name] = ({sidecar.zone: 1.0}, overflow)
+        sidecar.tell(t.FleetState(0, plan, {}, {}, now + STATE_VALIDITY))
+        self.run.timeline.after(
+            SECOND // 4 if self.mode == "sight" else SECOND, self.update_state, sidecar, life
+        )
 
-    def see(self) -> None:
+    def update_target(self) -> None:
         """The true state at each moment: what endpoints can do, cold ones as warm as they are, and what
         comes."""
         run, world = self.run, self.run.world
-        able = dict.fromkeys(world.zones, 0.0)
+        capacity = dict.fromkeys(world.zones, 0.0)
         mean = sum(w.share * w.mean for w in world.classes) * world.tiers[0][0].shape.work
         for endpoint in world.tiers[0]:
             if endpoint.alive and not endpoint.silent and not endpoint.draining:
-                able[endpoint.shape.zone] += endpoint.capacity() / mean
-        parts = dict.fromkeys(world.zones, 0.0)
-        alive = [seat for seat in run.sidecars if seat.alive]
+                capacity[endpoint.shape.zone] += endpoint.capacity() / mean
+        weight_by_zone = dict.fromkeys(world.zones, 0.0)
+        alive = [sidecar for sidecar in run.sidecars if sidecar.alive]
         weights = run.front.weights or [1.0] * len(run.sidecars)
-        for seat in alive:
-            parts[seat.zone] += weights[seat.position]
-        total = sum(parts.values()) or 1.0
+        for sidecar in alive:
+            weight_by_zone[sidecar.zone] += weights[sidecar.position]
+        total = sum(weight_by_zone.values()) or 1.0
         rate = world.rate_now()
-        traffic = {z: {w.name: rate * parts[z] / total * w.share for w in world.classes} for z in world.zones}
+        traffic = {
+            z: {w.name: rate * weight_by_zone[z] / total * w.share for w in world.classes}
+            for z in world.zones
+        }
         state = {}
         for a in world.zones:
             for b in world.zones:
                 cut = world.network.blocked(a, b) or world.network.blocked(b, a)
                 state[a, b] = (
-                    ZoneState.DOWN if not able[b] else ZoneState.UNREACHABLE if cut else ZoneState.HEALTHY
+                    ZoneState.DOWN if not capacity[b] else ZoneState.UNREACHABLE if cut else ZoneState.HEALTHY
                 )
-        self.rows = compute_target(self.map, AggregateView(traffic, able, state), Drains())
-        run.timeline.after(SECOND // 4, self.see)
+        self.target_shares = compute_target(self.map, AggregateView(traffic, capacity, state), Drains())
+        run.timeline.after(SECOND // 4, self.update_target)
 
 
-def of(mode: str, **more: Any) -> Callable[[Any], Any] | None:
+def peers_factory(mode: str, **options: Any) -> Callable[[Any], Any] | None:
     """For `VirtualRun(commons=...)`."""
     if mode not in MODES:
         raise ValueError(f"{mode}: none of {', '.join(MODES)}")
     if mode == "off":
         return None
-    return (lambda run: Together(run, **more)) if mode == "plan" else (lambda run: Baseline(run, mode))
+    return (lambda run: VirtualPeers(run, **options)) if mode == "plan" else (lambda run: Baseline(run, mode))
--- a/lupinmill/lab/zones_measure.py
+++ b/lupinmill/lab/zones_measure.py
@@ -39,7 +39,7 @@
     for key, value in trial.changes:
         table = over(table, nested(table, key, value, trial.scenario))
     scenario = check(table, trial.scenario)
-    run = VirtualRun(scenario, trial.seed, commons=virtual_peers.of(trial.mode))
+    run = VirtualRun(scenario, trial.seed, commons=virtual_peers.peers_factory(trial.mode))
     run.play()
     endpoints = [e for tier in run.world.tiers for e in tier]
     found = run.measure.figures(scenario.goal, endpoints, 0, 1.0, 1.0)
@@ -53,21 +53,21 @@
         **{f"service of {name}": part for name, part in found.by_workload.items()},
     }
     broken = [f"rule {b.rule}, second {b.second}, {b.what}: {b.text}" for b in referee.broken]
-    if isinstance(run.commons, virtual_peers.Together):
+    if isinstance(run.commons, virtual_peers.VirtualPeers):
         figures |= run.commons.figures()
         cuts = [record for record in run.world.trouble_records if record.kind == "zone_cut"]
         if cuts:
             figures["left after s"] = seconds_until_left(run, run.world.start + int(cuts[0].began * SECOND))
-        broken += run.commons.broken
+        broken += run.commons.violations
     return TrialResult(trial, figures, broken)
 
 
 def seconds_until_left(run: Any, lost_at: int) -> float:
     """Seconds from a moment until a plan that leaves a zone is in force at all sidecars; NaN without such a
     plan."""
-    records = [f for f in run.commons.versions.values() if f.left and f.at >= lost_at]
-    count = sum(post.peer is not None for post in run.commons.posts.values())
-    spans = [max(f.known.values()) - lost_at for f in records if len(f.known) >= count]
+    records = [f for f in run.commons.plans.values() if f.left_zones and f.at >= lost_at]
+    count = sum(cores.peer is not None for cores in run.commons.cores.values())
+    spans = [max(f.known_at.values()) - lost_at for f in records if len(f.known_at) >= count]
     return min(spans) / SECOND if spans else float("nan")
 
 
--- a/tests/test_lab_sockets.py
+++ b/tests/test_lab_sockets.py
@@ -17,7 +17,7 @@
 from lupinmill.lab.experiments import play
 from lupinmill.lab.scenario import Scenario
 from lupinmill.lab.sockets import SocketRun
-from lupinmill.lab.stand_ins import AskPool, Exchange, Listening, Served, report_text
+from lupinmill.lab.stand_ins import ConnectionPool, Exchange, ListeningServer, ServerConnection, report_text
 from lupinmill import terms as t
 from lupinmill.protocol import reports
 from lupinmill.protocol.http import Answer, Request
@@ -150,12 +150,12 @@
 # The stand-ins by themselves.
 
 
-class Echo(Listening):
-    def asked(self, served: Served, request: Request) -> None:
-        served.answer(Answer(200, [], request.target))
+class Echo(ListeningServer):
+    def request_received(self, connection: ServerConnection, request: Request) -> None:
+        connection.answer(Answer(200, [], request.target))
 
 
-async def exchange(pool: AskPool, target: bytes) -> Answer | None:
+async def exchange(pool: ConnectionPool, target: bytes) -> Answer | None:
     done: asyncio.Future[Answer | None] = asyncio.get_running_loop().create_future()
     pool.send(Exchange(Request(b"GET", target, [(b"Host", b"x")]), done.set_result))
     return await asyncio.wait_for(done, 10)
@@ -166,16 +166,16 @@
         echo = Echo()
         await echo.listen()
         address = echo.address
-        pool = AskPool(lambda: address)
+        pool = ConnectionPool(lambda: address)
         try:
             answer = await exchange(pool, b"/a")
             assert answer is not None and answer.body == b"/a"
-            echo.refuse()
+            echo.refuse_connections()
             assert await exchange(pool, b"/b") is None
             await echo.listen()
             assert echo.address == address
             assert (await exchange(pool, b"/c") or Answer(0)).body == b"/c"
-            echo.fall_silent()
+            echo.stop_accepting()
             with pytest.raises(TimeoutError):  # neither on the kept connection ...
                 await asyncio.wait_for(exchange(pool, b"/d"), 0.3)
             host, _, port = address.partition(":")
@@ -193,26 +193,26 @@
 
 def test_a_request_on_a_connection_that_was_just_closed_is_sent_once_more() -> None:
     async def main() -> None:
-        asked = []
+        targets = []
 
-        class Closes(Listening):
-            def asked(self, served: Served, request: Request) -> None:
-                asked.append(request.target)
-                if len(asked) == 2:
-                    served.reset()
+        class Closes(ListeningServer):
+            def request_received(self, connection: ServerConnection, request: Request) -> None:
+                targets.append(request.target)
+                if len(targets) == 2:
+                    connection.reset()
                 else:
-                    served.answer(Answer(200, [], b"ok"))
+                    connection.answer(Answer(200, [], b"ok"))
 
-        stand = Closes()
-        await stand.listen()
-        pool = AskPool(lambda: stand.address)
+        server = Closes()
+        await server.listen()
+        pool = ConnectionPool(lambda: server.address)
         try:
             assert await exchange(pool, b"/1") is not None
             assert (await exchange(pool, b"/2") or Answer(0)).body == b"ok"
-            assert asked == [b"/1", b"/2", b"/2"]
+            assert targets == [b"/1", b"/2", b"/2"]
         finally:
             pool.close()
-            stand.close()
+            server.close()
 
     asyncio.run(main())
 
--- a/tests/test_zones_member.py
+++ b/tests/test_zones_member.py
@@ -482,7 +482,7 @@
 
 def play_scenario(name: str, seed: int, seconds: int, **changes) -> VirtualRun:
     table = scenario.over(scenario.raw(scenario.find(name)), {"seconds": seconds, **changes})
-    run = VirtualRun(scenario.check(table, name), seed, commons=virtual_peers.of("plan"))
+    run = VirtualRun(scenario.check(table, name), seed, commons=virtual_peers.peers_factory("plan"))
     run.play()
     return run
 
@@ -494,15 +494,15 @@
 
 def test_calm_and_even_less_than_three_in_a_hundred_cross():
     run = play_scenario("zones-calm", 3, 25)
-    assert cross_zone_share(run, 3, 25) < 0.03 and not run.commons.broken
+    assert cross_zone_share(run, 3, 25) < 0.03 and not run.commons.violations
     assert not any(run.world.referee.counts.values())
 
 
 def test_a_lost_zone_in_virtual_time_is_left_and_no_rule_is_broken():
     run = play_scenario("zone-loss", 2, 34)
     assert cross_zone_share(run, 3, 19) < 0.05 < 0.15 < cross_zone_share(run, 24, 33)
-    assert not any(run.world.referee.counts.values()) and not run.commons.broken
-    holders = [post for post in run.commons.posts.values() if post.member and post.member.holder_state]
+    assert not any(run.world.referee.counts.values()) and not run.commons.violations
+    holders = [cores for cores in run.commons.cores.values() if cores.member and cores.member.holder_state]
     assert len(holders) == 1
 
 
@@ -510,17 +510,17 @@
     trouble = [{"kind": "zone_cut", "at_s": 8, "lasts_s": 30, "zone": "b"}]
     trouble += [{"kind": "sidecar_kill", "at_s": at, "lasts_s": 3, "part": 0.3} for at in (10, 15, 20)]
     run = play_scenario("zones-calm", 4, 30, trouble=trouble)
-    assert not run.commons.broken and len(run.commons.epochs) >= 1
+    assert not run.commons.violations and len(run.commons.epoch_holders) >= 1
     assert not any(run.world.referee.counts.values())
-    plans = {post.member.follower.plan.version for post in run.commons.posts.values() if post.member}
-    assert max(plans) == max(run.commons.versions)
+    plans = {cores.member.follower.plan.version for cores in run.commons.cores.values() if cores.member}
+    assert max(plans) == max(run.commons.plans)
 
 
 @pytest.mark.parametrize("extra", [0, 1, 2])
 def test_a_zone_apart_keeps_its_home_in_virtual_time(extra):
     trouble = [{"kind": "zone_apart", "at_s": 8, "lasts_s": 12, "zone": "c", "extra": extra}]
     run = play_scenario("zones-calm", 5, 26, trouble=trouble)
-    assert not run.commons.broken and not any(run.world.referee.counts.values())
+    assert not run.commons.violations and not any(run.world.referee.counts.values())
     assert cross_zone_share(run, 10, 19) < 0.06 and run.measure.worst_window() > 0.95
-    versions = {post.member.follower.plan.version for post in run.commons.posts.values()}
+    versions = {cores.member.follower.plan.version for cores in run.commons.cores.values()}
     assert len(versions) == 1, "after the partition all apply one plan"
