--- a/lupinmill/lab/stand_ins.py
+++ b/lupinmill/lab/stand_ins.py
@@ -1,5 +1,5 @@
-"""Stand-ins on loopback, by the platform's protocol: an endpoint, discovery, and the connections of clients.
-Each owns its sockets and gives them back in `close`. They carry the models' words and decide nothing."""
+"""Stand-ins on loopback sockets that speak the platform's protocol: endpoints, discovery, and client
+connections. Each owns its sockets and closes them in `close`. They carry out what the models decide."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 def report_text(load: t.LoadReport | None) -> str:
-    """`queue=2,util=0.61`, for those figures that there are."""
+    """A load report such as `queue=2,util=0.61`, with the figures that are present."""
     if load is None:
         return ""
     wire = {REPORT[inner][0]: (outer, REPORT[inner][1]) for outer, inner in ON_SOCKETS.items()}
@@ -41,7 +41,7 @@
 
 
 class ServerConnection(asyncio.Protocol):
-    """One accepted connection: whole requests in, in order, one at a time."""
+    """An accepted connection that handles complete requests in order, one at a time."""
 
     def __init__(
         self,
@@ -95,7 +95,7 @@
 
 
 class ListeningServer:
-    """A listening socket of its own port, which outlives a stop."""
+    """A server whose port stays the same across stops and restarts."""
 
     def __init__(self) -> None:
         self.address, self.server = "", None
@@ -131,15 +131,15 @@
             connection.reset()
 
     def refuse_connections(self) -> None:
-        """Dies: connections reset, new ones refused."""
+        """Acts as a dead process: connections are reset and new ones refused."""
         if self.server is not None:
             self.server.close()
             self.server = None
         self.reset_all()
 
     def stop_accepting(self) -> None:
-        """New connections never come up: nobody accepts, and the kernel's own queue, cut to one, is filled
-        up. Open ones stay and say nothing."""
+        """New connections never complete: none is accepted, and the kernel's accept queue, limited to one, is
+        filled. Open connections stay but send nothing."""
         if self.server is None or self.socket is None:
             return
         asyncio.get_running_loop().remove_reader(self.socket.fileno())
@@ -162,8 +162,8 @@
 
 
 class EndpointServer(ListeningServer):
-    """An endpoint's model on a socket. `run.work_of(request_id)` gives what was sent, or None where no
-    client sent it."""
+    """An endpoint model on a socket. `run.work_of(request_id)` returns what was sent, or None if no client
+    sent that request."""
 
     def __init__(self, endpoint: Endpoint, run: Any) -> None:
         super().__init__()
@@ -221,7 +221,7 @@
         self.run.measure.at(self.run.timeline.now).probes += 1
         result = self.endpoint.probe()
         if result is None:
-            return  # nothing answers
+            return  # the endpoint does not answer
         outcome, load = result
         body = report_text(load).encode() if with_load else b"ok"
         connection.answer(Answer(200 if outcome is t.Outcome.HANDLED else 503, [], body))
@@ -246,7 +246,7 @@
 
 
 class DiscoveryServer(ListeningServer):
-    """The list of one tier for one sidecar, so that it is known who was told what, and when."""
+    """Serves one tier's list to one sidecar, so that the referee knows what it received and when."""
 
     def __init__(self, registry: Registry, sidecar: str, run: Any) -> None:
         super().__init__()
@@ -291,7 +291,7 @@
                 self.send_list(connection, index)
 
     def availability_changed(self) -> None:
-        """Goes down (watches end) or silent (they stand)."""
+        """Discovery went down (watches end) or silent (watches stay open)."""
         if self.registry.down:
             self.waiting.clear()
             self.reset_all()
@@ -313,7 +313,7 @@
 
 
 class ClientConnection(asyncio.Protocol):
-    """A client's connection to a sidecar; one request at a time."""
+    """A client's connection to a sidecar, with one request at a time."""
 
     def __init__(self, pool: ConnectionPool) -> None:
         self.pool, self.transport = pool, None
@@ -356,7 +356,7 @@
         if self.transport is not None:
             self.transport.abort()
         if exchange is not None:
-            # Nothing of an answer on a connection that was kept: the sidecar may have closed it just then.
+            # No answer on a reused connection: the sidecar may have closed it at that moment, so retry once.
             if self.used > 1 and not exchange.retried:
                 exchange.retried = True
                 self.pool.send(exchange)
@@ -370,7 +370,7 @@
 
 
 class Exchange:
-    """One request and what comes of it: `done(answer)` once, None where the connection ended without one."""
+    """One request. Calls `done(answer)` once, with None if the connection ended without an answer."""
 
     def __init__(self, request: Request, done: Callable[[Answer | None], None]) -> None:
         self.request, self.done, self.retried, self.finished = request, done, False, False
@@ -390,7 +390,7 @@
 
 
 class ConnectionPool:
-    """Connections to one sidecar, kept between requests, and the tasks that open new ones."""
+    """Reusable connections to one sidecar, and the tasks that open new ones."""
 
     MAX_CONNECTIONS = 300
 
--- a/lupinmill/lab/virtual_peers.py
+++ b/lupinmill/lab/virtual_peers.py
@@ -1,7 +1,7 @@
-"""What the front sidecars of a virtual run hold in common: each one's whole peer core and zones' core, on the
-run's own timeline and network, and the baselines that they are measured against.
+"""Peers and zone plans of the front sidecars in a virtual run: the pure peer and zone cores of each sidecar,
+run unchanged on the run's timeline and network, and the baselines that they are compared with.
 
-Owns a post a sidecar: its cores live and die with the sidecar, an elector's promises stay as on a disk."""
+The cores of a sidecar start and end with it; an elector's promises outlive them, as on a disk."""
 
 from __future__ import annotations
 
@@ -34,7 +34,8 @@
 
 
 def build_zone_map(run: Any, **options: Any) -> ZoneMap:
-    """As an operator would write it of this site: bids out of a lost zone may break their budget."""
+    """The zone map that an operator would write for this site. The most valuable workload may exceed its
+    budget when a zone is lost."""
     world = run.world
     zones = tuple(Zone(name, world.network.regions[name], options.get("spare", 0.1)) for name in world.zones)
     most = max(w.terms.value for w in world.classes)
@@ -43,7 +44,7 @@
 
 
 class SidecarCores:
-    """One sidecar's cores, over its lives."""
+    """The peer and zone cores of one sidecar, across its restarts."""
 
     def __init__(self, shared: VirtualPeers, sidecar: Any) -> None:
         self.shared, self.sidecar, self.name = shared, sidecar, sidecar.name
@@ -55,7 +56,7 @@
         self.life = 0
         self.wake_due = -1
         self.sent = self.feature_bytes = self.feature_messages = 0
-        self.settings: dict[str, Any] = {}  # what the module was told last
+        self.settings: dict[str, Any] = {}
 
     def start(self) -> None:
         run, now = self.shared.run, self.shared.run.timeline.now
@@ -86,7 +87,7 @@
         self.peer = self.member = None
         self.life += 1
 
-    # The peers' core.
+    # Peer core.
 
     def wake(self, life: int) -> None:
         if life == self.life and self.peer is not None:
@@ -136,7 +137,7 @@
             elif isinstance(command, peer.DecisionExpired):
                 self.step_member(member.PlanExpired())
 
-    # The zones' core.
+    # Zone core.
 
     def step_member(self, *events: member.Event) -> None:
         if self.member is None or self.peer is None:
@@ -198,16 +199,16 @@
 
 @dataclass
 class PlanRecord:
-    """When a plan came about and when each member went by it."""
+    """When a plan was decided, and when each member adopted it."""
 
     at: int
     holder: str
     known_at: dict[str, int]
-    left_zones: tuple[str, ...] = ()  # zones whose traffic mostly goes elsewhere by it
+    left_zones: tuple[str, ...] = ()  # zones that the plan sends most traffic away from
 
 
 class VirtualPeers:
-    """All posts of a run."""
+    """The cores of all front sidecars of a run."""
 
     def __init__(
         self, run: Any, live: bool = False, lease: float = 2.0, loss: float = 0.0, **options: Any
@@ -243,7 +244,7 @@
             self.cores[sidecar.name].end()
 
     def send(self, cores: SidecarCores, command: Send) -> None:
-        """A datagram by way of the run's network: lost behind a cut, late by the zones' distance."""
+        """Sends a datagram through the run's network: lost behind a cut, delayed by the zones' distance."""
         world, timeline = self.run.world, self.run.timeline
         here, there = self.zone_of[cores.name], self.zone_of[command.to]
         cores.sent += 1
@@ -259,7 +260,7 @@
         if cores.peer is not None and cores.sidecar.alive:
             cores.step([Received(sender, command.body, command.updates)])
 
-    # What must hold.
+    # Invariants.
 
     def record_lease(self, cores: SidecarCores, command: proposer.LeaseAcquired) -> None:
         if command.epoch in self.epoch_holders:
@@ -304,7 +305,7 @@
 
 
 class Baseline:
-    """Each sidecar by itself, or one that sees all: no messages."""
+    """Baselines without messages: each sidecar on its own, or all with full knowledge of the site."""
 
     def __init__(self, run: Any, mode: str) -> None:
         self.run, self.mode, self.map = run, mode, build_zone_map(run)
@@ -329,7 +330,7 @@
                 shares = self.target_shares.get(sidecar.zone, {}).get(w.name, {sidecar.zone: 1.0})
                 plan[w.name] = (dict(shares), dict(shares))
             else:
-                # Alone: out of a zone where it finds nothing open, to the others alike.
+                # Alone: overflow goes evenly to the other zones when the own zone has nothing open.
                 overflow = dict.fromkeys(others, 1 / len(others)) if self.mode == "alone" and others else {}
                 plan[w.name] = ({sidecar.zone: 1.0}, overflow)
         sidecar.tell(t.FleetState(0, plan, {}, {}, now + STATE_VALIDITY))
@@ -338,8 +339,8 @@
         )
 
     def update_target(self) -> None:
-        """The true state at each moment: what endpoints can do, cold ones as warm as they are, and what
-        comes."""
+        """Plans from the true state: the current capacity of endpoints, including cold ones, and the
+        traffic."""
         run, world = self.run, self.run.world
         capacity = dict.fromkeys(world.zones, 0.0)
         mean = sum(w.share * w.mean for w in world.classes) * world.tiers[0][0].shape.work
@@ -369,9 +370,9 @@
 
 
 def peers_factory(mode: str, **options: Any) -> Callable[[Any], Any] | None:
-    """For `VirtualRun(commons=...)`."""
+    """The `commons` argument of `VirtualRun` for a mode; None for `off`. Raises ValueError if unknown."""
     if mode not in MODES:
-        raise ValueError(f"{mode}: none of {', '.join(MODES)}")
+        raise ValueError(f"{mode}: not one of {', '.join(MODES)}")
     if mode == "off":
         return None
     return (lambda run: VirtualPeers(run, **options)) if mode == "plan" else (lambda run: Baseline(run, mode))
