--- a/lupinmill/cli/fleets.py
+++ b/lupinmill/cli/fleets.py
@@ -40,12 +40,12 @@
 
     try:
         read = None if name == "random" else scenarios.load(name)
-    except scenarios.BadFleet as error:
+    except scenarios.FleetError as error:
         exit_with_error(error)
     broken = False
     first = seed if seed is not None else read.seed if read is not None else 1
     for number in range(first, first + seeds):
-        read = scenarios.drawn(number) if name == "random" else read
+        read = scenarios.random_fleet(number) if name == "random" else read
         assert read is not None
         if sockets:
             one = asyncio.run(fleet_sockets.play(read, number))
--- a/lupinmill/lab/config_rig.py
+++ b/lupinmill/lab/config_rig.py
@@ -16,20 +16,20 @@
 
 from lupinmill.config.model import Entries
 from lupinmill.config.wire import encode_rows
-from lupinmill.lab.fleet_sockets import TAKEN, free_port
+from lupinmill.lab.fleet_sockets import RESERVED_PORTS, free_port
 from lupinmill.lab.processes import Process
 from lupinmill.protocol.http import Answer, ClientSide, Request
 
 HOST = "127.0.0.1"
-ANSWER = 20.0  # seconds for an operator's call
-LOOK = 0.1
-AT_ONCE = 3  # processes that start side by side: a start takes a core
+CALL_TIMEOUT_S = 20.0  # seconds for an operator's call
+POLL_S = 0.1
+PARALLEL_STARTS = 3  # processes that start side by side: a start takes a core
 
 
-async def ask(address: str, request: Request, limit: float = ANSWER) -> Answer:
+async def call_once(address: str, request: Request, timeout: float = CALL_TIMEOUT_S) -> Answer:
     """One call on a connection of its own. Raises OSError, TimeoutError or Garbled where it has no answer."""
     host, _, port = address.rpartition(":")
-    async with asyncio.timeout(limit):
+    async with asyncio.timeout(timeout):
         reader, writer = await asyncio.open_connection(host, int(port))
         try:
             side = ClientSide(32 * 2**20, 32 * 2**20)
@@ -46,9 +46,13 @@
     what the platform tells it, without its addresses. `more`: keys of the relays' and the source's files."""
 
     def __init__(
-        self, told: Callable[[str], dict[str, Any]], relays: int, sidecars: int, more: dict[str, Any]
+        self,
+        settings_of: Callable[[str], dict[str, Any]],
+        relays: int,
+        sidecars: int,
+        extra_settings: dict[str, Any],
     ) -> None:
-        self.told, self.more = told, more
+        self.settings_of, self.extra_settings = settings_of, extra_settings
         self.relays = [f"relay-{at}" for at in range(relays)]
         self.sidecars = [f"sidecar-{at}" for at in range(sidecars)]
         self.listens: dict[str, str] = {}
@@ -57,8 +61,8 @@
         self.ports: list[int] = []
 
     async def __aenter__(self) -> ConfigRig:
-        self.holder = tempfile.TemporaryDirectory(prefix="lupinmill-config-")
-        self.folder = Path(self.holder.name)
+        self.temporary_folder = tempfile.TemporaryDirectory(prefix="lupinmill-config-")
+        self.folder = Path(self.temporary_folder.name)
         try:
             await self.set_up()
         except BaseException:
@@ -74,13 +78,13 @@
     async def set_up(self) -> None:
         names = ["source", *self.relays, *self.sidecars]
         for name in names:
-            self.listens[name], self.operators[name] = self.address(), self.address()
+            self.listens[name], self.operators[name] = self.reserve_address(), self.reserve_address()
         for name in names:
-            self.processes[name] = self.made(name)
-        places = asyncio.Semaphore(AT_ONCE)
+            self.processes[name] = self.create_process(name)
+        start_slots = asyncio.Semaphore(PARALLEL_STARTS)
 
         async def start(name: str) -> None:
-            async with places:
+            async with start_slots:
                 await self.start(name)
 
         await start("source")
@@ -90,12 +94,12 @@
                 if isinstance(outcome, BaseException):
                     raise outcome
 
-    def address(self) -> str:
+    def reserve_address(self) -> str:
         port = free_port(os.getpid() * 97)
         self.ports.append(port)
         return f"{HOST}:{port}"
 
-    def made(self, name: str) -> Process:
+    def create_process(self, name: str) -> Process:
         file = self.folder / f"{name}.toml"
         if name in self.sidecars:
             table = {
@@ -107,7 +111,12 @@
             file.write_text("\n".join(['site = "rig"', "[config]", *lines, ""]))
             (self.folder / "kept").mkdir(exist_ok=True)
             return Process(
-                name, 0, self.folder, self.sidecar, self.heard, {"BALANCER_OPERATOR_FILE": str(file)}
+                name,
+                0,
+                self.folder,
+                self.sidecar_settings,
+                self.ignore_log_event,
+                {"BALANCER_OPERATOR_FILE": str(file)},
             )
         table = {
             "name": name,
@@ -115,23 +124,23 @@
             "operator": self.operators[name],
             "keep": str(self.folder / "kept" / name),
             "upstreams": [] if name == "source" else [self.listens["source"]],
-            **self.more,
+            **self.extra_settings,
         }
         file.write_text("".join(f"{key} = {orjson.dumps(value).decode()}\n" for key, value in table.items()))
-        process = Process(name, 0, self.folder, lambda _: {}, self.heard)
+        process = Process(name, 0, self.folder, lambda _: {}, self.ignore_log_event)
         process.arguments = ["relay", str(file)]
         return process
 
-    def sidecar(self, process: Process) -> dict[str, Any]:
+    def sidecar_settings(self, process: Process) -> dict[str, Any]:
         name = process.name
         return {
-            **self.told(name),
+            **self.settings_of(name),
             "name": name,
             "listen": self.listens[name],
             "operator": self.operators[name],
         }
 
-    def heard(self, process: Process, event: dict[str, Any]) -> None:
+    def ignore_log_event(self, process: Process, event: dict[str, Any]) -> None:
         pass  # the last lines are kept by the process
 
     # What is asked of it.
@@ -140,7 +149,7 @@
         """Status, and the answer read as JSON, or its text."""
         data = b"" if body is None else orjson.dumps(body)
         request = Request(method.encode(), path.encode(), [(b"Host", b"rig")], data)
-        answer = await ask(self.operators[name], request)
+        answer = await call_once(self.operators[name], request)
         try:
             return answer.status, orjson.loads(answer.body)
         except orjson.JSONDecodeError:
@@ -153,7 +162,7 @@
             raise RuntimeError(f"push: {status} {found}")
         return found["index"]
 
-    async def standing(self) -> dict[str, dict[str, Any]]:
+    async def watcher_status(self) -> dict[str, dict[str, Any]]:
         """Of each sidecar, as the relay says that heard it last; `at`: which one."""
         found: dict[str, dict[str, Any]] = {}
         for name in self.relays:
@@ -164,25 +173,25 @@
             except (OSError, TimeoutError):
                 continue
             for row in table["watchers"]:
-                known = found.get(row["name"])
-                if known is None or row["heard_s"] < known["heard_s"]:
+                previous = found.get(row["name"])
+                if previous is None or row["heard_s"] < previous["heard_s"]:
                     found[row["name"]] = row | {"at": name, "relay_index": table["index"]}
         return found
 
-    async def until(
-        self, what: str, holds: Callable[[dict[str, dict[str, Any]]], bool], limit: float = 60.0
+    async def wait_until(
+        self, what: str, condition: Callable[[dict[str, dict[str, Any]]], bool], timeout: float = 60.0
     ) -> dict[str, dict[str, Any]]:
         """Waits for a state of `standing`. Raises AssertionError with it where it is not reached."""
-        ends = time.monotonic() + limit
-        while not holds(found := await self.standing()):
-            if time.monotonic() > ends:
-                raise AssertionError(f"{what}: not within {limit:g} s; {found}")
-            await asyncio.sleep(LOOK)
+        deadline = time.monotonic() + timeout
+        while not condition(found := await self.watcher_status()):
+            if time.monotonic() > deadline:
+                raise AssertionError(f"{what}: not within {timeout:g} s; {found}")
+            await asyncio.sleep(POLL_S)
         return found
 
     async def at_version(self, index: int) -> None:
         """All sidecars go by it, or by a later one."""
-        await self.until(
+        await self.wait_until(
             f"all at version {index}",
             lambda found: all(found.get(name, {"index": 0})["index"] >= index for name in self.sidecars),
         )
@@ -215,5 +224,5 @@
 
     async def close(self) -> None:
         await asyncio.gather(*(process.end() for process in self.processes.values()), return_exceptions=True)
-        TAKEN.difference_update(self.ports)
-        self.holder.cleanup()
+        RESERVED_PORTS.difference_update(self.ports)
+        self.temporary_folder.cleanup()
--- a/lupinmill/lab/fleet.py
+++ b/lupinmill/lab/fleet.py
@@ -14,11 +14,11 @@
 import numpy as np
 from msgspec import Struct, field
 
-SHIPPED = Path(__file__).parent / "fleets"
-MOST_MEMBERS = 2_000
+SHIPPED_DIRECTORY = Path(__file__).parent / "fleets"
+MAX_MEMBERS = 2_000
 
 
-class BadFleet(Exception):
+class FleetError(Exception):
     """One line: file, key, reason."""
 
 
@@ -88,51 +88,53 @@
     broken: list[str] = []  # invariants that did not hold, in words
 
 
-def shipped() -> list[str]:
-    return sorted(path.stem for path in SHIPPED.glob("*.toml"))
+def shipped_fleets() -> list[str]:
+    return sorted(path.stem for path in SHIPPED_DIRECTORY.glob("*.toml"))
 
 
-def drawn(seed: int) -> Fleet:
+def random_fleet(seed: int) -> Fleet:
     """A minute of troubles by chance, overlapping, on five to nine members; alike for one seed."""
-    chance = np.random.default_rng([seed, 7])
+    random_source = np.random.default_rng([seed, 7])
 
-    def some(most: int) -> list[int]:
-        count = int(chance.integers(1, most + 1))
-        return sorted(int(one) for one in chance.choice(members, count, replace=False))
+    def random_members(maximum: int) -> list[int]:
+        count = int(random_source.integers(1, maximum + 1))
+        return sorted(int(one) for one in random_source.choice(members, count, replace=False))
 
-    members = int(chance.choice([5, 6, 7, 9]))
+    members = int(random_source.choice([5, 6, 7, 9]))
     faults, at = [], 6.0
     while at < 44:
-        kind = str(chance.choice(["partition", "cut", "loss", "pause", "starve", "kill", "restart", "leave"]))
+        kind = str(
+            random_source.choice(["partition", "cut", "loss", "pause", "starve", "kill", "restart", "leave"])
+        )
         fault: dict[str, Any] = {"kind": kind, "at": round(at, 2)}
         if kind != "restart":
-            fault["until"] = round(at + float(chance.uniform(0.3, 6)), 2)
+            fault["until"] = round(at + float(random_source.uniform(0.3, 6)), 2)
         if kind == "partition":
-            fault["groups"] = [some(members - 1)]
+            fault["groups"] = [random_members(members - 1)]
         elif kind == "cut":
-            fault |= {"members": some(members - 1), "to": some(members - 1)}
+            fault |= {"members": random_members(members - 1), "to": random_members(members - 1)}
         elif kind == "loss":
-            fault["loss"] = float(chance.choice([0.1, 0.3, 0.6]))
+            fault["loss"] = float(random_source.choice([0.1, 0.3, 0.6]))
         else:
-            fault |= {"members": some(2), "stop_ms": float(chance.choice([100, 300, 900]))}
+            fault |= {"members": random_members(2), "stop_ms": float(random_source.choice([100, 300, 900]))}
         faults.append(fault)
-        at += float(chance.uniform(0.1, 5))
+        at += float(random_source.uniform(0.1, 5))
     network = {
-        "loss": float(chance.choice([0, 0, 0.05, 0.15])),
-        "double": float(chance.choice([0, 0.1])),
-        "late": float(chance.choice([0, 0.1])),
-        "late_ms": [20.0, float(chance.choice([100, 900]))],
+        "loss": float(random_source.choice([0, 0, 0.05, 0.15])),
+        "double": float(random_source.choice([0, 0.1])),
+        "late": float(random_source.choice([0, 0.1])),
+        "late_ms": [20.0, float(random_source.choice([100, 900]))],
     }
-    return understand(
+    return parse_fleet(
         {
             "title": f"drawn by {seed}",
             "seconds": 60,
             "members": members,
             "seed": seed,
             "network": network,
-            "electors": int(chance.choice([3, 3, 5])),
-            "keep": bool(chance.random() < 0.7),
-            "lease_s": float(chance.choice([1.0, 2.0, 4.0])),
+            "electors": int(random_source.choice([3, 3, 5])),
+            "keep": bool(random_source.random() < 0.7),
+            "lease_s": float(random_source.choice([1.0, 2.0, 4.0])),
             "fault": faults,
         }
     )
@@ -140,43 +142,43 @@
 
 def load(name: str) -> Fleet:
     """A shipped one by name, or a file. Raises BadFleet."""
-    path = Path(name) if name.endswith(".toml") else SHIPPED / f"{name}.toml"
+    path = Path(name) if name.endswith(".toml") else SHIPPED_DIRECTORY / f"{name}.toml"
     try:
-        return understand(tomllib.loads(path.read_text()))
+        return parse_fleet(tomllib.loads(path.read_text()))
     except OSError as error:
-        raise BadFleet(f"{name}: {error.strerror}; shipped are {', '.join(shipped())}") from error
-    except (tomllib.TOMLDecodeError, msgspec.ValidationError, BadFleet) as error:
-        raise BadFleet(f"{path.name}: {error}") from error
+        raise FleetError(f"{name}: {error.strerror}; shipped are {', '.join(shipped_fleets())}") from error
+    except (tomllib.TOMLDecodeError, msgspec.ValidationError, FleetError) as error:
+        raise FleetError(f"{path.name}: {error}") from error
 
 
-def understand(table: dict[str, Any]) -> Fleet:
+def parse_fleet(table: dict[str, Any]) -> Fleet:
     fleet = msgspec.convert(table, Fleet)
-    if not 2 <= fleet.members <= MOST_MEMBERS:
-        raise BadFleet(f"members: wants 2 to {MOST_MEMBERS}")
+    if not 2 <= fleet.members <= MAX_MEMBERS:
+        raise FleetError(f"members: wants 2 to {MAX_MEMBERS}")
     if fleet.electors not in (0, 3, 5, 7) or fleet.electors > fleet.members:
-        raise BadFleet("electors: wants 0, 3, 5 or 7, no more than members")
+        raise FleetError("electors: wants 0, 3, 5 or 7, no more than members")
     for at, fault in enumerate(fleet.fault):
         if not 0 <= fault.at <= fleet.seconds or fault.until and fault.until < fault.at:
-            raise BadFleet(f"fault.{at}.at: outside the run")
+            raise FleetError(f"fault.{at}.at: outside the run")
         numbers = [*fault.members, *fault.to, *(n for group in fault.groups for n in group)]
         if any(not 0 <= number < fleet.members for number in numbers):
-            raise BadFleet(f"fault.{at}.members: wants 0 to {fleet.members - 1}")
+            raise FleetError(f"fault.{at}.members: wants 0 to {fleet.members - 1}")
     return fleet
 
 
-def meant(fleet: Fleet, fault: Fault, seed: int) -> list[str]:
+def fault_members(fleet: Fleet, fault: Fault, seed: int) -> list[str]:
     """The members of a fault by name, drawn alike by both drivers."""
     names = fleet.names()
     if fault.members:
         return [names[at] for at in fault.members]
     if not fault.share:
         return []
-    chance = np.random.default_rng([seed, int(fault.at * 1000)])
+    random_source = np.random.default_rng([seed, int(fault.at * 1000)])
     count = round(fault.share * fleet.members)
-    return [names[at] for at in sorted(chance.choice(fleet.members, count, replace=False))]
+    return [names[at] for at in sorted(random_source.choice(fleet.members, count, replace=False))]
 
 
-def groups_of(fleet: Fleet, fault: Fault) -> dict[str, int]:
+def partition_sides(fleet: Fleet, fault: Fault) -> dict[str, int]:
     """Members to the number of their side."""
     names = fleet.names()
     if fault.into:
@@ -188,71 +190,71 @@
     return sides
 
 
-class Weather:
+class NetworkConditions:
     """What the network between members is like at a moment: shared by both drivers, so that they put the same
     faults between the same members."""
 
     def __init__(self, fleet: Fleet, seed: int) -> None:
         self.fleet, self.seed = fleet, seed
-        self.chance = np.random.default_rng([seed, 99])
-        self.draws: list[float] = []
+        self.random_source = np.random.default_rng([seed, 99])
+        self.drawn_numbers: list[float] = []
         self.sides: dict[str, int] | None = None
         self.cuts: list[tuple[Fault, frozenset[str], frozenset[str]]] = []
         self.loss = fleet.network.loss
-        self.on: list[Fault] = []
+        self.active_faults: list[Fault] = []
 
     def draw(self) -> float:
-        if not self.draws:
-            self.draws = self.chance.random(4096).tolist()
-        return self.draws.pop()
+        if not self.drawn_numbers:
+            self.drawn_numbers = self.random_source.random(4096).tolist()
+        return self.drawn_numbers.pop()
 
     def begin(self, fault: Fault) -> None:
-        self.on.append(fault)
-        self.look()
+        self.active_faults.append(fault)
+        self.update()
 
     def end(self, fault: Fault) -> None:
-        self.on.remove(fault)
-        self.look()
+        self.active_faults.remove(fault)
+        self.update()
 
-    def look(self) -> None:
+    def update(self) -> None:
         self.sides, self.loss, self.cuts = None, self.fleet.network.loss, []
         names = self.fleet.names()
-        for fault in self.on:
+        for fault in self.active_faults:
             if fault.kind == "partition":
-                self.sides = groups_of(self.fleet, fault)
+                self.sides = partition_sides(self.fleet, fault)
             elif fault.kind == "cut":
-                senders = frozenset(meant(self.fleet, fault, self.seed))
-                hearers = frozenset(names[at] for at in fault.to) or frozenset(names) - senders
-                self.cuts.append((fault, senders, hearers))
+                senders = frozenset(fault_members(self.fleet, fault, self.seed))
+                receivers = frozenset(names[at] for at in fault.to) or frozenset(names) - senders
+                self.cuts.append((fault, senders, receivers))
             elif fault.kind == "loss":
                 self.loss = max(self.loss, fault.loss)
 
-    def blocks(self, sender: str, hearer: str) -> bool:
+    def blocks(self, sender: str, receiver: str) -> bool:
         """Nothing passes from one to the other now. Whoever is no member stands on every side."""
-        if self.sides is not None and sender in self.sides and hearer in self.sides:
-            if self.sides[sender] != self.sides[hearer]:
+        if self.sides is not None and sender in self.sides and receiver in self.sides:
+            if self.sides[sender] != self.sides[receiver]:
                 return True
-        return any(sender in senders and hearer in hearers for _, senders, hearers in self.cuts)
+        return any(sender in senders and receiver in receivers for _, senders, receivers in self.cuts)
 
-    def delays(self, sender: str, hearer: str) -> list[float]:
+    def delays(self, sender: str, receiver: str) -> list[float]:
         """Seconds after which each copy of a datagram comes; none where it is lost."""
-        if self.blocks(sender, hearer):
+        if self.blocks(sender, receiver):
             return []
         network = self.fleet.network
-        found = []
+        delays_s = []
         for _ in range(2 if network.double and self.draw() < network.double else 1):
             if self.loss and self.draw() < self.loss:
                 continue
-            least, most = network.delay_ms
-            delay = least + (most - least) * self.draw()
+            minimum, maximum = network.delay_ms
+            delay = minimum + (maximum - minimum) * self.draw()
             if network.late and self.draw() < network.late:
-                least, most = network.late_ms
-                delay += least + (most - least) * self.draw()
-            found.append(delay / 1000)
-        return found
+                minimum, maximum = network.late_ms
+                delay += minimum + (maximum - minimum) * self.draw()
+            delays_s.append(delay / 1000)
+        return delays_s
 
 
-def apart(sides: dict[str, int], majority_of: int) -> dict[str, bool]:
+def sides_with_majority(sides: dict[str, int], majority_of: int) -> dict[str, bool]:
     """Which members are on a side with a majority."""
     sizes: dict[int, int] = {}
     for side in sides.values():
--- a/lupinmill/lab/fleet_report.py
+++ b/lupinmill/lab/fleet_report.py
@@ -14,12 +14,12 @@
 from lupinmill.lab.fleet import Event, FleetResult  # noqa: E402
 from lupinmill.lab.report import STYLE, svg  # noqa: E402
 
-STANDINGS = {"together": "#9ae6b4", "in doubt": "#faf089", "cut off": "#feb2b2", "alone": "#fc8181"}
-DOWN, LEASE, DEATH, FAULT = "#cbd5e0", "#2b6cb0", "#c53030", "#4a5568"
-MOST_ROWS = 400
+STATE_COLOURS = {"together": "#9ae6b4", "in doubt": "#faf089", "cut off": "#feb2b2", "alone": "#fc8181"}
+DOWN_COLOUR, LEASE_COLOUR, DEATH_COLOUR, FAULT_COLOUR = "#cbd5e0", "#2b6cb0", "#c53030", "#4a5568"
+MAX_ROWS = 400
 
 
-def spans(events: list[Event], who: str, end: float) -> list[tuple[float, float, str]]:
+def state_intervals(events: list[Event], who: str, end: float) -> list[tuple[float, float, str]]:
     """From, to and the standing of one member; `down` while its process does not run."""
     found, state, since = [], "down", 0.0
     for event in events:
@@ -33,10 +33,10 @@
         found.append((since, event.at, state))
         state, since = after, event.at
     found.append((since, end, state))
-    return [(a, b, what) for a, b, what in found if b > a]
+    return [(start, stop, what) for start, stop, what in found if stop > start]
 
 
-def leases(events: list[Event], who: str, end: float) -> list[tuple[float, float, int]]:
+def lease_intervals(events: list[Event], who: str, end: float) -> list[tuple[float, float, int]]:
     """From, to and epoch of what one member held by its own word."""
     found, since, epoch = [], 0.0, 0
     for event in events:
@@ -50,22 +50,29 @@
     return found + ([(since, end, epoch)] if epoch else [])
 
 
-def strips(result: FleetResult) -> str:
+def timeline_svg(result: FleetResult) -> str:
     names = result.fleet.names()
     end = max([result.fleet.seconds, *(event.at for event in result.events[-1:])])
     figure, axis = plt.subplots(figsize=(9.5, 1.2 + 0.22 * len(names)))
     for row, name in enumerate(names):
-        for a, b, what in spans(result.events, name, end):
-            axis.barh(row, b - a, left=a, height=0.8, color=STANDINGS.get(what, DOWN), linewidth=0)
-        for a, b, epoch in leases(result.events, name, end):
-            axis.barh(row, b - a, left=a, height=0.25, color=LEASE, linewidth=0)
-            axis.text(a, row + 0.15, str(epoch), fontsize=6, color=LEASE, va="bottom")
+        for start, stop, what in state_intervals(result.events, name, end):
+            axis.barh(
+                row,
+                stop - start,
+                left=start,
+                height=0.8,
+                color=STATE_COLOURS.get(what, DOWN_COLOUR),
+                linewidth=0,
+            )
+        for start, stop, epoch in lease_intervals(result.events, name, end):
+            axis.barh(row, stop - start, left=start, height=0.25, color=LEASE_COLOUR, linewidth=0)
+            axis.text(start, row + 0.15, str(epoch), fontsize=6, color=LEASE_COLOUR, va="bottom")
     for event in result.events:
         if event.what == "peer" and event.state == "dead" and event.about in names:
-            axis.plot(event.at, names.index(event.about), marker="|", markersize=5, color=DEATH)
+            axis.plot(event.at, names.index(event.about), marker="|", markersize=5, color=DEATH_COLOUR)
         elif event.what == "fault":
-            axis.axvline(event.at, color=FAULT, linewidth=0.7, linestyle=":")
-            axis.text(event.at, -1.1, event.state, fontsize=6, rotation=30, color=FAULT)
+            axis.axvline(event.at, color=FAULT_COLOUR, linewidth=0.7, linestyle=":")
+            axis.text(event.at, -1.1, event.state, fontsize=6, rotation=30, color=FAULT_COLOUR)
     axis.set_yticks(range(len(names)), names, fontsize=6)
     axis.set_ylim(len(names) - 0.4, -0.6)
     axis.set_xlim(0, end)
@@ -75,10 +82,10 @@
     return svg(figure)
 
 
-def rows(result: FleetResult) -> str:
+def event_table(result: FleetResult) -> str:
     shown = [event for event in result.events if event.what != "peer" or event.state in ("dead", "left")]
     cells = []
-    for event in shown[:MOST_ROWS]:
+    for event in shown[:MAX_ROWS]:
         epoch = f"epoch {event.epoch}" if event.epoch else f"number {event.version}" if event.version else ""
         words = (
             f"{event.at:.2f}",
@@ -90,7 +97,7 @@
             event.why,
         )
         cells.append("<tr>" + "".join(f"<td>{html.escape(word)}</td>" for word in words) + "</tr>")
-    more = f"<p class=small>and {len(shown) - MOST_ROWS} more</p>" if len(shown) > MOST_ROWS else ""
+    more = f"<p class=small>and {len(shown) - MAX_ROWS} more</p>" if len(shown) > MAX_ROWS else ""
     head = "<tr><th>s</th><th>who</th><th>what</th><th>about</th><th>now</th><th></th><th>why</th></tr>"
     return f"<table>{head}{''.join(cells)}</table>{more}"
 
@@ -98,14 +105,16 @@
 def page(result: FleetResult) -> str:
     figures = "".join(f"<tr><td>{html.escape(k)}</td><td>{v:g}</td></tr>" for k, v in result.figures.items())
     broken = "".join(f"<p class=bad>{html.escape(text)}</p>" for text in result.broken)
-    colours = ", ".join(f"<span style='background:{c}'>&nbsp;{n}&nbsp;</span>" for n, c in STANDINGS.items())
+    colours = ", ".join(
+        f"<span style='background:{c}'>&nbsp;{n}&nbsp;</span>" for n, c in STATE_COLOURS.items()
+    )
     return (
         f"<!doctype html><meta charset=utf-8><title>{html.escape(result.fleet.title)}</title>"
         f"<style>{STYLE}</style><h1>{html.escape(result.fleet.title)}</h1>"
         f"<p>{result.fleet.members} sidecars, {result.driver}, seed {result.seed}. Each strip is one "
         f"sidecar's own standing: {colours}; grey: its process does not run. The thin bar is a lease with "
         f"its epoch; a red mark: another one holds it dead.</p>"
-        f"{broken}{strips(result)}<table>{figures}</table>{rows(result)}"
+        f"{broken}{timeline_svg(result)}<table>{figures}</table>{event_table(result)}"
     )
 
 
--- a/lupinmill/lab/fleet_sockets.py
+++ b/lupinmill/lab/fleet_sockets.py
@@ -22,19 +22,19 @@
 
 import orjson
 
-from lupinmill.lab.fleet import Event, Fault, Fleet, FleetResult, Weather, meant
+from lupinmill.lab.fleet import Event, Fault, Fleet, FleetResult, NetworkConditions, fault_members
 from lupinmill.lab.processes import Process, call_operator, last_log_lines
 from lupinmill.peers.peer import REHEARSAL_TOPIC
 
 HOST = "127.0.0.1"
-LARGEST = 2_048
-LEAVES = 6.0  # seconds for a member to end after SIGTERM
-LOOK = 0.05
-KEPT = 100  # of each member's log lines
+MAX_DATAGRAM_BYTES = 2_048
+LEAVE_TIMEOUT_S = 6.0  # seconds for a member to end after SIGTERM
+POLL_S = 0.05
+MAX_LOG_LINES = 100  # of each member's log lines
 # Listening ports are told and below those that the system gives out: two sockets that share a port, as those
 # of an upgrade may, could otherwise be given one by chance.
-PORTS = range(20_000, 30_000)
-TAKEN: set[int] = set()
+PORT_RANGE = range(20_000, 30_000)
+RESERVED_PORTS: set[int] = set()
 WORKLOAD = {"name": "view", "repeat": "repeatable", "contract-time-s": 0.5, "hard-limit-s": 1.0}
 SETTINGS = {
     "tier": 0,
@@ -47,9 +47,9 @@
 
 def free_port(start: int) -> int:
     """One that nobody listens at, by TCP or UDP; it is this process's until `TAKEN` loses it."""
-    for at in range(len(PORTS)):
-        port = PORTS[(start + at) % len(PORTS)]
-        if port in TAKEN:
+    for at in range(len(PORT_RANGE)):
+        port = PORT_RANGE[(start + at) % len(PORT_RANGE)]
+        if port in RESERVED_PORTS:
             continue
         try:
             for kind in (socket.SOCK_STREAM, socket.SOCK_DGRAM):
@@ -57,38 +57,38 @@
                     sock.bind((HOST, port))
         except OSError:
             continue
-        TAKEN.add(port)
+        RESERVED_PORTS.add(port)
         return port
     raise OSError("no port is free")
 
 
-class Relay:
+class DatagramLink:
     """One end of a way between two members: what `sender` sends here goes on to `hearer` from the far end."""
 
-    def __init__(self, rig: Rig, sender: str, hearer: str) -> None:
-        self.rig, self.sender, self.hearer = rig, sender, hearer
+    def __init__(self, rig: Rig, sender: str, receiver: str) -> None:
+        self.rig, self.sender, self.receiver = rig, sender, receiver
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.sock.setblocking(False)
         self.sock.bind((HOST, 0))
         self.address = f"{HOST}:{self.sock.getsockname()[1]}"
-        self.far: Relay | None = None
-        self.passed = 0
+        self.reverse: DatagramLink | None = None
+        self.forwarded = 0
 
-    def readable(self) -> None:
+    def forward_received(self) -> None:
         for _ in range(64):
             try:
-                data = self.sock.recv(LARGEST)
+                data = self.sock.recv(MAX_DATAGRAM_BYTES)
             except OSError:
                 return
-            for delay in self.rig.weather.delays(self.sender, self.hearer):
-                self.rig.loop.call_later(delay, self.pass_on, data)
+            for delay in self.rig.network.delays(self.sender, self.receiver):
+                self.rig.loop.call_later(delay, self.forward, data)
 
-    def pass_on(self, data: bytes) -> None:
+    def forward(self, data: bytes) -> None:
         """The hearer knows the far end as the sender's address."""
-        assert self.far is not None
+        assert self.reverse is not None
         try:
-            self.far.sock.sendto(data, self.rig.binds[self.hearer])
-            self.passed += 1
+            self.reverse.sock.sendto(data, self.rig.binds[self.receiver])
+            self.forwarded += 1
         except OSError:
             pass  # the rig is closing, or a buffer is full: a lost datagram
 
@@ -99,28 +99,30 @@
 
     def __init__(self, fleet: Fleet, seed: int) -> None:
         self.fleet, self.seed = fleet, seed
-        self.weather = Weather(fleet, seed)
+        self.network = NetworkConditions(fleet, seed)
         self.result = FleetResult(fleet, "sockets", seed)
         self.names = fleet.names()
         self.electors = [self.names[at * fleet.members // fleet.electors] for at in range(fleet.electors)]
         self.binds: dict[str, tuple[str, int]] = {}
         self.ports: dict[str, tuple[int, int]] = {}  # for peers and clients, and for operators
-        self.relays: dict[tuple[str, str], Relay] = {}
+        self.links: dict[tuple[str, str], DatagramLink] = {}
         self.members: dict[str, Process] = {}
         self.views: dict[str, dict[str, str]] = {}
-        self.standings: dict[str, str] = {}
+        self.quorum_states: dict[str, str] = {}
         self.leases: dict[str, int] = {}
-        self.taken: dict[int, str] = {}
+        self.epoch_holders: dict[int, str] = {}
         self.decisions: dict[int, tuple[str, int]] = {}  # as told as made: version to maker and epoch
-        self.lines: dict[str, deque[dict[str, Any]]] = {name: deque(maxlen=KEPT) for name in self.names}
+        self.lines: dict[str, deque[dict[str, Any]]] = {
+            name: deque(maxlen=MAX_LOG_LINES) for name in self.names
+        }
         self.changed = asyncio.Event()
         self.tasks: dict[asyncio.Task[Any], None] = {}
         self.extra: dict[str, Any] = {}  # more of the operator's file
 
     async def __aenter__(self) -> Rig:
         self.loop = asyncio.get_running_loop()
-        self.folder_holder = tempfile.TemporaryDirectory(prefix="lupinmill-fleet-")
-        self.folder = Path(self.folder_holder.name)
+        self.temporary_folder = tempfile.TemporaryDirectory(prefix="lupinmill-fleet-")
+        self.folder = Path(self.temporary_folder.name)
         try:
             await self.set_up()
         except BaseException:
@@ -138,22 +140,22 @@
             self.ports[name] = (free_port(os.getpid() * 97), free_port(os.getpid() * 97))
             self.binds[name] = (HOST, self.ports[name][0])
         for sender in self.names:
-            for hearer in self.names:
-                if sender != hearer:
-                    self.relays[sender, hearer] = Relay(self, sender, hearer)
-        for (sender, hearer), relay in self.relays.items():
-            relay.far = self.relays[hearer, sender]
-            self.loop.add_reader(relay.sock, relay.readable)
-        self.began = time.monotonic()
+            for receiver in self.names:
+                if sender != receiver:
+                    self.links[sender, receiver] = DatagramLink(self, sender, receiver)
+        for (sender, receiver), link in self.links.items():
+            link.reverse = self.links[receiver, sender]
+            self.loop.add_reader(link.sock, link.forward_received)
+        self.started_at = time.monotonic()
         for name in self.names:
             environ = {"BALANCER_OPERATOR_FILE": str(self.folder / f"{name}.toml")}
-            self.members[name] = Process(name, 0, self.folder, self.told, self.heard, environ)
+            self.members[name] = Process(name, 0, self.folder, self.settings_for, self.log_received, environ)
             self.write_file(name, self.names)
         await asyncio.gather(*(self.start(name) for name in self.names))
 
     # Files.
 
-    def told(self, process: Process) -> dict[str, Any]:
+    def settings_for(self, process: Process) -> dict[str, Any]:
         return {
             "name": process.name,
             "listen": f"{HOST}:{self.ports[process.name][0]}",
@@ -170,7 +172,7 @@
         rows = []
         for at, other in enumerate(self.names):
             if other in roster:
-                address = "%s:%d" % self.binds[name] if other == name else self.relays[name, other].address
+                address = "%s:%d" % self.binds[name] if other == name else self.links[name, other].address
                 zone = at * self.fleet.zones // self.fleet.members
                 rows.append(f'[peers.members.{other}]\naddress = "{address}"\nzone = "z{zone}"\n')
         electors = [one for one in self.electors if one in roster]
@@ -186,7 +188,7 @@
     # Members.
 
     async def start(self, name: str) -> None:
-        self.views[name], self.standings[name] = {}, "alone"
+        self.views[name], self.quorum_states[name] = {}, "alone"
         self.leases.pop(name, None)
         await self.members[name].start()
         self.event(name, "life", state="started")
@@ -196,16 +198,16 @@
         self.leases.pop(name, None)
         self.event(name, "life", state="killed")
 
-    def stop(self, name: str) -> None:
+    def pause(self, name: str) -> None:
         self.members[name].signal(signal.SIGSTOP)
         self.event(name, "life", state="stopped")
 
-    def go_on(self, name: str) -> None:
+    def resume(self, name: str) -> None:
         self.members[name].signal(signal.SIGCONT)
         self.event(name, "life", state="goes on")
 
     async def leave(self, name: str) -> int | None:
-        code = await self.members[name].terminate(LEAVES)
+        code = await self.members[name].terminate(LEAVE_TIMEOUT_S)
         self.leases.pop(name, None)
         self.event(name, "life", state="left")
         return code
@@ -224,7 +226,7 @@
 
     # What they say.
 
-    def heard(self, process: Process, event: dict[str, Any]) -> None:
+    def log_received(self, process: Process, event: dict[str, Any]) -> None:
         name, what = process.name, event.get("event")
         if not str(what).startswith("watch"):  # there is no discovery here, and that is told all the time
             self.lines[name].append(event)
@@ -232,36 +234,38 @@
             self.views.setdefault(name, {})[event["member"]] = event["now"]
             self.event(name, "peer", event["member"], event["now"], why=event["why"])
         elif what == "standing":
-            self.standings[name] = event["now"]
+            self.quorum_states[name] = event["now"]
             self.event(name, "standing", state=event["now"], why=event["why"])
         elif what == "lease":
-            self.heard_lease(name, event)
+            self.lease_logged(name, event)
         elif what == "decision":
             version = int(event.get("version", 0))
             if event.get("text") == "made":
-                self.heard_made(name, version, int(event["epoch"]))
+                self.decision_logged(name, version, int(event["epoch"]))
             self.event(name, "decision", event["topic"], str(event.get("text", "known")), version=version)
         else:
             return
         self.changed.set()
 
-    def heard_lease(self, name: str, event: dict[str, Any]) -> None:
-        epoch, taken = int(event["epoch"]), event["text"] == "taken"
-        if taken:
-            if epoch in self.taken:
-                self.result.broken.append(f"epoch {epoch} was taken by {self.taken[epoch]} and by {name}")
-            self.taken[epoch] = name
+    def lease_logged(self, name: str, event: dict[str, Any]) -> None:
+        epoch, acquired = int(event["epoch"]), event["text"] == "taken"
+        if acquired:
+            if epoch in self.epoch_holders:
+                self.result.broken.append(
+                    f"epoch {epoch} was taken by {self.epoch_holders[epoch]} and by {name}"
+                )
+            self.epoch_holders[epoch] = name
             self.leases[name] = epoch
         elif self.leases.get(name) == epoch:
             del self.leases[name]
-        self.event(name, "lease", event["topic"], "taken" if taken else "ended", epoch, why=event["text"])
+        self.event(name, "lease", event["topic"], "taken" if acquired else "ended", epoch, why=event["text"])
 
-    def heard_made(self, name: str, version: int, epoch: int) -> None:
+    def decision_logged(self, name: str, version: int, epoch: int) -> None:
         """A new holder tells again what it found; nobody else may, and none with a lower number comes
         later."""
-        before = self.decisions.setdefault(version, (name, epoch))
-        if before[0] != name and epoch <= before[1] or version < max(self.decisions):
-            self.result.broken.append(f"decision {version}: {before}, then {name} under epoch {epoch}")
+        previous = self.decisions.setdefault(version, (name, epoch))
+        if previous[0] != name and epoch <= previous[1] or version < max(self.decisions):
+            self.result.broken.append(f"decision {version}: {previous}, then {name} under epoch {epoch}")
 
     def event(
         self,
@@ -273,47 +277,47 @@
         version: int = 0,
         why: str = "",
     ) -> None:
-        at = round(time.monotonic() - self.began, 3)
+        at = round(time.monotonic() - self.started_at, 3)
         self.result.events.append(Event(at, who, what, about, state, epoch, version, why))  # type: ignore[arg-type]
 
-    async def until(self, what: str, holds: Callable[[], bool], limit: float = 60.0) -> None:
+    async def wait_until(self, what: str, condition: Callable[[], bool], timeout: float = 60.0) -> None:
         """Waits for a state, never for a time. Raises AssertionError with each member's last log lines."""
-        ends = self.loop.time() + limit
-        while not holds():
-            if self.loop.time() > ends:
+        deadline = self.loop.time() + timeout
+        while not condition():
+            if self.loop.time() > deadline:
                 raise AssertionError(f"not reached (seed {self.seed}): {what}\n{self.last_lines()}")
             self.changed.clear()
             try:
-                await asyncio.wait_for(self.changed.wait(), LOOK * 4)
+                await asyncio.wait_for(self.changed.wait(), POLL_S * 4)
             except TimeoutError:
                 pass
 
     def last_lines(self, count: int = 12) -> str:
         return last_log_lines(self.lines, count)
 
-    def sees(self, who: str, status: str = "alive") -> set[str]:
+    def members_seen(self, who: str, status: str = "alive") -> set[str]:
         return {name for name, held in self.views.get(who, {}).items() if held == status}
 
     def agreed(self, among: list[str] | None = None) -> bool:
         """Each holds exactly the others for alive."""
         names = among if among is not None else self.running()
-        return all(self.sees(name) == set(names) - {name} for name in names)
+        return all(self.members_seen(name) == set(names) - {name} for name in names)
 
-    def stand(self, what: str, among: list[str] | None = None) -> bool:
+    def all_in_state(self, what: str, among: list[str] | None = None) -> bool:
         return all(
-            self.standings.get(name) == what for name in (among if among is not None else self.running())
+            self.quorum_states.get(name) == what for name in (among if among is not None else self.running())
         )
 
     # Faults.
 
     def begin(self, fault: Fault) -> None:
-        names = meant(self.fleet, fault, self.seed)
+        names = fault_members(self.fleet, fault, self.seed)
         self.event("", "fault", ",".join(names[:8]), f"{fault.kind} begins")
         if fault.kind in ("partition", "cut", "loss"):
-            self.weather.begin(fault)
+            self.network.begin(fault)
         for name in names:
             if fault.kind == "pause":
-                self.stop(name)
+                self.pause(name)
             elif fault.kind == "starve":
                 self.members[name].starve(fault.stop_ms / 1000)
             elif fault.kind in ("kill", "restart"):
@@ -321,23 +325,23 @@
                 if fault.forget:
                     (self.folder / "promises" / name / "promises").unlink(missing_ok=True)
                 if fault.kind == "restart":
-                    self.spawn(self.start_again(name))
+                    self.spawn(self.restart(name))
             elif fault.kind == "leave":
                 self.spawn(self.leave(name))
 
     def end(self, fault: Fault) -> None:
         self.event("", "fault", "", f"{fault.kind} ends")
         if fault.kind in ("partition", "cut", "loss"):
-            self.weather.end(fault)
-        for name in meant(self.fleet, fault, self.seed):
+            self.network.end(fault)
+        for name in fault_members(self.fleet, fault, self.seed):
             if fault.kind == "pause":
-                self.go_on(name)
+                self.resume(name)
             elif fault.kind == "starve":
                 self.members[name].starve(0)
             elif fault.kind in ("kill", "leave"):
-                self.spawn(self.start_again(name))
+                self.spawn(self.restart(name))
 
-    async def start_again(self, name: str) -> None:
+    async def restart(self, name: str) -> None:
         process = self.members[name]
         if process.process is not None:
             await process.process.wait()
@@ -356,21 +360,21 @@
         points = [(fault.at, 0, self.begin, fault) for fault in self.fleet.fault]
         points += [(fault.until, 1, self.end, fault) for fault in self.fleet.fault if fault.until]
         cpu = {name: process.cpu() for name, process in self.members.items()}
-        passed = sum(relay.passed for relay in self.relays.values())
-        for at, _, do, fault in sorted(points, key=lambda point: point[:2]):
+        forwarded_before = sum(link.forwarded for link in self.links.values())
+        for at, _, apply, fault in sorted(points, key=lambda point: point[:2]):
             await asyncio.sleep(max(0.0, start + at - self.loop.time()))
-            do(fault)
+            apply(fault)
         await asyncio.sleep(max(0.0, start + self.fleet.seconds - self.loop.time()))
         seconds = self.loop.time() - start
         steady = [
             name for name, process in self.members.items() if process.alive() and process.start_count == 1
         ]
-        used = sorted((self.members[name].cpu() - cpu[name]) / seconds for name in steady) or [0.0]
+        cpu_shares = sorted((self.members[name].cpu() - cpu[name]) / seconds for name in steady) or [0.0]
         memory = sorted(process.memory() for process in self.members.values() if process.alive()) or [0.0]
-        datagrams = sum(relay.passed for relay in self.relays.values()) - passed
+        datagrams = sum(link.forwarded for link in self.links.values()) - forwarded_before
         self.result.figures |= {
-            "cores_a_member": round(sum(used) / len(used), 4),
-            "cores_most": round(used[-1], 4),
+            "cores_a_member": round(sum(cpu_shares) / len(cpu_shares), 4),
+            "cores_most": round(cpu_shares[-1], 4),
             "memory_mb_most": round(memory[-1], 1),
             "datagrams_a_member_and_second": round(datagrams / seconds / self.fleet.members, 2),
             "agreed_at_end": float(self.agreed()),
@@ -385,12 +389,12 @@
         for process in self.members.values():
             process.signal(signal.SIGCONT)
         await asyncio.gather(*(process.end() for process in self.members.values()))
-        for relay in self.relays.values():
-            self.loop.remove_reader(relay.sock)
-            relay.sock.close()
+        for link in self.links.values():
+            self.loop.remove_reader(link.sock)
+            link.sock.close()
         for ports in self.ports.values():
-            TAKEN.difference_update(ports)
-        self.folder_holder.cleanup()
+            RESERVED_PORTS.difference_update(ports)
+        self.temporary_folder.cleanup()
 
 
 async def play(fleet: Fleet, seed: int) -> FleetResult:
--- a/lupinmill/lab/fleet_streams.py
+++ b/lupinmill/lab/fleet_streams.py
@@ -12,20 +12,22 @@
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
 
-from lupinmill.lab.fleet import Weather
+from lupinmill.lab.fleet import NetworkConditions
 
 HOST = "127.0.0.1"
-PIECE = 16 * 1024
-LOOK_AT_CUT = 0.02  # seconds between two looks at a blocked direction
-MOST_CONNECTIONS = 256
-RESET = struct.pack("ii", 1, 0)
+CHUNK_BYTES = 16 * 1024
+CUT_POLL_S = 0.02  # seconds between two looks at a blocked direction
+MAX_CONNECTIONS = 256
+LINGER_RESET = struct.pack("ii", 1, 0)
 
 
-class Way:
+class StreamProxy:
     """What `sender` opens to `address` goes to `hearer`, which listens at `target`."""
 
-    def __init__(self, weather: Weather, sender: str, hearer: str, target: tuple[str, int]) -> None:
-        self.weather, self.sender, self.hearer, self.target = weather, sender, hearer, target
+    def __init__(
+        self, network: NetworkConditions, sender: str, receiver: str, target: tuple[str, int]
+    ) -> None:
+        self.network, self.sender, self.receiver, self.target = network, sender, receiver, target
         self.server: asyncio.Server | None = None
         self.writers: dict[asyncio.StreamWriter, None] = {}
         self.tasks: dict[asyncio.Task[None], None] = {}
@@ -38,7 +40,7 @@
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         task = asyncio.current_task()
         assert task is not None
-        if len(self.tasks) >= MOST_CONNECTIONS:
+        if len(self.tasks) >= MAX_CONNECTIONS:
             writer.close()
             return
         self.tasks[task] = self.writers[writer] = None
@@ -53,7 +55,7 @@
 
     async def carry(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """One connection, until both ends are done. One begun behind a cut stands there until it heals."""
-        await self.passable(0)
+        await self.wait_until_passable(0)
         async with self.far_end() as (back, far):
             await self.pump_both(reader, writer, back, far)
 
@@ -82,22 +84,22 @@
 
     def blocked(self, direction: int) -> bool:
         """Whether nothing passes that way now; 0: forth, 1: back."""
-        ends = (self.sender, self.hearer) if direction == 0 else (self.hearer, self.sender)
-        return self.weather.blocks(*ends)
+        ends = (self.sender, self.receiver) if direction == 0 else (self.receiver, self.sender)
+        return self.network.blocks(*ends)
 
-    async def passable(self, direction: int) -> None:
+    async def wait_until_passable(self, direction: int) -> None:
         """Waits until the direction is not cut."""
         while self.blocked(direction):
-            await asyncio.sleep(LOOK_AT_CUT)
+            await asyncio.sleep(CUT_POLL_S)
 
     async def pump(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, direction: int) -> None:
         """Each direction by itself: one that is cut does not hold the other up. An end passes as an end."""
-        while data := await reader.read(PIECE):
-            await self.passable(direction)
+        while data := await reader.read(CHUNK_BYTES):
+            await self.wait_until_passable(direction)
             writer.write(data)
             await writer.drain()
             self.passed[direction] += len(data)
-        await self.passable(direction)
+        await self.wait_until_passable(direction)
         if writer.can_write_eof():
             writer.write_eof()
 
@@ -106,7 +108,7 @@
         for writer in list(self.writers):
             sock = writer.get_extra_info("socket")
             if sock is not None:
-                sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+                sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
             writer.transport.abort()
 
     async def close(self) -> None:
--- a/lupinmill/lab/fleet_virtual.py
+++ b/lupinmill/lab/fleet_virtual.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from lupinmill.lab.fleet import Event, Fault, Fleet, FleetResult, Weather, meant
+from lupinmill.lab.fleet import Event, Fault, Fleet, FleetResult, NetworkConditions, fault_members
 from lupinmill.peers import wire
 from lupinmill.peers.elector import Memory, Persist, majority
 from lupinmill.peers.peer import REHEARSAL_TOPIC, DecisionAdopted, DecisionExpired, Peer, PeerSettings
@@ -28,11 +28,11 @@
 )
 from lupinmill.peers.wire import Status
 
-EPOCH = 1_000 * SECOND  # where clocks begin, more or less: no member's is another's
-STARVED_TURN = 50 * MS
-LATELY = 5 * SECOND  # after a fault a death may still be its consequence
-DECIDE_EVERY = 700 * MS
-SEND_SIZE_EVERY = 50  # every so many datagrams are encoded for their size
+CLOCK_START = 1_000 * SECOND  # where clocks begin, more or less: no member's is another's
+STARVED_RUN_TIME = 50 * MS
+FAULT_AFTERMATH = 5 * SECOND  # after a fault a death may still be its consequence
+DECIDE_INTERVAL = 700 * MS
+SIZE_SAMPLE_INTERVAL = 50  # every so many datagrams are encoded for their size
 
 
 @dataclass
@@ -40,18 +40,18 @@
     """One member's machine: its clock, its disk, and the core of the process that runs on it now."""
 
     name: str
-    ahead: int  # of the run's time
-    pace: float  # its clock against the run's, within the bound on drift
+    clock_offset: int  # of the run's time
+    clock_rate: float  # its clock against the run's, within the bound on drift
     peer: Peer | None = None
-    disk: bytes | None = None
+    stored: bytes | None = None
     paused: bool = False
     inbox: list[Received] = field(default_factory=list)
-    wakes: int = -1  # the moment it is queued for
-    life: int = 0
-    began: int = 0  # its process's start, or when it went on after a stop
+    wake_due: int = -1  # the moment it is queued for
+    starts: int = 0
+    running_since: int = 0  # its process's start, or when it went on after a stop
     sent: int = 0
-    held: dict[str, int] = field(default_factory=dict)  # leases, by its own word
-    starving: Fault | None = None
+    held_leases: dict[str, int] = field(default_factory=dict)  # leases, by its own word
+    starvation: Fault | None = None
 
 
 class VirtualFleet:
@@ -59,112 +59,118 @@
         self, fleet: Fleet, seed: int, timing: MembershipTiming | None = None, decide: bool = True
     ) -> None:
         self.fleet, self.seed, self.now = fleet, seed, 0
-        self.weather = Weather(fleet, seed)
+        self.network = NetworkConditions(fleet, seed)
         self.timing = timing or MembershipTiming(round=fleet.round_ms * MS)
         self.decide = decide
         self.result = FleetResult(fleet, "virtual", seed)
         names = fleet.names()
         self.electors = tuple(names[at * fleet.members // fleet.electors] for at in range(fleet.electors))
-        self.seats = tuple(
+        self.roster = tuple(
             RosterEntry(name, f"127.0.0.1:{at + 1}", f"z{at * fleet.zones // fleet.members}")
             for at, name in enumerate(names)
         )
-        chance = self.weather.chance
+        random_source = self.network.random_source
         self.hosts = {
             name: Host(
-                name, EPOCH + int(chance.integers(3600)) * SECOND, 1 + float(chance.uniform(-0.004, 0.004))
+                name,
+                CLOCK_START + int(random_source.integers(3600)) * SECOND,
+                1 + float(random_source.uniform(-0.004, 0.004)),
             )
             for name in names
         }
         self.queue: list[tuple[int, int, str, object]] = []
-        self.serial = self.lives = 0
+        self.serial = self.start_count = 0
         self.sizes: list[int] = []
         self.datagrams = 0
         self.decisions: dict[int, tuple[int, bytes]] = {}  # version: epoch and body, as told as made
-        self.epochs: dict[int, str] = {}  # taken by whom
-        self.false_deaths, self.calm_since = 0, 0
+        self.epoch_holders: dict[int, str] = {}  # taken by whom
+        self.false_deaths, self.quiet_since = 0, 0
         # Electors without directories keep numbers only while a majority of them remembers: docs/peers.md.
-        self.forgot = False
-        self.check_truth = True
+        self.memory_lost = False
+        self.check_leases = True
 
     # The run.
 
-    def put(self, at: int, what: str, whom: object) -> None:
+    def schedule(self, at: int, kind: str, argument: object) -> None:
         self.serial += 1
-        heapq.heappush(self.queue, (at, self.serial, what, whom))
+        heapq.heappush(self.queue, (at, self.serial, kind, argument))
 
     def play(self) -> FleetResult:
         for name in self.hosts:
-            self.put(int(self.weather.draw() * SECOND), "start", name)
+            self.schedule(int(self.network.draw() * SECOND), "start", name)
         for fault in self.fleet.fault:
-            self.put(int(fault.at * SECOND), "begin", fault)
+            self.schedule(int(fault.at * SECOND), "begin", fault)
             if fault.until:
-                self.put(int(fault.until * SECOND), "end", fault)
+                self.schedule(int(fault.until * SECOND), "end", fault)
         if self.decide and self.electors:
-            self.put(DECIDE_EVERY, "decide", None)
+            self.schedule(DECIDE_INTERVAL, "decide", None)
         self.run_until(int(self.fleet.seconds * SECOND))
-        self.sum_up()
+        self.summarize()
         return self.result
 
     def run_until(self, end: int) -> None:
         while self.queue and self.queue[0][0] <= end:
-            self.now, _, what, whom = heapq.heappop(self.queue)
-            getattr(self, f"do_{what}")(whom)
+            self.now, _, kind, argument = heapq.heappop(self.queue)
+            getattr(self, f"do_{kind}")(argument)
         self.now = end
 
     def clock(self, host: Host) -> int:
-        return host.ahead + int(self.now * host.pace)
+        return host.clock_offset + int(self.now * host.clock_rate)
 
     def do_start(self, name: str) -> None:
         host = self.hosts[name]
         if host.peer is not None:
             return
-        self.lives += 1
-        host.life += 1
-        host.began = self.now
+        self.start_count += 1
+        host.starts += 1
+        host.running_since = self.now
         memory = None
-        if host.disk is not None:
-            memory = msgspec.msgpack.decode(host.disk, type=Memory)
-        wants = (REHEARSAL_TOPIC,) if name in self.electors else ()
-        told = PeerSettings(
+        if host.stored is not None:
+            memory = msgspec.msgpack.decode(host.stored, type=Memory)
+        wanted_topics = (REHEARSAL_TOPIC,) if name in self.electors else ()
+        settings = PeerSettings(
             name,
-            self.seats,
+            self.roster,
             self.electors,
-            wanted_topics=wants,
+            wanted_topics=wanted_topics,
             lease=int(self.fleet.lease_s * SECOND),
             timing=self.timing,
         )
-        host.peer = Peer(told, self.lives, self.seed * 1_000_003 + self.lives, self.clock(host), memory)
-        host.inbox, host.held, host.paused, host.wakes = [], {}, False, -1
+        host.peer = Peer(
+            settings, self.start_count, self.seed * 1_000_003 + self.start_count, self.clock(host), memory
+        )
+        host.inbox, host.held_leases, host.paused, host.wake_due = [], {}, False, -1
         self.event(host, "life", state="started")
-        self.look_who_remembers()
+        self.check_elector_memory()
         self.step(host)
 
-    def look_who_remembers(self) -> None:
+    def check_elector_memory(self) -> None:
         peers = [self.hosts[name].peer for name in self.electors]
-        remember = sum(p is not None and p.elector is not None and p.elector.votes() for p in peers)
-        kept = sum(
-            self.hosts[name].disk is not None and self.hosts[name].peer is None for name in self.electors
+        remembering = sum(p is not None and p.elector is not None and p.elector.votes() for p in peers)
+        stored_count = sum(
+            self.hosts[name].stored is not None and self.hosts[name].peer is None for name in self.electors
+        )
+        self.memory_lost |= bool(self.epoch_holders) and remembering + stored_count < majority(
+            len(self.electors)
         )
-        self.forgot |= bool(self.epochs) and remember + kept < majority(len(self.electors))
 
-    def do_datagram(self, what: tuple[str, Received]) -> None:
-        name, heard = what
+    def do_datagram(self, message: tuple[str, Received]) -> None:
+        name, received = message
         host = self.hosts[name]
         if host.peer is None:
             return
         if host.paused:
             if len(host.inbox) < 2_000:  # what a socket's buffer holds
-                host.inbox.append(heard)
+                host.inbox.append(received)
             return
-        self.step(host, [heard])
+        self.step(host, [received])
 
-    def do_wake(self, what: tuple[str, int]) -> None:
-        name, at = what
+    def do_wake(self, message: tuple[str, int]) -> None:
+        name, due = message
         host = self.hosts[name]
-        if host.wakes != at or host.peer is None or host.paused:
+        if host.wake_due != due or host.peer is None or host.paused:
             return
-        host.wakes = -1
+        host.wake_due = -1
         self.step(host)
 
     def do_go_on(self, name: str) -> None:
@@ -172,21 +178,21 @@
         host = self.hosts[name]
         if host.peer is None or not host.paused:
             return
-        host.paused, host.began = False, self.now
+        host.paused, host.running_since = False, self.now
         inbox, host.inbox = host.inbox, []
         self.step(host, inbox)
-        if host.starving is not None:
-            self.put(self.now + STARVED_TURN, "stop", name)
+        if host.starvation is not None:
+            self.schedule(self.now + STARVED_RUN_TIME, "stop", name)
 
     def do_stop(self, name: str) -> None:
         host = self.hosts[name]
-        if host.starving is None or host.peer is None or host.paused:
+        if host.starvation is None or host.peer is None or host.paused:
             return
         host.paused = True
-        self.put(self.now + int(host.starving.stop_ms * MS), "go_on", name)
+        self.schedule(self.now + int(host.starvation.stop_ms * MS), "go_on", name)
 
     def do_decide(self, _: None) -> None:
-        self.put(self.now + DECIDE_EVERY, "decide", None)
+        self.schedule(self.now + DECIDE_INTERVAL, "decide", None)
         for name in self.electors:
             host = self.hosts[name]
             if host.peer is not None and not host.paused:
@@ -196,41 +202,41 @@
     # Faults.
 
     def do_begin(self, fault: Fault) -> None:
-        kind, names = fault.kind, meant(self.fleet, fault, self.seed)
+        kind, names = fault.kind, fault_members(self.fleet, fault, self.seed)
         self.result.events.append(
             Event(self.now / SECOND, "", "fault", ",".join(names[:8]), f"{kind} begins")
         )
         if kind in ("partition", "cut", "loss"):
-            self.weather.begin(fault)
+            self.network.begin(fault)
         for name in names:
             host = self.hosts[name]
             if kind == "pause":
                 host.paused = host.peer is not None
             elif kind == "starve":
-                host.starving = fault
+                host.starvation = fault
                 self.do_stop(name)
             elif kind in ("kill", "restart"):
                 self.kill(host, fault.forget)
                 if kind == "restart":
-                    self.put(self.now + int((0.3 + self.weather.draw()) * SECOND), "start", name)
+                    self.schedule(self.now + int((0.3 + self.network.draw()) * SECOND), "start", name)
             elif kind == "leave" and host.peer is not None:
                 self.step(host, [Leave()])
-                self.put(self.now + SECOND, "gone", name)
+                self.schedule(self.now + SECOND, "gone", name)
 
     def do_end(self, fault: Fault) -> None:
         self.result.events.append(Event(self.now / SECOND, "", "fault", "", f"{fault.kind} ends"))
         if fault.kind in ("partition", "cut", "loss"):
-            self.weather.end(fault)
-            self.calm_since = self.now
-        for name in meant(self.fleet, fault, self.seed):
+            self.network.end(fault)
+            self.quiet_since = self.now
+        for name in fault_members(self.fleet, fault, self.seed):
             host = self.hosts[name]
             if fault.kind == "pause":
                 self.do_go_on(name)
             elif fault.kind == "starve":
-                host.starving = None
+                host.starvation = None
                 self.do_go_on(name)
             elif fault.kind in ("kill", "leave"):
-                self.put(self.now + int(self.weather.draw() * SECOND), "start", name)
+                self.schedule(self.now + int(self.network.draw() * SECOND), "start", name)
 
     def do_gone(self, name: str) -> None:
         self.kill(self.hosts[name], False)
@@ -238,124 +244,137 @@
     def kill(self, host: Host, forget: bool) -> None:
         if host.peer is not None:
             self.event(host, "life", state="killed")
-        host.peer, host.paused, host.held = None, False, {}
+        host.peer, host.paused, host.held_leases = None, False, {}
         if forget:
-            host.disk = None
+            host.stored = None
 
     # Steps.
 
-    def step(self, host: Host, notes: list | None = None) -> None:
-        pending = notes or []
+    def step(self, host: Host, events: list | None = None) -> None:
+        pending = events or []
         while host.peer is not None:
-            own: list[Received] = []
-            for order in host.peer.step(self.clock(host), pending):
-                self.carry_out(host, order, own)
-            if not own:
+            to_self: list[Received] = []
+            for command in host.peer.step(self.clock(host), pending):
+                self.execute(host, command, to_self)
+            if not to_self:
                 break
-            pending = own
+            pending = to_self
         if host.peer is None:
             return
-        at = max(self.now + 1, self.now + int((host.peer.next_due() - self.clock(host)) / host.pace) + 1)
-        if host.wakes != at:
-            host.wakes = at
-            self.put(at, "wake", (host.name, at))
-        if self.check_truth:
-            self.look_for_two()
-
-    def carry_out(self, host: Host, order: object, own: list[Received]) -> None:
-        if isinstance(order, Send):
-            self.send(host, order, own)
-        elif isinstance(order, Persist):
+        at = max(
+            self.now + 1, self.now + int((host.peer.next_due() - self.clock(host)) / host.clock_rate) + 1
+        )
+        if host.wake_due != at:
+            host.wake_due = at
+            self.schedule(at, "wake", (host.name, at))
+        if self.check_leases:
+            self.check_single_holder()
+
+    def execute(self, host: Host, command: object, to_self: list[Received]) -> None:
+        if isinstance(command, Send):
+            self.send(host, command, to_self)
+        elif isinstance(command, Persist):
             if self.fleet.keep:
-                host.disk = order.data
-            for send in order.then_send:
-                self.send(host, send, own)
-        elif isinstance(order, MemberChanged):
-            self.event(host, "peer", order.name, order.after.name.lower(), why=order.reason)
-            if order.after is Status.DEAD:
-                self.false_deaths += self.was_well(order.name)
-        elif isinstance(order, QuorumChanged):
-            self.event(host, "standing", state=order.after.value, why=order.reason)
-        elif isinstance(order, LeaseAcquired):
-            host.held[order.topic] = order.epoch
-            if order.epoch in self.epochs and not self.forgot:
-                self.broken(f"epoch {order.epoch} was taken by {self.epochs[order.epoch]} and by {host.name}")
-            self.epochs[order.epoch] = host.name
-            self.event(host, "lease", order.topic, "taken", order.epoch)
-        elif isinstance(order, LeaseLost):
-            host.held.pop(order.topic, None)
-            self.event(host, "lease", order.topic, "ended", order.epoch, why=order.reason)
-        elif isinstance(order, DecisionAccepted):
-            self.chosen(host, order)
-        elif isinstance(order, DecisionAdopted | DecisionExpired):
-            version = order.version if isinstance(order, DecisionAdopted) else 0
-            self.event(host, "decision", order.topic, "known" if version else "forgotten", version=version)
-            if isinstance(order, DecisionAdopted) and version in self.decisions:
-                if self.decisions[version][1] != order.body and not self.forgot:
-                    self.broken(f"{host.name} goes by another decision {version} than was made")
-
-    def was_well(self, name: str) -> bool:
+                host.stored = command.data
+            for send in command.then_send:
+                self.send(host, send, to_self)
+        elif isinstance(command, MemberChanged):
+            self.event(host, "peer", command.name, command.after.name.lower(), why=command.reason)
+            if command.after is Status.DEAD:
+                self.false_deaths += self.was_healthy(command.name)
+        elif isinstance(command, QuorumChanged):
+            self.event(host, "standing", state=command.after.value, why=command.reason)
+        elif isinstance(command, LeaseAcquired):
+            host.held_leases[command.topic] = command.epoch
+            if command.epoch in self.epoch_holders and not self.memory_lost:
+                self.report_violation(
+                    f"epoch {command.epoch} was taken by {self.epoch_holders[command.epoch]}"
+                    f" and by {host.name}"
+                )
+            self.epoch_holders[command.epoch] = host.name
+            self.event(host, "lease", command.topic, "taken", command.epoch)
+        elif isinstance(command, LeaseLost):
+            host.held_leases.pop(command.topic, None)
+            self.event(host, "lease", command.topic, "ended", command.epoch, why=command.reason)
+        elif isinstance(command, DecisionAccepted):
+            self.decision_accepted(host, command)
+        elif isinstance(command, DecisionAdopted | DecisionExpired):
+            version = command.version if isinstance(command, DecisionAdopted) else 0
+            self.event(host, "decision", command.topic, "known" if version else "forgotten", version=version)
+            if isinstance(command, DecisionAdopted) and version in self.decisions:
+                if self.decisions[version][1] != command.body and not self.memory_lost:
+                    self.report_violation(f"{host.name} goes by another decision {version} than was made")
+
+    def was_healthy(self, name: str) -> bool:
         """It ran for a while, was neither stopped nor starved, and no cut or loss by a fault was on."""
         host = self.hosts.get(name)
-        if host is None or host.peer is None or host.paused or host.starving is not None or self.weather.on:
+        if (
+            host is None
+            or host.peer is None
+            or host.paused
+            or host.starvation is not None
+            or self.network.active_faults
+        ):
             return False
-        return self.now - max(host.began, self.calm_since) > LATELY
-
-    def chosen(self, host: Host, order: DecisionAccepted) -> None:
-        self.event(host, "decision", order.topic, "made", order.epoch, order.version)
-        before = self.decisions.get(order.version)
-        if before is not None and before[1] != order.body and not self.forgot:
-            self.broken(f"two decisions have number {order.version}")
-        self.decisions[order.version] = (order.epoch, order.body)
-        if order.version < max(self.decisions) and not self.forgot:
-            self.broken(f"decision {max(self.decisions)} was told as made, and {order.version} came after it")
-
-    def look_for_two(self) -> None:
+        return self.now - max(host.running_since, self.quiet_since) > FAULT_AFTERMATH
+
+    def decision_accepted(self, host: Host, command: DecisionAccepted) -> None:
+        self.event(host, "decision", command.topic, "made", command.epoch, command.version)
+        previous = self.decisions.get(command.version)
+        if previous is not None and previous[1] != command.body and not self.memory_lost:
+            self.report_violation(f"two decisions have number {command.version}")
+        self.decisions[command.version] = (command.epoch, command.body)
+        if command.version < max(self.decisions) and not self.memory_lost:
+            self.report_violation(
+                f"decision {max(self.decisions)} was told as made, and {command.version} came after it"
+            )
+
+    def check_single_holder(self) -> None:
         """Who may act on the lease at this very moment, by its own clock."""
         holders = (
             [
                 name
                 for name, host in self.hosts.items()
-                if host.held
+                if host.held_leases
                 and host.peer is not None
                 and host.peer.held_epoch(REHEARSAL_TOPIC, self.clock(host))
             ]
-            if any(self.hosts[name].held for name in self.electors)
+            if any(self.hosts[name].held_leases for name in self.electors)
             else []
         )
         if len(holders) > 1:
-            self.broken(f"{' and '.join(holders)} hold one lease at {self.now / SECOND:.3f} s")
+            self.report_violation(f"{' and '.join(holders)} hold one lease at {self.now / SECOND:.3f} s")
 
-    def send(self, host: Host, order: Send, own: list[Received]) -> None:
-        heard = Received(host.name, order.body, order.updates)
-        if order.to == host.name:
-            own.append(heard)
+    def send(self, host: Host, command: Send, to_self: list[Received]) -> None:
+        received = Received(host.name, command.body, command.updates)
+        if command.to == host.name:
+            to_self.append(received)
             return
-        if order.to not in self.hosts:
+        if command.to not in self.hosts:
             return
         host.sent += 1
         self.datagrams += 1
-        if self.datagrams % SEND_SIZE_EVERY == 0:
-            self.sizes.append(len(wire.encode(1, order.body, order.updates)))
-        for delay in self.weather.delays(host.name, order.to):
-            self.put(self.now + max(1, int(delay * SECOND)), "datagram", (order.to, heard))
+        if self.datagrams % SIZE_SAMPLE_INTERVAL == 0:
+            self.sizes.append(len(wire.encode(1, command.body, command.updates)))
+        for delay in self.network.delays(host.name, command.to):
+            self.schedule(self.now + max(1, int(delay * SECOND)), "datagram", (command.to, received))
 
     # What it tells.
 
     def event(
         self,
         host: Host,
-        what: str,
+        kind: str,
         about: str = "",
         state: str = "",
         epoch: int = 0,
         version: int = 0,
         why: str = "",
     ) -> None:
-        event = Event(round(self.now / SECOND, 4), host.name, what, about, state, epoch, version, why)  # type: ignore[arg-type]
+        event = Event(round(self.now / SECOND, 4), host.name, kind, about, state, epoch, version, why)  # type: ignore[arg-type]
         self.result.events.append(event)
 
-    def broken(self, text: str) -> None:
+    def report_violation(self, text: str) -> None:
         if text not in self.result.broken and len(self.result.broken) < 20:
             self.result.broken.append(text)
 
@@ -375,7 +394,7 @@
             for name, view in self.views().items()
         )
 
-    def sum_up(self) -> None:
+    def summarize(self) -> None:
         seconds = self.fleet.seconds
         sent = sorted(host.sent / seconds for host in self.hosts.values())
         self.result.figures |= {
--- a/lupinmill/lab/scale/honest.py
+++ b/lupinmill/lab/scale/honest.py
@@ -17,7 +17,7 @@
 import anyio
 import orjson
 
-from lupinmill.lab.fleet_sockets import HOST, SETTINGS, TAKEN, free_port
+from lupinmill.lab.fleet_sockets import HOST, RESERVED_PORTS, SETTINGS, free_port
 from lupinmill.lab.processes import Process, call_operator
 from lupinmill.lab.scale.hollow import names
 from lupinmill.lab.scale.loopback import ALL_KNOWN, WINDOW, Hollow, Side, Watch, fleet_text, settled_rounds
@@ -67,7 +67,7 @@
                 return found
             finally:
                 await asyncio.gather(*(one.end() for one in processes))
-                TAKEN.difference_update(self.ports)
+                RESERVED_PORTS.difference_update(self.ports)
 
     def told(self, process: Process) -> dict[str, Any]:
         at = self.names.index(process.name)
--- a/lupinmill/lab/scale/loopback.py
+++ b/lupinmill/lab/scale/loopback.py
@@ -16,7 +16,7 @@
 import orjson
 
 from lupinmill import terms as t
-from lupinmill.lab.fleet_sockets import HOST, SETTINGS, TAKEN, free_port
+from lupinmill.lab.fleet_sockets import HOST, RESERVED_PORTS, SETTINGS, free_port
 from lupinmill.lab.scale.hollow import names
 from lupinmill.peers.driver import Driver
 from lupinmill.peers.membership import JOIN_ROUNDS, TABLE_SYNC_ROUNDS
@@ -146,7 +146,7 @@
                 group.cancel_scope.cancel()
             return found
         finally:
-            TAKEN.difference_update(self.ports)
+            RESERVED_PORTS.difference_update(self.ports)
 
     async def count(self, window: int) -> Side:
         with anyio.fail_after(ALL_KNOWN):
--- a/lupinmill/lab/scale/settings.py
+++ b/lupinmill/lab/scale/settings.py
@@ -19,7 +19,7 @@
 
 import orjson
 
-from lupinmill.lab.fleet_sockets import HOST, SETTINGS, TAKEN, free_port
+from lupinmill.lab.fleet_sockets import HOST, RESERVED_PORTS, SETTINGS, free_port
 from lupinmill.lab.processes import Process
 from lupinmill.lab.scale.hollow import seats
 from lupinmill.peers import wire
@@ -180,4 +180,4 @@
             return found
         finally:
             await process.end()
-            TAKEN.difference_update(ports)
+            RESERVED_PORTS.difference_update(ports)
--- a/lupinmill/lab/sockets/run.py
+++ b/lupinmill/lab/sockets/run.py
@@ -11,7 +11,7 @@
 
 from lupinmill.lab.clients import Clients
 from lupinmill.lab.endpoint import Endpoint
-from lupinmill.lab.fleet_sockets import TAKEN, free_port
+from lupinmill.lab.fleet_sockets import RESERVED_PORTS, free_port
 from lupinmill.lab.measure import Measure, observe_endpoints
 from lupinmill.lab.processes import Process
 from lupinmill.lab.registry import Entry
@@ -171,7 +171,7 @@
         self.clock.stop()
         self.requests.close()
         await asyncio.gather(*(process.end() for process in self.processes()), return_exceptions=True)
-        TAKEN.difference_update(self.peer_ports)
+        RESERVED_PORTS.difference_update(self.peer_ports)
         self.endpoints.close()
         for discovery in self.discoveries.values():
             discovery.close()
--- a/lupinmill/lab/zones_sockets.py
+++ b/lupinmill/lab/zones_sockets.py
@@ -20,8 +20,8 @@
 
 import orjson
 
-from lupinmill.lab.fleet_sockets import HOST, LARGEST, TAKEN, free_port
-from lupinmill.lab.fleet_streams import LOOK_AT_CUT, PIECE, Way
+from lupinmill.lab.fleet_sockets import HOST, MAX_DATAGRAM_BYTES, RESERVED_PORTS, free_port
+from lupinmill.lab.fleet_streams import CHUNK_BYTES, CUT_POLL_S, StreamProxy
 from lupinmill.lab.processes import Process, call_operator, last_log_lines
 from lupinmill.lab.registry import Entry
 from lupinmill.lab.scenario import Scenario, check, find, over, raw
@@ -47,7 +47,7 @@
         return self.run.world.network.blocked(self.zone_of.get(sender, ""), self.zone_of.get(receiver, ""))
 
 
-class ZoneProxy(Way):
+class ZoneProxy(StreamProxy):
     """Carries a sidecar's connections to an endpoint. A connection that was held up by a partition and closed
     meanwhile is dropped: guards against a request that the sidecar has given up on and that would otherwise
     be delivered when the partition heals."""
@@ -55,8 +55,8 @@
     async def carry(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Like the kernel where the other end never answered: a client that has closed the connection
         meanwhile is not connected."""
-        first = await reader.read(PIECE)
-        await self.passable(0)
+        first = await reader.read(CHUNK_BYTES)
+        await self.wait_until_passable(0)
         async with self.far_end() as (back, far):
             if not first or reader.at_eof():
                 far.transport.abort()
@@ -65,17 +65,17 @@
             await self.pump_both(reader, writer, back, far)
 
     async def pump(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, direction: int) -> None:
-        while data := await reader.read(PIECE):
+        while data := await reader.read(CHUNK_BYTES):
             held = False
             while self.blocked(direction):
                 held = True
-                await asyncio.sleep(LOOK_AT_CUT)
+                await asyncio.sleep(CUT_POLL_S)
             if held and (reader.at_eof() or writer.is_closing()):
                 writer.transport.abort()
                 return
             writer.write(data)
             await writer.drain()
-        await self.passable(direction)
+        await self.wait_until_passable(direction)
         if writer.can_write_eof():
             writer.write_eof()
 
@@ -95,7 +95,7 @@
     def readable(self) -> None:
         for _ in range(64):
             try:
-                data = self.sock.recv(LARGEST)
+                data = self.sock.recv(MAX_DATAGRAM_BYTES)
             except OSError:
                 return
             if not self.run.net.blocks(self.sender, self.receiver) and self.reverse is not None:
@@ -206,7 +206,7 @@
             loop.remove_reader(relay.sock)
             relay.sock.close()
         await asyncio.gather(*(proxy.close() for proxy, _ in self.proxies.values()))
-        TAKEN.difference_update(self.peer_port.values())
+        RESERVED_PORTS.difference_update(self.peer_port.values())
 
 
 class ZoneRig:
--- a/tests/test_config_processes.py
+++ b/tests/test_config_processes.py
@@ -19,7 +19,7 @@
 from bed import DiscoveryStand, Stand, settings
 
 from lupinmill.config.model import Key
-from lupinmill.lab.config_rig import ConfigRig, ask
+from lupinmill.lab.config_rig import ConfigRig, call_once
 from lupinmill.protocol.http import Answer, Garbled, Request
 
 SEED = 4_242
@@ -89,7 +89,7 @@
         request = self.make_request(sidecar, workload)
         name = request.header(b"req-id")
         try:
-            answer = await ask(self.rig.listens[sidecar], request, ANSWER_TIMEOUT_S)
+            answer = await call_once(self.rig.listens[sidecar], request, ANSWER_TIMEOUT_S)
         except (OSError, TimeoutError, Garbled) as error:
             self.results.lost.append(f"{name}: {type(error).__name__} {error}")
             return name
@@ -214,7 +214,7 @@
         rig, results = self.rig, self.results
         good = results.indexes[-1]
         results.bad = await rig.push({FLEET: {"tier": 1, "instances": 4}})
-        rows = await rig.until(
+        rows = await rig.wait_until(
             "all refuse it",
             lambda rows: all(
                 rows.get(name, {"refused": 0})["refused"] == results.bad for name in rig.sidecars
--- a/tests/test_peers_decisions.py
+++ b/tests/test_peers_decisions.py
@@ -104,7 +104,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_drawn_troubles_break_no_invariant(seed):
-    virtual = VirtualFleet(fleet.drawn(seed), seed)
+    virtual = VirtualFleet(fleet.random_fleet(seed), seed)
     assert not virtual.play().broken and virtual.agreed() and not virtual.false_deaths
 
 
--- a/tests/test_peers_members.py
+++ b/tests/test_peers_members.py
@@ -107,7 +107,7 @@
         seen["standing"] = quorum_states(fleet)
 
     fleet.do_look = look
-    fleet.put(19 * SECOND, "look", None)
+    fleet.schedule(19 * SECOND, "look", None)
     result = fleet.play()
     assert not result.broken and fleet.agreed() and set(quorum_states(fleet).values()) == {"together"}
     standing = seen.pop("standing")
@@ -162,9 +162,9 @@
 
     def quiet(members):
         fleet = VirtualFleet(Fleet("test", 60.0, members, electors=0), 2)
-        fleet.check_truth = False
+        fleet.check_leases = False
         for name in fleet.hosts:
-            fleet.put(0, "start", name)
+            fleet.schedule(0, "start", name)
         fleet.run_until(20 * SECOND)
         before = sum(host.sent for host in fleet.hosts.values())
         fleet.run_until(30 * SECOND)
--- a/tests/test_peers_processes.py
+++ b/tests/test_peers_processes.py
@@ -41,7 +41,7 @@
         try:
             async with starting:  # a start takes a whole core, which would delay the rounds of the others
                 await rig.__aenter__()
-            await rig.until("all found one another", rig.agreed)
+            await rig.wait_until("all found one another", rig.agreed)
             for name in rig.electors:  # one without memory votes after it has recovered from the others
                 await wait_for_table(rig, name, lambda table: table["elector"]["votes"])
             await check(rig)
@@ -82,7 +82,7 @@
 
 async def lease(rig: Rig, other_than: str = "") -> str:
     """Waits until a single member holds the lease, other than `other_than`."""
-    await rig.until("one holds the lease", lambda: len(rig.leases) == 1 and other_than not in rig.leases)
+    await rig.wait_until("one holds the lease", lambda: len(rig.leases) == 1 and other_than not in rig.leases)
     return next(iter(rig.leases))
 
 
@@ -101,15 +101,15 @@
 async def killed_returns_and_leaves(rig: Rig):
     """SIGKILL is seen as a failure and SIGTERM as a leave; both members return under their names."""
     rig.kill("m2")
-    await rig.until("m2 is held dead", status_held(rig, "dead", "m2", others(rig)))
-    assert rig.stand("together")
-    await rig.start_again("m2")
-    await rig.until("m2 is back", rig.agreed)
+    await rig.wait_until("m2 is held dead", status_held(rig, "dead", "m2", others(rig)))
+    assert rig.all_in_state("together")
+    await rig.restart("m2")
+    await rig.wait_until("m2 is back", rig.agreed)
     assert await rig.leave("m4") == 0
-    await rig.until("m4 has left", status_held(rig, "left", "m4", others(rig)))
+    await rig.wait_until("m4 has left", status_held(rig, "left", "m4", others(rig)))
     assert "m4" not in reported(rig, "dead")
-    await rig.start_again("m4")
-    await rig.until("m4 is back", rig.agreed)
+    await rig.restart("m4")
+    await rig.wait_until("m4 is back", rig.agreed)
 
 
 @scenario()
@@ -117,10 +117,10 @@
     """A drain by an operator is announced as a leave, and a drained elector releases its lease."""
     holder = await lease(rig)
     assert (await rig.call(holder, "quiesce", "PUT"))[0] == 200
-    await rig.until("it has left", status_held(rig, "left", holder, others(rig, holder)))
+    await rig.wait_until("it has left", status_held(rig, "left", holder, others(rig, holder)))
     await lease(rig, holder)
     assert (await rig.call(holder, "resume", "PUT"))[0] == 200
-    await rig.until("it is back", rig.agreed)
+    await rig.wait_until("it is back", rig.agreed)
     assert holder not in reported(rig, "dead")
 
 
@@ -130,10 +130,10 @@
     reported."""
     holder = await lease(rig)
     rig.kill(holder)
-    await rig.until("it is held dead", status_held(rig, "dead", holder, others(rig)))
+    await rig.wait_until("it is held dead", status_held(rig, "dead", holder, others(rig)))
     await lease(rig, holder)
-    await rig.start_again(holder)
-    await rig.until("it is back", rig.agreed)
+    await rig.restart(holder)
+    await rig.wait_until("it is back", rig.agreed)
 
 
 @scenario()
@@ -147,13 +147,13 @@
     )
     first = rig.leases[holder]
     rig.begin(sides)
-    await rig.until("the minority stands cut off", lambda: rig.stand("cut off", minority))
-    await rig.until("the majority stands together", lambda: rig.stand("together", majority))
+    await rig.wait_until("the minority stands cut off", lambda: rig.all_in_state("cut off", minority))
+    await rig.wait_until("the majority stands together", lambda: rig.all_in_state("together", majority))
     taker = await lease(rig, holder)
     assert taker in majority and rig.leases[taker] > first
     rig.end(sides)
-    await rig.until("it heals", rig.agreed)
-    await rig.until("all stand together", lambda: rig.stand("together"))
+    await rig.wait_until("it heals", rig.agreed)
+    await rig.wait_until("all stand together", lambda: rig.all_in_state("together"))
 
 
 @scenario(network=Network(loss=0.1))
@@ -170,12 +170,12 @@
         cut = Fault("partition", 0.0, groups=[[rig.names.index(holder)]])
         if at % 2:
             rig.kill(holder)
-            await rig.start_again(holder)
+            await rig.restart(holder)
         else:
             rig.begin(cut)
-            await rig.until("it is lost", lambda h=holder: h not in rig.leases)
+            await rig.wait_until("it is lost", lambda h=holder: h not in rig.leases)
             rig.end(cut)
-        await rig.until("all agree", rig.agreed)
+        await rig.wait_until("all agree", rig.agreed)
     newest = max(rig.decisions)
     for name in rig.names:
         await wait_for_table(rig, name, lambda table: [d["version"] for d in table["decisions"]] == [newest])
@@ -187,13 +187,13 @@
     await lease(rig)
     parts = Fault("partition", 0.0, into=3)
     rig.begin(parts)
-    await rig.until("nobody stands together", lambda: rig.stand("cut off"))
-    await rig.until("nobody holds the lease", lambda: not rig.leases)
-    taken = dict(rig.taken)
+    await rig.wait_until("nobody stands together", lambda: rig.all_in_state("cut off"))
+    await rig.wait_until("nobody holds the lease", lambda: not rig.leases)
+    taken = dict(rig.epoch_holders)
     await asyncio.sleep(3 * LEASE)  # long enough for a wrong lease to be acquired
-    assert rig.taken == taken
+    assert rig.epoch_holders == taken
     rig.end(parts)
-    await rig.until("it heals", rig.agreed)
+    await rig.wait_until("it heals", rig.agreed)
     await lease(rig)
 
 
@@ -205,11 +205,11 @@
         holder = await lease(rig)
         cut = Fault("partition", 0.0, groups=[[rig.names.index(holder)]])
         rig.begin(cut)
-        await rig.until("it is lost", lambda h=holder: h not in rig.leases)
+        await rig.wait_until("it is lost", lambda h=holder: h not in rig.leases)
         rig.end(cut)
-    await rig.until("it heals", rig.agreed)
+    await rig.wait_until("it heals", rig.agreed)
     await lease(rig)
-    assert list(rig.taken) == sorted(rig.taken)
+    assert list(rig.epoch_holders) == sorted(rig.epoch_holders)
 
 
 @scenario()
@@ -217,9 +217,9 @@
     """m1 and m2 get nothing from m0 directly; the other two confirm to them that it is alive."""
     rig.begin(Fault("cut", 0.0, members=[0], to=[1, 2]))
     rig.kill("m4")
-    await rig.until("another's death is noticed by all", status_held(rig, "dead", "m4", others(rig)))
+    await rig.wait_until("another's death is noticed by all", status_held(rig, "dead", "m4", others(rig)))
     assert reported(rig, "dead") == {"m4"}
-    assert "m0" in rig.sees("m1") | rig.sees("m1", "suspect")
+    assert "m0" in rig.members_seen("m1") | rig.members_seen("m1", "suspect")
 
 
 @scenario()
@@ -227,14 +227,14 @@
     """The holder is paused for longer than its lease: afterwards it holds no lease and suspects nobody."""
     holder = await lease(rig)
     first = rig.leases[holder]
-    rig.stop(holder)
-    await rig.until("it is held dead", status_held(rig, "dead", holder, others(rig, holder)))
-    await rig.until("another has the lease", lambda: len(rig.leases) == 2)
-    rig.go_on(holder)
-    await rig.until("it knows that it holds nothing", lambda: holder not in rig.leases)
-    await rig.until("all agree again", rig.agreed)
+    rig.pause(holder)
+    await rig.wait_until("it is held dead", status_held(rig, "dead", holder, others(rig, holder)))
+    await rig.wait_until("another has the lease", lambda: len(rig.leases) == 2)
+    rig.resume(holder)
+    await rig.wait_until("it knows that it holds nothing", lambda: holder not in rig.leases)
+    await rig.wait_until("all agree again", rig.agreed)
     assert not reported(rig, "dead", holder)
-    assert max(rig.taken) > first and rig.taken[first] == holder
+    assert max(rig.epoch_holders) > first and rig.epoch_holders[first] == holder
 
 
 @scenario()
@@ -242,10 +242,10 @@
     """Paused for 0.3 s of each 0.35 s: the member may be suspected, but reports no other as failed."""
     rig.begin(starving := Fault("starve", 0.0, members=[1], stop_ms=300))
     rig.kill("m3")
-    await rig.until("a death is noticed", status_held(rig, "dead", "m3", others(rig, "m1")))
+    await rig.wait_until("a death is noticed", status_held(rig, "dead", "m3", others(rig, "m1")))
     rig.end(starving)
-    await rig.start_again("m3")
-    await rig.until("all agree again", rig.agreed)
+    await rig.restart("m3")
+    await rig.wait_until("all agree again", rig.agreed)
     assert reported(rig, "dead", "m1") <= {"m3"}
 
 
@@ -253,26 +253,26 @@
 async def all_electors_restarted_at_once(rig: Rig):
     """Promises survive on disk, so the next epoch is higher than any before."""
     await lease(rig)
-    before = max(rig.taken)
+    before = max(rig.epoch_holders)
     for name in rig.electors:
         rig.kill(name)
-    await asyncio.gather(*(rig.start_again(name) for name in rig.electors))
-    await rig.until("they are back", rig.agreed)
+    await asyncio.gather(*(rig.restart(name) for name in rig.electors))
+    await rig.wait_until("they are back", rig.agreed)
     await lease(rig)
-    assert max(rig.taken) > before
+    assert max(rig.epoch_holders) > before
 
 
 @scenario(keep=False)
 async def electors_without_a_directory(rig: Rig):
     """A restarted elector recovers its state from the others before it votes."""
     await lease(rig)
-    before = max(rig.taken)
+    before = max(rig.epoch_holders)
     for name in rig.electors:
         rig.kill(name)
-        await rig.start_again(name)
+        await rig.restart(name)
         await wait_for_table(rig, name, lambda table: table["elector"]["votes"])
     await lease(rig)
-    assert max(rig.taken) > before and list(rig.taken) == sorted(rig.taken)
+    assert max(rig.epoch_holders) > before and list(rig.epoch_holders) == sorted(rig.epoch_holders)
 
 
 @scenario()
@@ -291,18 +291,18 @@
     def said(text: str):
         return lambda: any(text in str(line.get("text")) for line in rig.lines[bad])
 
-    await rig.until("it says that it gives no vote", said("abstains from voting"))
+    await rig.wait_until("it says that it gives no vote", said("abstains from voting"))
     fresh.rmdir()
     assert (await rig.call(holder, "resume", "PUT"))[0] == 200
-    await rig.until("it says that it votes again", said("written to disk again"))
-    await rig.until("all agree", rig.agreed)
+    await rig.wait_until("it says that it votes again", said("written to disk again"))
+    await rig.wait_until("all agree", rig.agreed)
 
 
 @scenario(members=8)
 async def most_restarted_at_once(rig: Rig):
     rig.begin(Fault("restart", 0.0, members=[0, 1, 2, 3, 4, 5, 6]))
-    await rig.until("all are back", lambda: len(rig.running()) == 8 and rig.agreed())
-    await rig.until("all stand together", lambda: rig.stand("together"))
+    await rig.wait_until("all are back", lambda: len(rig.running()) == 8 and rig.agreed())
+    await rig.wait_until("all stand together", lambda: rig.all_in_state("together"))
     await lease(rig)
 
 
@@ -317,14 +317,14 @@
             rig.members[name].signal(signal.SIGHUP)
         for name in some:
             await wait_for_table(rig, name, lambda table: table["of"] == 4)
-    await rig.until("the rest stands together", lambda: rig.stand("together", rest))
+    await rig.wait_until("the rest stands together", lambda: rig.all_in_state("together", rest))
     table = await rig.show("m0")
     assert [row["name"] for row in table["members"]] == ["m1", "m2", "m3"]
     text = (rig.folder / "m0.toml").read_text()
     (rig.folder / "m0.toml").write_text(text.replace("lease_s = 1.0", "lease_s = 2.0"))
     rig.members["m0"].signal(signal.SIGHUP)
     refused = [{"event": "reload_refused", "fields": ["peers.lease_s"]}]
-    await rig.until(
+    await rig.wait_until(
         "a change that wants a new start is refused",
         lambda: (
             refused
@@ -343,7 +343,7 @@
     flood."""
     victim_cpu = rig.members["m0"].cpu()
     await lease(rig)
-    epoch = max(rig.taken)
+    epoch = max(rig.epoch_holders)
     rig.kill("m3")
     chance, site = random.Random(9), wire.site_hash("fleet")
     for at in range(6_000):
@@ -368,7 +368,7 @@
         )
         data = wire.encode(site, body, updates) if at % 7 else chance.randbytes(100)
         for hearer in ("m0", "m1", "m2", "m4"):
-            rig.relays["m3", hearer].far.sock.sendto(data, rig.binds[hearer])
+            rig.links["m3", hearer].reverse.sock.sendto(data, rig.binds[hearer])
         if at % 20 == 0:
             await asyncio.sleep(0.01)
     honest = ["m0", "m1", "m2", "m4"]
@@ -402,7 +402,7 @@
             ping = wire.Ping(at, Status.ALIVE, 0, Status.DEAD, 9, 0)
             sock.sendto(wire.encode(wire.site_hash("fleet"), ping, []), rig.binds["m0"])
     ping = wire.encode(wire.site_hash("elsewhere"), wire.Ping(1, Status.ALIVE, 0, Status.DEAD, 9, 0), [])
-    rig.relays["m1", "m0"].far.sock.sendto(ping, rig.binds["m0"])
+    rig.links["m1", "m0"].reverse.sock.sendto(ping, rig.binds["m0"])
     table = await wait_for_table(
         rig, "m0", lambda table: table["datagrams"]["refused"].get("address", 0) >= 400
     )
@@ -417,12 +417,12 @@
     old = rig.members["m1"]
     rig.kill("m1")  # only m1 gets a directory that it shares with its next process
     old.environ["TMPDIR"] = str(rig.folder)
-    await rig.start_again("m1")
-    await rig.until("all agree", rig.agreed)
+    await rig.restart("m1")
+    await rig.wait_until("all agree", rig.agreed)
     before = len(rig.result.events)
     environ = {k: v for k, v in os.environ.items() if not k.startswith("BALANCER_")} | old.environ
     config = rig.folder / "next.json"
-    config.write_bytes(orjson.dumps(rig.told(old) | {"operator": f"{HOST}:0"}))
+    config.write_bytes(orjson.dumps(rig.settings_for(old) | {"operator": f"{HOST}:0"}))
     command = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -440,7 +440,7 @@
                 rig.changed.set()
 
         reading = asyncio.create_task(read())
-        await rig.until(
+        await rig.wait_until(
             "the next one has the peers' address", lambda: any(line["event"] == "peers" for line in lines)
         )
         rig.members["m1"].killed = True
@@ -449,7 +449,7 @@
         together = lambda: any(  # noqa: E731
             line["event"] == "standing" and line["now"] == "together" for line in lines
         )
-        await rig.until("the next one stands together", together)
+        await rig.wait_until("the next one stands together", together)
         assert not [e for e in rig.result.events[before:] if e.about == "m1" and e.state in ("dead", "left")]
     finally:
         command.kill()
@@ -462,7 +462,7 @@
     """A second process of m1 can't bind its address, logs that, and disturbs nobody."""
     second = rig.folder / "second.json"
     second.write_bytes(
-        orjson.dumps(rig.told(rig.members["m1"]) | {"listen": f"{HOST}:0", "operator": f"{HOST}:0"})
+        orjson.dumps(rig.settings_for(rig.members["m1"]) | {"listen": f"{HOST}:0", "operator": f"{HOST}:0"})
     )
     environ = {k: v for k, v in os.environ.items() if not k.startswith("BALANCER_")} | rig.members[
         "m1"
