--- a/lupinmill/lab/config_rig.py
+++ b/lupinmill/lab/config_rig.py
@@ -1,5 +1,5 @@
-"""Versioned configuration between real processes: a source, relays, and sidecars that watch them. Owns the
-processes and the folder of their files; `close` gives all of it back, whatever ended the run."""
+"""Versioned configuration between real processes: a source, relays, and sidecars that watch them. A rig owns
+the processes and the folder of their files; `close` releases them, however the run ended."""
 
 from __future__ import annotations
 
@@ -21,13 +21,14 @@
 from lupinmill.protocol.http import Answer, ClientSide, Request
 
 HOST = "127.0.0.1"
-CALL_TIMEOUT_S = 20.0  # seconds for an operator's call
+CALL_TIMEOUT_S = 20.0  # for an operator's call
 POLL_S = 0.1
-PARALLEL_STARTS = 3  # processes that start side by side: a start takes a core
+PARALLEL_STARTS = 3  # each start uses a full core
 
 
 async def call_once(address: str, request: Request, timeout: float = CALL_TIMEOUT_S) -> Answer:
-    """One call on a connection of its own. Raises OSError, TimeoutError or Garbled where it has no answer."""
+    """Makes one call on a new connection. Raises OSError, TimeoutError or Garbled if there is no valid
+    answer."""
     host, _, port = address.rpartition(":")
     async with asyncio.timeout(timeout):
         reader, writer = await asyncio.open_connection(host, int(port))
@@ -42,8 +43,10 @@
 
 
 class ConfigRig:
-    """`async with ConfigRig(told, relays, sidecars) as rig:` starts all. `told`: of a sidecar, by its name:
-    what the platform tells it, without its addresses. `more`: keys of the relays' and the source's files."""
+    """`async with ConfigRig(settings_of, relays, sidecars, extra_settings) as rig:` starts all processes.
+
+    `settings_of` returns the platform's settings of a sidecar by its name, without addresses.
+    `extra_settings` are further keys of the files of the relays and the source."""
 
     def __init__(
         self,
@@ -141,12 +144,12 @@
         }
 
     def ignore_log_event(self, process: Process, event: dict[str, Any]) -> None:
-        pass  # the last lines are kept by the process
+        pass  # `Process` keeps the last log lines
 
-    # What is asked of it.
+    # Calls.
 
     async def call(self, name: str, method: str, path: str, body: Any = None) -> tuple[int, Any]:
-        """Status, and the answer read as JSON, or its text."""
+        """Returns the status and the answer as JSON, or as text if it is not JSON."""
         data = b"" if body is None else orjson.dumps(body)
         request = Request(method.encode(), path.encode(), [(b"Host", b"rig")], data)
         answer = await call_once(self.operators[name], request)
@@ -156,14 +159,14 @@
             return answer.status, answer.body.decode("utf-8", "replace").strip()
 
     async def push(self, changes: Entries) -> int:
-        """The new version's index. Raises RuntimeError where the source refuses."""
+        """Returns the index of the new version. Raises RuntimeError if the source refuses."""
         status, found = await self.call("source", "POST", "/v1/push", {"entries": encode_rows(changes)})
         if status != 200:
             raise RuntimeError(f"push: {status} {found}")
         return found["index"]
 
     async def watcher_status(self) -> dict[str, dict[str, Any]]:
-        """Of each sidecar, as the relay says that heard it last; `at`: which one."""
+        """The status of each sidecar from the relay that heard it last, which is named in `at`."""
         found: dict[str, dict[str, Any]] = {}
         for name in self.relays:
             if not self.processes[name].alive():
@@ -181,7 +184,8 @@
     async def wait_until(
         self, what: str, condition: Callable[[dict[str, dict[str, Any]]], bool], timeout: float = 60.0
     ) -> dict[str, dict[str, Any]]:
-        """Waits for a state of `standing`. Raises AssertionError with it where it is not reached."""
+        """Waits until a condition on `watcher_status` holds. Raises AssertionError with the status on
+        timeout."""
         deadline = time.monotonic() + timeout
         while not condition(found := await self.watcher_status()):
             if time.monotonic() > deadline:
@@ -190,21 +194,22 @@
         return found
 
     async def at_version(self, index: int) -> None:
-        """All sidecars go by it, or by a later one."""
+        """Waits until all sidecars have this version or a later one in force."""
         await self.wait_until(
             f"all at version {index}",
             lambda found: all(found.get(name, {"index": 0})["index"] >= index for name in self.sidecars),
         )
 
     async def start(self, name: str) -> None:
-        """First, or again: the log of its life before is read to its end, which would pass for a start."""
+        """Starts or restarts a process. The previous process's log is read to its end first; else its lines
+        could pass for those of the new one."""
         process = self.processes[name]
         if process.reader_task is not None:
             await asyncio.gather(process.reader_task, return_exceptions=True)
         await process.start()
 
     async def kill(self, name: str) -> None:
-        """SIGKILL, and until it is gone."""
+        """Sends SIGKILL and waits until the process is gone."""
         process = self.processes[name]
         process.kill()
         if process.process is not None:
@@ -214,10 +219,10 @@
         return [crash for process in self.processes.values() for crash in process.crashes]
 
     def last_lines(self, count: int = 8) -> str:
-        """Of each process's log."""
+        """The last log lines of each process."""
         lines = []
         for name, process in self.processes.items():
-            lines.append(f"-- {name}, life {process.start_count}")
+            lines.append(f"-- {name}, start {process.start_count}")
             lines += [orjson.dumps(event).decode()[:400] for event in list(process.recent_events)[-count:]]
             lines += list(process.error_lines)[-count:]
         return "\n".join(lines)
--- a/lupinmill/lab/explorer.py
+++ b/lupinmill/lab/explorer.py
@@ -97,13 +97,13 @@
     def start(self, index: int, first: bool = False) -> None:
         process = self.processes[index]
         process.starts += 1
-        life, now = process.starts * 100 + index, self.clock(index)
+        start_id, now = process.starts * 100 + index, self.clock(index)
         names = [one.name for one in self.processes]
         memory = Memory() if first or self.faults.elector_forgets else None
         if self.has_storage and process.stored and not self.faults.elector_forgets:
             memory = msgspec.msgpack.decode(process.stored, type=Memory)
-        process.elector = Elector(process.name, names, [TOPIC], LEASE_DURATION, life, now, memory)
-        process.proposer = Proposer(process.name, names, LEASE_DURATION, life, life, now)
+        process.elector = Elector(process.name, names, [TOPIC], LEASE_DURATION, start_id, now, memory)
+        process.proposer = Proposer(process.name, names, LEASE_DURATION, start_id, start_id, now)
         if self.faults.half_is_majority:
             process.proposer.majority = half
         process.decided_epoch = 0
--- a/lupinmill/lab/fleet.py
+++ b/lupinmill/lab/fleet.py
@@ -1,8 +1,7 @@
-"""Scenarios of a fleet of sidecars that know each other: what is written in a file, and what a run of one
-tells.
+"""Scenarios of a fleet of sidecars that know each other: the types of a scenario file and of a run's result,
+and the parser.
 
-The same file plays in virtual time (`fleet_virtual`) and with real processes (`fleet_sockets`). Owns nothing;
-the types and the reading of them."""
+The same file runs in virtual time (`fleet_virtual`) and with real processes (`fleet_sockets`)."""
 
 from __future__ import annotations
 
@@ -19,33 +18,34 @@
 
 
 class FleetError(Exception):
-    """One line: file, key, reason."""
+    """An invalid scenario; its text is one line with file, key and reason."""
 
 
 class Network(Struct, forbid_unknown_fields=True, frozen=True):
-    """Between every two members, each way."""
+    """The network between every two members, in each direction."""
 
     loss: float = 0.0
     double: float = 0.0
-    late: float = 0.0  # share of datagrams that come `late_ms` later, behind others
+    late: float = 0.0  # share of datagrams delayed by a further `late_ms`, and so reordered
     late_ms: tuple[float, float] = (20.0, 300.0)
     delay_ms: tuple[float, float] = (0.2, 1.0)
 
 
 class Fault(Struct, forbid_unknown_fields=True, frozen=True):
-    """`members` are numbers, or a share of the fleet drawn by the seed. `until` 0: to the end."""
+    """`members` are numbers; without them, `share` of the fleet is drawn from the seed. `until` 0: to the
+    end."""
 
     kind: Literal["partition", "cut", "loss", "pause", "starve", "kill", "restart", "leave"]
     at: float
     until: float = 0.0
     members: list[int] = []
     share: float = 0.0
-    groups: list[list[int]] = []  # of a partition; whoever is in none stands by itself
-    into: int = 0  # a partition into so many groups of like size
-    to: list[int] = []  # of a one-way cut: nothing of `members` reaches these
+    groups: list[list[int]] = []  # of a partition; a member of no group is isolated
+    into: int = 0  # a partition into this many groups of equal size
+    to: list[int] = []  # of a one-way cut: nothing that `members` send reaches these
     loss: float = 0.0
-    forget: bool = False  # of a restart: an elector's file is gone
-    stop_ms: float = 400.0  # of starving: stopped so long, then running for 50 ms
+    forget: bool = False  # of a restart: an elector's stored promises are lost
+    stop_ms: float = 400.0  # of starvation: stopped this long, then running for 50 ms
 
 
 class Fleet(Struct, forbid_unknown_fields=True, frozen=True):
@@ -55,10 +55,10 @@
     seed: int = 1
     zones: int = 1
     electors: int = 3
-    keep: bool = True  # electors have a directory
+    keep: bool = True  # electors have stable storage
     lease_s: float = 2.0
     round_ms: int = 200
-    load: float = 0.0  # submissions a second at each member; sockets only
+    load: float = 0.0  # requests per second at each member; sockets only
     network: Network = Network()
     fault: list[Fault] = []
 
@@ -67,7 +67,7 @@
 
 
 class Event(Struct, frozen=True):
-    """`at` in seconds from the start; `who` believes or does it."""
+    """An observation or action of the member `who`, `at` seconds after the start."""
 
     at: float
     who: str
@@ -85,7 +85,7 @@
     seed: int
     events: list[Event] = []
     figures: dict[str, float] = field(default_factory=dict)
-    broken: list[str] = []  # invariants that did not hold, in words
+    broken: list[str] = []  # descriptions of violated invariants
 
 
 def shipped_fleets() -> list[str]:
@@ -93,7 +93,7 @@
 
 
 def random_fleet(seed: int) -> Fleet:
-    """A minute of troubles by chance, overlapping, on five to nine members; alike for one seed."""
+    """One minute of random, overlapping faults on five to nine members; the same for the same seed."""
     random_source = np.random.default_rng([seed, 7])
 
     def random_members(maximum: int) -> list[int]:
@@ -141,7 +141,7 @@
 
 
 def load(name: str) -> Fleet:
-    """A shipped one by name, or a file. Raises BadFleet."""
+    """Loads a shipped scenario by name, or a file. Raises FleetError."""
     path = Path(name) if name.endswith(".toml") else SHIPPED_DIRECTORY / f"{name}.toml"
     try:
         return parse_fleet(tomllib.loads(path.read_text()))
@@ -167,7 +167,7 @@
 
 
 def fault_members(fleet: Fleet, fault: Fault, seed: int) -> list[str]:
-    """The members of a fault by name, drawn alike by both drivers."""
+    """The names of a fault's members; both drivers draw the same."""
     names = fleet.names()
     if fault.members:
         return [names[at] for at in fault.members]
@@ -179,7 +179,7 @@
 
 
 def partition_sides(fleet: Fleet, fault: Fault) -> dict[str, int]:
-    """Members to the number of their side."""
+    """The number of the side of each member."""
     names = fleet.names()
     if fault.into:
         return {name: at * fault.into // fleet.members for at, name in enumerate(names)}
@@ -191,8 +191,8 @@
 
 
 class NetworkConditions:
-    """What the network between members is like at a moment: shared by both drivers, so that they put the same
-    faults between the same members."""
+    """The current state of the network between members. Both drivers use it, so that they apply the same
+    faults to the same members."""
 
     def __init__(self, fleet: Fleet, seed: int) -> None:
         self.fleet, self.seed = fleet, seed
@@ -230,14 +230,14 @@
                 self.loss = max(self.loss, fault.loss)
 
     def blocks(self, sender: str, receiver: str) -> bool:
-        """Nothing passes from one to the other now. Whoever is no member stands on every side."""
+        """Whether nothing passes in this direction now. A name that is no member is on every side."""
         if self.sides is not None and sender in self.sides and receiver in self.sides:
             if self.sides[sender] != self.sides[receiver]:
                 return True
         return any(sender in senders and receiver in receivers for _, senders, receivers in self.cuts)
 
     def delays(self, sender: str, receiver: str) -> list[float]:
-        """Seconds after which each copy of a datagram comes; none where it is lost."""
+        """The delay in seconds of each copy of a datagram; empty if it is lost."""
         if self.blocks(sender, receiver):
             return []
         network = self.fleet.network
@@ -255,7 +255,7 @@
 
 
 def sides_with_majority(sides: dict[str, int], majority_of: int) -> dict[str, bool]:
-    """Which members are on a side with a majority."""
+    """Whether each member is on a side with a majority."""
     sizes: dict[int, int] = {}
     for side in sides.values():
         sizes[side] = sizes.get(side, 0) + 1
--- a/lupinmill/lab/fleet_measure.py
+++ b/lupinmill/lab/fleet_measure.py
@@ -1,6 +1,6 @@
-"""Membership by size, in virtual time: how long until a death is known, how many are declared dead that live,
-what it costs, how long healing takes; each beside what theory says. Seeded; runs of one table go over several
-cores."""
+"""Measures membership by fleet size in virtual time, next to the theoretical figures: how long it takes until
+a death is known, how many live members are declared dead, what the traffic costs, and how long healing takes.
+Runs are seeded; those of one table use several cores."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from lupinmill.lab.fleet_virtual import VirtualFleet
 from lupinmill.peers.view import SECOND, MembershipTiming
 
-SETTLE_S = 15.0  # seconds until a fleet has joined
+SETTLE_S = 15.0  # until a small fleet has joined
 ROUND_S = MembershipTiming().round / SECOND
 
 
@@ -64,7 +64,7 @@
 
 
 def false_deaths(virtual: VirtualFleet, expected: set[str]) -> float:
-    """Members held dead by somebody although they were neither stopped nor killed."""
+    """The number of members that some other held dead, apart from the expected ones."""
     dead = {event.about for event in virtual.result.events if event.what == "peer" and event.state == "dead"}
     return float(len(dead - expected))
 
@@ -82,7 +82,8 @@
 
 
 def slow_members(kind: str) -> Callable[[Case], Row]:
-    """A twentieth of the members stopped for 3 s, or starved; how many of the others are held dead."""
+    """One twentieth of the members is stopped for 3 s, or starved for 20 s; counts deaths among the
+    others."""
 
     def run_case(case: Case) -> Row:
         at, count = join_time(case.members), max(1, case.members // 20)
@@ -134,7 +135,7 @@
 
 
 def measure_heal(case: Case) -> Row:
-    """Cut into halves for 15 s; from the end of the cut until all hold all for alive."""
+    """Partitions the fleet into halves for 15 s; the time from its end until all members agree."""
     at = join_time(case.members)
     cut = Fault("partition", at, at + 15, into=2)
     virtual = VirtualFleet(fleet_of(case, at + 15, [cut]), case.seed, decide=False)
@@ -164,7 +165,7 @@
 
 def expected_figures(kind: str, members: int) -> str:
     timing = MembershipTiming()
-    probed = ROUND_S * e / (e - 1)  # SWIM: expected rounds until somebody's turn comes to the failed one
+    probed = ROUND_S * e / (e - 1)  # SWIM: expected time until some member probes the failed one
     least, most = (timing.suspicion_timeout(members, n) / SECOND for n in (members, 0))
     if kind == "death":
         spread = ROUND_S / 2 * log(members) / log(3)
--- a/lupinmill/lab/fleet_report.py
+++ b/lupinmill/lab/fleet_report.py
@@ -1,5 +1,5 @@
-"""Who believed what and when: a strip a member over time, and the changes in words, as one HTML page that
-opens offline."""
+"""Report of a fleet run as one HTML page that opens offline: a timeline of each member's state, and a table
+of the changes."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def state_intervals(events: list[Event], who: str, end: float) -> list[tuple[float, float, str]]:
-    """From, to and the standing of one member; `down` while its process does not run."""
+    """The quorum states of one member as (start, end, state); `down` while its process does not run."""
     found, state, since = [], "down", 0.0
     for event in events:
         if event.who != who or event.what not in ("standing", "life"):
@@ -37,7 +37,7 @@
 
 
 def lease_intervals(events: list[Event], who: str, end: float) -> list[tuple[float, float, int]]:
-    """From, to and epoch of what one member held by its own word."""
+    """The leases of one member, according to itself, as (start, end, epoch)."""
     found, since, epoch = [], 0.0, 0
     for event in events:
         if event.who != who:
@@ -87,7 +87,7 @@
     cells = []
     for event in shown[:MAX_ROWS]:
         epoch = f"epoch {event.epoch}" if event.epoch else f"number {event.version}" if event.version else ""
-        words = (
+        values = (
             f"{event.at:.2f}",
             event.who or "the rig",
             event.what,
@@ -96,7 +96,7 @@
             epoch,
             event.why,
         )
-        cells.append("<tr>" + "".join(f"<td>{html.escape(word)}</td>" for word in words) + "</tr>")
+        cells.append("<tr>" + "".join(f"<td>{html.escape(value)}</td>" for value in values) + "</tr>")
     more = f"<p class=small>and {len(shown) - MAX_ROWS} more</p>" if len(shown) > MAX_ROWS else ""
     head = "<tr><th>s</th><th>who</th><th>what</th><th>about</th><th>now</th><th></th><th>why</th></tr>"
     return f"<table>{head}{''.join(cells)}</table>{more}"
@@ -111,9 +111,9 @@
     return (
         f"<!doctype html><meta charset=utf-8><title>{html.escape(result.fleet.title)}</title>"
         f"<style>{STYLE}</style><h1>{html.escape(result.fleet.title)}</h1>"
-        f"<p>{result.fleet.members} sidecars, {result.driver}, seed {result.seed}. Each strip is one "
-        f"sidecar's own standing: {colours}; grey: its process does not run. The thin bar is a lease with "
-        f"its epoch; a red mark: another one holds it dead.</p>"
+        f"<p>{result.fleet.members} sidecars, {result.driver}, seed {result.seed}. Each bar shows one "
+        f"sidecar's own quorum state: {colours}; grey: its process does not run. The thin bar is a lease with "
+        f"its epoch; a red mark: another sidecar holds it dead.</p>"
         f"{broken}{timeline_svg(result)}<table>{figures}</table>{event_table(result)}"
     )
 
--- a/lupinmill/lab/fleet_sockets.py
+++ b/lupinmill/lab/fleet_sockets.py
@@ -1,9 +1,9 @@
-"""A fleet of real processes with faults between them. Between every two stands a relay of this process: each
-member's roster names the relay's address in place of the other's, so that datagrams can be lost, doubled,
-delayed and cut one by one, by a told seed.
+"""A fleet of real processes with faults between them. This process forwards the datagrams between every two
+members: each member's roster names a forwarding socket in place of the other member, so that datagrams can be
+lost, duplicated, delayed and cut one by one, from a given seed.
 
-Owns the processes, the relay's sockets and the folder of files; `close` gives all of it back, whatever ended
-the run."""
+A rig owns the processes, the forwarding sockets and the folder of files; `close` releases all of them,
+however the run ended."""
 
 from __future__ import annotations
 
@@ -28,11 +28,11 @@
 
 HOST = "127.0.0.1"
 MAX_DATAGRAM_BYTES = 2_048
-LEAVE_TIMEOUT_S = 6.0  # seconds for a member to end after SIGTERM
+LEAVE_TIMEOUT_S = 6.0  # for a member to exit after SIGTERM
 POLL_S = 0.05
-MAX_LOG_LINES = 100  # of each member's log lines
-# Listening ports are told and below those that the system gives out: two sockets that share a port, as those
-# of an upgrade may, could otherwise be given one by chance.
+MAX_LOG_LINES = 100  # kept of each member
+# Listening ports are assigned, below the range of ephemeral ports: sockets that may share a port, as in an
+# upgrade, could otherwise be given the same one by the system.
 PORT_RANGE = range(20_000, 30_000)
 RESERVED_PORTS: set[int] = set()
 WORKLOAD = {"name": "view", "repeat": "repeatable", "contract-time-s": 0.5, "hard-limit-s": 1.0}
@@ -46,7 +46,7 @@
 
 
 def free_port(start: int) -> int:
-    """One that nobody listens at, by TCP or UDP; it is this process's until `TAKEN` loses it."""
+    """Reserves a port that is free for TCP and UDP, until it is removed from `RESERVED_PORTS`."""
     for at in range(len(PORT_RANGE)):
         port = PORT_RANGE[(start + at) % len(PORT_RANGE)]
         if port in RESERVED_PORTS:
@@ -63,7 +63,8 @@
 
 
 class DatagramLink:
-    """One end of a way between two members: what `sender` sends here goes on to `hearer` from the far end."""
+    """One end of a link between two members: datagrams that `sender` sends here reach `receiver` from the
+    other end."""
 
     def __init__(self, rig: Rig, sender: str, receiver: str) -> None:
         self.rig, self.sender, self.receiver = rig, sender, receiver
@@ -84,18 +85,18 @@
                 self.rig.loop.call_later(delay, self.forward, data)
 
     def forward(self, data: bytes) -> None:
-        """The hearer knows the far end as the sender's address."""
+        """Forwards from the reverse link's socket, which the receiver knows as the sender's address."""
         assert self.reverse is not None
         try:
             self.reverse.sock.sendto(data, self.rig.binds[self.receiver])
             self.forwarded += 1
         except OSError:
-            pass  # the rig is closing, or a buffer is full: a lost datagram
+            pass  # the rig is closing, or a buffer is full: the datagram is lost
 
 
 class Rig:
-    """`async with Rig(fleet, seed) as rig:` starts all members; faults are put by `begin` and `end`, or by
-    `play`."""
+    """`async with Rig(fleet, seed) as rig:` starts all members. Faults are applied by `begin` and `end`, or
+    by `play`."""
 
     def __init__(self, fleet: Fleet, seed: int) -> None:
         self.fleet, self.seed = fleet, seed
@@ -104,20 +105,20 @@
         self.names = fleet.names()
         self.electors = [self.names[at * fleet.members // fleet.electors] for at in range(fleet.electors)]
         self.binds: dict[str, tuple[str, int]] = {}
-        self.ports: dict[str, tuple[int, int]] = {}  # for peers and clients, and for operators
+        self.ports: dict[str, tuple[int, int]] = {}  # one for peers and clients, one for operators
         self.links: dict[tuple[str, str], DatagramLink] = {}
         self.members: dict[str, Process] = {}
         self.views: dict[str, dict[str, str]] = {}
         self.quorum_states: dict[str, str] = {}
         self.leases: dict[str, int] = {}
         self.epoch_holders: dict[int, str] = {}
-        self.decisions: dict[int, tuple[str, int]] = {}  # as told as made: version to maker and epoch
+        self.decisions: dict[int, tuple[str, int]] = {}  # proposer and epoch by version, as reported accepted
         self.lines: dict[str, deque[dict[str, Any]]] = {
             name: deque(maxlen=MAX_LOG_LINES) for name in self.names
         }
         self.changed = asyncio.Event()
         self.tasks: dict[asyncio.Task[Any], None] = {}
-        self.extra: dict[str, Any] = {}  # more of the operator's file
+        self.extra: dict[str, Any] = {}  # further settings of the operator's file
 
     async def __aenter__(self) -> Rig:
         self.loop = asyncio.get_running_loop()
@@ -168,7 +169,7 @@
         }
 
     def write_file(self, name: str, roster: list[str]) -> None:
-        """The operator's file of one member, as its view of the network is."""
+        """Writes the operator's file of one member, with the link addresses that it uses for the others."""
         rows = []
         for at, other in enumerate(self.names):
             if other in roster:
@@ -216,7 +217,7 @@
         return [name for name, process in self.members.items() if process.alive()]
 
     async def call(self, name: str, path: str, method: str = "GET") -> tuple[int, bytes]:
-        """An operator's call at that member: status and body."""
+        """An operator's call to that member; returns status and body."""
         return await call_operator(self.members[name].operator_address, path, method)
 
     async def show(self, name: str) -> dict[str, Any]:
@@ -224,11 +225,11 @@
         assert status == 200, body
         return orjson.loads(body)
 
-    # What they say.
+    # Log events.
 
     def log_received(self, process: Process, event: dict[str, Any]) -> None:
         name, what = process.name, event.get("event")
-        if not str(what).startswith("watch"):  # there is no discovery here, and that is told all the time
+        if not str(what).startswith("watch"):  # without discovery these would fill the log
             self.lines[name].append(event)
         if what == "peer":
             self.views.setdefault(name, {})[event["member"]] = event["now"]
@@ -261,8 +262,8 @@
         self.event(name, "lease", event["topic"], "taken" if acquired else "ended", epoch, why=event["text"])
 
     def decision_logged(self, name: str, version: int, epoch: int) -> None:
-        """A new holder tells again what it found; nobody else may, and none with a lower number comes
-        later."""
+        """A new holder may report a decision that it found again, under a later epoch; no other member may,
+        and no lower version may follow."""
         previous = self.decisions.setdefault(version, (name, epoch))
         if previous[0] != name and epoch <= previous[1] or version < max(self.decisions):
             self.result.broken.append(f"decision {version}: {previous}, then {name} under epoch {epoch}")
@@ -281,7 +282,8 @@
         self.result.events.append(Event(at, who, what, about, state, epoch, version, why))  # type: ignore[arg-type]
 
     async def wait_until(self, what: str, condition: Callable[[], bool], timeout: float = 60.0) -> None:
-        """Waits for a state, never for a time. Raises AssertionError with each member's last log lines."""
+        """Waits until a condition holds. Raises AssertionError with each member's last log lines on
+        timeout."""
         deadline = self.loop.time() + timeout
         while not condition():
             if self.loop.time() > deadline:
@@ -299,7 +301,7 @@
         return {name for name, held in self.views.get(who, {}).items() if held == status}
 
     def agreed(self, among: list[str] | None = None) -> bool:
-        """Each holds exactly the others for alive."""
+        """Whether each member holds exactly the others alive."""
         names = among if among is not None else self.running()
         return all(self.members_seen(name) == set(names) - {name} for name in names)
 
@@ -355,7 +357,7 @@
         task.add_done_callback(lambda done: self.tasks.pop(done, None))
 
     async def play(self) -> FleetResult:
-        """The scenario's faults at their times, from now on."""
+        """Applies the scenario's faults at their times, counted from now."""
         start = self.loop.time()
         points = [(fault.at, 0, self.begin, fault) for fault in self.fleet.fault]
         points += [(fault.until, 1, self.end, fault) for fault in self.fleet.fault if fault.until]
--- a/lupinmill/lab/fleet_streams.py
+++ b/lupinmill/lab/fleet_streams.py
@@ -1,8 +1,7 @@
-"""Ways for TCP between two members of a rig, or a member and a stand-in: bytes wait while the weather blocks
-one direction, as they do behind a cut network, and go on when it heals; connections can be reset or left half
-open.
+"""TCP proxies between two members of a rig, or a member and a stand-in: bytes wait while the network blocks
+one direction, as behind a cut, and continue when it heals; connections can be reset or left half open.
 
-Owns the listening socket of each way and both sockets of each connection; `close` gives all of it back."""
+A proxy owns its listening socket and both sockets of each connection; `close` releases them."""
 
 from __future__ import annotations
 
@@ -16,13 +15,13 @@
 
 HOST = "127.0.0.1"
 CHUNK_BYTES = 16 * 1024
-CUT_POLL_S = 0.02  # seconds between two looks at a blocked direction
+CUT_POLL_S = 0.02  # interval between checks of a blocked direction
 MAX_CONNECTIONS = 256
 LINGER_RESET = struct.pack("ii", 1, 0)
 
 
 class StreamProxy:
-    """What `sender` opens to `address` goes to `hearer`, which listens at `target`."""
+    """Forwards connections that `sender` opens to the proxy to `receiver`, which listens at `target`."""
 
     def __init__(
         self, network: NetworkConditions, sender: str, receiver: str, target: tuple[str, int]
@@ -31,7 +30,7 @@
         self.server: asyncio.Server | None = None
         self.writers: dict[asyncio.StreamWriter, None] = {}
         self.tasks: dict[asyncio.Task[None], None] = {}
-        self.passed = [0, 0]  # bytes forth and back
+        self.passed = [0, 0]  # bytes forward and backward
 
     async def open(self) -> str:
         self.server = await asyncio.start_server(self.serve, HOST, 0)
@@ -47,21 +46,21 @@
         try:
             await self.carry(reader, writer)
         except (OSError, ExceptionGroup):
-            pass  # one side broke: the other hears of it by the close
+            pass  # one side broke; the other side is closed below
         finally:
             self.tasks.pop(task, None)
             self.writers.pop(writer, None)
             writer.close()
 
     async def carry(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """One connection, until both ends are done. One begun behind a cut stands there until it heals."""
+        """Forwards one connection until both ends are done. One opened behind a cut waits until it heals."""
         await self.wait_until_passable(0)
         async with self.far_end() as (back, far):
             await self.pump_both(reader, writer, back, far)
 
     @asynccontextmanager
     async def far_end(self) -> AsyncIterator[tuple[asyncio.StreamReader, asyncio.StreamWriter]]:
-        """A connection to the target, closed afterwards."""
+        """A connection to the target, closed on exit."""
         back, far = await asyncio.open_connection(*self.target)
         self.writers[far] = None
         try:
@@ -77,23 +76,24 @@
         back: asyncio.StreamReader,
         far: asyncio.StreamWriter,
     ) -> None:
-        """Both directions, each by itself."""
+        """Forwards both directions independently."""
         async with asyncio.TaskGroup() as group:
             group.create_task(self.pump(reader, far, 0))
             group.create_task(self.pump(back, writer, 1))
 
     def blocked(self, direction: int) -> bool:
-        """Whether nothing passes that way now; 0: forth, 1: back."""
+        """Whether a direction is blocked now; 0 is forward, 1 backward."""
         ends = (self.sender, self.receiver) if direction == 0 else (self.receiver, self.sender)
         return self.network.blocks(*ends)
 
     async def wait_until_passable(self, direction: int) -> None:
-        """Waits until the direction is not cut."""
+        """Waits until the direction is not blocked."""
         while self.blocked(direction):
             await asyncio.sleep(CUT_POLL_S)
 
     async def pump(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, direction: int) -> None:
-        """Each direction by itself: one that is cut does not hold the other up. An end passes as an end."""
+        """Forwards one direction, so that a cut one does not delay the other. An end of stream is forwarded
+        too."""
         while data := await reader.read(CHUNK_BYTES):
             await self.wait_until_passable(direction)
             writer.write(data)
@@ -104,7 +104,7 @@
             writer.write_eof()
 
     def reset(self) -> None:
-        """All connections break at both ends, as where a machine between them forgets its table."""
+        """Resets all connections at both ends, as when a middlebox loses its connection table."""
         for writer in list(self.writers):
             sock = writer.get_extra_info("socket")
             if sock is not None:
--- a/lupinmill/lab/fleet_virtual.py
+++ b/lupinmill/lab/fleet_virtual.py
@@ -1,7 +1,8 @@
-"""A fleet in virtual time: the very cores of `peers/` under a simulated network, from one seed. No bytes are
-encoded unless asked (`bytes_every`), as the codec has its own tests.
+"""A fleet in virtual time: the pure cores of `peers/`, run unchanged on a simulated network, from one seed.
+Only a sample of the datagrams is encoded, for their size (`SIZE_SAMPLE_INTERVAL`): the codec has its own
+tests.
 
-Owns the clock, the queue of what is to come and the cores; nothing outlives a run."""
+A run owns the clock, the event queue and the cores; nothing outlives it."""
 
 from __future__ import annotations
 
@@ -28,29 +29,31 @@
 )
 from lupinmill.peers.wire import Status
 
-CLOCK_START = 1_000 * SECOND  # where clocks begin, more or less: no member's is another's
+CLOCK_START = 1_000 * SECOND  # members' clocks start at different times after this
 STARVED_RUN_TIME = 50 * MS
-FAULT_AFTERMATH = 5 * SECOND  # after a fault a death may still be its consequence
+FAULT_AFTERMATH = 5 * SECOND  # a death within this time of a fault may be its consequence
 DECIDE_INTERVAL = 700 * MS
-SIZE_SAMPLE_INTERVAL = 50  # every so many datagrams are encoded for their size
+SIZE_SAMPLE_INTERVAL = 50  # in datagrams
 
 
 @dataclass
 class Host:
-    """One member's machine: its clock, its disk, and the core of the process that runs on it now."""
+    """The machine of one member: its clock, its disk, and the core of its current process."""
 
     name: str
-    clock_offset: int  # of the run's time
-    clock_rate: float  # its clock against the run's, within the bound on drift
+    clock_offset: int  # from the run's time
+    clock_rate: float  # relative to the run's clock, within the bound on drift
     peer: Peer | None = None
     stored: bytes | None = None
     paused: bool = False
     inbox: list[Received] = field(default_factory=list)
-    wake_due: int = -1  # the moment it is queued for
+    wake_due: int = -1  # time of its queued wake-up
     starts: int = 0
-    running_since: int = 0  # its process's start, or when it went on after a stop
+    running_since: int = 0  # start of its process, or its last resumption
     sent: int = 0
-    held_leases: dict[str, int] = field(default_factory=dict)  # leases, by its own word
+    held_leases: dict[str, int] = field(
+        default_factory=dict
+    )  # epoch by topic, according to the member itself
     starvation: Fault | None = None
 
 
@@ -82,14 +85,15 @@
         self.serial = self.start_count = 0
         self.sizes: list[int] = []
         self.datagrams = 0
-        self.decisions: dict[int, tuple[int, bytes]] = {}  # version: epoch and body, as told as made
-        self.epoch_holders: dict[int, str] = {}  # taken by whom
+        self.decisions: dict[int, tuple[int, bytes]] = {}  # epoch and body by version, as reported accepted
+        self.epoch_holders: dict[int, str] = {}  # holder by epoch
         self.false_deaths, self.quiet_since = 0, 0
-        # Electors without directories keep numbers only while a majority of them remembers: docs/peers.md.
+        # Electors without stable storage keep epochs and versions only while a majority remembers them:
+        # docs/peers.md.
         self.memory_lost = False
         self.check_leases = True
 
-    # The run.
+    # Run.
 
     def schedule(self, at: int, kind: str, argument: object) -> None:
         self.serial += 1
@@ -160,7 +164,7 @@
         if host.peer is None:
             return
         if host.paused:
-            if len(host.inbox) < 2_000:  # what a socket's buffer holds
+            if len(host.inbox) < 2_000:  # as many as a socket's buffer holds
                 host.inbox.append(received)
             return
         self.step(host, [received])
@@ -174,7 +178,7 @@
         self.step(host)
 
     def do_go_on(self, name: str) -> None:
-        """What its buffer holds is read first, as the driver does."""
+        """The buffered datagrams are read first, as by the driver."""
         host = self.hosts[name]
         if host.peer is None or not host.paused:
             return
@@ -303,10 +307,11 @@
             self.event(host, "decision", command.topic, "known" if version else "forgotten", version=version)
             if isinstance(command, DecisionAdopted) and version in self.decisions:
                 if self.decisions[version][1] != command.body and not self.memory_lost:
-                    self.report_violation(f"{host.name} goes by another decision {version} than was made")
+                    self.report_violation(f"{host.name} adopted another decision {version} than was accepted")
 
     def was_healthy(self, name: str) -> bool:
-        """It ran for a while, was neither stopped nor starved, and no cut or loss by a fault was on."""
+        """Whether it had been running for a while, neither stopped nor starved, without a cut or loss by a
+        fault."""
         host = self.hosts.get(name)
         if (
             host is None
@@ -326,11 +331,11 @@
         self.decisions[command.version] = (command.epoch, command.body)
         if command.version < max(self.decisions) and not self.memory_lost:
             self.report_violation(
-                f"decision {max(self.decisions)} was told as made, and {command.version} came after it"
+                f"decision {max(self.decisions)} was reported accepted, and {command.version} came after it"
             )
 
     def check_single_holder(self) -> None:
-        """Who may act on the lease at this very moment, by its own clock."""
+        """Reports a violation if several members may act on the lease now, each by its own clock."""
         holders = (
             [
                 name
@@ -359,7 +364,7 @@
         for delay in self.network.delays(host.name, command.to):
             self.schedule(self.now + max(1, int(delay * SECOND)), "datagram", (command.to, received))
 
-    # What it tells.
+    # Results.
 
     def event(
         self,
@@ -386,7 +391,7 @@
         }
 
     def agreed(self) -> bool:
-        """All that run hold those that run, and no others, for present."""
+        """Whether every running member holds exactly the running members present."""
         running = {name for name, host in self.hosts.items() if host.peer is not None}
         return all(
             {other for other, status in view.items() if status in (Status.ALIVE, Status.SUSPECT)} | {name}
--- a/tests/test_lab_fleet.py
+++ b/tests/test_lab_fleet.py
@@ -1,4 +1,4 @@
-"""Fleets of the lab: scenarios, both drivers, the page of strips, the command."""
+"""The lab's fleets: scenarios, both drivers, the HTML report and the command."""
 
 import asyncio
 
@@ -52,7 +52,7 @@
     network.end(cut)
     network.begin(Fault("partition", 0.0, groups=[[0, 1]]))
     assert any(network.delays("m0", "m1") for _ in range(50))
-    assert not any(network.delays("m2", "m3") for _ in range(50)), "who is in no group stands by itself"
+    assert not any(network.delays("m2", "m3") for _ in range(50)), "a member of no group is isolated"
 
 
 async def echo(reader, writer):
@@ -62,7 +62,7 @@
 
 
 def with_stream_proxy(check):
-    """An upper-casing server behind a way from m0 to m1."""
+    """Runs `check` with an upper-casing server behind a proxy from m0 to m1."""
 
     async def main():
         server = await asyncio.start_server(echo, "127.0.0.1", 0)
@@ -87,7 +87,7 @@
         writer.write(b"one")
         assert await reader.read(10) == b"ONE"
         network.begin(cut := Fault("cut", 0.0, members=[1], to=[0]))
-        writer.write(b"two")  # it gets there; the answer does not come back
+        writer.write(b"two")  # it arrives; the answer does not come back
         while proxy.passed[0] < 6:
             await asyncio.sleep(0.01)
         with pytest.raises(TimeoutError):
@@ -182,8 +182,8 @@
 
 
 def test_real_processes_play_a_scenario_under_load(tmp_path):
-    """Three sidecars that know each other serve a small site; every submission is answered, all rules
-    kept."""
+    """Three sidecars that know each other serve a small site: every request is answered and no rule is
+    broken."""
     result = CliRunner().invoke(
         root,
         ["lab", "run", "small-site", "--sockets", "--peers", "--quiet", "--set", "sidecars.count=3",
