--- a/lupinmill/lab/fleet_report.py
+++ b/lupinmill/lab/fleet_report.py
@@ -112,7 +112,7 @@
         f"<!doctype html><meta charset=utf-8><title>{html.escape(result.fleet.title)}</title>"
         f"<style>{STYLE}</style><h1>{html.escape(result.fleet.title)}</h1>"
         f"<p>{result.fleet.members} sidecars, {result.driver}, seed {result.seed}. Each bar shows one "
-        f"sidecar's own quorum state: {colours}; grey: its process does not run. The thin bar is a lease with "
+        f"sidecar's own quorum state: {colours}; grey: its process does not run. A thin bar is a lease with "
         f"its epoch; a red mark: another sidecar holds it dead.</p>"
         f"{broken}{timeline_svg(result)}<table>{figures}</table>{event_table(result)}"
     )
