--- a/lupinmill/cli/fleets.py
+++ b/lupinmill/cli/fleets.py
@@ -40,12 +40,12 @@
 
     try:
         read = None if name == "random" else scenarios.load(name)
-    except scenarios.BadFleet as error:
+    except scenarios.FleetError as error:
         exit_with_error(error)
     broken = False
     first = seed if seed is not None else read.seed if read is not None else 1
     for number in range(first, first + seeds):
-        read = scenarios.drawn(number) if name == "random" else read
+        read = scenarios.random_fleet(number) if name == "random" else read
         assert read is not None
         if sockets:
             one = asyncio.run(fleet_sockets.play(read, number))
@@ -80,13 +80,13 @@
     """
     import os
 
-    from lupinmill.lab import commons, zones_measure
+    from lupinmill.lab import virtual_peers, zones_measure
 
     chosen = modes.split(",")
     try:
         scenario.load(name)
-        if wrong := [mode for mode in chosen if mode not in commons.MODES]:
-            raise ValueError(f"--modes {wrong[0]}: one of {', '.join(commons.MODES)}")
+        if wrong := [mode for mode in chosen if mode not in virtual_peers.MODES]:
+            raise ValueError(f"--modes {wrong[0]}: one of {', '.join(virtual_peers.MODES)}")
         pairs = tuple((key.strip(), value.strip()) for key, _, value in (c.partition("=") for c in changes))
         found = zones_measure.compare_modes(
             name, chosen, list(range(1, seeds + 1)), pairs, jobs or os.cpu_count() or 1, click.echo
@@ -125,9 +125,9 @@
     from lupinmill.lab import explore_config
 
     outcome = explore_config.check(departures, states)
-    how = "all" if outcome.whole else "not all"
+    how = "all" if outcome.complete else "not all"
     click.echo(f"{outcome.states} states, {how} schedules with up to {outcome.departures} departures")
-    wrong = f"{outcome.found.wrong}: {outcome.found.text()}" if outcome.found is not None else ""
+    wrong = f"{outcome.failure.violation}: {outcome.failure.text()}" if outcome.failure is not None else ""
     if not wrong:
         count, wrong = explore_config.walks(range(walks))
         click.echo(f"{count} walks")
@@ -178,16 +178,16 @@
         click.echo(wrong or "nothing goes wrong")
         sys.exit(EXIT_BROKEN if wrong else 0)
     outcome = explorer.explore(make, departures, states)
-    how = "all" if outcome.whole else "not all"
+    how = "all" if outcome.complete else "not all"
     click.echo(f"{outcome.states} states, {how} schedules with up to {outcome.departures} departures")
-    found = outcome.found
+    found = outcome.failure
     for seed in range(walks if found is None else 0):
         found = explorer.walk(make, seed, 0.1)
         if found is not None:
             click.echo(f"walk {seed}")
             break
     if found is not None:
-        short = explorer.shortened(make, found)
-        click.echo(f"BROKEN: {short.wrong}\n{short.text()}")
+        short = explorer.shrink(make, found)
+        click.echo(f"BROKEN: {short.violation}\n{short.text()}")
         sys.exit(EXIT_BROKEN)
     click.echo(f"nothing broken, also in {walks} walks" if walks else "nothing broken")
--- a/lupinmill/lab/sockets/endpoints.py
+++ b/lupinmill/lab/sockets/endpoints.py
@@ -6,7 +6,7 @@
 
 from lupinmill.lab.endpoint import Endpoint
 from lupinmill.lab.registry import Registry
-from lupinmill.lab.stands import EndpointServer
+from lupinmill.lab.stand_ins import EndpointServer
 
 if TYPE_CHECKING:
     from lupinmill.lab.sockets.run import SocketRun
@@ -47,9 +47,9 @@
         """Resets the endpoint's connections, or leaves them open without answers."""
         server = self.servers[endpoint.spec.name]
         if endpoint.silent:
-            server.fall_silent()
+            server.stop_accepting()
         else:
-            server.refuse()
+            server.refuse_connections()
 
     def close(self) -> None:
         """Closes all servers."""
--- a/lupinmill/lab/sockets/run.py
+++ b/lupinmill/lab/sockets/run.py
@@ -11,7 +11,7 @@
 
 from lupinmill.lab.clients import Clients
 from lupinmill.lab.endpoint import Endpoint
-from lupinmill.lab.fleet_sockets import TAKEN, free_port
+from lupinmill.lab.fleet_sockets import RESERVED_PORTS, free_port
 from lupinmill.lab.metrics import RunMetrics, record_endpoints
 from lupinmill.lab.processes import Process
 from lupinmill.lab.registry import Entry
@@ -24,7 +24,7 @@
 from lupinmill.lab.sockets.inner import InnerCalls
 from lupinmill.lab.sockets.sidecars import EjectedEndpoints, until_ready
 from lupinmill.lab.sockets.slow_clients import stay_idle, trickle
-from lupinmill.lab.stands import HOST, DiscoveryServer
+from lupinmill.lab.stand_ins import HOST, DiscoveryServer
 from lupinmill.lab.timeline import MS, SECOND, Timeline
 from lupinmill.lab.world import World, random_stream, draw
 from lupinmill.lab.world.troubles.plan import plan
@@ -172,7 +172,7 @@
         self.clock.stop()
         self.requests.close()
         await asyncio.gather(*(process.end() for process in self.processes()), return_exceptions=True)
-        TAKEN.difference_update(self.peer_ports)
+        RESERVED_PORTS.difference_update(self.peer_ports)
         self.endpoints.close()
         for discovery in self.discoveries.values():
             discovery.close()
--- a/lupinmill/lab/sockets/sidecars.py
+++ b/lupinmill/lab/sockets/sidecars.py
@@ -6,14 +6,14 @@
 from typing import Any
 
 from lupinmill.lab.processes import Process
-from lupinmill.lab.stands import AskPool, Exchange
+from lupinmill.lab.stand_ins import ConnectionPool, Exchange
 from lupinmill.protocol.http import Answer, Request
 
 READY_TIMEOUT_S = 20.0
 READY_INTERVAL_S = 0.05
 
 
-async def until_ready(process: Process, pool: AskPool) -> None:
+async def until_ready(process: Process, pool: ConnectionPool) -> None:
     """Waits until the process reports that it is ready; raises RuntimeError after `READY_TIMEOUT_S`."""
     loop = asyncio.get_running_loop()
     deadline = loop.time() + READY_TIMEOUT_S
--- a/lupinmill/lab/zones_measure.py
+++ b/lupinmill/lab/zones_measure.py
@@ -10,7 +10,7 @@
 from statistics import mean
 from typing import Any
 
-from lupinmill.lab import commons
+from lupinmill.lab import virtual_peers
 from lupinmill.lab.experiments import confidence_interval, nested_table
 from lupinmill.lab.scenario import check, find, merge_tables, read_tables
 from lupinmill.lab.timeline import SECOND
@@ -39,7 +39,7 @@
     for key, value in trial.changes:
         table = merge_tables(table, nested_table(table, key, value, trial.scenario))
     scenario = check(table, trial.scenario)
-    run = VirtualRun(scenario, trial.seed, commons=commons.of(trial.mode))
+    run = VirtualRun(scenario, trial.seed, commons=virtual_peers.peers_factory(trial.mode))
     run.play()
     endpoints = [e for tier in run.world.tiers for e in tier]
     found = run.metrics.figures(scenario.goal, endpoints, 0, 1.0, 1.0)
@@ -53,21 +53,21 @@
         **{f"service of {name}": part for name, part in found.by_workload.items()},
     }
     broken = [f"rule {b.rule}, second {b.second}, {b.what}: {b.text}" for b in rule_checker.broken]
-    if isinstance(run.commons, commons.Together):
+    if isinstance(run.commons, virtual_peers.VirtualPeers):
         figures |= run.commons.figures()
         cuts = [record for record in run.world.trouble_records if record.kind == "zone_cut"]
         if cuts:
             figures["left after s"] = seconds_until_left(run, run.world.start + int(cuts[0].began * SECOND))
-        broken += run.commons.broken
+        broken += run.commons.violations
     return TrialResult(trial, figures, broken)
 
 
 def seconds_until_left(run: Any, lost_at: int) -> float:
     """Seconds from a moment until a plan that leaves a zone is in force at all sidecars; NaN without such a
     plan."""
-    records = [f for f in run.commons.versions.values() if f.left and f.at >= lost_at]
-    count = sum(post.peer is not None for post in run.commons.posts.values())
-    spans = [max(f.known.values()) - lost_at for f in records if len(f.known) >= count]
+    records = [f for f in run.commons.plans.values() if f.left_zones and f.at >= lost_at]
+    count = sum(cores.peer is not None for cores in run.commons.cores.values())
+    spans = [max(f.known_at.values()) - lost_at for f in records if len(f.known_at) >= count]
     return min(spans) / SECOND if spans else float("nan")
 
 
--- a/tests/test_peers_members.py
+++ b/tests/test_peers_members.py
@@ -107,7 +107,7 @@
         seen["standing"] = quorum_states(fleet)
 
     fleet.do_look = look
-    fleet.put(19 * SECOND, "look", None)
+    fleet.schedule(19 * SECOND, "look", None)
     result = fleet.play()
     assert not result.broken and fleet.agreed() and set(quorum_states(fleet).values()) == {"together"}
     standing = seen.pop("standing")
@@ -162,9 +162,9 @@
 
     def quiet(members):
         fleet = VirtualFleet(Fleet("test", 60.0, members, electors=0), 2)
-        fleet.check_truth = False
+        fleet.check_leases = False
         for name in fleet.hosts:
-            fleet.put(0, "start", name)
+            fleet.schedule(0, "start", name)
         fleet.run_until(20 * SECOND)
         before = sum(host.sent for host in fleet.hosts.values())
         fleet.run_until(30 * SECOND)
@@ -181,21 +181,21 @@
 def test_every_schedule_with_one_departure_refutes_and_agrees(liar):
     """Three members for 0.4 s with loss, duplication, reordering, restarts, pauses and false reports, then
     a quiet network. A refuted suspicion never ends in a death, and all members agree in the end."""
-    outcome = explore(partial(MembershipWorld, liar=liar), 1)
-    assert outcome.found is None and outcome.whole and outcome.states > 2_000
+    outcome = explore(partial(MembershipWorld, false_deaths=liar), 1)
+    assert outcome.failure is None and outcome.complete and outcome.states > 2_000
 
 
 def test_walks_with_many_departures_refute_and_agree():
     for seed in range(60):
-        found = walk(partial(MembershipWorld, 4, 3 * SECOND, liar=True), seed, 0.1)
-        assert found is None, f"seed {seed}: {found.wrong}"
+        found = walk(partial(MembershipWorld, 4, 3 * SECOND, false_deaths=True), seed, 0.1)
+        assert found is None, f"seed {seed}: {found.violation}"
 
 
 def test_a_core_that_believes_hearsay_is_found():
-    make = partial(MembershipWorld, liar=True, gullible=True, horizon=250_000)
-    found = explore(make, 1).found
-    assert found is not None and found.departures == 1 and "dead" in found.wrong
-    assert replay(make, found.text()) == found.wrong
+    make = partial(MembershipWorld, false_deaths=True, believes_hearsay=True, horizon=250_000)
+    found = explore(make, 1).failure
+    assert found is not None and found.departures == 1 and "dead" in found.violation
+    assert replay(make, found.text()) == found.violation
 
 
 # --- a single core ----------------------------------------------------------------------------------------
