--- a/lupinmill/lab/scale/fanout_sockets.py
+++ b/lupinmill/lab/scale/fanout_sockets.py
@@ -1,10 +1,12 @@
-"""One real source and one real relay on loopback, and hundreds of hollow watchers in one other process: the
-very `ConfigWatch` and `Follower` a watcher, without the rest of a sidecar. What the relay's process takes
-by watchers, what a watcher takes, and how long a pushed version is under way. Ends all that it starts.
+"""Measures one real source and one real relay on loopback, with hundreds of watchers in one other process.
+
+Each watcher runs the production `ConfigWatch` and `Follower` without the rest of a sidecar. Measured are the
+cost of the relay's process by number of watchers, the cost of a watcher, and the time from the push of a
+version until it is in force. All started processes are ended.
 
     python -m lupinmill.lab.scale.fanout_sockets RELAY COUNT WAIT_MS SIDECARS SERVICES
 
-are the watchers, told by lines."""
+runs the watchers; it reports their totals for each line on standard input."""
 
 from __future__ import annotations
 
@@ -28,52 +30,60 @@
 from lupinmill.config.model import Entries, Key, Version
 from lupinmill.lab.config_rig import ConfigRig
 from lupinmill.lab.scale.added import Child
-from lupinmill.lab.scale.fanout_shape import SECOND, Shape, change, scopes_of, state
+from lupinmill.lab.scale.fanout_shape import (
+    SECOND,
+    FleetShape,
+    draw_change,
+    initial_entries,
+    scopes_of_sidecar,
+)
 from lupinmill.lab.scale.load import percentile
 from lupinmill.transport.connection import Connection
 from lupinmill.transport.buffers import BlockPool
 
-SETTLE = 3.0  # seconds after all watchers are there
-STARTS = 60.0  # seconds until all must be there
-LOOK = 0.2
+SETTLE_S = 3.0  # seconds to wait after all watchers have connected
+VERSION_TIMEOUT_S = 60.0  # seconds within which all must reach a version
+POLL_INTERVAL_S = 0.2
 
 
-class Seen(msgspec.Struct):
-    """Of all watchers together, since they began; times by the machine's monotonic clock."""
+class WatcherTotals(msgspec.Struct):
+    """Totals of all watchers since their start. Times are of the machine's monotonic clock."""
 
-    least: int = 0  # version of the one that is furthest behind
+    least: int = 0  # oldest version held by any watcher
     calls: int = 0
     bytes_in: int = 0
     bytes_out: int = 0
     cpu: float = 0.0
     resident: int = 0
-    took: dict[str, list[float]] = {}  # by version: when it came into force, of each watcher
+    took: dict[str, list[float]] = {}  # by version: when it came into force at each watcher
 
 
-# --- the watchers, a process of their own ---------------------------------------------------------
+# --- the watchers' process ---------------------------------------------------------
 
 
 class Watchers:
-    def __init__(self, relay: str, count: int, wait_ms: int, shape: Shape) -> None:
-        self.seen, self.store = Seen(), BlockPool()
+    def __init__(self, relay: str, count: int, wait_ms: int, shape: FleetShape) -> None:
+        self.seen, self.buffers = WatcherTotals(), BlockPool()
         self.versions = [0] * count
         self.held: list[Entries] = [{} for _ in range(count)]
-        there = random.Random("watchers").sample(range(shape.sidecars), count)
-        self.watches = [self.watch(n, at, shape, relay, wait_ms) for n, at in enumerate(there)]
+        indices = random.Random("watchers").sample(range(shape.sidecars), count)
+        self.watches = [self.make_watch(n, index, shape, relay, wait_ms) for n, index in enumerate(indices)]
 
-    def watch(self, n: int, at: int, shape: Shape, relay: str, wait_ms: int) -> ConfigWatch:
-        def take(version: Version, entries: Entries) -> None:
-            """A wait that ends tells of versions that don't concern this one: they count for nothing."""
+    def make_watch(self, n: int, index: int, shape: FleetShape, relay: str, wait_ms: int) -> ConfigWatch:
+        def on_version(version: Version, entries: Entries) -> None:
+            """Ignores versions that change nothing here, which a watch also returns when its wait ends."""
             self.versions[n] = version.index
             if entries != self.held[n]:
                 self.held[n] = entries
                 self.seen.took.setdefault(str(version.index), []).append(time.monotonic())
 
-        follower = Follower(f"m{at}", (relay,), at, wait_ms * 1000, 2 * SECOND, Version(), {})
-        return ConfigWatch(follower, scopes_of(shape, at), self.store, take, lambda *_, **__: None)
+        follower = Follower(f"m{index}", (relay,), index, wait_ms * 1000, 2 * SECOND, Version(), {})
+        return ConfigWatch(
+            follower, scopes_of_sidecar(shape, index), self.buffers, on_version, lambda *_, **__: None
+        )
 
     async def connect(self, *args: Any) -> Connection:
-        """The driver's own, with its bytes counted."""
+        """Connects as the driver does, and counts calls and bytes."""
         made = await CONNECT(*args)
         send, receive = made.send, made.receive
 
@@ -114,100 +124,103 @@
 
 
 @dataclass(slots=True)
-class Row:
-    """One size. Of the relay's process: part of a core, bytes; a second of all watchers."""
+class SocketResult:
+    """Results for one number of watchers. Rates are per second over all watchers, CPU is a part of a core."""
 
     watchers: int
     relay_cpu: float
     relay_memory: int
     calls: float
-    bytes_out: float  # of the relay, HTTP's
+    bytes_out: float  # sent by the relay, with HTTP headers
     bytes_in: float
     watcher_cpu: float
-    watcher_memory: float  # bytes of its process by watcher
-    cpu_a_call: float  # seconds of the relay's
-    whole_cpu: float  # seconds of the relay's to give each watcher its first snapshot
+    watcher_memory: float  # bytes of the watchers' process, per watcher
+    cpu_a_call: float  # processor seconds of the relay
+    whole_cpu: float  # processor seconds of the relay to give all watchers their first snapshot
     took: list[float] = field(
         default_factory=list
-    )  # seconds from the push's call till in force, each watcher
+    )  # seconds from the push's call until in force, at each watcher
     loadavg: float = 0.0
-    pushes: list[float] = field(default_factory=list)  # seconds until the source said that it has a version
+    pushes: list[float] = field(default_factory=list)  # seconds until the source acknowledged a version
 
 
-def told(_: str) -> dict[str, Any]:
+def sidecar_settings(_: str) -> dict[str, Any]:
     return {}
 
 
-async def ask(child: Child) -> Seen:
+async def query_watchers(child: Child) -> WatcherTotals:
     child.say(b"")
-    return msgspec.json.decode(await child.hear(), type=Seen)
+    return msgspec.json.decode(await child.hear(), type=WatcherTotals)
 
 
-async def until_there(child: Child, index: int) -> Seen:
-    limit = time.monotonic() + STARTS
-    while (seen := await ask(child)).least < index:
+async def wait_for_watchers(child: Child, index: int) -> WatcherTotals:
+    limit = time.monotonic() + VERSION_TIMEOUT_S
+    while (seen := await query_watchers(child)).least < index:
         if time.monotonic() > limit:
-            raise RuntimeError(f"not all watchers came to version {index} in {STARTS:g} s")
-        await asyncio.sleep(LOOK)
+            raise RuntimeError(f"not all watchers reached version {index} within {VERSION_TIMEOUT_S:g} s")
+        await asyncio.sleep(POLL_INTERVAL_S)
     return seen
 
 
-async def measure_one(shape: Shape, count: int, wait_ms: int, seconds: float, rate: float, seed: int) -> Row:
-    """`rate`: changes a second of the whole fleet, of which few concern these watchers."""
-    chance = random.Random(f"sockets {seed}")
+async def measure_one(
+    shape: FleetShape, count: int, wait_ms: int, seconds: float, rate: float, seed: int
+) -> SocketResult:
+    """`rate`: changes per second in the whole fleet, few of which concern these watchers."""
+    random_source = random.Random(f"sockets {seed}")
     more = {"sidecars": max(1, count), "most_watchers": 2 * count + 8, "calls_per_s": 200.0}
     child = Child()
-    async with ConfigRig(told, 1, 0, more) as rig:
+    async with ConfigRig(sidecar_settings, 1, 0, more) as rig:
         try:
-            entries = state(shape, chance)
-            entries.pop(Key("fleet", "zones"))  # more zones than a source takes
+            entries = initial_entries(shape, random_source)
+            entries.pop(Key("fleet", "zones"))  # exceeds the number of zones that a source accepts
             index = await rig.push(entries)
             relay = rig.processes["relay-0"]
-            await until_relay(rig, index)
+            await wait_for_relay(rig, index)
             before = relay.cpu()
             numbers = (count, wait_ms, shape.sidecars, shape.services)
             await child.start(
                 "lupinmill.lab.scale.fanout_sockets", rig.listens["relay-0"], *map(str, numbers)
             )
-            await until_there(child, index)
+            await wait_for_watchers(child, index)
             whole = relay.cpu() - before
-            await asyncio.sleep(SETTLE)
-            return await look(rig, child, shape, count, seconds, rate, chance, whole)
+            await asyncio.sleep(SETTLE_S)
+            return await observe(rig, child, shape, count, seconds, rate, random_source, whole)
         finally:
             await child.end()
 
 
-async def until_relay(rig: ConfigRig, index: int) -> None:
-    limit = time.monotonic() + STARTS
+async def wait_for_relay(rig: ConfigRig, index: int) -> None:
+    limit = time.monotonic() + VERSION_TIMEOUT_S
     while True:
         _, table = await rig.call("relay-0", "GET", "/v1/status")
         if table["index"] >= index and table["kept"] >= index:
             return
         if time.monotonic() > limit:
-            raise RuntimeError(f"the relay did not come to version {index}")
-        await asyncio.sleep(LOOK)
+            raise RuntimeError(f"the relay did not reach version {index} within {VERSION_TIMEOUT_S:g} s")
+        await asyncio.sleep(POLL_INTERVAL_S)
 
 
-async def look(
-    rig: ConfigRig, child: Child, shape: Shape, count: int, seconds: float, rate: float,
-    chance: random.Random, whole: float,
-) -> Row:  # fmt: skip
+async def observe(
+    rig: ConfigRig, child: Child, shape: FleetShape, count: int, seconds: float, rate: float,
+    random_source: random.Random, whole: float,
+) -> SocketResult:  # fmt: skip
     relay = rig.processes["relay-0"]
-    load, first, began, cpu = os.getloadavg()[0], await ask(child), time.monotonic(), relay.cpu()
+    load, first, began, cpu = os.getloadavg()[0], await query_watchers(child), time.monotonic(), relay.cpu()
     pushed: dict[str, float] = {}
     pushes = []
     due = began
-    while (due := due + chance.expovariate(rate)) < began + seconds:
+    while (due := due + random_source.expovariate(rate)) < began + seconds:
         await asyncio.sleep(max(0.0, due - time.monotonic()))
         at = time.monotonic()
-        pushed[str(await rig.push(change(shape, chance)))] = at
+        pushed[str(await rig.push(draw_change(shape, random_source)))] = at
         pushes.append(time.monotonic() - at)
     await asyncio.sleep(max(0.0, began + seconds - time.monotonic()))
-    last, spent, took = await ask(child), relay.cpu() - cpu, time.monotonic() - began
+    last, spent, took = await query_watchers(child), relay.cpu() - cpu, time.monotonic() - began
     at = time.monotonic()
-    index = await rig.push({Key("fleet", "settings"): {"limits": {"most-launches": 3}}})  # everyone's
+    # A change that concerns all watchers.
+    index = await rig.push({Key("fleet", "settings"): {"limits": {"most-launches": 3}}})
     pushed[str(index)] = at
-    final = await until_there(child, index)
+    final = await wait_for_watchers(child, index)
     times = [
         when - pushed[version]
         for seen in (last, final)
@@ -216,7 +229,7 @@
         for when in whens
     ]
     calls = last.calls - first.calls
-    return Row(
+    return SocketResult(
         count, spent / took, resident(relay.process.pid), calls / took,
         (last.bytes_in - first.bytes_in) / took, (last.bytes_out - first.bytes_out) / took,
         (last.cpu - first.cpu) / took / count, last.resident / count,
@@ -224,7 +237,7 @@
     )  # fmt: skip
 
 
-def line(row: Row, wait_ms: int) -> str:
+def format_row(row: SocketResult, wait_ms: int) -> str:
     return (
         f"sockets, {row.watchers} watchers of {wait_ms / 1000:g} s: relay cpu {row.relay_cpu:.4f} of a core,"
         f" {row.cpu_a_call * 1e6:.0f} us a call, {row.relay_memory / 2**20:.1f} MB, calls/s"
@@ -240,21 +253,21 @@
     )
 
 
-def rows(
-    shape: Shape, counts: tuple[int, ...], wait_ms: int, seconds: float, rate: float, seed: int,
+def measure_all(
+    shape: FleetShape, counts: tuple[int, ...], wait_ms: int, seconds: float, rate: float, seed: int,
     log: Callable[[str], None],
-) -> list[Row]:  # fmt: skip
+) -> list[SocketResult]:  # fmt: skip
     found = []
     for count in counts:
         row = asyncio.run(measure_one(shape, count, wait_ms, seconds, rate, seed))
-        log(line(row, wait_ms))
+        log(format_row(row, wait_ms))
         found.append(row)
     return found
 
 
-def cost_a_call(found: list[Row]) -> float:
-    """Seconds of a relay's core for one watch, its call and its reply: of all but what it spends without
-    any."""
+def cost_a_call(found: list[SocketResult]) -> float:
+    """Processor seconds of a relay for one watch, call and reply together. Uses the difference between the
+    least and the most loaded run, which leaves out the relay's constant cost."""
     first, last = min(found, key=lambda row: row.calls), max(found, key=lambda row: row.calls)
     if last.calls > first.calls and last.relay_cpu > first.relay_cpu:
         return (last.relay_cpu - first.relay_cpu) / (last.calls - first.calls)
@@ -264,7 +277,7 @@
 def main(arguments: list[str]) -> None:
     relay, numbers = arguments[0], [int(one) for one in arguments[1:]]
     count, wait_ms, sidecars, services = numbers
-    anyio.run(Watchers(relay, count, wait_ms, Shape(sidecars=sidecars, services=services)).run)
+    anyio.run(Watchers(relay, count, wait_ms, FleetShape(sidecars=sidecars, services=services)).run)
 
 
 if __name__ == "__main__":
--- a/lupinmill/lab/scale/fanout_world.py
+++ b/lupinmill/lab/scale/fanout_world.py
@@ -1,10 +1,12 @@
-"""A source, its relays and a fleet of hollow sidecars in virtual time: the very cores that serve (`History`,
-`Fanout`, `Follower`) and the very bytes on the wire, on one heap of events, from a told seed.
+"""Discrete-event simulation of a configuration source, its relays and a fleet of sidecars without clients.
 
-Stand-ins are the network (a told time each way, nothing lost), the relays' one core (each call and reply
-takes its told time, in turn) and the process that puts a version in force (a told time). A sidecar in so
-many does all of a real one's work on each call, h11 and JSON included, for the processor time; the others
-share what is read of one answer. Times are whole microseconds."""
+The production state machines (`History`, `Fanout`, `Follower`) run unchanged and exchange the bytes of the
+real protocol, driven by one event heap in virtual time and reproducible from a seed.
+
+Simulated are the network (a fixed delay each way, no loss), the single core of each relay (each call and
+reply occupies it for a fixed time, one after the other) and the step that puts a version in force (a fixed
+time). One sidecar in `SAMPLE_INTERVAL` does all the work of a real one on each call, h11 and JSON included,
+so that its processor time can be measured; the others share decoded replies. Times are whole microseconds."""
 
 from __future__ import annotations
 
@@ -42,117 +44,130 @@
     WatchFailed,
 )
 from lupinmill.config.relay import UPSTREAM_SPREAD_US, UPSTREAM_WAIT_US, Relay, UpstreamFollower
-from lupinmill.lab.scale.fanout_shape import SECOND, Costs, Shape, change, scopes_of, state
+from lupinmill.lab.scale.fanout_shape import (
+    SECOND,
+    Costs,
+    FleetShape,
+    draw_change,
+    initial_entries,
+    scopes_of_sidecar,
+)
 from lupinmill.protocol.http import Answer, ClientSide
 
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n"
-MOST_READ = 4096  # answers whose reading is shared
-SAMPLED = 50  # one sidecar in so many does all of its work itself
+MAX_SHARED_REPLIES = 4096  # decoded replies that are kept for sharing
+SAMPLE_INTERVAL = 50  # one sidecar in so many does all the work of a real one
 
 
 @dataclass(slots=True)
-class Count:
-    """Calls that came to one role, and what went each way with them."""
+class CallCounters:
+    """Calls to one server, and the traffic that they caused."""
 
-    calls: list[int] = field(default_factory=list)  # when
-    refused: int = 0  # that found no process there
+    calls: list[int] = field(default_factory=list)  # time of each
+    refused: int = 0  # calls made while the process was down
     bytes_in: int = 0
     bytes_out: int = 0
-    wholes: int = 0
-    turned_away: int = 0
-    cpu: float = 0.0  # seconds of this process's, in the core
+    snapshots: int = 0
+    rejected: int = 0
+    cpu: float = 0.0  # processor seconds spent in the state machine
 
 
-class Watching:
-    """Drives one `Follower`: its calls, one at a time, and what it is offered."""
+class FollowerDriver:
+    """Drives one `Follower`: sends its watches, one at a time, and applies the versions it receives."""
 
     def __init__(
-        self, world: World, follower: Follower, scopes: tuple[str, ...], zone: int, whole: bool
+        self, world: World, follower: Follower, scopes: tuple[str, ...], zone: int, sampled: bool
     ) -> None:
-        self.world, self.follower, self.scopes, self.zone, self.whole = world, follower, scopes, zone, whole
-        self.token, self.wakes, self.cpu = 0, -1, 0.0
+        self.world, self.follower, self.scopes, self.zone, self.sampled = (
+            world,
+            follower,
+            scopes,
+            zone,
+            sampled,
+        )
+        self.token, self.timer_at, self.cpu = 0, -1, 0.0
         self.bytes_in = self.bytes_out = self.calls = 0
         self.side: ClientSide | None = None
-        self.on = True
+        self.running = True
 
-    def tell(self, *notes: FollowerEvent) -> None:
-        if not self.on:
+    def process(self, *events: FollowerEvent) -> None:
+        if not self.running:
             return
         world, began = self.world, time.process_time()
-        orders = self.follower.step(world.now, notes)
+        commands = self.follower.step(world.now, events)
         self.cpu += time.process_time() - began
-        for order in orders:
-            if isinstance(order, SendWatch):
-                self.ask(order)
-            elif isinstance(order, ApplyVersion):
-                self.apply(order)
-            elif isinstance(order, SetTimer) and order.at != self.wakes:
-                self.wakes = order.at
-                world.at(max(order.at, world.now + 1), self.wake, order.at)
-
-    def wake(self, at: int) -> None:
-        if at == self.wakes:
-            self.wakes = -1
-            self.tell(TimerFired())
-
-    def ask(self, order: SendWatch) -> None:
+        for command in commands:
+            if isinstance(command, SendWatch):
+                self.send_watch(command)
+            elif isinstance(command, ApplyVersion):
+                self.apply(command)
+            elif isinstance(command, SetTimer) and command.at != self.timer_at:
+                self.timer_at = command.at
+                world.schedule(max(command.at, world.now + 1), self.on_timer, command.at)
+
+    def on_timer(self, at: int) -> None:
+        if at == self.timer_at:
+            self.timer_at = -1
+            self.process(TimerFired())
+
+    def send_watch(self, command: SendWatch) -> None:
         world = self.world
         if self.token:
-            world.give_up(self.token)
+            world.cancel_call(self.token)
         self.token, self.calls = world.next_token(), self.calls + 1
         began = time.process_time()
         status = self.follower.status()
-        request = wire.encode_watch(order.since, order.wait_us // 1000, self.scopes, status)
-        if self.whole:
+        request = wire.encode_watch(command.since, command.wait_us // 1000, self.scopes, status)
+        if self.sampled:
             self.side = ClientSide(wire.MAX_REPLY_BYTES, wire.MAX_REPLY_BYTES)
             size = len(self.side.ask(request))
             self.cpu += time.process_time() - began
         else:
             size = len(b"GET  HTTP/1.1\r\nHost: config\r\n\r\n") + len(request.target)
         self.bytes_out += size
-        world.call(self, order, status, size)
+        world.call(self, command, status, size)
 
     def answered(self, token: int, at: str, data: bytes) -> None:
-        self.world.calls_out.pop(token, None)
+        self.world.open_calls.pop(token, None)
         if token != self.token:
             return
         self.token = 0
         head = HEAD % len(data)
         self.bytes_in += len(head) + len(data)
         began = time.process_time()
-        if self.whole:
+        if self.sampled:
             self.side.feed(head + data)
             reply = wire.decode_reply(self.side.next_answer())
             self.cpu += time.process_time() - began
         else:
-            reply = self.world.read(data)
-        self.tell(ReplyReceived(at, reply))
+            reply = self.world.decode(data)
+        self.process(ReplyReceived(at, reply))
 
     def failed(self, token: int, at: str, why: str) -> None:
-        self.world.calls_out.pop(token, None)
+        self.world.open_calls.pop(token, None)
         if token == self.token:
             self.token = 0
-            self.tell(WatchFailed(at, why))
+            self.process(WatchFailed(at, why))
 
-    def apply(self, order: ApplyVersion) -> None:
-        self.world.at(self.world.now + self.world.costs.force, self.took, order.version)
+    def apply(self, command: ApplyVersion) -> None:
+        self.world.schedule(self.world.now + self.world.costs.force, self.on_applied, command.version)
 
-    def took(self, version: Version) -> None:
-        self.world.in_force(self, version)
-        self.tell(VersionApplied(version))
+    def on_applied(self, version: Version) -> None:
+        self.world.record_in_force(self, version)
+        self.process(VersionApplied(version))
 
 
-class Place:
-    """A source or relay: its history and fan-out, and one core that does one thing after the other."""
+class ConfigServer:
+    """A source or relay: its history and fan-out, and one core that works serially."""
 
     def __init__(self, world: World, name: str, zone: int, version: Version, entries: Entries) -> None:
         self.world, self.name, self.zone, self.up = world, name, zone, True
-        self.count, self.free, self.wakes = Count(), 0, -1
+        self.count, self.busy_until, self.timer_at = CallCounters(), 0, -1
         self.store = self
-        self.out: dict[int, tuple[Watching, str]] = {}
-        self.begin(version, entries)
+        self.open_watches: dict[int, tuple[FollowerDriver, str]] = {}
+        self.start(version, entries)
 
-    def begin(self, version: Version, entries: Entries) -> None:
+    def start(self, version: Version, entries: Entries) -> None:
         shape = self.world.shape
         self.history = History(version, entries)
         self.fanout = Fanout(
@@ -160,183 +175,194 @@
         )
 
     def work(self, cost: int) -> int:
-        self.free = max(self.world.now, self.free) + cost
-        return self.free
+        """Occupies the core for `cost` and returns when it is done."""
+        self.busy_until = max(self.world.now, self.busy_until) + cost
+        return self.busy_until
 
-    def arrive(self, token: int, caller: Watching, order: SendWatch, status: Status, size: int) -> None:
-        way = self.world.shape.way(self.zone, caller.zone)
+    def arrive(
+        self, token: int, caller: FollowerDriver, command: SendWatch, status: Status, size: int
+    ) -> None:
+        network_delay = self.world.shape.network_delay(self.zone, caller.zone)
         if not self.up:
             self.count.refused += 1
-            self.world.at(self.world.now + way, caller.failed, token, self.name, "refused")
+            self.world.schedule(self.world.now + network_delay, caller.failed, token, self.name, "refused")
             return
         self.count.calls.append(self.world.now)
         self.count.bytes_in += size
-        self.out[token] = caller, self.name
-        note = WatchReceived(token, caller.scopes, order.since, 0, status)
-        self.world.at(self.work(self.world.costs.call), self.asked, note, order.wait_us)
+        self.open_watches[token] = caller, self.name
+        event = WatchReceived(token, caller.scopes, command.since, 0, status)
+        self.world.schedule(self.work(self.world.costs.call), self.on_watch_read, event, command.wait_us)
 
-    def asked(self, note: WatchReceived, wait: int) -> None:
-        if note.token in self.out:
-            note.deadline = self.world.now + wait
-            self.step(note)
+    def on_watch_read(self, event: WatchReceived, wait: int) -> None:
+        if event.token in self.open_watches:
+            event.deadline = self.world.now + wait
+            self.step(event)
 
-    def gone(self, token: int) -> None:
-        if self.out.pop(token, None) is not None:
+    def on_caller_gone(self, token: int) -> None:
+        if self.open_watches.pop(token, None) is not None:
             self.step(WatchClosed(token))
 
-    def step(self, *notes: fanout.FanoutEvent) -> None:
+    def step(self, *events: fanout.FanoutEvent) -> None:
         began = time.process_time()
-        orders = self.fanout.step(self.world.now, notes)
+        commands = self.fanout.step(self.world.now, events)
         self.count.cpu += time.process_time() - began
-        for order in orders:
-            if isinstance(order, SendReply):
-                self.say(order)
-            elif isinstance(order, RejectWatch):
-                self.count.turned_away += 1
-                caller, name = self.out.pop(order.token)
-                way = self.world.shape.way(self.zone, caller.zone)
-                self.world.at(
-                    self.work(self.world.costs.reply) + way, caller.failed, order.token, name, "503"
+        for command in commands:
+            if isinstance(command, SendReply):
+                self.send_reply(command)
+            elif isinstance(command, RejectWatch):
+                self.count.rejected += 1
+                caller, name = self.open_watches.pop(command.token)
+                network_delay = self.world.shape.network_delay(self.zone, caller.zone)
+                self.world.schedule(
+                    self.work(self.world.costs.reply) + network_delay,
+                    caller.failed,
+                    command.token,
+                    name,
+                    "503",
                 )
-            elif isinstance(order, SetTimer) and order.at != self.wakes:
-                self.wakes = order.at
-                self.world.at(max(order.at, self.world.now + 1), self.wake, order.at)
+            elif isinstance(command, SetTimer) and command.at != self.timer_at:
+                self.timer_at = command.at
+                self.world.schedule(max(command.at, self.world.now + 1), self.on_timer, command.at)
 
-    def wake(self, at: int) -> None:
-        if at == self.wakes and self.up:
-            self.wakes = -1
+    def on_timer(self, at: int) -> None:
+        if at == self.timer_at and self.up:
+            self.timer_at = -1
             self.step(fanout.TimerFired())
 
-    def say(self, order: SendReply) -> None:
-        caller, name = self.out.pop(order.token)
-        self.count.bytes_out += len(order.data) + len(HEAD % len(order.data))
-        self.count.wholes += b'"snapshot":true' in order.data[:200]
-        at = self.work(self.world.costs.reply) + self.world.shape.way(self.zone, caller.zone)
-        self.world.at(at, caller.answered, order.token, name, order.data)
+    def send_reply(self, command: SendReply) -> None:
+        caller, name = self.open_watches.pop(command.token)
+        self.count.bytes_out += len(command.data) + len(HEAD % len(command.data))
+        self.count.snapshots += b'"snapshot":true' in command.data[:200]
+        at = self.work(self.world.costs.reply) + self.world.shape.network_delay(self.zone, caller.zone)
+        self.world.schedule(at, caller.answered, command.token, name, command.data)
 
     def announce(self, version: Version, scopes: frozenset[str]) -> None:
         self.step(VersionAvailable(version, scopes))
 
     def schedule_save(self, version: Version, entries: Entries) -> None:
-        """The relay's disk, which takes it by a thread beside the core."""
+        """Does nothing: a real relay saves in a thread, which takes no time of the simulated core."""
 
-    def go_down(self) -> None:
-        """Its process ends, and with it all connections."""
+    def stop(self) -> None:
+        """Ends the process; all open connections are reset."""
         self.up = False
-        for token, (caller, name) in self.out.items():
-            self.world.at(
-                self.world.now + self.world.shape.way(self.zone, caller.zone),
+        for token, (caller, name) in self.open_watches.items():
+            self.world.schedule(
+                self.world.now + self.world.shape.network_delay(self.zone, caller.zone),
                 caller.failed,
                 token,
                 name,
                 "reset",
             )
-        self.out.clear()
-        self.free, self.wakes = 0, -1
+        self.open_watches.clear()
+        self.busy_until, self.timer_at = 0, -1
 
-    def come_up(self, kept: bool = True) -> None:
-        """A new process, which begins with what was kept."""
+    def restart(self, kept: bool = True) -> None:
+        """Starts a new process, from the saved state if `kept`, else empty."""
         self.up = True
-        self.begin(*(self.history.version, self.history.entries) if kept else (Version(), {}))
+        self.start(*(self.history.version, self.history.entries) if kept else (Version(), {}))
 
 
-class RelayPlace(Place):
-    def __init__(self, world: World, at: int, zone: int, version: Version, entries: Entries) -> None:
-        self.at, self.lives = at, 0
-        super().__init__(world, f"relay-{at}", zone, version, entries)
+class RelayServer(ConfigServer):
+    def __init__(self, world: World, index: int, zone: int, version: Version, entries: Entries) -> None:
+        self.index, self.lives = index, 0
+        super().__init__(world, f"relay-{index}", zone, version, entries)
 
-    def begin(self, version: Version, entries: Entries) -> None:
-        super().begin(version, entries)
+    def start(self, version: Version, entries: Entries) -> None:
+        super().start(version, entries)
         self.lives += 1
-        seed = self.at * 1_000 + self.lives
+        seed = self.index * 1_000 + self.lives
         follower = UpstreamFollower(
             self.name, ("source",), seed, UPSTREAM_WAIT_US, UPSTREAM_SPREAD_US, version, entries
         )
         follower.history = self.history
-        self.watch = RelayWatch(self.world, follower, (), self.zone, False)
-        self.watch.place = self
+        self.upstream = RelayFollowerDriver(self.world, follower, (), self.zone, False)
+        self.upstream.server = self
 
-    def go_down(self) -> None:
-        super().go_down()
-        self.watch.on = False
-        if self.watch.token:
-            self.world.give_up(self.watch.token)
+    def stop(self) -> None:
+        super().stop()
+        self.upstream.running = False
+        if self.upstream.token:
+            self.world.cancel_call(self.upstream.token)
 
-    def come_up(self, kept: bool = True) -> None:
-        super().come_up(kept)
-        self.watch.tell(TimerFired())
+    def restart(self, kept: bool = True) -> None:
+        super().restart(kept)
+        self.upstream.process(TimerFired())
 
 
-class RelayWatch(Watching):
-    place: RelayPlace
+class RelayFollowerDriver(FollowerDriver):
+    server: RelayServer
 
-    def apply(self, order: ApplyVersion) -> None:
-        self.world.at(self.place.work(self.world.costs.replace), self.take, order)
+    def apply(self, command: ApplyVersion) -> None:
+        self.world.schedule(self.server.work(self.world.costs.replace), self.take, command)
 
-    def take(self, order: ApplyVersion) -> None:
-        if not self.on:
+    def take(self, command: ApplyVersion) -> None:
+        if not self.running:
             return
-        count, began = self.place.count, time.process_time()
+        count, began = self.server.count, time.process_time()
         before = count.cpu
-        why = Relay.apply_version(self.place, order.version, order.entries)  # type: ignore[arg-type]
-        count.cpu = before + time.process_time() - began  # in which the steps that it led to lie
+        why = Relay.apply_version(self.server, command.version, command.entries)  # type: ignore[arg-type]
+        # Replaces what `step` has added meanwhile, which lies within this interval.
+        count.cpu = before + time.process_time() - began
         assert why is None, why
-        self.tell(VersionApplied(order.version))
+        self.process(VersionApplied(command.version))
 
 
 class World:
-    def __init__(self, shape: Shape, seed: int, costs: Costs) -> None:
-        self.shape, self.costs, self.chance = shape, costs, random.Random(f"fan-out {seed}")
+    def __init__(self, shape: FleetShape, seed: int, costs: Costs) -> None:
+        self.shape, self.costs, self.random_source = shape, costs, random.Random(f"fan-out {seed}")
         self.now, self.serial, self.tokens = SECOND, 0, 0
         self.heap: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
-        self.reads: OrderedDict[bytes, Reply] = OrderedDict()
-        self.calls_out: dict[int, Place] = {}
+        self.decoded_replies: OrderedDict[bytes, Reply] = OrderedDict()
+        self.open_calls: dict[int, ConfigServer] = {}
         first = History(Version(), {})
-        first.push(state(shape, self.chance))
+        first.push(initial_entries(shape, self.random_source))
         version, entries = first.version, first.entries
-        self.source = Place(self, "source", 0, version, entries)
-        self.relays = [RelayPlace(self, at, at % shape.zones, version, entries) for at in range(shape.relays)]
-        self.places: dict[str, Place] = {place.name: place for place in (self.source, *self.relays)}
-        there = range(shape.sidecars)
+        self.source = ConfigServer(self, "source", 0, version, entries)
+        self.relays = [
+            RelayServer(self, index, index % shape.zones, version, entries) for index in range(shape.relays)
+        ]
+        self.servers: dict[str, ConfigServer] = {
+            server.name: server for server in (self.source, *self.relays)
+        }
+        indices = range(shape.sidecars)
         if shape.watching:
-            there = self.chance.sample(there, shape.watching)
-        self.sidecars = [self.sidecar(at, version, first) for at in there]
-        self.by_scope: dict[str, list[Watching]] = {}
+            indices = self.random_source.sample(indices, shape.watching)
+        self.sidecars = [self.make_sidecar(index, version, first) for index in indices]
+        self.by_scope: dict[str, list[FollowerDriver]] = {}
         for sidecar in self.sidecars:
             for scope in sidecar.scopes:
                 self.by_scope.setdefault(scope, []).append(sidecar)
-        self.pending: dict[Watching, deque[tuple[int, int]]] = {one: deque() for one in self.sidecars}
-        self.took: list[
-            int
-        ] = []  # microseconds from pushed to in force, for each sidecar that a change concerns
+        self.pending: dict[FollowerDriver, deque[tuple[int, int]]] = {one: deque() for one in self.sidecars}
+        # Microseconds from push to in force, for each change and each sidecar that it concerns.
+        self.apply_delays: list[int] = []
         self.pushed = 0
-        for place in self.relays:
-            place.watch.tell(TimerFired())
-        for sidecar in self.sidecars:  # a fleet that has long run: watches began at any time
-            self.at(self.now + self.chance.randrange(shape.wait), sidecar.tell, TimerFired())
+        for server in self.relays:
+            server.upstream.process(TimerFired())
+        for sidecar in self.sidecars:  # the start of watches is spread, as in a fleet that has run for long
+            self.schedule(self.now + self.random_source.randrange(shape.wait), sidecar.process, TimerFired())
 
-    def sidecar(self, at: int, version: Version, first: History) -> Watching:
-        shape, zone, scopes = self.shape, at % self.shape.zones, scopes_of(self.shape, at)
+    def make_sidecar(self, index: int, version: Version, first: History) -> FollowerDriver:
+        shape, zone, scopes = self.shape, index % self.shape.zones, scopes_of_sidecar(self.shape, index)
         follower = Follower(
-            f"m{at}", self.relays_of(at, zone), self.chance.getrandbits(60), shape.wait, shape.spread,
-            version, first.snapshot(scopes),
+            f"m{index}", self.relays_of(index, zone), self.random_source.getrandbits(60), shape.wait,
+            shape.spread, version, first.snapshot(scopes),
         )  # fmt: skip
-        return Watching(self, follower, scopes, zone, at % SAMPLED == 0)
+        return FollowerDriver(self, follower, scopes, zone, index % SAMPLE_INTERVAL == 0)
 
-    def relays_of(self, at: int, zone: int) -> tuple[str, ...]:
-        """Two of its zone, or of any where the zone has fewer, and one in another zone."""
+    def relays_of(self, index: int, zone: int) -> tuple[str, ...]:
+        """Three relays: up to two in the sidecar's zone, the rest in other zones."""
         shape = self.shape
         near = [k for k in range(shape.relays) if k % shape.zones == zone]
         others = [k for k in range(shape.relays) if k not in near]
-        turn = at // shape.zones
+        turn = index // shape.zones
         found = [near[(turn + n) % len(near)] for n in range(min(2, len(near)))]
         while others and len(found) < 3:
-            found.append(others.pop((turn * 7 + at) % len(others)))
+            found.append(others.pop((turn * 7 + index) % len(others)))
         return tuple(f"relay-{k}" for k in found)
 
     # Events.
 
-    def at(self, when: int, do: Callable[..., None], *args: Any) -> None:
+    def schedule(self, when: int, do: Callable[..., None], *args: Any) -> None:
         self.serial += 1
         heapq.heappush(self.heap, (when, self.serial, do, args))
 
@@ -350,31 +376,31 @@
         self.tokens += 1
         return self.tokens
 
-    def call(self, caller: Watching, order: SendWatch, status: Status, size: int) -> None:
-        place = self.places[order.relay]
-        self.calls_out[caller.token] = place
-        way = self.shape.way(place.zone, caller.zone)
-        self.at(self.now + way, place.arrive, caller.token, caller, order, status, size)
+    def call(self, caller: FollowerDriver, command: SendWatch, status: Status, size: int) -> None:
+        server = self.servers[command.relay]
+        self.open_calls[caller.token] = server
+        network_delay = self.shape.network_delay(server.zone, caller.zone)
+        self.schedule(self.now + network_delay, server.arrive, caller.token, caller, command, status, size)
 
-    def give_up(self, token: int) -> None:
-        place = self.calls_out.pop(token, None)
-        if place is not None:
-            self.at(self.now + self.shape.near, place.gone, token)
+    def cancel_call(self, token: int) -> None:
+        server = self.open_calls.pop(token, None)
+        if server is not None:
+            self.schedule(self.now + self.shape.same_zone_delay, server.on_caller_gone, token)
 
-    def read(self, data: bytes) -> Reply:
-        reply = self.reads.get(data)
+    def decode(self, data: bytes) -> Reply:
+        reply = self.decoded_replies.get(data)
         if reply is None:
-            reply = self.reads[data] = wire.decode_reply(Answer(200, [], data))
-            if len(self.reads) > MOST_READ:
-                self.reads.popitem(last=False)
+            reply = self.decoded_replies[data] = wire.decode_reply(Answer(200, [], data))
+            if len(self.decoded_replies) > MAX_SHARED_REPLIES:
+                self.decoded_replies.popitem(last=False)
         return reply
 
-    # The day.
+    # Changes and results.
 
     def push(self, changes: Entries) -> None:
-        """As `config.source.Source`: made, kept, then served."""
+        """Publishes changes once they are saved, as `config.source.Source` does."""
         pushed = self.now
-        self.at(self.source.work(self.costs.keep), self.publish, changes, pushed)
+        self.schedule(self.source.work(self.costs.keep), self.publish, changes, pushed)
 
     def publish(self, changes: Entries, pushed: int) -> None:
         history = self.source.history
@@ -389,48 +415,48 @@
                 self.pending[sidecar].append((version.index, pushed))
         self.source.announce(version, scopes)
 
-    def changes(self, rate: float, seconds: float) -> None:
-        """Poisson arrivals of drawn changes from now on."""
+    def schedule_changes(self, rate: float, seconds: float) -> None:
+        """Schedules random changes with Poisson arrivals over the next `seconds`."""
         at, end = float(self.now), self.now + seconds * SECOND
-        while (at := at + self.chance.expovariate(rate) * SECOND) < end:
-            self.at(int(at), self.push, change(self.shape, self.chance))
+        while (at := at + self.random_source.expovariate(rate) * SECOND) < end:
+            self.schedule(int(at), self.push, draw_change(self.shape, self.random_source))
 
-    def in_force(self, sidecar: Watching, version: Version) -> None:
+    def record_in_force(self, sidecar: FollowerDriver, version: Version) -> None:
         waiting = self.pending.get(sidecar)
         while waiting and waiting[0][0] <= version.index:
-            self.took.append(self.now - waiting.popleft()[1])
+            self.apply_delays.append(self.now - waiting.popleft()[1])
 
-    def count_anew(self) -> None:
-        """Figures count from now on."""
-        self.took.clear()
+    def reset_counters(self) -> None:
+        """Resets all counters, so that figures cover only what follows."""
+        self.apply_delays.clear()
         self.pushed = 0
-        for place in self.places.values():
-            place.count = Count()
-        for watching in (*self.sidecars, *(place.watch for place in self.relays)):
+        for server in self.servers.values():
+            server.count = CallCounters()
+        for watching in (*self.sidecars, *(server.upstream for server in self.relays)):
             watching.cpu, watching.calls, watching.bytes_in, watching.bytes_out = 0.0, 0, 0, 0
 
-    def lagging(self) -> int:
-        """Changes that concern a sidecar and are not in force there."""
+    def pending_changes(self) -> int:
+        """Number of changes not yet in force, summed over the sidecars that they concern."""
         return sum(len(waiting) for waiting in self.pending.values())
 
-    def behind(self, index: int) -> int:
-        """Sidecars that hold an older version than this."""
+    def count_behind(self, index: int) -> int:
+        """Number of sidecars whose version is older than `index`."""
         return sum(one.follower.version.index < index for one in self.sidecars)
 
-    def equal(self) -> bool:
-        """Does each sidecar hold just what the source has for its scopes?"""
+    def all_consistent(self) -> bool:
+        """Whether each sidecar holds exactly the source's entries for its scopes."""
         history = self.source.history
         return all(one.follower.entries == history.snapshot(one.scopes) for one in self.sidecars)
 
 
-def total(counts: Iterable[Count]) -> Count:
-    found = Count()
+def sum_counters(counts: Iterable[CallCounters]) -> CallCounters:
+    found = CallCounters()
     for one in counts:
         found.calls += one.calls
         found.refused += one.refused
         found.bytes_in += one.bytes_in
         found.bytes_out += one.bytes_out
-        found.wholes += one.wholes
-        found.turned_away += one.turned_away
+        found.snapshots += one.snapshots
+        found.rejected += one.rejected
         found.cpu += one.cpu
     return found
--- a/tests/test_scale_fanout.py
+++ b/tests/test_scale_fanout.py
@@ -1,6 +1,7 @@
-"""Configuration for a fleet in virtual time, on the very cores: what is counted is what happened, all are
-equal in the end, and faults planted in the cores are seen. Over real sockets: a relay and watchers reach
-one version, and nothing outlives them. No time is judged."""
+"""Tests of the configuration distribution measurements. In virtual time: counters match the events, all
+sidecars end with the source's entries, and faults injected into the production state machines show in
+the figures. Over real sockets: a relay and its watchers reach one version, and all processes end. No durations
+are checked."""
 
 import asyncio
 import os
@@ -15,22 +16,29 @@
 from lupinmill.config.history import History
 from lupinmill.config.model import Key
 from lupinmill.lab.scale import fanout, fanout_sockets
-from lupinmill.lab.scale.fanout_shape import SECOND, Costs, Shape, change, scopes_of, state
-from lupinmill.lab.scale.fanout_world import HEAD, World, total
-
-SHAPE = Shape(120, services=6, zones=4, regions=2, relays=4, wait=4 * SECOND)
+from lupinmill.lab.scale.fanout_shape import (
+    SECOND,
+    Costs,
+    FleetShape,
+    draw_change,
+    initial_entries,
+    scopes_of_sidecar,
+)
+from lupinmill.lab.scale.fanout_world import HEAD, World, sum_counters
+
+SHAPE = FleetShape(120, services=6, zones=4, regions=2, relays=4, wait=4 * SECOND)
 COSTS = Costs(replace=2_000, keep=3_000)
 
 
-def world(seed=1, shape=SHAPE):
+def warmed_up_world(seed=1, shape=SHAPE):
     made = World(shape, seed, COSTS)
     made.run(made.now + shape.wait)
-    made.count_anew()
+    made.reset_counters()
     return made
 
 
-def day(made, rate=2.0, seconds=10.0):
-    """Changes, then time for all of it; pushed changes by scope."""
+def apply_changes(made, rate=2.0, seconds=10.0):
+    """Applies changes, then lets all of them arrive. Returns the number of pushed changes by scope."""
     pushes = Counter()
     push = made.source.history.push
 
@@ -42,86 +50,92 @@
         return version
 
     made.source.history.push = counted
-    made.changes(rate, seconds)
+    made.schedule_changes(rate, seconds)
     made.run(made.now + int(seconds * SECOND) + 2 * made.shape.wait)
     return pushes
 
 
 def test_each_change_is_in_force_at_all_whom_it_concerns_and_counted_once():
-    made = world()
-    pushes = day(made)
+    made = warmed_up_world()
+    pushes = apply_changes(made)
     concerned = sum(pushes[scope] for one in made.sidecars for scope in one.scopes)
     assert made.pushed == sum(pushes.values()) > 10
-    assert len(made.took) == concerned > made.pushed and made.lagging() == 0
-    assert made.equal() and made.behind(max(made.source.history.version.index - 1, 0)) < len(made.sidecars)
-    assert min(made.took) >= COSTS.keep + COSTS.force
+    assert len(made.apply_delays) == concerned > made.pushed and made.pending_changes() == 0
+    assert made.all_consistent() and made.count_behind(max(made.source.history.version.index - 1, 0)) < len(
+        made.sidecars
+    )
+    assert min(made.apply_delays) >= COSTS.keep + COSTS.force
 
 
 def test_calls_and_bytes_on_both_sides_are_the_same_but_for_what_is_under_way():
     made = World(SHAPE, 1, COSTS)
-    day(made, seconds=15.0)
-    relays, sidecars = total(place.count for place in made.relays), set(made.sidecars)
+    apply_changes(made, seconds=15.0)
+    relays, sidecars = sum_counters(place.count for place in made.relays), set(made.sidecars)
     coming = [args for _, _, do, args in made.heap if do.__name__ == "arrive" and args[1] in sidecars]
     going = [args for _, _, do, args in made.heap if do.__name__ == "answered" and do.__self__ in sidecars]
     assert sum(one.calls for one in sidecars) == len(relays.calls) + len(coming) > 3 * len(sidecars)
     assert sum(one.bytes_out for one in sidecars) == relays.bytes_in + sum(args[-1] for args in coming)
     sizes = [len(args[-1]) + len(HEAD % len(args[-1])) for args in going]
     assert relays.bytes_out == sum(one.bytes_in for one in sidecars) + sum(sizes)
-    assert len(made.calls_out) <= len(sidecars) + len(made.relays)  # one call of each is out at a time
-    assert not relays.refused and not relays.turned_away and not relays.wholes
+    assert len(made.open_calls) <= len(sidecars) + len(made.relays)  # each has at most one open call
+    assert not relays.refused and not relays.rejected and not relays.snapshots
 
 
 def test_one_seed_is_one_day_and_a_sidecar_that_does_all_its_work_hears_what_the_others_hear():
-    found = [(list(one.took), one.pushed, total(p.count for p in one.relays).bytes_out)
-             for one in (world(), world(), world(2)) if day(one)]  # fmt: skip
+    found = [(list(one.apply_delays), one.pushed, sum_counters(p.count for p in one.relays).bytes_out)
+             for one in (warmed_up_world(), warmed_up_world(), warmed_up_world(2))
+             if apply_changes(one)]  # fmt: skip
     assert found[0] == found[1] != found[2]
-    made = world()
-    day(made)
+    made = warmed_up_world()
+    apply_changes(made)
     by_service = {}
     for one in made.sidecars:
         key = (one.scopes[3], "settings")
         by_service.setdefault(one.scopes[3], set()).add(str(one.follower.entries.get(Key(*key))))
-    assert any(one.whole for one in made.sidecars) and not all(one.whole for one in made.sidecars)
+    assert any(one.sampled for one in made.sidecars) and not all(one.sampled for one in made.sidecars)
     assert all(len(values) == 1 for values in by_service.values())
 
 
 @pytest.mark.parametrize("kept", [True, False])
 def test_after_all_relays_restart_all_are_at_the_newest_and_calls_that_found_none_are_told_apart(kept):
-    made, sheet = world(), fanout.Sheet()
-    text = fanout.restarted(sheet, SHAPE, 1, COSTS, kept)
+    made, figure_table = warmed_up_world(), fanout.FigureTable()
+    text = fanout.measure_relay_restart(figure_table, SHAPE, 1, COSTS, kept)
     assert "all equal: True" in text and " 0 never" in text
     name = "relays restart" if kept else "relays restart without their files"
-    points = {key[1]: figure.points[0].mean for key, figure in sheet.found.items() if key[2] == name}
+    points = {key[1]: figure.points[0].mean for key, figure in figure_table.figures.items() if key[2] == name}
     assert points["left behind"] == 0 and points["refused while down, all relays"] > 0
     assert points["calls, all relays"] >= points["calls"] > 0
-    assert points["time until all are at the newest"] >= SHAPE.down / SECOND
-    assert made.equal()
+    assert points["time until all are at the newest"] >= SHAPE.restart_time / SECOND
+    assert made.all_consistent()
 
 
 def test_with_the_source_away_relays_go_on_and_a_change_at_its_return_reaches_everyone(monkeypatch):
-    monkeypatch.setattr(fanout, "AWAY", 12.0)
-    sheet = fanout.Sheet()
-    text = fanout.source_away(sheet, SHAPE, 1, COSTS)
+    monkeypatch.setattr(fanout, "SOURCE_OUTAGE_S", 12.0)
+    figure_table = fanout.FigureTable()
+    text = fanout.measure_source_outage(figure_table, SHAPE, 1, COSTS)
     assert "all equal: True" in text and " 0 never" in text
-    points = {key[:2]: figure.points[0] for key, figure in sheet.found.items()}
+    points = {key[:2]: figure.points[0] for key, figure in figure_table.figures.items()}
     assert points["source", "calls while away"].mean > 0 and points["relay", "calls, all relays"].mean > 0
     assert points["sidecar", "time in force"].peak > 0
 
 
-# --- planted faults -------------------------------------------------------------------------------
+# --- injected faults -------------------------------------------------------------------------------
 
 
 def test_a_relay_that_wakes_nobody_is_seen_in_the_time_in_force(monkeypatch):
-    good = world()
-    day(good)
+    good = warmed_up_world()
+    apply_changes(good)
 
     def sleepy(self, now, note, orders):
         self.cache.clear()
 
     monkeypatch.setattr(Fanout, "version_available", sleepy)
-    made = world()
-    day(made)
-    assert sorted(made.took)[len(made.took) // 2] > 3 * sorted(good.took)[len(good.took) // 2]
+    made = warmed_up_world()
+    apply_changes(made)
+    assert (
+        sorted(made.apply_delays)[len(made.apply_delays) // 2]
+        > 3 * sorted(good.apply_delays)[len(good.apply_delays) // 2]
+    )
 
 
 def test_an_answer_that_leaves_a_change_out_is_seen_as_unequal(monkeypatch):
@@ -136,27 +150,29 @@
         return found
 
     monkeypatch.setattr(History, "reply", short)
-    made = world()
-    day(made, rate=6.0)
-    assert not made.equal()
+    made = warmed_up_world()
+    apply_changes(made, rate=6.0)
+    assert not made.all_consistent()
 
 
 def test_a_follower_that_takes_nothing_more_lags(monkeypatch):
-    made = world()
+    made = warmed_up_world()
     monkeypatch.setattr(Follower, "offer_version", lambda self, now: None)
-    day(made)
-    assert made.lagging() > 0
+    apply_changes(made)
+    assert made.pending_changes() > 0
 
 
 # --- parts ------------------------------------------------------------------------------------------
 
 
 def test_drawn_changes_are_mostly_of_one_service_and_rarely_of_all():
-    chance = random.Random(1)
-    drawn = Counter(scope.split("/")[0] for _ in range(4000) for scope, _ in change(Shape(), chance))
+    random_source = random.Random(1)
+    drawn = Counter(
+        scope.split("/")[0] for _ in range(4000) for scope, _ in draw_change(FleetShape(), random_source)
+    )
     assert drawn["service"] > drawn["sidecar"] > drawn["zone"] > drawn["region"] + drawn["fleet"]
-    entries = state(SHAPE, chance)
-    scopes = {scope for at in range(SHAPE.sidecars) for scope in scopes_of(SHAPE, at)}
+    entries = initial_entries(SHAPE, random_source)
+    scopes = {scope for at in range(SHAPE.sidecars) for scope in scopes_of_sidecar(SHAPE, at)}
     assert {key.scope for key in entries} <= scopes
     assert sum(key.kind.startswith("member/") for key in entries) == SHAPE.sidecars
 
@@ -177,7 +193,7 @@
 
 
 def test_watchers_of_a_real_relay_come_to_one_version_and_nothing_outlives_them():
-    shape = Shape(60, services=3, zones=2, regions=1)
+    shape = FleetShape(60, services=3, zones=2, regions=1)
     children = []
     started = fanout_sockets.Child.start
 
