--- a/lupinmill/lab/scale/checks.py
+++ b/lupinmill/lab/scale/checks.py
@@ -4,7 +4,7 @@
 from __future__ import annotations
 
 from lupinmill.lab.scale import honest
-from lupinmill.lab.scale.loopback import Side
+from lupinmill.lab.scale.loopback import FleetRates
 from lupinmill.lab.scale.measured import Figure
 
 FLAT = 0.05  # exponent up to which a figure counts as flat in N
@@ -43,7 +43,7 @@
     return found
 
 
-def compared(real: Side, hollow: Side) -> str:
+def compared(real: FleetRates, hollow: FleetRates) -> str:
     """One line for people."""
     apart = honest.differences(real, hollow)
     rows = ", ".join(f"{name.replace('_', ' ')} {part:.1%}" for name, part in apart.items())
--- a/lupinmill/lab/scale/days.py
+++ b/lupinmill/lab/scale/days.py
@@ -7,7 +7,7 @@
 
 from dataclasses import dataclass
 
-from lupinmill.lab.scale.hollow import Hollow
+from lupinmill.lab.scale.hollow import SimulatedFleet
 from lupinmill.peers.view import SECOND
 
 Figures = dict[str, tuple[float, float]]
@@ -29,11 +29,11 @@
     back_known: float
 
 
-def until(hollow: Hollow, present: int) -> float:
+def until(hollow: SimulatedFleet, present: int) -> float:
     """Seconds until each played core that is up sees so many, itself among them; 0: not in time."""
     for at in range(1, KNOWN * 2 + 1):
         hollow.run(0.5)
-        if all(core.peer.membership.present_count + 1 == present for core in hollow.played if core.up):
+        if all(core.peer.membership.present_count + 1 == present for core in hollow.simulated if core.up):
             return at / 2
     return 0.0
 
@@ -42,16 +42,16 @@
     """5% of the members stop at one moment, and start anew once all know."""
     first = members // 2
     lost = set(range(first, first + max(1, int(LOST * members))))
-    hollow = Hollow(members, seed, 0, watched=20, absent=lost)
+    hollow = SimulatedFleet(members, seed, 0, watched=20, absent=lost)
     hollow.settle()
     hollow.run(BEFORE)
-    hollow.lose()
+    hollow.stop_absent()
     known = until(hollow, members - len(lost))
     # Through the news of it, up to a whole second.
     hollow.run((SECOND - hollow.now % SECOND) % SECOND / SECOND)
     ends = hollow.now // SECOND
     figures = hollow.figures(BEFORE, max(BEFORE + 1, ends))
-    hollow.bring_back()
+    hollow.restart_absent()
     back_known = until(hollow, members)
     hollow.run((SECOND - hollow.now % SECOND) % SECOND / SECOND)
     return Lost(figures, known, hollow.figures(ends, max(ends + 1, hollow.now // SECOND)), back_known)
@@ -75,12 +75,12 @@
 
 def ordinary(members: int, seed: int) -> Ordinary:
     """One after another is restarted, `EVERY` seconds apart; a failure differs by a longer absence only."""
-    hollow = Hollow(members, seed, 0, watched=min(20, members // 2))
+    hollow = SimulatedFleet(members, seed, 0, watched=min(20, members // 2))
     hollow.settle()
     hollow.run(BEFORE + 10)
     began = hollow.now // SECOND
     for at in range(EVENTS):
-        core = hollow.chance.choice([core for core in hollow.played if not core.watched])
+        core = hollow.random_source.choice([core for core in hollow.simulated if not core.watched])
         hollow.stop(core)
         hollow.run(AWAY)
         hollow.restart(core, members + at + 1)
--- a/lupinmill/lab/scale/fanout_sockets.py
+++ b/lupinmill/lab/scale/fanout_sockets.py
@@ -38,8 +38,8 @@
     scopes_of_sidecar,
 )
 from lupinmill.lab.scale.load import percentile
-from lupinmill.transport.connection import Connection
 from lupinmill.transport.buffers import BlockPool
+from lupinmill.transport.connection import Connection
 
 SETTLE_S = 3.0  # seconds to wait after all watchers have connected
 VERSION_TIMEOUT_S = 60.0  # seconds within which all must reach a version
--- a/lupinmill/lab/scale/holder.py
+++ b/lupinmill/lab/scale/holder.py
@@ -13,7 +13,7 @@
 from types import SimpleNamespace
 from typing import Any
 
-from lupinmill.lab.scale.hollow import SITE, seats
+from lupinmill.lab.scale.hollow import SITE, roster_entries
 from lupinmill.peers import wire
 from lupinmill.peers.driver import Driver
 from lupinmill.peers.peer import PeerSettings
@@ -72,23 +72,23 @@
 
 
 @dataclass
-class Played:
+class HolderResult:
     """What one run of a holder or elector gave."""
 
     cpu: float = 0.0  # part of a core, all of it
     peak: float = 0.0  # the dearest second
-    look: float = 0.0  # seconds of one look
-    telling: float = 0.0  # seconds of one word heard and answered
-    fresh: float = 0.0  # part of the members that the looks stood on
+    look_s: float = 0.0  # seconds of one look
+    report_s: float = 0.0  # seconds of one word heard and answered
+    fresh_share: float = 0.0  # part of the members that the looks stood on
     bytes_in: float = 0.0
     bytes_out: float = 0.0
-    own_bytes: float = 0.0  # of them, its own words to the other electors
+    own_bytes_out: float = 0.0  # of them, its own words to the other electors
     messages_in: float = 0.0
     messages_out: float = 0.0
     dropped: int = 0  # words that were not understood
     plans: int = 0
     period: float = 0.0  # seconds between two words of a member, and between two looks
-    counts: float = 0.0  # part of the time for which what a look told the module counts
+    in_effect_share: float = 0.0  # part of the time for which what a look told the module counts
 
 
 class Holder:
@@ -96,10 +96,10 @@
         self.clock = BEGAN
         self.chance = random.Random(seed)
         self.map = zone_map(zones)
-        self.seats = seats(members, zones)
-        self.names = [seat.name for seat in self.seats]
+        self.roster_entries = roster_entries(members, zones)
+        self.names = [seat.name for seat in self.roster_entries]
         electors = tuple(self.names[at * members // ELECTORS] for at in range(ELECTORS))
-        self.told = PeerSettings(electors[0], self.seats, electors, (TOPIC,))
+        self.told = PeerSettings(electors[0], self.roster_entries, electors, (TOPIC,))
         self.driver = Post(self.told, "hollow", "127.0.0.1:1", None, lambda *a, **k: None)
         self.driver.peer = self.peer()
         self.driver.sock = Sink()  # type: ignore[assignment]
@@ -133,23 +133,23 @@
                 self.zone_driver.on_peer_event(order)
 
     def own(self) -> member.OwnReport:
-        seat = next(seat for seat in self.seats if seat.name == self.told.name)
+        seat = next(seat for seat in self.roster_entries if seat.name == self.told.name)
         return member.OwnReport(report(seat.name, seat.zone, self.map, self.chance), {seat.zone: 8})
 
-    def play(self, seconds: float = SECONDS) -> Played:
+    def play(self, seconds: float = SECONDS) -> HolderResult:
         """Each member tells once a period, at its own moment; this one looks once a period."""
-        found = Played(period=self.zone_driver.period)
+        found = HolderResult(period=self.zone_driver.period)
         period = int(self.zone_driver.period * SECOND)
         events: list[tuple[int, int]] = []
         chance = self.chance
         span = max(int(seconds * SECOND), min(2 * period, int(2 * seconds * SECOND)))
-        for at in range(len(self.seats) - 1):
+        for at in range(len(self.roster_entries) - 1):
             phase = chance.randrange(period)
             events += [(due, at) for due in range(phase, span, period)]
         looks = list(range(min(period, span - 1), span, period))
         events += [(due, -1) for due in looks]
         events.sort()
-        tellers = [seat for seat in self.seats if seat.name != self.told.name]
+        tellers = [seat for seat in self.roster_entries if seat.name != self.told.name]
         words_of = [report(s.name, s.zone, self.map, chance) for s in tellers]
         by_second = [0] * (span // SECOND + 1)
         look_ns, tell_ns, looked, told = 0, 0, 0, 0
@@ -162,12 +162,12 @@
                 began = time.thread_time_ns()
                 self.zone_driver.process(note)
                 took = time.thread_time_ns() - began
-                found.own_bytes += self.driver.bytes_out - sent
+                found.own_bytes_out += self.driver.bytes_out - sent
                 look_ns, looked = look_ns + took, looked + 1
                 assert self.zone_driver.applied is not None
                 lasts = (self.zone_driver.applied.until - self.clock) / SECOND
                 counts.append(min(1.0, lasts / self.zone_driver.period))
-                fresh.append(len(self.zone_driver.core.aggregator.reports) / len(self.seats))
+                fresh.append(len(self.zone_driver.core.aggregator.reports) / len(self.roster_entries))
             else:
                 telling = messages.report_message(self.map, words_of[at], self.clock, 0)
                 body = wire.FeatureMessage(TOPIC, messages.encode(telling))
@@ -179,25 +179,25 @@
                 found.bytes_in += len(data)
             by_second[due // SECOND] += took
         whole = span / SECOND
-        found.look = look_ns / max(1, looked) / 1e9
-        found.telling = tell_ns / max(1, told) / 1e9
+        found.look_s = look_ns / max(1, looked) / 1e9
+        found.report_s = tell_ns / max(1, told) / 1e9
         # By the rate at which looks are due: a run of a few looks has one more or less of them.
-        found.cpu = tell_ns / 1e9 / whole + found.look / self.zone_driver.period
+        found.cpu = tell_ns / 1e9 / whole + found.look_s / self.zone_driver.period
         found.peak = max(by_second) / 1e9
-        found.fresh = sum(fresh) / max(1, len(fresh))
-        found.counts = sum(counts) / max(1, len(counts))
+        found.fresh_share = sum(fresh) / max(1, len(fresh))
+        found.in_effect_share = sum(counts) / max(1, len(counts))
         found.bytes_in /= whole
-        found.own_bytes /= whole
+        found.own_bytes_out /= whole
         found.messages_in = told / whole
         found.messages_out, found.bytes_out = self.driver.sent / whole, self.driver.bytes_out / whole
         found.dropped = sum(self.zone_driver.core.dropped.values())
         found.plans = self.driver.decided
         return found
 
-    def all_heard(self) -> tuple[float, float]:
+    def measure_all_fresh(self) -> tuple[float, float]:
         """Seconds of one look, and bytes of its evidence, were all members' words fresh."""
         core = self.zone_driver.core
-        reports = [report(s.name, s.zone, self.map, self.chance) for s in self.seats]
+        reports = [report(s.name, s.zone, self.map, self.chance) for s in self.roster_entries]
         tracemalloc.start()
         for one in reports:
             again = messages.report_from_message(
@@ -211,14 +211,14 @@
         self.zone_driver.process(note)
         return (time.thread_time_ns() - began) / 1e9, float(memory)
 
-    def look_by_hand(self, times: int = 5) -> float:
+    def measure_look(self, times: int = 5) -> float:
         """Seconds of one look with all reports fresh, put in past the words and their cap on zones; the
         median of several."""
         core = self.zone_driver.core
         took = []
         for at in range(times):
             self.clock = BEGAN + (at + 1) * SECOND
-            for seat in self.seats:
+            for seat in self.roster_entries:
                 core.aggregator.add(self.clock, report(seat.name, seat.zone, self.map, self.chance))
             note = self.own()
             began = time.thread_time_ns()
--- a/lupinmill/lab/scale/hollow.py
+++ b/lupinmill/lab/scale/hollow.py
@@ -1,13 +1,15 @@
-"""Hollow members: the very cores that serve, without clients, many in one process, in virtual time.
+"""Simulated fleets of members without clients, many in one process, in virtual time.
 
-`Hollow(members, cores)`: a fleet of `members`, of which `cores` are played. Where all are, each datagram goes
-to whom it is sent. Where fewer are (a table of N in each of N cores is N squared rows), those played stand
-for the rest: what one sends to a member that is not played comes to another one that is, as from some member
-by chance, and the answer goes back as from whom was asked. So each core hears as much as a fleet of that size
-would send it, all of it made by real cores. It holds where members are alike, in a quiet fleet and at its
-start: what is found by the probes of many, such as members that fail, is found too late by a few.
+`SimulatedFleet(members, cores)` is a fleet of `members`, of which `cores` run the production state machine
+`Peer`. Where all do, each datagram goes to its addressee. Where fewer do (N members with tables of N rows each
+are N squared rows), the simulated ones stand for the rest: a datagram to a member that is not simulated is
+delivered to a random simulated one, as if from a random member, and the answer is returned as if from the
+addressee. So each state machine receives as much as in a fleet of that size, all of it produced by real ones.
+This holds where members are alike, in a quiet fleet and during its start. It does not hold for what many
+probes find together: a few members detect failed ones too late.
 
-Every datagram is encoded and decoded as the driver does it. Owns the clock, the queue and the cores."""
+Each datagram is encoded and decoded as the driver does. Owns the clock, the event queue and the state
+machines."""
 
 from __future__ import annotations
 
@@ -34,7 +36,7 @@
     return [f"sidecar-{at:05d}" for at in range(members)]
 
 
-def seats(members: int, zones: int = 20) -> tuple[RosterEntry, ...]:
+def roster_entries(members: int, zones: int = 20) -> tuple[RosterEntry, ...]:
     return tuple(
         RosterEntry(
             name, f"127.{1 + at // 60_000}.0.1:{1_024 + at % 60_000}", f"z{at * zones // members}", ""
@@ -57,7 +59,7 @@
     messages_in: int = 0
     bytes_out: int = 0
     bytes_in: int = 0
-    tables: int = 0  # asked for
+    table_requests: int = 0  # asked for
 
 
 @dataclass
@@ -76,7 +78,7 @@
         return self.seconds[at]
 
 
-class Hollow:
+class SimulatedFleet:
     def __init__(
         self,
         members: int,
@@ -89,18 +91,18 @@
         absent: set[int] | None = None,
     ) -> None:
         """`cores`: how many are played, 0: all. `watched`: of how many the processor time is taken, 0: all.
-        `absent`: numbers of those that `lose` takes away, where all are played."""
+        `absent`: numbers of those that `stop_absent` takes away, where all are played."""
         assert not absent or not cores or cores >= members, "a few can't show how many fail"
         self.members, self.loss, self.seed = members, loss, seed
         self.names = names(members)
         self.all = not cores or cores >= members
-        self.chance = random.Random(seed)
-        self.seats = seats(members)
+        self.random_source = random.Random(seed)
+        self.roster_entries = roster_entries(members)
         self.timing = timing or MembershipTiming()
         every = 1 if self.all else members // cores
         self.going = {self.names[at] for at in absent or ()}
         self.gone: set[str] = set()
-        played = self.names if self.all else [self.names[at * every] for at in range(cores)]
+        simulated = self.names if self.all else [self.names[at * every] for at in range(cores)]
         self.electors = tuple(self.names[at * members // electors] for at in range(electors))
         self.now = 0
         self.queue: list[tuple[int, int, Core, object]] = []
@@ -108,29 +110,29 @@
         self.cores: dict[str, Core] = {}
         self.talks: dict[tuple[str, str], tuple[Core, str]] = {}
         self.changes = 0
-        for at, name in enumerate(played):
-            watch = not watched or at % max(1, len(played) // watched) == 0
+        for at, name in enumerate(simulated):
+            watch = not watched or at % max(1, len(simulated) // watched) == 0
             self.cores[name] = Core(name, self.peer(name, at + 1), watched=watch)
-        self.played = list(self.cores.values())
-        self.watched = [core for core in self.played if core.watched]
+        self.simulated = list(self.cores.values())
+        self.watched = [core for core in self.simulated if core.watched]
 
     def peer(self, name: str, life: int) -> Peer:
-        told = PeerSettings(name, self.seats, self.electors, timing=self.timing)
+        told = PeerSettings(name, self.roster_entries, self.electors, timing=self.timing)
         return Peer(told, life, self.seed * 1_000_003 + life, EPOCH + self.now)
 
     # Beginnings.
 
     def start(self) -> None:
         """All within a second, each knowing nobody: a fleet that comes up whole."""
-        for core in self.played:
-            self.wake(core, self.now + self.chance.randrange(SECOND))
+        for core in self.simulated:
+            self.wake(core, self.now + self.random_source.randrange(SECOND))
 
     def settle(self) -> None:
         """As long after a start: each has heard of all, by the tables that it would have been sent, and its
         news is told. Not played, as that takes minutes of a large fleet's time: news is taken away and the
         number of rounds set."""
         notes = [wire.MemberUpdate(name, Status.ALIVE, 0, name) for name in self.names]
-        for core in self.played:
+        for core in self.simulated:
             peer = core.peer
             sender = self.names[0] if core.name != self.names[0] else self.names[1]
             heard = [
@@ -142,9 +144,9 @@
                 peer.membership.receive(one)
             peer.membership.commands.clear()
             peer.membership.pending_updates.clear()
-            peer.membership.round_number = 20 + len(self.names) + self.chance.randrange(10)
+            peer.membership.round_number = 20 + len(self.names) + self.random_source.randrange(10)
             peer.membership.check_tokens_at = EPOCH
-            self.wake(core, self.chance.randrange(self.timing.round))
+            self.wake(core, self.random_source.randrange(self.timing.round))
 
     # The run.
 
@@ -196,7 +198,7 @@
         for to, body, data in out:
             second.messages_out += 1
             second.bytes_out += len(data)
-            second.tables += isinstance(body, wire.Table) and body.wanted
+            second.table_requests += isinstance(body, wire.Table) and body.wanted
             self.pass_on(core, to, body, data)
         self.wake(core, max(self.now + 1, core.peer.next_due() - EPOCH))
 
@@ -211,7 +213,7 @@
     # The network.
 
     def pass_on(self, core: Core, to: str, body: wire.Body, data: bytes) -> None:
-        if to in self.gone or self.loss and self.chance.random() < self.loss:
+        if to in self.gone or self.loss and self.random_source.random() < self.loss:
             return
         if self.all:
             hearer, sender = self.cores[to], core.name
@@ -222,29 +224,32 @@
             if talk is not None:
                 hearer, sender = talk
             else:
-                hearer = self.chance.choice(self.played)
-                sender = self.chance.choice(self.names)
+                hearer = self.random_source.choice(self.simulated)
+                sender = self.random_source.choice(self.names)
                 while hearer is core or sender == hearer.name:
-                    hearer, sender = self.chance.choice(self.played), self.chance.choice(self.names)
+                    hearer, sender = (
+                        self.random_source.choice(self.simulated),
+                        self.random_source.choice(self.names),
+                    )
                 if len(self.talks) >= MOST_TALKS:
                     self.talks.clear()
                 self.talks[hearer.name, sender] = core, to
         self.serial += 1
-        at = self.now + self.chance.randint(*DELAY)
+        at = self.now + self.random_source.randint(*DELAY)
         heapq.heappush(self.queue, (at, self.serial, hearer, (sender, data)))
 
     # What it tells.
 
-    def lose(self) -> None:
+    def stop_absent(self) -> None:
         """The absent ones stop at this moment."""
         self.gone = set(self.going)
-        for core in self.played:
+        for core in self.simulated:
             core.up = core.up and core.name not in self.gone
 
-    def bring_back(self) -> None:
+    def restart_absent(self) -> None:
         """As new processes, within a second."""
         for at, name in enumerate(sorted(self.gone)):
-            self.restart(self.cores[name], self.members + at + 1, self.chance.randrange(SECOND))
+            self.restart(self.cores[name], self.members + at + 1, self.random_source.randrange(SECOND))
         self.gone = set()
 
     def stop(self, core: Core) -> None:
@@ -256,21 +261,21 @@
 
     def rows(self) -> float:
         """Members that a core holds for present, in the mean, itself among them."""
-        up = [core for core in self.played if core.up]
+        up = [core for core in self.simulated if core.up]
         return sum(core.peer.membership.present_count + 1 for core in up) / len(up)
 
-    def news(self) -> float:
-        return sum(len(core.peer.membership.pending_updates) for core in self.played) / len(self.played)
+    def mean_pending_updates(self) -> float:
+        return sum(len(core.peer.membership.pending_updates) for core in self.simulated) / len(self.simulated)
 
     def figures(self, first: int, last: int) -> dict[str, tuple[float, float]]:
         """Mean and dearest second of the mean member, over whole seconds `first` up to `last`."""
         found: dict[str, tuple[float, float]] = {}
         for name, key, cores, unit in (
             ("cpu", "cpu_ns", self.watched, 1e-9),
-            ("messages out", "messages_out", self.played, 1.0),
-            ("messages in", "messages_in", self.played, 1.0),
-            ("bytes out", "bytes_out", self.played, 1.0),
-            ("bytes in", "bytes_in", self.played, 1.0),
+            ("messages out", "messages_out", self.simulated, 1.0),
+            ("messages in", "messages_in", self.simulated, 1.0),
+            ("bytes out", "bytes_out", self.simulated, 1.0),
+            ("bytes in", "bytes_in", self.simulated, 1.0),
         ):
             seconds = []
             cores = [core for core in cores if core.name not in self.going]
--- a/lupinmill/lab/scale/honest.py
+++ b/lupinmill/lab/scale/honest.py
@@ -20,7 +20,15 @@
 from lupinmill.lab.fleet_sockets import HOST, SETTINGS, TAKEN, free_port
 from lupinmill.lab.processes import Process, call_operator
 from lupinmill.lab.scale.hollow import names
-from lupinmill.lab.scale.loopback import ALL_KNOWN, WINDOW, Hollow, Side, Watch, fleet_text, settled_rounds
+from lupinmill.lab.scale.loopback import (
+    MEMBERSHIP_TIMEOUT_S,
+    WINDOW_ROUNDS,
+    ClientlessSidecar,
+    FleetRates,
+    ProbeObserver,
+    operators_file_text,
+    settled_rounds,
+)
 from lupinmill.lab.scale.settings import cpu_of
 from lupinmill.program import operators_file
 
@@ -44,9 +52,9 @@
         # Others than those of the hollow ones beside it, which are chosen in the same moment.
         self.ports = [free_port(os.getpid() * 97 % 4_000 + at) for at in range(2 * members + 1)]
         self.binds = [f"{HOST}:{port}" for port in self.ports[: members + 1]]
-        self.text = fleet_text(self.binds, round_ms)
+        self.text = operators_file_text(self.binds, round_ms)
 
-    async def run(self, window: int = WINDOW) -> Side:
+    async def run(self, window: int = WINDOW_ROUNDS) -> FleetRates:
         with tempfile.TemporaryDirectory(prefix="lupinmill-honest-") as folder:
             path = Path(folder) / "operators.toml"
             path.write_text(self.text)
@@ -58,7 +66,7 @@
             try:
                 for at in range(0, self.members, AT_ONCE):
                     await asyncio.gather(*(one.start() for one in processes[at : at + AT_ONCE]))
-                watcher = Hollow(operators_file.understand(tomllib.loads(self.text)), self.last)
+                watcher = ClientlessSidecar(operators_file.understand(tomllib.loads(self.text)), self.last)
                 async with anyio.create_task_group() as group:
                     group.start_soon(watcher.driver.run, False)
                     group.start_soon(watcher.common.run)
@@ -89,18 +97,18 @@
             found.append((time.monotonic(), cpu_of(one), table))
         return found
 
-    async def count(self, processes: list[Process], watcher: Hollow, window: int) -> Side:
-        ends = time.monotonic() + ALL_KNOWN
+    async def count(self, processes: list[Process], watcher: ClientlessSidecar, window: int) -> FleetRates:
+        ends = time.monotonic() + MEMBERSHIP_TIMEOUT_S
         while any(table.get("sees") != self.members + 1 for _, _, table in await self.shows(processes)):
             if time.monotonic() > ends:
                 raise TimeoutError("real sidecars have not all seen all")
             await asyncio.sleep(0.5)
         await asyncio.sleep(settled_rounds(self.members) * self.round_s)
-        watch = Watch(watcher.driver)
+        watch = ProbeObserver(watcher.driver)
         before = await self.shows(processes)
         await asyncio.sleep(window * self.round_s)
         after = await self.shows(processes)
-        found = Side(self.members, seconds=window * self.round_s, probes=watch.pace())
+        found = FleetRates(self.members, seconds=window * self.round_s, probes=watch.pace())
         for (at, used, early), (then, spent, late) in zip(before, after):
             seconds, part = then - at, 1 / self.members
             for key, name in (
@@ -119,11 +127,11 @@
         return found
 
 
-def play(members: int, round_ms: int = 200, window: int = WINDOW) -> Side:
+def play(members: int, round_ms: int = 200, window: int = WINDOW_ROUNDS) -> FleetRates:
     return asyncio.run(Real(members, round_ms).run(window))
 
 
-def differences(real: Side, hollow: Side) -> dict[str, float]:
+def differences(real: FleetRates, hollow: FleetRates) -> dict[str, float]:
     """Of the hollow from the real, as a part of the real."""
     found = {}
     for name in COMPARED:
@@ -132,7 +140,7 @@
     return found
 
 
-def told(side: Side, name: str) -> float:
+def told(side: FleetRates, name: str) -> float:
     """By the probe, where it is a rate; infinite where no probe was heard."""
     value = getattr(side, name)
     if name not in BY_PROBE:
@@ -140,7 +148,7 @@
     return value / side.probes if side.probes > 0 else float("inf")
 
 
-def wrong(real: Side, hollow: Side) -> list[str]:
+def wrong(real: FleetRates, hollow: FleetRates) -> list[str]:
     """What is further apart than it may be, in words."""
     return [
         f"{name.replace('_', ' ')} of {hollow.members} hollow sidecars is {told(hollow, name):.4g}, "
--- a/lupinmill/lab/scale/loopback.py
+++ b/lupinmill/lab/scale/loopback.py
@@ -29,13 +29,13 @@
 from lupinmill.zones.driver import ZoneDriver
 
 ELECTORS = 5
-WINDOW = 100  # rounds that are counted: whole exchanges of tables, of which there is one in ten
-ALL_KNOWN = 180.0  # seconds for all to see all, at most
+WINDOW_ROUNDS = 100  # rounds that are counted: whole exchanges of tables, of which there is one in ten
+MEMBERSHIP_TIMEOUT_S = 180.0  # seconds for all to see all, at most
 LOOK = 0.2
 
 
 @dataclass
-class Side:
+class FleetRates:
     """Of the mean counted member over the window, by the second."""
 
     members: int
@@ -51,7 +51,7 @@
     refused: dict[str, int] = field(default_factory=dict)  # datagrams, by cause
 
 
-def fleet_text(addresses: list[str], round_ms: int, zones: int = 4) -> str:
+def operators_file_text(addresses: list[str], round_ms: int, zones: int = 4) -> str:
     """The one operators' file of a fleet, with zones on."""
     members = len(addresses)
     every = names(members)
@@ -70,7 +70,7 @@
     return JOIN_ROUNDS + 2 * members // MAX_UPDATES + TABLE_SYNC_ROUNDS // 2 + members // 10
 
 
-class Watch:
+class ProbeObserver:
     """What one hollow member hears of the others' probes. Serials are counted by their senders, one a probe:
     so the pace of real processes shows, too, and figures can be told by the probe and not by the second,
     which a busy machine makes longer."""
@@ -97,7 +97,7 @@
         return sum(paces) / len(paces) if paces else 0.0
 
 
-class Hollow:
+class ClientlessSidecar:
     """One sidecar without clients."""
 
     def __init__(self, file: operators_file.File, name: str) -> None:
@@ -127,16 +127,18 @@
 class Fleet:
     """So many members that are counted, and one more that watches them."""
 
-    def __init__(self, members: int, round_ms: int = 200, make: Callable[..., Hollow] = Hollow) -> None:
+    def __init__(
+        self, members: int, round_ms: int = 200, make: Callable[..., ClientlessSidecar] = ClientlessSidecar
+    ) -> None:
         self.members, self.round_s = members, round_ms / 1000
         self.ports = [free_port(5_000 + os.getpid() * 97 % 4_000 + at) for at in range(members + 1)]
-        text = fleet_text([f"{HOST}:{port}" for port in self.ports], round_ms)
+        text = operators_file_text([f"{HOST}:{port}" for port in self.ports], round_ms)
         file = operators_file.understand(tomllib.loads(text))
         *counted, last = names(members + 1)
         self.hollow = [make(file, name) for name in counted]
-        self.watcher = Hollow(file, last)
+        self.watcher = ClientlessSidecar(file, last)
 
-    async def run(self, window: int = WINDOW) -> Side:
+    async def run(self, window: int = WINDOW_ROUNDS) -> FleetRates:
         try:
             async with anyio.create_task_group() as group:
                 for one in [*self.hollow, self.watcher]:
@@ -148,16 +150,16 @@
         finally:
             TAKEN.difference_update(self.ports)
 
-    async def count(self, window: int) -> Side:
-        with anyio.fail_after(ALL_KNOWN):
+    async def count(self, window: int) -> FleetRates:
+        with anyio.fail_after(MEMBERSHIP_TIMEOUT_S):
             while any(one.rows() <= self.members for one in self.hollow):
                 await anyio.sleep(LOOK)
         await anyio.sleep(settled_rounds(self.members) * self.round_s)
-        watch = Watch(self.watcher.driver)
+        watch = ProbeObserver(self.watcher.driver)
         before, began, cpu = [one.counts() for one in self.hollow], time.monotonic(), time.process_time()
         await anyio.sleep(window * self.round_s)
         after, seconds = [one.counts() for one in self.hollow], time.monotonic() - began
-        found = Side(self.members, seconds=seconds, probes=watch.pace())
+        found = FleetRates(self.members, seconds=seconds, probes=watch.pace())
         found.cpu = (time.process_time() - cpu) / seconds / self.members
         rates = [
             sum(late[at] - early[at] for early, late in zip(before, after)) / seconds / self.members
@@ -172,7 +174,10 @@
 
 
 def play(
-    members: int, round_ms: int = 200, window: int = WINDOW, make: Callable[..., Hollow] = Hollow
-) -> Side:
+    members: int,
+    round_ms: int = 200,
+    window: int = WINDOW_ROUNDS,
+    make: Callable[..., ClientlessSidecar] = ClientlessSidecar,
+) -> FleetRates:
     """In the process that calls it; its processor time is the fleet's."""
     return anyio.run(Fleet(members, round_ms, make).run, window)
--- a/lupinmill/lab/scale/returns.py
+++ b/lupinmill/lab/scale/returns.py
@@ -14,9 +14,9 @@
 import anyio
 
 from lupinmill import terms as t
-from lupinmill.lab.scale.measured import Figure, Point
-from lupinmill.lab.scale.returns_stand import ENDPOINTS, Seat, Stand, VirtualLoop, stood_in
 from lupinmill.discovery import driver as discovery
+from lupinmill.lab.scale.measured import Figure, Point
+from lupinmill.lab.scale.returns_stand import ENDPOINTS, SimulatedSidecar, Stand, VirtualLoop, stood_in
 from lupinmill.rules import SECOND
 
 SIZES, QUICK_SIZES = (100, 300, 1_000, 3_000, 20_000), (100,)
@@ -49,7 +49,7 @@
     found, behind = Day(), {}
     away = away or AWAY["asked" if asked else "pushed"]
 
-    def heard(seat: Seat, index: int) -> None:
+    def heard(seat: SimulatedSidecar, index: int) -> None:
         if seat in behind and index == target:
             found.waits.append(loop.time() - behind.pop(seat))
 
@@ -64,7 +64,7 @@
                     poll_discovery=asked,
                     poll_interval=10 * SECOND,
                 )
-                seat = Seat(loop, deployment, heard)
+                seat = SimulatedSidecar(loop, deployment, heard)
                 seat.discovery = discovery.DiscoveryClient(
                     "d:1", deployment, seat, None, lambda *_, **__: None
                 )
@@ -102,13 +102,13 @@
             found.left = len(behind)
             group.cancel_scope.cancel()
 
-    async def begin(seat: Seat, after: float) -> None:
+    async def begin(seat: SimulatedSidecar, after: float) -> None:
         await anyio.sleep(after)  # a quiet fleet's watches have long drifted apart
         if seat.sidecar is not None:
             seat.discovery.watch(t.StartWatch())
         await seat.discovery.run()
 
-    seats: list[Seat] = []
+    seats: list[SimulatedSidecar] = []
     target = 0
     stand = Stand(loop, capacity)
     with stood_in(stand, seed):
--- a/lupinmill/lab/scale/returns_stand.py
+++ b/lupinmill/lab/scale/returns_stand.py
@@ -152,12 +152,12 @@
             self.due.cancel()
 
 
-class Seat:
+class SimulatedSidecar:
     """What `DiscoveryClient` knows of the rest of a sidecar: where lists go, and the module that asks for
     them. The module hears of each list without its rows, which have no part in when it asks."""
 
     def __init__(
-        self, loop: VirtualLoop, deployment: t.Deployment, heard: Callable[[Seat, int], None]
+        self, loop: VirtualLoop, deployment: t.Deployment, heard: Callable[[SimulatedSidecar, int], None]
     ) -> None:
         self.loop, self.heard = loop, heard
         self.states, self.index = {"e0": t.EndpointStatus.READY}, 7
--- a/lupinmill/lab/scale/runs.py
+++ b/lupinmill/lab/scale/runs.py
@@ -10,7 +10,7 @@
 
 from lupinmill.lab.scale import days, holder, settings
 from lupinmill.lab.scale.book import Key, Row
-from lupinmill.lab.scale.hollow import Hollow
+from lupinmill.lab.scale.hollow import SimulatedFleet
 from lupinmill.lab.scale.measured import Point
 from lupinmill.lab.scale.reference import microseconds
 from lupinmill.program.operators_file import BadFile
@@ -65,7 +65,7 @@
 
 
 def quiet(run: Run) -> list[Row]:
-    hollow = Hollow(run.size, run.seed, cores(run.size))
+    hollow = SimulatedFleet(run.size, run.seed, cores(run.size))
     hollow.settle()
     seconds = int(run.seconds or QUIET_S)
     hollow.run(seconds)
@@ -77,16 +77,16 @@
 
 def begin(run: Run) -> list[Row]:
     """A fleet that starts whole within a second, until tables and news are told."""
-    hollow = Hollow(run.size, run.seed, min(cores(run.size), PLAYED_START))
+    hollow = SimulatedFleet(run.size, run.seed, min(cores(run.size), PLAYED_START))
     hollow.start()
     limit = int(run.seconds or MOST_START_S)
     tables = news = 0
     for at in range(limit):
         hollow.run(1)
-        asked = sum(core.seconds[at].tables for core in hollow.played if at < len(core.seconds))
-        if asked > len(hollow.played):  # one in ten rounds is usual: half of one a second
+        asked = sum(core.seconds[at].table_requests for core in hollow.simulated if at < len(core.seconds))
+        if asked > len(hollow.simulated):  # one in ten rounds is usual: half of one a second
             tables = at + 1
-        if hollow.news() >= 1:
+        if hollow.mean_pending_updates() >= 1:
             news = at + 1
         elif at > tables + 2 and at > 5:
             break
@@ -159,8 +159,8 @@
         found = holder.Holder(run.size, settings.ZONES, run.seed, role == "holder").play()
         for name, unit, mean, peak, cpu in (
             ("evidence cpu", CORE, found.cpu, found.peak, True),
-            ("look", "s", found.look, 0.0, True),
-            ("one word heard", "s", found.telling, 0.0, True),
+            ("look", "s", found.look_s, 0.0, True),
+            ("one word heard", "s", found.report_s, 0.0, True),
             ("evidence bytes in", "bytes/s", found.bytes_in, 0.0, False),
             ("evidence bytes out", "bytes/s", found.bytes_out, 0.0, False),
             ("evidence messages in", "1/s", found.messages_in, 0.0, False),
@@ -170,11 +170,16 @@
             rows.append(Row(key, point(run, mean, peak), 0.0, note))
         if role == "holder":
             rows += [
-                Row(Key(role, "heard fresh", "part", "members", "quiet"), point(run, found.fresh), 0.0, note),
+                Row(
+                    Key(role, "heard fresh", "part", "members", "quiet"),
+                    point(run, found.fresh_share),
+                    0.0,
+                    note,
+                ),
                 Row(Key(role, "period", "s", "members", "quiet"), point(run, found.period), 0.0, note),
             ]
             rows += of_tellers(run, found, note)
-    look, memory = holder.Holder(run.size, settings.ZONES, run.seed).all_heard()
+    look, memory = holder.Holder(run.size, settings.ZONES, run.seed).measure_all_fresh()
     note += "; a trial: words of all put in at one moment, as they don't stay fresh"
     rows += [
         Row(Key("holder", "look if all heard", "s", "members", "quiet", True), point(run, look), 0.0, note),
@@ -183,17 +188,17 @@
     return rows
 
 
-def of_tellers(run: Run, found: holder.Played, note: str) -> list[Row]:
+def of_tellers(run: Run, found: holder.HolderResult, note: str) -> list[Row]:
     """What evidence is for the sidecar that tells it: to all electors, and one answer."""
     others = run.size - 1
     out = found.bytes_in / others * holder.ELECTORS
-    back = (found.bytes_out - found.own_bytes) / others
+    back = (found.bytes_out - found.own_bytes_out) / others
     return [
         Row(Key("sidecar", "evidence bytes out", "bytes/s", "members", "quiet"), point(run, out), 0.0, note),
         Row(Key("sidecar", "evidence bytes in", "bytes/s", "members", "quiet"), point(run, back), 0.0, note),
         Row(
             Key("sidecar", "plan counts", "part", "members", "quiet"),
-            point(run, found.counts),
+            point(run, found.in_effect_share),
             0.0,
             "part of the time for which the module goes by what the last look told it",
         ),
@@ -205,12 +210,12 @@
     members = 300
     found = holder.Holder(members, run.size, run.seed)
     note = f"{members} members, reports put in by hand"
-    look = found.look_by_hand()
+    look = found.measure_look()
     rows = [Row(Key("holder", "look", "s", "zones", "quiet", True), point(run, look), 0.0, note)]
     played = holder.Holder(members, run.size, run.seed).play(4.0)
     note = f"{members} members; words on more than 16 zones are refused as garbled"
     key = Key("holder", "heard fresh", "part", "zones", "quiet")
-    rows.append(Row(key, point(run, played.fresh), 0.0, note))
+    rows.append(Row(key, point(run, played.fresh_share), 0.0, note))
     return rows
 
 
--- a/lupinmill/lab/scale/settings.py
+++ b/lupinmill/lab/scale/settings.py
@@ -21,7 +21,7 @@
 
 from lupinmill.lab.fleet_sockets import HOST, SETTINGS, TAKEN, free_port
 from lupinmill.lab.processes import Process
-from lupinmill.lab.scale.hollow import seats
+from lupinmill.lab.scale.hollow import roster_entries
 from lupinmill.peers import wire
 from lupinmill.peers.driver import Driver
 from lupinmill.peers.peer import Peer, PeerSettings
@@ -37,10 +37,10 @@
 def operators_text(members: int, own: str = "", zones: int = ZONES) -> str:
     """As an operator would write it; `own`: address of the first member."""
     rows = []
-    for at, seat in enumerate(seats(members, zones)):
+    for at, seat in enumerate(roster_entries(members, zones)):
         address = own if own and not at else seat.address
         rows.append(f'[peers.members.{seat.name}]\naddress = "{address}"\nzone = "{seat.zone}"\n')
-    names = [seat.name for seat in seats(members, zones)]
+    names = [seat.name for seat in roster_entries(members, zones)]
     electors = [names[at * members // ELECTORS] for at in range(ELECTORS)]
     return f'site = "hollow"\n\n[peers]\nelectors = {orjson.dumps(electors).decode()}\n\n' + "\n".join(rows)
 
@@ -113,7 +113,7 @@
     counted."""
     if warm:
         state(ELECTORS, zones, False)  # what the first one alone fills, as caches of types
-    told_seats = seats(members, zones)
+    told_seats = roster_entries(members, zones)
     told = PeerSettings(told_seats[0].name, told_seats)
     tracemalloc.start()
     driver = Driver(told, "hollow", "127.0.0.1:1", None, lambda *a, **k: None)
@@ -148,7 +148,7 @@
     with tempfile.TemporaryDirectory(prefix="lupinmill-slopes-") as folder:
         own = f"{HOST}:{ports[0]}"
         environ = {}
-        name = seats(1)[0].name
+        name = roster_entries(1)[0].name
         if members:
             path = Path(folder) / "operators.toml"
             path.write_text(operators_text(members, own))
--- a/lupinmill/lab/scale/slopes.py
+++ b/lupinmill/lab/scale/slopes.py
@@ -18,7 +18,7 @@
 
 from lupinmill.lab.scale import checks, hollow, honest, loopback, runs
 from lupinmill.lab.scale.book import Book, Key, Row, line
-from lupinmill.lab.scale.loopback import Side
+from lupinmill.lab.scale.loopback import FleetRates
 from lupinmill.lab.scale.measured import FILE, Added, Figure, Measured, Point
 from lupinmill.lab.scale.reference import microseconds
 from lupinmill.lab.scale.runs import Run
@@ -217,7 +217,7 @@
         tell(f"  {members} hollow ones over sockets: done")
 
 
-def of_side(side: Side, is_hollow: bool, note: str) -> list[Row]:
+def of_side(side: FleetRates, is_hollow: bool, note: str) -> list[Row]:
     """Seed 0: these draw their own."""
     values = [
         ("cpu", "part of a core", side.cpu),
--- a/tests/test_discovery_fleet.py
+++ b/tests/test_discovery_fleet.py
@@ -12,7 +12,7 @@
 
 from lupinmill import terms as t
 from lupinmill.discovery import driver, watcher
-from lupinmill.lab.scale.returns_stand import Seat, VirtualLoop, answer
+from lupinmill.lab.scale.returns_stand import SimulatedSidecar, VirtualLoop, answer
 from lupinmill.rules import SECOND
 
 INITIAL_VERSION = 7
@@ -113,12 +113,12 @@
         self.service = SlowService(self.loop, late, work, dead_watches)
         self.delays: list[float] = []  # for each sidecar and change
         self.changed_at: list[float] = []
-        self.seats: list[Seat] = []
-        self.versions: dict[Seat, int] = {}
+        self.seats: list[SimulatedSidecar] = []
+        self.versions: dict[SimulatedSidecar, int] = {}
         monkeypatch.setattr(driver, "connect", self.service.connect)
         monkeypatch.setattr(driver, "random", random.Random(f"slow {count} {late} {work}"))
 
-    def on_list(self, seat: Seat, index: int) -> None:
+    def on_list(self, seat: SimulatedSidecar, index: int) -> None:
         assert index >= self.versions.get(seat, INITIAL_VERSION), "the list went backwards"
         for version in range(self.versions.get(seat, INITIAL_VERSION) + 1, index + 1):
             self.delays.append(self.loop.time() - self.changed_at[version - INITIAL_VERSION - 1])
@@ -134,7 +134,7 @@
                     poll_discovery=self.asked,
                     poll_interval=10 * SECOND,
                 )
-                seat = Seat(self.loop, terms, self.on_list)
+                seat = SimulatedSidecar(self.loop, terms, self.on_list)
                 seat.discovery = driver.DiscoveryClient("d:1", terms, seat, None, lambda *_, **__: None)
                 self.seats.append(seat)
                 group.start_soon(self.begin, seat, chance.uniform(0, seat.discovery.wait))
@@ -147,7 +147,7 @@
             await anyio.sleep(9.0)
             group.cancel_scope.cancel()
 
-    async def begin(self, seat: Seat, after: float) -> None:
+    async def begin(self, seat: SimulatedSidecar, after: float) -> None:
         await anyio.sleep(after)
         seat.discovery.watch(t.StartWatch())
         await seat.discovery.run()
@@ -224,6 +224,6 @@
     assert max(counts) < 3 * len(late) / len(counts) + 10
 
 
-async def run_at_once(seat: Seat) -> None:
+async def run_at_once(seat: SimulatedSidecar) -> None:
     seat.discovery.watch(t.StartWatch())
     await seat.discovery.run()
--- a/tests/test_scale_fanout.py
+++ b/tests/test_scale_fanout.py
@@ -1,7 +1,7 @@
 """Tests of the configuration distribution measurements. In virtual time: counters match the events, all
-sidecars end with the source's entries, and faults injected into the production state machines show in
-the figures. Over real sockets: a relay and its watchers reach one version, and all processes end. No durations
-are checked."""
+sidecars end with the source's entries, and faults injected into the production state machines show in the
+figures. Over real sockets: a relay and its watchers reach one version, and all processes end. No time is
+checked."""
 
 import asyncio
 import os
--- a/tests/test_scale_slopes.py
+++ b/tests/test_scale_slopes.py
@@ -18,7 +18,7 @@
 from lupinmill.lab.scale import settings as costs
 from lupinmill.lab.scale.book import Book, Key, Row
 from lupinmill.lab.scale.fit import fit
-from lupinmill.lab.scale.loopback import Side
+from lupinmill.lab.scale.loopback import FleetRates
 from lupinmill.lab.scale.measured import Figure, Measured, Point
 from lupinmill.peers.wire import Status
 from lupinmill.program import operators_file
@@ -128,7 +128,7 @@
     for begin, seconds in (("settle", 8), ("start", 12)):
         found = []
         for cores in (0, 12):
-            fleet = hollow.Hollow(40, 3, cores)
+            fleet = hollow.SimulatedFleet(40, 3, cores)
             getattr(fleet, begin)()
             fleet.run(seconds)
             assert fleet.rows() == 40
@@ -139,13 +139,13 @@
 
 
 def test_settled_by_hand_is_as_quiet_as_a_fleet_that_ran_so_long():
-    ran = hollow.Hollow(28, 5)
+    ran = hollow.SimulatedFleet(28, 5)
     ran.start()
     ran.run(30)
-    assert ran.news() == 0
+    assert ran.mean_pending_updates() == 0
     first = ran.now // 1_000_000
     ran.run(10)
-    settled = hollow.Hollow(28, 5)
+    settled = hollow.SimulatedFleet(28, 5)
     settled.settle()
     settled.run(11)
     late, hand = ran.figures(first, first + 10), settled.figures(1, 11)
@@ -158,7 +158,7 @@
     fleet = Fleet("quiet", 30.0, 20, electors=0)
     other = VirtualFleet(fleet, 4, decide=False)
     result = other.play()
-    ours = hollow.Hollow(20, 4)
+    ours = hollow.SimulatedFleet(20, 4)
     ours.start()
     ours.run(30)
     mean, _ = ours.figures(0, 30)["messages out"]
@@ -170,11 +170,11 @@
     assert 0 < found.known < days.KNOWN and 0 < found.back_known < days.KNOWN
     assert found.figures["messages out"][1] > found.figures["messages out"][0] > 0
     with pytest.raises(AssertionError):
-        hollow.Hollow(60, 2, 12, absent={3})
+        hollow.SimulatedFleet(60, 2, 12, absent={3})
 
 
 def test_nothing_gets_through_a_network_that_loses_all():
-    fleet = hollow.Hollow(20, 1, loss=1.0)
+    fleet = hollow.SimulatedFleet(20, 1, loss=1.0)
     fleet.start()
     fleet.run(3)
     assert fleet.rows() == 1 and fleet.figures(0, 3)["messages in"] == (0.0, 0.0)
@@ -191,14 +191,14 @@
 
 def test_the_holder_hears_all_while_words_stay_fresh_and_not_beyond():
     few = holder.Holder(60, 4, 1).play(8.0)
-    assert few.fresh == 1 and few.dropped == 0 and few.counts == 1
+    assert few.fresh_share == 1 and few.dropped == 0 and few.in_effect_share == 1
     many = holder.Holder(3_000, 4, 1).play(4.0)  # two words of each within 24 s of its time
-    assert many.period == 12 and 0.3 < many.fresh < 0.7 and many.counts == 0.25
+    assert many.period == 12 and 0.3 < many.fresh_share < 0.7 and many.in_effect_share == 0.25
 
 
 def test_words_on_more_zones_than_the_cap_are_heard_by_nobody():
     found = holder.Holder(40, 20, 1).play(3.0)
-    assert found.dropped == round(found.messages_in * 3) and found.fresh <= 1 / 40
+    assert found.dropped == round(found.messages_in * 3) and found.fresh_share <= 1 / 40
 
 
 def test_an_elector_without_the_lease_answers_nobody():
@@ -227,7 +227,7 @@
 # --- checks that can fail --------------------------------------------------------------------------
 
 
-class Doubling(loopback.Hollow):
+class Doubling(loopback.ClientlessSidecar):
     """A planted fault: each datagram is sent twice."""
 
     def __init__(self, *told) -> None:
@@ -253,21 +253,25 @@
 
 
 def test_a_side_that_is_missing_or_no_number_is_wrong():
-    good = Side(5, 10.0, 10.0, 900.0, 900.0, 5.0, probes=2.0)
+    good = FleetRates(5, 10.0, 10.0, 900.0, 900.0, 5.0, probes=2.0)
     assert honest.wrong(good, good) == []
-    assert len(honest.wrong(good, Side(5))) == len(honest.wrong(Side(5), good)) == len(honest.COMPARED)
-    assert honest.wrong(good, Side(5, 10.0, 10.0, float("nan"), 900.0, 5.0, probes=2.0))
+    assert (
+        len(honest.wrong(good, FleetRates(5)))
+        == len(honest.wrong(FleetRates(5), good))
+        == len(honest.COMPARED)
+    )
+    assert honest.wrong(good, FleetRates(5, 10.0, 10.0, float("nan"), 900.0, 5.0, probes=2.0))
 
 
 def test_figures_are_compared_by_the_probe_so_that_a_slow_machine_is_no_difference():
-    good, slow = Side(5, 10, 10, 900, 900, 5, probes=2), Side(5, 5, 5, 450, 450, 5, probes=1)
+    good, slow = FleetRates(5, 10, 10, 900, 900, 5, probes=2), FleetRates(5, 5, 5, 450, 450, 5, probes=1)
     assert honest.wrong(good, slow) == []
     slow.messages_out *= 1.2
     assert len(honest.wrong(good, slow)) == 1
 
 
 @functools.cache
-def quiet_figures(make=hollow.Hollow) -> list[Figure]:
+def quiet_figures(make=hollow.SimulatedFleet) -> list[Figure]:
     """Above the 24 rows of a table, below which a smaller fleet tells smaller tables."""
     book = Book()
     for size in (30, 60, 90):
@@ -281,7 +285,7 @@
     return book.figures()
 
 
-class Double(hollow.Hollow):
+class Double(hollow.SimulatedFleet):
     """A planted fault: each datagram is sent twice."""
 
     def encode(self, core, order, out, own) -> None:
@@ -289,19 +293,19 @@
         super().encode(core, order, out, own)
 
 
-class Deaf(hollow.Hollow):
+class Deaf(hollow.SimulatedFleet):
     """A planted fault: one member is held for dead by another."""
 
     def settle(self) -> None:
         super().settle()
-        membership = self.played[0].peer.membership
+        membership = self.simulated[0].peer.membership
         member = membership.members[self.names[-1]]
         membership.set_status(member, Status.DEAD, 9, "", "planted")
 
     def run(self, seconds: float) -> None:
-        self.played[0].up = False
+        self.simulated[0].up = False
         super().run(seconds)
-        self.played[0].up = True
+        self.simulated[0].up = True
 
 
 def test_a_quiet_fleet_keeps_its_bounds_and_planted_faults_break_them():
