--- a/lupinmill/lab/scale/holder.py
+++ b/lupinmill/lab/scale/holder.py
@@ -1,8 +1,9 @@
-"""The holder of the plan and the electors beside it, as the members' evidence reaches them: the very
-`Driver`, `Peer`, `ZoneDriver` and words of a sidecar, in virtual time, without sockets and clients.
+"""The cost of zone reports for the lease holder, which decides the plan, and for the other electors.
 
-The lease is given by hand, and so are the reports: each member tells of `LOOKS` zones that it sends to and of
-endpoints in all. What the peers' own probes cost is measured apart (`hollow`), so the peers' clock stands."""
+Runs the production `Driver`, `Peer`, `ZoneDriver` and message codec of a sidecar in virtual time, without
+sockets and clients. The lease is set directly, and the reports are generated: each member reports traffic to
+`ZONES_PER_REPORT` zones and endpoints in all zones. The cost of the peers' own probes is measured separately
+(`hollow`), so the peers' clock does not advance."""
 
 from __future__ import annotations
 
@@ -24,22 +25,22 @@
 from lupinmill.zones.reports import Report, ZoneObservation
 from lupinmill.zones.zone_map import Workload, Zone, ZoneMap
 
-LOOKS = 3  # zones that one member sends to
-SECONDS = 12.0  # of one run, twice the age at which evidence counts no more
-BEGAN = 1_000 * SECOND
+ZONES_PER_REPORT = 3  # zones that one member sends traffic to
+RUN_SECONDS = 12.0  # length of one run: twice the age at which a report expires
+START_US = 1_000 * SECOND
 REGIONS = 7
 ELECTORS = 5
 
 
-class Sink:
-    """In place of the socket: the driver encodes and counts, and nothing is sent."""
+class NullSocket:
+    """Stands in for the socket: the driver encodes and counts, and nothing is sent."""
 
     def sendto(self, data: bytes, address: Any) -> int:
         return len(data)
 
 
-class Post(Driver):
-    """A driver whose lease is given by hand."""
+class LeaseHolderDriver(Driver):
+    """A driver whose lease is set directly."""
 
     epoch = 0
     decided = 0
@@ -53,151 +54,156 @@
 
 
 def zone_map(zones: int) -> ZoneMap:
-    """20 zones in 7 regions, as near to equal as it goes."""
+    """A map of `zones` zones, spread over `REGIONS` regions as evenly as possible."""
     rows = tuple(Zone(f"z{at}", f"r{at * REGIONS // zones}") for at in range(zones))
     return ZoneMap(rows, (Workload("view"), Workload("buy", 2.0)))
 
 
-def report(name: str, zone: str, map_: ZoneMap, chance: random.Random) -> Report:
-    """285 calls a second, most of them at home, over three seconds."""
-    names = [one.name for one in map_.zones]
-    sends = [zone, *chance.sample([one for one in names if one != zone], min(LOOKS, len(names)) - 1)]
+def report(name: str, zone: str, zone_map: ZoneMap, random_source: random.Random) -> Report:
+    """A member's report over three seconds with 285 calls a second, most of them to its own zone."""
+    names = [one.name for one in zone_map.zones]
+    sends = [
+        zone,
+        *random_source.sample([one for one in names if one != zone], min(ZONES_PER_REPORT, len(names)) - 1),
+    ]
     seen = {one: ZoneObservation(ready=24.0 / len(names), listed=24.0 / len(names)) for one in names}
     for at, one in enumerate(sends):
-        tried = chance.uniform(700, 900) if at == 0 else chance.uniform(10, 60)
+        tried = random_source.uniform(700, 900) if at == 0 else random_source.uniform(10, 60)
         seen[one] = ZoneObservation(
-            tried, tried / 500, 0.0, chance.uniform(1.0, 1.6), tried / 2, 0.0, 8.0, 8.0
+            tried, tried / 500, 0.0, random_source.uniform(1.0, 1.6), tried / 2, 0.0, 8.0, 8.0
         )
-    return Report(name, zone, {w.name: chance.uniform(120, 160) for w in map_.workloads}, seen)
+    return Report(name, zone, {w.name: random_source.uniform(120, 160) for w in zone_map.workloads}, seen)
 
 
 @dataclass
 class HolderResult:
-    """What one run of a holder or elector gave."""
+    """Results of one run of the holder or another elector."""
 
-    cpu: float = 0.0  # part of a core, all of it
-    peak: float = 0.0  # the dearest second
-    look_s: float = 0.0  # seconds of one look
-    report_s: float = 0.0  # seconds of one word heard and answered
-    fresh_share: float = 0.0  # part of the members that the looks stood on
+    cpu: float = 0.0  # part of a core, in total
+    peak: float = 0.0  # part of a core in the busiest second
+    look_s: float = 0.0  # processor seconds of one evaluation of the reports
+    report_s: float = 0.0  # processor seconds to receive and answer one report
+    fresh_share: float = 0.0  # share of the members whose reports an evaluation used
     bytes_in: float = 0.0
     bytes_out: float = 0.0
-    own_bytes_out: float = 0.0  # of them, its own words to the other electors
+    own_bytes_out: float = 0.0  # of `bytes_out`, its own reports to the other electors
     messages_in: float = 0.0
     messages_out: float = 0.0
-    dropped: int = 0  # words that were not understood
+    dropped: int = 0  # reports that could not be decoded
     plans: int = 0
-    period: float = 0.0  # seconds between two words of a member, and between two looks
-    in_effect_share: float = 0.0  # part of the time for which what a look told the module counts
+    period: float = 0.0  # seconds between two reports of a member, and between two evaluations
+    in_effect_share: float = 0.0  # share of the time for which the result of an evaluation is valid
 
 
 class Holder:
     def __init__(self, members: int, zones: int, seed: int, holds: bool = True) -> None:
-        self.clock = BEGAN
-        self.chance = random.Random(seed)
+        self.clock = START_US
+        self.random_source = random.Random(seed)
         self.map = zone_map(zones)
         self.roster_entries = roster_entries(members, zones)
-        self.names = [seat.name for seat in self.roster_entries]
+        self.names = [entry.name for entry in self.roster_entries]
         electors = tuple(self.names[at * members // ELECTORS] for at in range(ELECTORS))
-        self.told = PeerSettings(electors[0], self.roster_entries, electors, (TOPIC,))
-        self.driver = Post(self.told, "hollow", "127.0.0.1:1", None, lambda *a, **k: None)
-        self.driver.peer = self.peer()
-        self.driver.sock = Sink()  # type: ignore[assignment]
+        self.settings = PeerSettings(electors[0], self.roster_entries, electors, (TOPIC,))
+        self.driver = LeaseHolderDriver(self.settings, "hollow", "127.0.0.1:1", None, lambda *a, **k: None)
+        self.driver.peer = self.make_peer()
+        self.driver.sock = NullSocket()  # type: ignore[assignment]
         engine: Any = SimpleNamespace(
             clock=SimpleNamespace(now=lambda: self.clock), sidecar=SimpleNamespace(step=None)
         )
-        self.zone_driver = ZoneDriver(self.map, self.told, self.driver, engine, lambda *a, **k: None)
+        self.zone_driver = ZoneDriver(self.map, self.settings, self.driver, engine, lambda *a, **k: None)
         if holds:
             self.driver.epoch = 1
             self.zone_driver.process(member.LeaseAcquired(1))
 
-    def peer(self) -> Any:
-        """It has heard of all; its clock stands from here on."""
+    def make_peer(self) -> Any:
+        """A peer that knows all members and whose clock does not advance."""
         from lupinmill.peers.peer import Peer
 
-        peer = Peer(self.told, 1, 1, BEGAN)
+        peer = Peer(self.settings, 1, 1, START_US)
         for at in range(0, len(self.names), wire.MAX_UPDATES):
-            notes = [wire.MemberUpdate(n, Status.ALIVE, 0, n) for n in self.names[at : at + wire.MAX_UPDATES]]
-            peer.membership.receive(Received(self.names[-1], wire.Table(False, 0, []), notes))
+            updates = [
+                wire.MemberUpdate(n, Status.ALIVE, 0, n) for n in self.names[at : at + wire.MAX_UPDATES]
+            ]
+            peer.membership.receive(Received(self.names[-1], wire.Table(False, 0, []), updates))
         peer.membership.pending_updates.clear()
         return peer
 
-    # Evidence.
+    # Reports.
 
-    def hear(self, sender: str, data: bytes) -> None:
-        """As the driver does: decoded, through the peers' core, to the zones."""
+    def receive(self, sender: str, data: bytes) -> None:
+        """Handles a datagram as the driver does: decodes it and passes it via the peer to the zone driver."""
         found = wire.decode(SITE, data)
         assert self.driver.peer is not None
-        for order in self.driver.peer.step(BEGAN, [Received(sender, found.body, found.updates)]):
-            if getattr(order, "topic", "") == TOPIC:
-                self.zone_driver.on_peer_event(order)
+        for command in self.driver.peer.step(START_US, [Received(sender, found.body, found.updates)]):
+            if getattr(command, "topic", "") == TOPIC:
+                self.zone_driver.on_peer_event(command)
 
-    def own(self) -> member.OwnReport:
-        seat = next(seat for seat in self.roster_entries if seat.name == self.told.name)
-        return member.OwnReport(report(seat.name, seat.zone, self.map, self.chance), {seat.zone: 8})
+    def own_report(self) -> member.OwnReport:
+        entry = next(entry for entry in self.roster_entries if entry.name == self.settings.name)
+        return member.OwnReport(report(entry.name, entry.zone, self.map, self.random_source), {entry.zone: 8})
 
-    def play(self, seconds: float = SECONDS) -> HolderResult:
-        """Each member tells once a period, at its own moment; this one looks once a period."""
+    def play(self, seconds: float = RUN_SECONDS) -> HolderResult:
+        """Each member reports once a period, at its own phase; this one evaluates once a period."""
         found = HolderResult(period=self.zone_driver.period)
         period = int(self.zone_driver.period * SECOND)
         events: list[tuple[int, int]] = []
-        chance = self.chance
+        random_source = self.random_source
         span = max(int(seconds * SECOND), min(2 * period, int(2 * seconds * SECOND)))
         for at in range(len(self.roster_entries) - 1):
-            phase = chance.randrange(period)
+            phase = random_source.randrange(period)
             events += [(due, at) for due in range(phase, span, period)]
-        looks = list(range(min(period, span - 1), span, period))
-        events += [(due, -1) for due in looks]
+        evaluations_due = list(range(min(period, span - 1), span, period))
+        events += [(due, -1) for due in evaluations_due]
         events.sort()
-        tellers = [seat for seat in self.roster_entries if seat.name != self.told.name]
-        words_of = [report(s.name, s.zone, self.map, chance) for s in tellers]
+        senders = [entry for entry in self.roster_entries if entry.name != self.settings.name]
+        reports = [report(s.name, s.zone, self.map, random_source) for s in senders]
         by_second = [0] * (span // SECOND + 1)
-        look_ns, tell_ns, looked, told = 0, 0, 0, 0
+        evaluation_ns, report_ns, evaluations, reported = 0, 0, 0, 0
         fresh: list[float] = []
         counts: list[float] = []
         for due, at in events:
-            self.clock = BEGAN + due
+            self.clock = START_US + due
             if at < 0:
-                note, sent = self.own(), self.driver.bytes_out
+                event, sent = self.own_report(), self.driver.bytes_out
                 began = time.thread_time_ns()
-                self.zone_driver.process(note)
+                self.zone_driver.process(event)
                 took = time.thread_time_ns() - began
                 found.own_bytes_out += self.driver.bytes_out - sent
-                look_ns, looked = look_ns + took, looked + 1
+                evaluation_ns, evaluations = evaluation_ns + took, evaluations + 1
                 assert self.zone_driver.applied is not None
                 lasts = (self.zone_driver.applied.until - self.clock) / SECOND
                 counts.append(min(1.0, lasts / self.zone_driver.period))
                 fresh.append(len(self.zone_driver.core.aggregator.reports) / len(self.roster_entries))
             else:
-                telling = messages.report_message(self.map, words_of[at], self.clock, 0)
-                body = wire.FeatureMessage(TOPIC, messages.encode(telling))
+                message = messages.report_message(self.map, reports[at], self.clock, 0)
+                body = wire.FeatureMessage(TOPIC, messages.encode(message))
                 data = wire.encode(SITE, body, [])
                 began = time.thread_time_ns()
-                self.hear(tellers[at].name, data)
+                self.receive(senders[at].name, data)
                 took = time.thread_time_ns() - began
-                tell_ns, told = tell_ns + took, told + 1
+                report_ns, reported = report_ns + took, reported + 1
                 found.bytes_in += len(data)
             by_second[due // SECOND] += took
-        whole = span / SECOND
-        found.look_s = look_ns / max(1, looked) / 1e9
-        found.report_s = tell_ns / max(1, told) / 1e9
-        # By the rate at which looks are due: a run of a few looks has one more or less of them.
-        found.cpu = tell_ns / 1e9 / whole + found.look_s / self.zone_driver.period
+        span_s = span / SECOND
+        found.look_s = evaluation_ns / max(1, evaluations) / 1e9
+        found.report_s = report_ns / max(1, reported) / 1e9
+        # Uses the rate at which evaluations are due, as their number in a short run may be off by one.
+        found.cpu = report_ns / 1e9 / span_s + found.look_s / self.zone_driver.period
         found.peak = max(by_second) / 1e9
         found.fresh_share = sum(fresh) / max(1, len(fresh))
         found.in_effect_share = sum(counts) / max(1, len(counts))
-        found.bytes_in /= whole
-        found.own_bytes_out /= whole
-        found.messages_in = told / whole
-        found.messages_out, found.bytes_out = self.driver.sent / whole, self.driver.bytes_out / whole
+        found.bytes_in /= span_s
+        found.own_bytes_out /= span_s
+        found.messages_in = reported / span_s
+        found.messages_out, found.bytes_out = self.driver.sent / span_s, self.driver.bytes_out / span_s
         found.dropped = sum(self.zone_driver.core.dropped.values())
         found.plans = self.driver.decided
         return found
 
     def measure_all_fresh(self) -> tuple[float, float]:
-        """Seconds of one look, and bytes of its evidence, were all members' words fresh."""
+        """Processor seconds of one evaluation and bytes of its reports, if those of all members are fresh."""
         core = self.zone_driver.core
-        reports = [report(s.name, s.zone, self.map, self.chance) for s in self.roster_entries]
+        reports = [report(s.name, s.zone, self.map, self.random_source) for s in self.roster_entries]
         tracemalloc.start()
         for one in reports:
             again = messages.report_from_message(
@@ -206,22 +212,22 @@
             core.aggregator.add(self.clock, again)
         memory = tracemalloc.get_traced_memory()[0]
         tracemalloc.stop()
-        note = self.own()
+        event = self.own_report()
         began = time.thread_time_ns()
-        self.zone_driver.process(note)
+        self.zone_driver.process(event)
         return (time.thread_time_ns() - began) / 1e9, float(memory)
 
     def measure_look(self, times: int = 5) -> float:
-        """Seconds of one look with all reports fresh, put in past the words and their cap on zones; the
-        median of several."""
+        """Median processor seconds of one evaluation with all reports fresh. Reports are added directly,
+        which bypasses the messages' limit on zones."""
         core = self.zone_driver.core
         took = []
         for at in range(times):
-            self.clock = BEGAN + (at + 1) * SECOND
-            for seat in self.roster_entries:
-                core.aggregator.add(self.clock, report(seat.name, seat.zone, self.map, self.chance))
-            note = self.own()
+            self.clock = START_US + (at + 1) * SECOND
+            for entry in self.roster_entries:
+                core.aggregator.add(self.clock, report(entry.name, entry.zone, self.map, self.random_source))
+            event = self.own_report()
             began = time.thread_time_ns()
-            self.zone_driver.process(note)
+            self.zone_driver.process(event)
             took.append((time.thread_time_ns() - began) / 1e9)
         return sorted(took)[times // 2]
--- a/lupinmill/lab/scale/loopback.py
+++ b/lupinmill/lab/scale/loopback.py
@@ -1,7 +1,7 @@
-"""Hollow sidecars over real loopback sockets, many in one process: the very `Driver`, `Engine`, `ZoneDriver`
-and `Common` that `program.sidecar` puts together from the same operators' file, without listeners or clients.
+"""Sidecars without listeners and clients over real loopback sockets, many in one process.
 
-Owns the sockets and tasks of the fleet, given back at the end of `Fleet.run`."""
+Each consists of the production `Driver`, `Engine`, `ZoneDriver` and `Common`, set up as `program.sidecar`
+does from the same operators' file. `Fleet.run` owns the sockets and tasks and releases them at its end."""
 
 from __future__ import annotations
 
@@ -29,30 +29,30 @@
 from lupinmill.zones.driver import ZoneDriver
 
 ELECTORS = 5
-WINDOW_ROUNDS = 100  # rounds that are counted: whole exchanges of tables, of which there is one in ten
-MEMBERSHIP_TIMEOUT_S = 180.0  # seconds for all to see all, at most
-LOOK = 0.2
+WINDOW_ROUNDS = 100  # rounds that are measured; whole multiples of the ten rounds between two table exchanges
+MEMBERSHIP_TIMEOUT_S = 180.0  # seconds within which all members must see all others
+POLL_INTERVAL_S = 0.2
 
 
 @dataclass
 class FleetRates:
-    """Of the mean counted member over the window, by the second."""
+    """Rates per second of the average measured member over the window."""
 
     members: int
     messages_out: float = 0.0
     messages_in: float = 0.0
     bytes_out: float = 0.0
     bytes_in: float = 0.0
-    rows: float = 0.0  # members that it holds for present, itself among them
+    rows: float = 0.0  # members that it considers present, itself included
     cpu: float = 0.0  # part of a core
     memory: float = 0.0  # bytes; real processes only
     seconds: float = 0.0
-    probes: float = 0.0  # by the second, as their serials tell: the pace of the rounds, late ones among them
-    refused: dict[str, int] = field(default_factory=dict)  # datagrams, by cause
+    probes: float = 0.0  # sent per second by their serial numbers, so delayed rounds show
+    refused: dict[str, int] = field(default_factory=dict)  # refused datagrams by cause
 
 
 def operators_file_text(addresses: list[str], round_ms: int, zones: int = 4) -> str:
-    """The one operators' file of a fleet, with zones on."""
+    """The operators' file that all members of the fleet share, with zones enabled."""
     members = len(addresses)
     every = names(members)
     electors = [every[at * members // ELECTORS] for at in range(ELECTORS)]
@@ -66,31 +66,31 @@
 
 
 def settled_rounds(members: int) -> int:
-    """Rounds until tables are asked for by turns only, and some more in which news is told."""
+    """Rounds after which tables are only exchanged periodically and updates about the start have spread."""
     return JOIN_ROUNDS + 2 * members // MAX_UPDATES + TABLE_SYNC_ROUNDS // 2 + members // 10
 
 
 class ProbeObserver:
-    """What one hollow member hears of the others' probes. Serials are counted by their senders, one a probe:
-    so the pace of real processes shows, too, and figures can be told by the probe and not by the second,
-    which a busy machine makes longer."""
+    """Observes the probes that one member receives. A sender increments the serial number with each probe,
+    so that the probe rate of real processes shows, too. Figures can then be given per probe instead of per
+    second, as a busy machine delays rounds."""
 
     def __init__(self, driver: Driver) -> None:
-        self.heard: dict[str, list[tuple[float, int]]] = {}
-        self.driver, self.take = driver, driver.receive_datagram
-        driver.receive_datagram = self.look  # type: ignore[method-assign]
+        self.probes: dict[str, list[tuple[float, int]]] = {}
+        self.driver, self.receive = driver, driver.receive_datagram
+        driver.receive_datagram = self.observe  # type: ignore[method-assign]
 
-    def look(self, data: bytes, address: Any) -> None:
+    def observe(self, data: bytes, address: Any) -> None:
         before = len(self.driver.inbox)
-        self.take(data, address)
-        for note in self.driver.inbox[before:]:
-            if isinstance(note, Received) and isinstance(note.body, Ping) and note.body.serial:
-                self.heard.setdefault(note.sender, []).append((time.monotonic(), note.body.serial))
+        self.receive(data, address)
+        for message in self.driver.inbox[before:]:
+            if isinstance(message, Received) and isinstance(message.body, Ping) and message.body.serial:
+                self.probes.setdefault(message.sender, []).append((time.monotonic(), message.body.serial))
 
     def pace(self) -> float:
-        """Probes a second of the mean member among those that were heard twice; 0: there is none."""
+        """Mean probes per second of the members from which at least two probes came; 0 without any."""
         paces = []
-        for rows in self.heard.values():
+        for rows in self.probes.values():
             (began, first), (ended, last) = rows[0], rows[-1]
             if last > first and ended > began:
                 paces.append((last - first) / (ended - began))
@@ -98,18 +98,18 @@
 
 
 class ClientlessSidecar:
-    """One sidecar without clients."""
+    """A sidecar without listeners and clients."""
 
     def __init__(self, file: operators_file.File, name: str) -> None:
         assert file.peers is not None and file.zones is not None
         deployment = protocol_settings.deployment(protocol_settings.flatten(SETTINGS))
-        told = operators_file.told(file, name)
+        settings = operators_file.told(file, name)
         self.engine = Engine(deployment, Clock(), self.log)
         for kind in (t.StartWatch, t.SetTimer):
-            self.engine.command_handlers[kind] = lambda order: None
-        self.driver = Driver(told, file.site, operators_file.bind(file, name), None, self.log)
-        map_ = operators_file.zone_map(file.zones, {w.name: w.value for w in deployment.workloads})
-        zone_driver = ZoneDriver(map_, told, self.driver, self.engine, self.log)
+            self.engine.command_handlers[kind] = lambda command: None
+        self.driver = Driver(settings, file.site, operators_file.bind(file, name), None, self.log)
+        zone_map = operators_file.zone_map(file.zones, {w.name: w.value for w in deployment.workloads})
+        zone_driver = ZoneDriver(zone_map, settings, self.driver, self.engine, self.log)
         self.common = Common(self.engine, self.driver, 1, True, zone_driver, self.log)
 
     def log(self, event: str, **fields: Any) -> None:
@@ -125,7 +125,7 @@
 
 
 class Fleet:
-    """So many members that are counted, and one more that watches them."""
+    """A fleet of `members` measured sidecars and one more that observes their probes."""
 
     def __init__(
         self, members: int, round_ms: int = 200, make: Callable[..., ClientlessSidecar] = ClientlessSidecar
@@ -135,13 +135,13 @@
         text = operators_file_text([f"{HOST}:{port}" for port in self.ports], round_ms)
         file = operators_file.understand(tomllib.loads(text))
         *counted, last = names(members + 1)
-        self.hollow = [make(file, name) for name in counted]
+        self.measured = [make(file, name) for name in counted]
         self.watcher = ClientlessSidecar(file, last)
 
     async def run(self, window: int = WINDOW_ROUNDS) -> FleetRates:
         try:
             async with anyio.create_task_group() as group:
-                for one in [*self.hollow, self.watcher]:
+                for one in [*self.measured, self.watcher]:
                     group.start_soon(one.driver.run, False)
                     group.start_soon(one.common.run)
                 found = await self.count(window)
@@ -152,13 +152,13 @@
 
     async def count(self, window: int) -> FleetRates:
         with anyio.fail_after(MEMBERSHIP_TIMEOUT_S):
-            while any(one.rows() <= self.members for one in self.hollow):
-                await anyio.sleep(LOOK)
+            while any(one.rows() <= self.members for one in self.measured):
+                await anyio.sleep(POLL_INTERVAL_S)
         await anyio.sleep(settled_rounds(self.members) * self.round_s)
         watch = ProbeObserver(self.watcher.driver)
-        before, began, cpu = [one.counts() for one in self.hollow], time.monotonic(), time.process_time()
+        before, began, cpu = [one.counts() for one in self.measured], time.monotonic(), time.process_time()
         await anyio.sleep(window * self.round_s)
-        after, seconds = [one.counts() for one in self.hollow], time.monotonic() - began
+        after, seconds = [one.counts() for one in self.measured], time.monotonic() - began
         found = FleetRates(self.members, seconds=seconds, probes=watch.pace())
         found.cpu = (time.process_time() - cpu) / seconds / self.members
         rates = [
@@ -166,10 +166,10 @@
             for at in range(4)
         ]
         found.messages_out, found.messages_in, found.bytes_out, found.bytes_in = rates
-        found.rows = sum(one.rows() for one in self.hollow) / self.members
-        for one in self.hollow:
-            for why, count in one.driver.refused.items():
-                found.refused[why] = found.refused.get(why, 0) + count
+        found.rows = sum(one.rows() for one in self.measured) / self.members
+        for one in self.measured:
+            for cause, count in one.driver.refused.items():
+                found.refused[cause] = found.refused.get(cause, 0) + count
         return found
 
 
@@ -179,5 +179,5 @@
     window: int = WINDOW_ROUNDS,
     make: Callable[..., ClientlessSidecar] = ClientlessSidecar,
 ) -> FleetRates:
-    """In the process that calls it; its processor time is the fleet's."""
+    """Runs a fleet in the calling process, whose processor time counts as the fleet's."""
     return anyio.run(Fleet(members, round_ms, make).run, window)
