--- a/lupinmill/lab/scale/added.py
+++ b/lupinmill/lab/scale/added.py
@@ -1,10 +1,10 @@
-"""Time that one sidecar adds to a call: through it against straight, by turns in one run.
+"""Measures the latency that one sidecar adds to a call, by alternating calls through it and direct calls.
 
-The load is an open loop of its own process: Poisson arrivals from a told seed, kept connections, latency
-from when a call was due, so that a late load or a full sidecar is never hidden. Endpoints answer at once,
-in another process. A third arm goes through `bare`, which only passes bytes on: what one more process in
-the path costs in this language, before anything is decided or checked. Owns its processes and folder;
-none outlives a run."""
+The load generator is an open loop in its own process, with seeded Poisson arrivals and persistent
+connections. It measures latency from when a call was due, so that neither a late generator nor an overloaded
+sidecar is hidden. Endpoints answer at once, in another process. A third arm goes through a bare hop, which
+only forwards bytes: it shows the cost of one more process in the path in this language, without any decision
+or check. All processes and the folder are removed at the end of a run."""
 
 from __future__ import annotations
 
@@ -24,48 +24,49 @@
 
 from lupinmill.lab.processes import ROOT, Process
 from lupinmill.lab.scale import reference
-from lupinmill.lab.scale.load import Block, Told
+from lupinmill.lab.scale.load import Block, BlockResult
 from lupinmill.lab.scale.measured import Added, Figure, Point
 
-RATES = (285.0, 570.0, 1140.0, 2280.0)  # calls a second: the target's mean, and up to its skew of eight
+CALL_RATES = (285.0, 570.0, 1140.0, 2280.0)  # calls a second: the target's mean up to its skew of eight
 ARMS = ("straight", "through", "bare")
-ENDPOINTS = 24  # of a service of the target: 20,000 by 840
-BLOCK, PAIRS, WARM = 2.0, 8, 2.0  # seconds, turns at each rate, seconds before them
-QUICK_BLOCK, QUICK_PAIRS, QUICK_WARM = 0.5, 2, 0.3
-REFERENCE = 100  # turns of the reference loop between two blocks
-WAITED = 0.1  # waiting for a core, by its own time on it, from which on a figure counts as disturbed
-CARRIED = 0.99  # part of the calls handled from which on a rate counts as carried
-LIMIT = {"cores": 1.0, "memory_mb": 192, "sockets": 1024}
+ENDPOINTS = 24  # endpoints per service of the target: 20,000 / 840
+BLOCK_S, ROUNDS, WARM_UP_S = 2.0, 8, 2.0  # seconds of a block, rounds at each rate, seconds of warm-up
+QUICK_BLOCK_S, QUICK_ROUNDS, QUICK_WARM_UP_S = 0.5, 2, 0.3
+REFERENCE_ITERATIONS = 100  # iterations of the reference loop between two blocks
+# Above this ratio of time waiting for a core to processor time a figure counts as disturbed.
+MAX_WAIT_RATIO = 0.1
+MIN_HANDLED_SHARE = 0.99  # share of calls that must be handled for a rate to count as sustained
+SIDECAR_LIMITS = {"cores": 1.0, "memory_mb": 192, "sockets": 1024}
 
 
 @dataclass(slots=True)
-class Spent:
-    """Of the sidecar, since it began: seconds of its core as user and as system, and seconds that it waited
-    for a core while it could have run, which other load on the machine causes."""
+class ProcessorTime:
+    """Processor time of a process in seconds: user, system, and waiting for a core while runnable, which is
+    caused by other load on the machine."""
 
     user: float = 0.0
     system: float = 0.0
     waited: float = 0.0
 
-    def less(self, other: Spent) -> Spent:
-        return Spent(self.user - other.user, self.system - other.system, self.waited - other.waited)
+    def minus(self, other: ProcessorTime) -> ProcessorTime:
+        return ProcessorTime(self.user - other.user, self.system - other.system, self.waited - other.waited)
 
-    def plus(self, other: Spent) -> Spent:
-        return Spent(self.user + other.user, self.system + other.system, self.waited + other.waited)
+    def plus(self, other: ProcessorTime) -> ProcessorTime:
+        return ProcessorTime(self.user + other.user, self.system + other.system, self.waited + other.waited)
 
 
-def spent(pid: int) -> Spent:
+def read_processor_time(pid: int) -> ProcessorTime:
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     tick = os.sysconf("SC_CLK_TCK")
     try:
         waited = int(Path(f"/proc/{pid}/schedstat").read_text().split()[1]) / 1e9
     except (OSError, IndexError):
-        waited = 0.0  # a kernel without it
-    return Spent(int(fields[11]) / tick, int(fields[12]) / tick, waited)
+        waited = 0.0  # the kernel does not provide it
+    return ProcessorTime(int(fields[11]) / tick, int(fields[12]) / tick, waited)
 
 
 class Child:
-    """A process of this file or of `flood`, told by lines."""
+    """A child process that runs a module and is controlled over standard input and output."""
 
     def __init__(self) -> None:
         self.process: asyncio.subprocess.Process | None = None
@@ -78,15 +79,15 @@
             sys.executable, "-m", *arguments, stdin=pipe, stdout=pipe, env=environ
         )
 
-    def say(self, line: bytes) -> None:
+    def send_line(self, line: bytes) -> None:
         assert self.process is not None and self.process.stdin is not None
         self.process.stdin.write(line + b"\n")
 
-    async def hear(self) -> bytes:
+    async def read_line(self) -> bytes:
         assert self.process is not None and self.process.stdout is not None
         line = await self.process.stdout.readline()
         if not line:
-            raise RuntimeError("a process of the rig ended")
+            raise RuntimeError("a process of the measurement ended unexpectedly")
         return line
 
     async def end(self) -> None:
@@ -96,8 +97,8 @@
             await self.process.wait()
 
 
-def told(addresses: list[str], seed: int) -> dict[str, Any]:
-    """The platform's settings for the sidecar."""
+def sidecar_settings(addresses: list[str], seed: int) -> dict[str, Any]:
+    """The settings that the platform gives the sidecar."""
     rows = [
         {
             "name": f"e{at}", "address": address, "zone": "z", "type": "k", "group": at // 2,
@@ -115,7 +116,7 @@
     }  # fmt: skip
     return {
         "name": "s", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "seed": f"{seed:x}",
-        "limits": LIMIT,
+        "limits": SIDECAR_LIMITS,
         "known": {"index": 1, "snapshot": True, "endpoints": rows},
         "settings": {
             "tier": 0, "instances": 1, "discovery": "ask", "round-s": 0.005, "limits": limits,
@@ -126,41 +127,41 @@
 
 
 @dataclass(slots=True)
-class Turn:
-    """One block as it came, with what the sidecar spent meanwhile and the machine's load before it."""
+class BlockRun:
+    """One block's result, with the sidecar's processor time meanwhile and the machine's load before it."""
 
     rate: float
     arm: str
-    told: Told
-    spent: Spent
+    result: BlockResult
+    usage: ProcessorTime
     loadavg: float
-    reference: float = 0.0  # seconds of processor time for a turn of the reference loop, just before
-    round: int = 0  # those of one round came one after the other, with the same arrivals
+    reference: float = 0.0  # processor seconds of one iteration of the reference loop, measured just before
+    round: int = 0  # blocks of one round run one after the other, with the same arrivals
 
 
 class Rig:
-    """Endpoints, one real sidecar, the bare hop and the load. `close` ends them, whatever ended the run."""
+    """Endpoints, one real sidecar, the bare hop and the load generator; all end with the context."""
 
     def __init__(self, seed: int, endpoints: int = ENDPOINTS) -> None:
         self.seed, self.count = seed, endpoints
         self.folder = tempfile.TemporaryDirectory(prefix="lupinmill-added-")
         self.endpoints, self.bare, self.load = Child(), Child(), Child()
         self.addresses: dict[str, list[str]] = {}
-        self.lagged = 0
+        self.lag_events = 0
         self.sidecar: Process | None = None
 
     async def __aenter__(self) -> Rig:
         try:
             await self.endpoints.start("lupinmill.lab.flood")
-            self.endpoints.say(b"serve %d" % self.count)
-            straight = msgspec.json.decode(await self.endpoints.hear(), type=list[str])
+            self.endpoints.send_line(b"serve %d" % self.count)
+            straight = msgspec.json.decode(await self.endpoints.read_line(), type=list[str])
             self.sidecar = Process(
-                "s", 0, Path(self.folder.name), lambda _: told(straight, self.seed), self.heard
+                "s", 0, Path(self.folder.name), lambda _: sidecar_settings(straight, self.seed), self.on_event
             )
             await self.sidecar.start()
             await self.bare.start("lupinmill.lab.scale.load", *straight)
             await self.load.start("lupinmill.lab.scale.load")
-            hop = (await self.bare.hear()).decode().strip()
+            hop = (await self.bare.read_line()).decode().strip()
             self.addresses = {"straight": straight, "through": [self.sidecar.address], "bare": [hop]}
         except BaseException:
             await self.__aexit__()
@@ -173,38 +174,41 @@
                 await part.end()
         self.folder.cleanup()
 
-    def heard(self, _: Process, event: dict[str, Any]) -> None:
-        self.lagged += event.get("event") == "lagging"
+    def on_event(self, _: Process, event: dict[str, Any]) -> None:
+        self.lag_events += event.get("event") == "lagging"
 
-    async def turn(self, arm: str, rate: float, seconds: float, seed: int) -> Turn:
+    async def run_block(self, arm: str, rate: float, seconds: float, seed: int) -> BlockRun:
         assert self.sidecar is not None and self.sidecar.process is not None
         pid = self.sidecar.process.pid
-        turn = reference_turn()
-        before, load = spent(pid), os.getloadavg()[0]
-        self.load.say(msgspec.json.encode(Block(self.addresses[arm], rate, seconds, seed)))
-        came = msgspec.json.decode(await self.load.hear(), type=Told)
-        return Turn(rate, arm, came, spent(pid).less(before), load, turn)
+        iteration_s = reference_iteration()
+        before, load = read_processor_time(pid), os.getloadavg()[0]
+        self.load.send_line(msgspec.json.encode(Block(self.addresses[arm], rate, seconds, seed)))
+        result = msgspec.json.decode(await self.load.read_line(), type=BlockResult)
+        return BlockRun(rate, arm, result, read_processor_time(pid).minus(before), load, iteration_s)
 
 
-def reference_turn() -> float:
-    """What one turn takes just now: this machine is up to three times slower where it is full."""
+def reference_iteration() -> float:
+    """Processor seconds of one iteration of the reference loop now. A fully loaded machine is up to three
+    times slower."""
     began = time.thread_time()
-    for _ in range(REFERENCE):
+    for _ in range(REFERENCE_ITERATIONS):
         reference.turn()
-    return (time.thread_time() - began) / REFERENCE
+    return (time.thread_time() - began) / REFERENCE_ITERATIONS
 
 
-async def turns(seed: int, rates: tuple[float, ...], seconds: float, pairs: int, warm: float) -> list[Turn]:
-    """All arms by turns, in an order drawn anew each time, at each rate."""
-    chance, found = random.Random(f"added {seed}"), []
+async def run_blocks(
+    seed: int, rates: tuple[float, ...], seconds: float, rounds: int, warm_up: float
+) -> list[BlockRun]:
+    """Runs all arms alternately at each rate, in a random order in each round."""
+    random_source, found = random.Random(f"added {seed}"), []
     async with Rig(seed) as rig:
         for rate in rates:
             for arm in ARMS:
-                await rig.turn(arm, rate, warm, chance.getrandbits(40))
-            for at in range(pairs):
-                same = chance.getrandbits(40)  # each arm meets the same arrivals
-                for arm in chance.sample(ARMS, len(ARMS)):
-                    found.append(await rig.turn(arm, rate, seconds, same))
+                await rig.run_block(arm, rate, warm_up, random_source.getrandbits(40))
+            for at in range(rounds):
+                same = random_source.getrandbits(40)  # all arms of a round get the same arrivals
+                for arm in random_source.sample(ARMS, len(ARMS)):
+                    found.append(await rig.run_block(arm, rate, seconds, same))
                     found[-1].round = at
     return found
 
@@ -213,67 +217,69 @@
 
 
 @dataclass(slots=True)
-class Sum:
-    """One arm at one rate and seed: medians over its blocks, and how far the blocks lie apart."""
+class ArmSummary:
+    """One arm at one rate and seed: medians and range over its blocks."""
 
     p50: float
     p99: float
-    least: float  # of the blocks' p99
-    most: float
-    handled: float  # part of all asked
-    cpu: Spent  # a call of those handled
-    late: float  # median of the load's own lateness, p99
+    least: float  # lowest p99 of a block
+    most: float  # highest p99 of a block
+    handled: float  # share of all calls
+    cpu: ProcessorTime  # per handled call
+    late: float  # median over blocks of the load generator's own p99 delay
     loadavg: float
-    reference: float  # seconds, median of turns of the reference loop between the blocks
+    reference: float  # median processor seconds of one iteration of the reference loop
 
     @property
     def relative(self) -> float:
-        """Processor time of a call in turns of the reference loop."""
+        """Processor time of a call in iterations of the reference loop."""
         return (self.cpu.user + self.cpu.system) / self.reference if self.reference else 0.0
 
 
-def sum_up(blocks: list[Turn]) -> Sum:
-    asked, handled = sum(b.told.asked for b in blocks), sum(b.told.handled for b in blocks)
-    whole = Spent()
+def summarize(blocks: list[BlockRun]) -> ArmSummary:
+    asked, handled = sum(b.result.asked for b in blocks), sum(b.result.handled for b in blocks)
+    whole = ProcessorTime()
     for block in blocks:
-        whole = whole.plus(block.spent)
-    calls, ranked = max(1, handled), [b.told.p99 for b in blocks]
-    return Sum(
-        statistics.median(b.told.p50 for b in blocks),
+        whole = whole.plus(block.usage)
+    calls, ranked = max(1, handled), [b.result.p99 for b in blocks]
+    return ArmSummary(
+        statistics.median(b.result.p50 for b in blocks),
         statistics.median(ranked),
         min(ranked),
         max(ranked),
         handled / max(1, asked),
-        Spent(whole.user / calls, whole.system / calls, whole.waited / calls),
-        statistics.median(b.told.sent_late for b in blocks),
+        ProcessorTime(whole.user / calls, whole.system / calls, whole.waited / calls),
+        statistics.median(b.result.sent_late for b in blocks),
         statistics.mean(b.loadavg for b in blocks),
         statistics.median(b.reference for b in blocks),
     )
 
 
-def arms_of(found: list[Turn], rate: float) -> dict[str, Sum]:
-    return {arm: sum_up([turn for turn in found if turn.rate == rate and turn.arm == arm]) for arm in ARMS}
+def summarize_arms(found: list[BlockRun], rate: float) -> dict[str, ArmSummary]:
+    return {
+        arm: summarize([block for block in found if block.rate == rate and block.arm == arm]) for arm in ARMS
+    }
 
 
-def calm(found: list[Turn], rate: float) -> list[Turn]:
-    """The quarter of the rounds (two at least) in which the sidecar waited least for a core: chosen by what
-    the rest of the machine did, not by what came of it."""
+def calmest_rounds(found: list[BlockRun], rate: float) -> list[BlockRun]:
+    """The blocks of the quarter of the rounds (at least two) in which the sidecar waited least for a core.
+    Rounds are chosen by other load on the machine, not by the measured latency."""
     rounds = {
-        turn.round: turn.spent.waited / max(1, turn.told.handled)
-        for turn in found
-        if turn.rate == rate and turn.arm == "through"
+        block.round: block.usage.waited / max(1, block.result.handled)
+        for block in found
+        if block.rate == rate and block.arm == "through"
     }
     chosen = sorted(rounds, key=lambda at: rounds[at])[: max(2, len(rounds) // 4)]
-    return [turn for turn in found if turn.rate == rate and turn.round in chosen]
+    return [block for block in found if block.rate == rate and block.round in chosen]
 
 
-def disturbed(arms: dict[str, Sum]) -> bool:
-    """Did other load take a part in the figures that is no longer small?"""
+def disturbed(arms: dict[str, ArmSummary]) -> bool:
+    """Whether other load on the machine distorted the figures noticeably."""
     through = arms["through"]
-    return through.cpu.waited > WAITED * (through.cpu.user + through.cpu.system)
+    return through.cpu.waited > MAX_WAIT_RATIO * (through.cpu.user + through.cpu.system)
 
 
-def line(rate: float, seed: int, arms: dict[str, Sum]) -> str:
+def format_row(rate: float, seed: int, arms: dict[str, ArmSummary]) -> str:
     s, t, b = (arms[arm] for arm in ARMS)
     return (
         f"{rate:6.0f}/s seed {seed}: straight {s.p50 * 1e3:6.2f} {s.p99 * 1e3:7.2f}, through"
@@ -289,23 +295,27 @@
     )
 
 
-Sums = dict[tuple[float, int], dict[str, Sum]]  # by rate and seed, by arm
+ArmSummaries = dict[tuple[float, int], dict[str, ArmSummary]]  # by rate and seed, then by arm
 
 
-def figures(sums: Sums, calmest: Sums) -> list[Figure]:
-    """Beside `Added`: what the time is made of. `size` is calls a second."""
+def figures(summaries: ArmSummaries, calmest_summaries: ArmSummaries) -> list[Figure]:
+    """The figures that explain the added latency, beside `Added`. A point's `size` is calls per second."""
 
     def figure(
-        name: str, unit: str, of: Callable[[dict[str, Sum]], tuple[float, float]], note: str, by: Sums = sums
+        name: str,
+        unit: str,
+        of: Callable[[dict[str, ArmSummary]], tuple[float, float]],
+        note: str,
+        by: ArmSummaries = summaries,
     ) -> Figure:
         points = [Point(rate, seed, *of(arms), hollow=False) for (rate, seed), arms in by.items()]
         return Figure("sidecar", name, unit, "calls a second", "ordinary", points, note=note)
 
-    loads = [arms["through"].loadavg for arms in sums.values()]
+    loads = [arms["through"].loadavg for arms in summaries.values()]
     where = (
         f"one real sidecar, {ENDPOINTS} endpoints that answer at once, loopback, shared machine: load average"
         f" {min(loads):.1f} to {max(loads):.1f} on {os.cpu_count()} cores,"
-        f" {sum(map(disturbed, sums.values()))} of {len(sums)} disturbed by other runs"
+        f" {sum(map(disturbed, summaries.values()))} of {len(summaries)} disturbed by other runs"
     )
     return [
         figure("cpu a call", "s", lambda a: (a["through"].cpu.user + a["through"].cpu.system, 0.0),
@@ -317,14 +327,14 @@
         figure("core waited for a call", "s", lambda a: (a["through"].cpu.waited, 0.0),
                f"ready to run and no core free: the machine's other load, not the program; {where}"),
         figure("handled", "part of calls", lambda a: (a["through"].handled, 0.0),
-               f"the rest denied or broken off; under {CARRIED} the rate is not carried; {where}"),
+               f"the rest denied or broken off; under {MIN_HANDLED_SHARE} the rate is not carried; {where}"),
         figure("added", "s", lambda a: (a["through"].p50 - a["straight"].p50,
                                         a["through"].p99 - a["straight"].p99),
                f"mean is the p50, peak the p99, medians over blocks by turns; {where}"),
         figure("added, calmest blocks", "s", lambda a: (a["through"].p50 - a["straight"].p50,
                                                         a["through"].p99 - a["straight"].p99),
                f"as added, of the quarter of rounds in which the sidecar waited least for a core; {where}",
-               calmest),
+               calmest_summaries),
         figure("added by a bare hop", "s", lambda a: (a["bare"].p50 - a["straight"].p50,
                                                       a["bare"].p99 - a["straight"].p99),
                f"a process that only passes bytes on; mean is the p50, peak the p99; {where}"),
@@ -332,22 +342,25 @@
 
 
 def measure(quick: bool, seeds: list[int], log: Callable[[str], None]) -> tuple[list[Added], list[Figure]]:
-    """Takes some 200 s a seed, quick 10 s in all. Figures of a busy machine are called so in their notes."""
+    """Runs the measurement: some 200 s per seed, if `quick` 10 s in all. Notes tell which figures were
+    disturbed by other load."""
     added: list[Added] = []
-    sums: Sums = {}
-    calmest: Sums = {}
-    rates = RATES[:1] if quick else RATES
-    seconds, pairs, warm = (QUICK_BLOCK, QUICK_PAIRS, QUICK_WARM) if quick else (BLOCK, PAIRS, WARM)
+    summaries: ArmSummaries = {}
+    calmest_summaries: ArmSummaries = {}
+    rates = CALL_RATES[:1] if quick else CALL_RATES
+    seconds, rounds, warm_up = (
+        (QUICK_BLOCK_S, QUICK_ROUNDS, QUICK_WARM_UP_S) if quick else (BLOCK_S, ROUNDS, WARM_UP_S)
+    )
     for seed in seeds[:1] if quick else seeds:
-        found = asyncio.run(turns(seed, rates, seconds, pairs, warm))
+        found = asyncio.run(run_blocks(seed, rates, seconds, rounds, warm_up))
         for rate in rates:
-            arms = sums[rate, seed] = arms_of(found, rate)
+            arms = summaries[rate, seed] = summarize_arms(found, rate)
             straight, through = arms["straight"], arms["through"]
             added.append(Added(rate, seed, straight.p50, straight.p99, through.p50, through.p99))
-            log(line(rate, seed, arms))
-            calmest[rate, seed] = arms_of(calm(found, rate), rate)
-            log("    calmest: " + line(rate, seed, calmest[rate, seed]))
-    return added, figures(sums, calmest)
+            log(format_row(rate, seed, arms))
+            calmest_summaries[rate, seed] = summarize_arms(calmest_rounds(found, rate), rate)
+            log("    calmest: " + format_row(rate, seed, calmest_summaries[rate, seed]))
+    return added, figures(summaries, calmest_summaries)
 
 
 def main(arguments: list[str]) -> None:
--- a/lupinmill/lab/scale/fanout.py
+++ b/lupinmill/lab/scale/fanout.py
@@ -28,7 +28,7 @@
 from lupinmill.lab.scale.fanout_world import CallCounters, World, sum_counters
 from lupinmill.lab.scale.load import percentile
 from lupinmill.lab.scale.measured import Figure, Point
-from lupinmill.lab.scale.returns import dearest
+from lupinmill.lab.scale.returns import max_in_window
 from lupinmill.protocol.http import Answer
 
 CHANGES_PER_S = 31_000 / 86_400  # changes per second, averaged over the target's day
@@ -191,7 +191,7 @@
 
 
 def peak_calls(count: CallCounters, began: int) -> float:
-    return dearest([((at - began) / SECOND, 1.0) for at in count.calls])
+    return max_in_window([((at - began) / SECOND, 1.0) for at in count.calls])
 
 
 def run_until_consistent(world: World, began: int) -> tuple[float, int]:
--- a/lupinmill/lab/scale/fanout_sockets.py
+++ b/lupinmill/lab/scale/fanout_sockets.py
@@ -149,8 +149,8 @@
 
 
 async def query_watchers(child: Child) -> WatcherTotals:
-    child.say(b"")
-    return msgspec.json.decode(await child.hear(), type=WatcherTotals)
+    child.send_line(b"")
+    return msgspec.json.decode(await child.read_line(), type=WatcherTotals)
 
 
 async def wait_for_watchers(child: Child, index: int) -> WatcherTotals:
--- a/lupinmill/lab/scale/holder.py
+++ b/lupinmill/lab/scale/holder.py
@@ -54,7 +54,7 @@
 
 
 def zone_map(zones: int) -> ZoneMap:
-    """A map of `zones` zones, spread over `REGIONS` regions as evenly as possible."""
+    """A map of `zones` zones, spread over `REGIONS` regions as evenly as possible; the target has 20."""
     rows = tuple(Zone(f"z{at}", f"r{at * REGIONS // zones}") for at in range(zones))
     return ZoneMap(rows, (Workload("view"), Workload("buy", 2.0)))
 
--- a/lupinmill/lab/scale/load.py
+++ b/lupinmill/lab/scale/load.py
@@ -1,9 +1,10 @@
-"""Load for a time per call, and a bare hop: processes of their own, told by lines. An open loop with Poisson
-arrivals from a told seed, kept connections, and latency from when a call was due, never from when it was
-sent.
+"""A load generator and a bare hop, each a process controlled over standard input.
 
-    python -m lupinmill.lab.scale.load            blocks as JSON lines in, what came of each out
-    python -m lupinmill.lab.scale.load ADDRESS... the bare hop in front of these; tells its address"""
+The load generator is an open loop with seeded Poisson arrivals and persistent connections. It measures
+latency from the time at which a call was due, not from when it was sent.
+
+    python -m lupinmill.lab.scale.load            reads blocks as JSON lines, writes the result of each
+    python -m lupinmill.lab.scale.load ADDRESS... runs the bare hop in front of these, prints its address"""
 
 from __future__ import annotations
 
@@ -17,12 +18,12 @@
 
 import msgspec
 
-LONGEST = 3.0  # seconds until a call without an answer is given up
-MOST_OPEN = 400  # connections of the load at once; what finds none counts as not sent
+ANSWER_TIMEOUT_S = 3.0  # seconds after which an unanswered call is abandoned
+MAX_CONNECTIONS = 400  # concurrent connections; a call without a free one counts as not sent
 
 
 class Block(msgspec.Struct):
-    """What the load is told: one arm for some seconds."""
+    """Load on one arm of a comparison for some seconds."""
 
     addresses: list[str]
     rate: float
@@ -30,8 +31,8 @@
     seed: int
 
 
-class Told(msgspec.Struct):
-    """What came of a block. Seconds; of calls handled alone, from when they were due."""
+class BlockResult(msgspec.Struct):
+    """Result of a block. Latencies are in seconds, of handled calls only, from when they were due."""
 
     asked: int = 0
     handled: int = 0
@@ -41,98 +42,98 @@
     not_sent: int = 0
     p50: float = 0.0
     p99: float = 0.0
-    sent_late: float = 0.0  # p99 of the load's own lateness, which is in every arm
+    sent_late: float = 0.0  # p99 of the delay in the load generator itself, which every arm includes
 
 
-def percentile(values: list[float], part: float) -> float:
-    """By the nearest rank; 0 where there is none."""
+def percentile(values: list[float], fraction: float) -> float:
+    """The percentile by nearest rank; 0 without values."""
     if not values:
         return 0.0
     ranked = sorted(values)
-    return ranked[max(0, min(len(ranked) - 1, int(-(-part * len(ranked) // 1)) - 1))]
+    return ranked[max(0, min(len(ranked) - 1, int(-(-fraction * len(ranked) // 1)) - 1))]
 
 
-class Wire(asyncio.Protocol):
-    """A kept connection with one call at a time."""
+class LoadConnection(asyncio.Protocol):
+    """A persistent connection with one call at a time."""
 
-    def __init__(self, load: Load, address: str) -> None:
+    def __init__(self, load: LoadGenerator, address: str) -> None:
         self.load, self.address, self.transport = load, address, None
-        self.got, self.due = bytearray(), 0.0
+        self.received, self.due = bytearray(), 0.0
 
     def connection_made(self, transport: Any) -> None:
         self.transport = transport
 
     def data_received(self, data: bytes) -> None:
-        self.got += data
-        end = self.got.find(b"\r\n\r\n")
+        self.received += data
+        end = self.received.find(b"\r\n\r\n")
         if end < 0:
             return
-        head = bytes(self.got[:end]).lower()
+        head = bytes(self.received[:end]).lower()
         at = head.find(b"content-length:")
         length = int(head[at + 15 :].split(b"\r\n", 1)[0]) if at >= 0 else 0
-        if len(self.got) < end + 4 + length:
+        if len(self.received) < end + 4 + length:
             return
-        del self.got[: end + 4 + length]
+        del self.received[: end + 4 + length]
         closes = b"connection: close" in head
-        self.load.answered(self, int(head[9:12]), closes)
+        self.load.on_answer(self, int(head[9:12]), closes)
         if closes:
             self.transport.close()
 
     def connection_lost(self, error: Exception | None) -> None:
-        self.load.lost(self)
+        self.load.on_connection_lost(self)
 
 
-class Load:
+class LoadGenerator:
     def __init__(self) -> None:
-        self.idle: dict[str, deque[Wire]] = {}
+        self.idle: dict[str, deque[LoadConnection]] = {}
         self.open, self.serial = 0, 0
-        self.under_way: set[Wire] = set()
-        self.told, self.took, self.late = Told(), [], []
+        self.in_flight: set[LoadConnection] = set()
+        self.result, self.latencies, self.delays = BlockResult(), [], []
 
-    async def block(self, order: Block) -> Told:
-        chance, picks = random.Random(order.seed), random.Random(order.seed + 1)
-        self.told, self.took, self.late = Told(), [], []
+    async def run_block(self, block: Block) -> BlockResult:
+        arrivals, choices = random.Random(block.seed), random.Random(block.seed + 1)
+        self.result, self.latencies, self.delays = BlockResult(), [], []
         due = time.perf_counter() + 0.02
-        end, connecting = due + order.seconds, set()
-        while (due := due + chance.expovariate(order.rate)) < end:
+        end, connecting = due + block.seconds, set()
+        while (due := due + arrivals.expovariate(block.rate)) < end:
             wait = due - time.perf_counter()
-            if wait > 0 or self.told.asked % 10 == 0:
-                await asyncio.sleep(max(0.0, wait))  # answers are read, however far behind
-            self.told.asked += 1
-            self.late.append(time.perf_counter() - due)
-            address = picks.choice(order.addresses)
+            if wait > 0 or self.result.asked % 10 == 0:
+                await asyncio.sleep(max(0.0, wait))  # lets answers be read, however late the load is
+            self.result.asked += 1
+            self.delays.append(time.perf_counter() - due)
+            address = choices.choice(block.addresses)
             if not self.send(address, due):
-                if self.open >= MOST_OPEN:
-                    self.told.not_sent += 1
+                if self.open >= MAX_CONNECTIONS:
+                    self.result.not_sent += 1
                     continue
                 task = asyncio.create_task(self.connect(address, due))
                 connecting.add(task)
                 task.add_done_callback(connecting.discard)
-        limit = time.perf_counter() + LONGEST
-        while (self.under_way or connecting) and time.perf_counter() < limit:
+        limit = time.perf_counter() + ANSWER_TIMEOUT_S
+        while (self.in_flight or connecting) and time.perf_counter() < limit:
             await asyncio.sleep(0.005)
-        for wire in list(self.under_way):
-            self.told.unanswered += 1
-            self.under_way.discard(wire)
-            wire.transport.abort()
-        self.told.p50, self.told.p99 = percentile(self.took, 0.5), percentile(self.took, 0.99)
-        self.told.sent_late = percentile(self.late, 0.99)
-        return self.told
+        for connection in list(self.in_flight):
+            self.result.unanswered += 1
+            self.in_flight.discard(connection)
+            connection.transport.abort()
+        self.result.p50, self.result.p99 = percentile(self.latencies, 0.5), percentile(self.latencies, 0.99)
+        self.result.sent_late = percentile(self.delays, 0.99)
+        return self.result
 
     def send(self, address: str, due: float) -> bool:
         idle = self.idle.setdefault(address, deque())
         while idle:
-            wire = idle.pop()
-            if not wire.transport.is_closing():
-                self.write(wire, due)
+            connection = idle.pop()
+            if not connection.transport.is_closing():
+                self.write(connection, due)
                 return True
         return False
 
-    def write(self, wire: Wire, due: float) -> None:
+    def write(self, connection: LoadConnection, due: float) -> None:
         self.serial += 1
-        wire.due = due
-        self.under_way.add(wire)
-        wire.transport.write(
+        connection.due = due
+        self.in_flight.add(connection)
+        connection.transport.write(
             b"GET /view HTTP/1.1\r\nHost: site\r\nReq-Id: a%d\r\n"
             b"Req-Kind: view\r\nReq-Deadline: 1.500000\r\n\r\n" % self.serial
         )
@@ -142,47 +143,49 @@
         host, _, port = address.partition(":")
         try:
             loop = asyncio.get_running_loop()
-            _, wire = await loop.create_connection(lambda: Wire(self, address), host, int(port))
+            _, connection = await loop.create_connection(
+                lambda: LoadConnection(self, address), host, int(port)
+            )
         except OSError:
             self.open -= 1
-            self.told.broken += 1
+            self.result.broken += 1
             return
-        self.write(wire, due)
+        self.write(connection, due)
 
-    def answered(self, wire: Wire, status: int, closes: bool) -> None:
-        if wire not in self.under_way:
+    def on_answer(self, connection: LoadConnection, status: int, closes: bool) -> None:
+        if connection not in self.in_flight:
             return
-        self.under_way.discard(wire)
+        self.in_flight.discard(connection)
         if status == 200:
-            self.told.handled += 1
-            self.took.append(time.perf_counter() - wire.due)
+            self.result.handled += 1
+            self.latencies.append(time.perf_counter() - connection.due)
         elif status in (429, 503):
-            self.told.denied += 1
+            self.result.denied += 1
         else:
-            self.told.broken += 1
+            self.result.broken += 1
         if not closes:
-            self.idle[wire.address].append(wire)
+            self.idle[connection.address].append(connection)
 
-    def lost(self, wire: Wire) -> None:
+    def on_connection_lost(self, connection: LoadConnection) -> None:
         self.open -= 1
-        if wire in self.under_way:
-            self.under_way.discard(wire)
-            self.told.broken += 1
+        if connection in self.in_flight:
+            self.in_flight.discard(connection)
+            self.result.broken += 1
 
     async def run(self) -> None:
-        """A block a line on standard input, what came of it a line on standard output, until input ends."""
+        """Reads one block per line and writes its result, until the input ends."""
         loop = asyncio.get_running_loop()
         while line := await loop.run_in_executor(None, sys.stdin.readline):
-            told = await self.block(msgspec.json.decode(line, type=Block))
-            print(msgspec.json.encode(told).decode(), flush=True)
+            result = await self.run_block(msgspec.json.decode(line, type=Block))
+            print(msgspec.json.encode(result).decode(), flush=True)
 
 
-class Bare(asyncio.Protocol):
-    """Passes what a client writes to the endpoints by turns, each client over connections of its own, and
-    what they answer back. One call at a time; knows nothing of HTTP."""
+class BareHop(asyncio.Protocol):
+    """Forwards bytes between a client and the endpoints, which take turns. Each client has connections of its
+    own and one call at a time; HTTP is not parsed."""
 
     def __init__(self, addresses: list[str]) -> None:
-        self.addresses, self.ahead, self.at = addresses, {}, 0
+        self.addresses, self.upstreams, self.at = addresses, {}, 0
         self.transport: Any = None
 
     def connection_made(self, transport: Any) -> None:
@@ -191,24 +194,26 @@
     def data_received(self, data: bytes) -> None:
         self.at = (self.at + 1) % len(self.addresses)
         address = self.addresses[self.at]
-        if address in self.ahead:
-            self.ahead[address].write(data)
+        if address in self.upstreams:
+            self.upstreams[address].write(data)
         else:
             asyncio.ensure_future(self.connect(address, data))
 
     async def connect(self, address: str, data: bytes) -> None:
         host, _, port = address.partition(":")
-        back = Back(self.transport)
-        transport, _ = await asyncio.get_running_loop().create_connection(lambda: back, host, int(port))
-        self.ahead[address] = transport
+        return_path = ReturnPath(self.transport)
+        transport, _ = await asyncio.get_running_loop().create_connection(
+            lambda: return_path, host, int(port)
+        )
+        self.upstreams[address] = transport
         transport.write(data)
 
     def connection_lost(self, error: Exception | None) -> None:
-        for transport in self.ahead.values():
+        for transport in self.upstreams.values():
             transport.close()
 
 
-class Back(asyncio.Protocol):
+class ReturnPath(asyncio.Protocol):
     def __init__(self, client: Any) -> None:
         self.client = client
 
@@ -216,20 +221,20 @@
         self.client.write(data)
 
 
-async def bare(addresses: list[str]) -> None:
+async def serve_bare_hop(addresses: list[str]) -> None:
     loop = asyncio.get_running_loop()
-    server = await loop.create_server(lambda: Bare(addresses), "127.0.0.1", 0)
+    server = await loop.create_server(lambda: BareHop(addresses), "127.0.0.1", 0)
     print("%s:%d" % server.sockets[0].getsockname()[:2], flush=True)
     await loop.run_in_executor(None, sys.stdin.read)
 
 
 def main(addresses: list[str]) -> None:
     if addresses:
-        asyncio.run(bare(addresses))
+        asyncio.run(serve_bare_hop(addresses))
         return
-    # Guards against timers rounded up to whole milliseconds, as epoll's are.
+    # `select` instead of epoll, whose timeouts are rounded up to whole milliseconds.
     loop = asyncio.SelectorEventLoop(selectors.SelectSelector())
-    loop.run_until_complete(Load().run())
+    loop.run_until_complete(LoadGenerator().run())
 
 
 if __name__ == "__main__":
--- a/tests/test_discovery_fleet.py
+++ b/tests/test_discovery_fleet.py
@@ -12,7 +12,7 @@
 
 from lupinmill import terms as t
 from lupinmill.discovery import driver, watcher
-from lupinmill.lab.scale.returns_stand import SimulatedSidecar, VirtualLoop, answer
+from lupinmill.lab.scale.returns_stand import SimulatedSidecar, VirtualLoop, encode_answer
 from lupinmill.rules import SECOND
 
 INITIAL_VERSION = 7
@@ -93,7 +93,7 @@
     def answer_now(self) -> None:
         """Fixes the answer now, and delivers it later."""
         whole = self.since is None
-        text = answer(self.service.index, whole, 2 if whole or self.since < self.service.index else 0)
+        text = encode_answer(self.service.index, whole, 2 if whole or self.since < self.service.index else 0)
         self.service.loop.call_later(self.service.late, self.deliver, self.data, text)
 
     def deliver(self, data: asyncio.Future[bytes], text: bytes) -> None:
@@ -113,16 +113,16 @@
         self.service = SlowService(self.loop, late, work, dead_watches)
         self.delays: list[float] = []  # for each sidecar and change
         self.changed_at: list[float] = []
-        self.seats: list[SimulatedSidecar] = []
+        self.sidecars: list[SimulatedSidecar] = []
         self.versions: dict[SimulatedSidecar, int] = {}
         monkeypatch.setattr(driver, "connect", self.service.connect)
         monkeypatch.setattr(driver, "random", random.Random(f"slow {count} {late} {work}"))
 
-    def on_list(self, seat: SimulatedSidecar, index: int) -> None:
-        assert index >= self.versions.get(seat, INITIAL_VERSION), "the list went backwards"
-        for version in range(self.versions.get(seat, INITIAL_VERSION) + 1, index + 1):
+    def on_list(self, sidecar: SimulatedSidecar, index: int) -> None:
+        assert index >= self.versions.get(sidecar, INITIAL_VERSION), "the list went backwards"
+        for version in range(self.versions.get(sidecar, INITIAL_VERSION) + 1, index + 1):
             self.delays.append(self.loop.time() - self.changed_at[version - INITIAL_VERSION - 1])
-        self.versions[seat] = index
+        self.versions[sidecar] = index
 
     async def main(self, change_interval: float | None) -> None:
         chance = random.Random(f"fleet {self.count}")
@@ -134,10 +134,10 @@
                     poll_discovery=self.asked,
                     poll_interval=10 * SECOND,
                 )
-                seat = SimulatedSidecar(self.loop, terms, self.on_list)
-                seat.discovery = driver.DiscoveryClient("d:1", terms, seat, None, lambda *_, **__: None)
-                self.seats.append(seat)
-                group.start_soon(self.begin, seat, chance.uniform(0, seat.discovery.wait))
+                sidecar = SimulatedSidecar(self.loop, terms, self.on_list)
+                sidecar.discovery = driver.DiscoveryClient("d:1", terms, sidecar, None, lambda *_, **__: None)
+                self.sidecars.append(sidecar)
+                group.start_soon(self.begin, sidecar, chance.uniform(0, sidecar.discovery.wait))
             while self.loop.time() < RUN_LENGTH_S:
                 await anyio.sleep(RUN_LENGTH_S if change_interval is None else change_interval)
                 if change_interval is None:
@@ -147,10 +147,10 @@
             await anyio.sleep(9.0)
             group.cancel_scope.cancel()
 
-    async def begin(self, seat: SimulatedSidecar, after: float) -> None:
+    async def begin(self, sidecar: SimulatedSidecar, after: float) -> None:
         await anyio.sleep(after)
-        seat.discovery.watch(t.StartWatch())
-        await seat.discovery.run()
+        sidecar.discovery.watch(t.StartWatch())
+        await sidecar.discovery.run()
 
     def run(self, change_interval: float | None = 6.7) -> Fleet:
         """`change_interval`: seconds between two changes; None: no change."""
@@ -217,13 +217,13 @@
 def test_callers_of_a_slow_service_do_not_call_together(monkeypatch):
     """All start at one moment; some rounds later no tenth of a second has three times its share of calls."""
     fleet = Fleet(monkeypatch, 200, 2.0)
-    monkeypatch.setattr(Fleet, "begin", lambda self, seat, after: run_at_once(seat))
+    monkeypatch.setattr(Fleet, "begin", lambda self, sidecar, after: run_at_once(sidecar))
     fleet.run(change_interval=None)
     late = [at for at in fleet.service.calls if 20 < at < 30]
     counts = [sum(begin <= at < begin + 0.1 for at in late) for begin in (20 + n / 10 for n in range(100))]
     assert max(counts) < 3 * len(late) / len(counts) + 10
 
 
-async def run_at_once(seat: SimulatedSidecar) -> None:
-    seat.discovery.watch(t.StartWatch())
-    await seat.discovery.run()
+async def run_at_once(sidecar: SimulatedSidecar) -> None:
+    sidecar.discovery.watch(t.StartWatch())
+    await sidecar.discovery.run()
