--- a/lupinmill/cli/scale.py
+++ b/lupinmill/cli/scale.py
@@ -32,20 +32,22 @@
     from lupinmill.lab.scale import measured, slopes
 
     try:
-        usual = slopes.QUICK if quick else slopes.SIZES
-        chosen = parse_numbers(sizes, "--sizes", slopes.LEAST, slopes.MOST) or list(usual)
+        usual = slopes.QUICK_SIZES if quick else slopes.SIZES
+        chosen = parse_numbers(sizes, "--sizes", slopes.MIN_SIZE, slopes.MAX_SIZE) or list(usual)
         drawn = parse_numbers(seeds, "--seeds", 0, 2**31) or ([1] if quick else [1, 2])
-        parts = (slopes.MEMBERS,) if quick else (slopes.MEMBERS, *slopes.OTHERS)
+        parts = (slopes.MEMBERS_PART,) if quick else (slopes.MEMBERS_PART, *slopes.OTHER_PARTS)
         if only:
-            if wrong := [part for part in only.split(",") if part not in (slopes.MEMBERS, *slopes.OTHERS)]:
-                every = ", ".join((slopes.MEMBERS, *slopes.OTHERS))
+            if wrong := [
+                part for part in only.split(",") if part not in (slopes.MEMBERS_PART, *slopes.OTHER_PARTS)
+            ]:
+                every = ", ".join((slopes.MEMBERS_PART, *slopes.OTHER_PARTS))
                 raise ValueError(f"--only {wrong[0] or only}: expected some of {every}")
             parts = tuple(only.split(","))
         path = Path(out) if out else measured.FILE
         if not path.resolve().parent.is_dir() or path.is_dir():
             raise ValueError(f"--out {out}: its directory does not exist, or it is a directory itself")
         before = read_earlier_run(path) if only else None
-        slopes.refuse_too_large(slopes.plan(chosen, drawn, quick))
+        slopes.check_memory(slopes.plan_runs(chosen, drawn, quick))
     except ValueError as error:
         exit_with_error(error)
     command = "lupinmill lab slopes" + "".join(
@@ -61,9 +63,9 @@
     found, wrong = slopes.measure(
         chosen, drawn, quick, command, lambda text: click.echo(text, err=True), parts
     )
-    click.echo(slopes.table(found))
+    click.echo(slopes.format_table(found))
     if out or not quick:
-        measured.write(slopes.merged(before, found, parts) if before is not None else found, path)
+        measured.write(slopes.merge(before, found, parts) if before is not None else found, path)
     for text in wrong:
         click.echo(f"BROKEN: {text}")
     sys.exit(EXIT_BROKEN if wrong else 0)
--- a/lupinmill/lab/scale/book.py
+++ b/lupinmill/lab/scale/book.py
@@ -1,4 +1,4 @@
-"""Points of figures as runs give them, and the figures made of them. Pure."""
+"""Collects the points that single runs measure and makes figures of them. Free of I/O."""
 
 from __future__ import annotations
 
@@ -10,48 +10,55 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Key:
+class FigureKey:
     role: str
     name: str
     unit: str
     grows_with: str
     day: str
-    cpu: bool = False  # told beside as turns of the reference loop
+    cpu: bool = False  # CPU time, also expressed in turns of the reference loop
 
 
 @dataclass(slots=True)
-class Row:
-    """One point, and the reference loop as it was beside that run, in microseconds."""
+class Sample:
+    """One measured point, with the time of one turn of the reference loop during that run."""
 
-    key: Key
+    key: FigureKey
     point: Point
-    reference: float
+    reference_us: float
     note: str = ""
 
 
 @dataclass
-class Book:
-    rows: dict[Key, list[Row]] = field(default_factory=dict)
+class SampleCollector:
+    samples: dict[FigureKey, list[Sample]] = field(default_factory=dict)
     partial: list[str] = field(default_factory=list)
 
-    def add(self, rows: list[Row]) -> None:
-        for row in rows:
-            self.rows.setdefault(row.key, []).append(row)
+    def add(self, samples: list[Sample]) -> None:
+        for sample in samples:
+            self.samples.setdefault(sample.key, []).append(sample)
 
-    def reference(self) -> float:
-        found = [row.reference for rows in self.rows.values() for row in rows if row.reference]
+    def median_reference_us(self) -> float:
+        found = [
+            sample.reference_us
+            for samples in self.samples.values()
+            for sample in samples
+            if sample.reference_us
+        ]
         return median(found) if found else 0.0
 
     def figures(self) -> list[Figure]:
         found = []
-        for key, rows in self.rows.items():
-            rows = sorted(rows, key=lambda row: (row.point.size, row.point.seed))
-            points = [row.point for row in rows]
-            last = [row for row in rows if row.point.size == points[-1].size and row.reference]
+        for key, samples in self.samples.items():
+            samples = sorted(samples, key=lambda sample: (sample.point.size, sample.point.seed))
+            points = [sample.point for sample in samples]
+            last = [
+                sample for sample in samples if sample.point.size == points[-1].size and sample.reference_us
+            ]
             relative = 0.0
             if key.cpu and last:
-                relative = mean(row.point.mean * 1e6 / row.reference for row in last)
-            note = "; ".join(dict.fromkeys(row.note for row in rows if row.note))
+                relative = mean(sample.point.mean * 1e6 / sample.reference_us for sample in last)
+            note = "; ".join(dict.fromkeys(sample.note for sample in samples if sample.note))
             figure = Figure(
                 key.role, key.name, key.unit, key.grows_with, key.day, points, fit(points), note, relative
             )
@@ -59,8 +66,8 @@
         return found
 
 
-def line(figure: Figure) -> str:
-    """One row of the table: sizes, mean and peak at the largest, fit, residual, range."""
+def format_figure(figure: Figure) -> str:
+    """One line of the printed table: sizes, mean and peak at the largest size, fit, residual and range."""
     sizes = sorted({point.size for point in figure.points})
     last = [point for point in figure.points if point.size == sizes[-1]]
     text = (
@@ -72,13 +79,18 @@
     if any(point.peak for point in last):
         text += f", peak {max(point.peak for point in last):.4g}"
     if figure.fit is not None:
-        one = figure.fit
-        text += f"; power {one.power:.2f}, "
-        if one.straight:
-            text += f"line {one.intercept:.4g} + {one.slope:.4g} N from {one.first:g} to {one.last:g}"
+        fitted = figure.fit
+        text += f"; power {fitted.power:.2f}, "
+        if fitted.straight:
+            text += (
+                f"line {fitted.intercept:.4g} + {fitted.slope:.4g} N from {fitted.first:g} to {fitted.last:g}"
+            )
         else:
-            text += f"no straight line fits (curvature {one.curvature:.3g}): not extended beyond {one.last:g}"
-        text += f", residual {one.residual:.3g}"
+            text += (
+                f"no straight line fits (curvature {fitted.curvature:.3g}): not extended beyond "
+                f"{fitted.last:g}"
+            )
+        text += f", residual {fitted.residual:.3g}"
     if figure.relative:
         text += f"; {figure.relative:.4g} turns of the reference loop"
     return text
--- a/tests/test_scale_slopes.py
+++ b/tests/test_scale_slopes.py
@@ -1,5 +1,5 @@
-"""Slopes: fits on known data, refusals, hollow members against the cores that serve, and that the checks of a
-quick run can fail. States and counts are judged, never times."""
+"""`lupinmill lab slopes`: fits on known data, refused options, hollow members against real cores, and planted
+faults that the checks of a quick run must detect. States and counts are asserted, never times."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from lupinmill.lab.fleet_virtual import VirtualFleet
 from lupinmill.lab.scale import checks, days, holder, honest, hollow, loopback, measured, runs, slopes
 from lupinmill.lab.scale import settings as costs
-from lupinmill.lab.scale.book import Book, Key, Row
+from lupinmill.lab.scale.book import FigureKey, Sample, SampleCollector
 from lupinmill.lab.scale.fit import fit
 from lupinmill.lab.scale.loopback import Side
 from lupinmill.lab.scale.measured import Figure, Measured, Point
@@ -27,9 +27,9 @@
 
 
 def points(law, noise: float = 0.0, sizes=SIZES) -> list[Point]:
-    chance = random.Random(7)
+    random_source = random.Random(7)
     return [
-        Point(size, seed, law(size) * (1 + chance.uniform(-noise, noise)))
+        Point(size, seed, law(size) * (1 + random_source.uniform(-noise, noise)))
         for size in sizes
         for seed in (1, 2, 3)
     ]
@@ -108,12 +108,12 @@
 
 
 def test_a_size_that_would_pass_half_of_the_memory_is_refused_before_it_starts(monkeypatch):
-    monkeypatch.setattr(slopes, "memory_of_machine", lambda: 2**28)
-    monkeypatch.setattr(slopes, "play_all", lambda *a, **k: pytest.fail("it started"))
-    monkeypatch.setattr(slopes, "beside", lambda *a, **k: pytest.fail("it started"))
+    monkeypatch.setattr(slopes, "machine_memory_bytes", lambda: 2**28)
+    monkeypatch.setattr(slopes, "execute_runs", lambda *a, **k: pytest.fail("it started"))
+    monkeypatch.setattr(slopes, "compare_real_and_hollow", lambda *a, **k: pytest.fail("it started"))
     done = CliRunner().invoke(command, ["--sizes", "100,20000"])
     assert done.exit_code == 2 and done.output.count("\n") == 1 and "--sizes 20000" in done.output
-    slopes.refuse_too_large(slopes.plan([100], [1], True), memory=2**28)
+    slopes.check_memory(slopes.plan_runs([100], [1], True), memory=2**28)
 
 
 def test_the_look_ahead_at_memory_is_more_than_the_state():
@@ -124,7 +124,7 @@
 
 
 def test_a_few_cores_that_stand_for_all_send_as_much_as_all_do():
-    """The same fleet, whole and by twelve of its members: quiet, and from its start on."""
+    """The same fleet simulated whole and by twelve of its members: while quiet, and from its start."""
     for begin, seconds in (("settle", 8), ("start", 12)):
         found = []
         for cores in (0, 12):
@@ -154,7 +154,7 @@
 
 
 def test_hollow_members_send_as_much_as_the_lab_s_virtual_fleet():
-    """Another driver of the same cores, with its own network and clocks."""
+    """The virtual fleet drives the same cores with a network and clocks of its own."""
     fleet = Fleet("quiet", 30.0, 20, electors=0)
     other = VirtualFleet(fleet, 4, decide=False)
     result = other.play()
@@ -192,7 +192,7 @@
 def test_the_holder_hears_all_while_words_stay_fresh_and_not_beyond():
     few = holder.Holder(60, 4, 1).play(8.0)
     assert few.fresh == 1 and few.dropped == 0 and few.counts == 1
-    many = holder.Holder(3_000, 4, 1).play(4.0)  # two words of each within 24 s of its time
+    many = holder.Holder(3_000, 4, 1).play(4.0)  # two reports of each member within 24 s of virtual time
     assert many.period == 12 and 0.3 < many.fresh < 0.7 and many.counts == 0.25
 
 
@@ -212,10 +212,10 @@
     kept = operators_file.MOST_MEMBERS, operators_file.LARGEST
     with pytest.raises(operators_file.BadFile, match="200"):
         costs.read_file(210)
-    rows = runs.file(runs.Run("file", 210, 1))
+    rows = runs.read_operators_file(runs.Run("file", 210, 1))
     assert all("trial with the caps lifted" in row.note for row in rows)
     assert (operators_file.MOST_MEMBERS, operators_file.LARGEST) == kept
-    assert not any(row.note for row in runs.file(runs.Run("file", 100, 1)))
+    assert not any(row.note for row in runs.read_operators_file(runs.Run("file", 100, 1)))
 
 
 def test_lists_and_state_grow_by_endpoint_and_member():
@@ -239,7 +239,7 @@
 def test_hollow_sidecars_equal_real_ones_and_doubling_ones_do_not():
     told = 5, 400, 30
     with ProcessPoolExecutor(3) as pool:
-        for _ in range(slopes.TRIES):
+        for _ in range(slopes.COMPARISON_ATTEMPTS):
             waiting = [
                 pool.submit(honest.play, *told),
                 pool.submit(loopback.play, *told),
@@ -268,17 +268,19 @@
 
 @functools.cache
 def quiet_figures(make=hollow.Hollow) -> list[Figure]:
-    """Above the 24 rows of a table, below which a smaller fleet tells smaller tables."""
-    book = Book()
+    """Sizes above the 24 rows of a table message; smaller fleets send smaller tables."""
+    collector = SampleCollector()
     for size in (30, 60, 90):
         fleet = make(size, 1, 12)
         fleet.settle()
         fleet.run(11)
         run = runs.Run("quiet", size, 1)
-        book.add(runs.of_members(run, "quiet", fleet.figures(1, 11), ""))
-        rows = Row(Key("sidecar", "rows", "rows", "members", "quiet"), Point(size, 1, fleet.rows()), 0.0)
-        book.add([rows])
-    return book.figures()
+        collector.add(runs.member_samples(run, "quiet", fleet.figures(1, 11), ""))
+        rows = Sample(
+            FigureKey("sidecar", "rows", "rows", "members", "quiet"), Point(size, 1, fleet.rows()), 0.0
+        )
+        collector.add([rows])
+    return collector.figures()
 
 
 class Double(hollow.Hollow):
@@ -290,7 +292,7 @@
 
 
 class Deaf(hollow.Hollow):
-    """A planted fault: one member is held for dead by another."""
+    """A planted fault: one member regards another as dead."""
 
     def settle(self) -> None:
         super().settle()
@@ -322,21 +324,23 @@
 
 
 def test_a_run_that_ends_early_is_told_and_costs_its_points_alone():
-    book = Book()
-    slopes.play_all([runs.Run("quiet", 20, 1, 2), runs.Run("no such", 20, 1)], book, lambda text: None)
-    assert len(book.partial) == 1 and book.partial[0].startswith("no such at 20, seed 1: KeyError")
-    assert {key.day for key in book.rows} == {"quiet"} and book.reference() > 0
+    collector = SampleCollector()
+    slopes.execute_runs(
+        [runs.Run("quiet", 20, 1, 2), runs.Run("no such", 20, 1)], collector, lambda text: None
+    )
+    assert len(collector.partial) == 1 and collector.partial[0].startswith("no such at 20, seed 1: KeyError")
+    assert {key.day for key in collector.samples} == {"quiet"} and collector.median_reference_us() > 0
 
 
 def test_a_run_that_is_stopped_keeps_what_is_there_and_leaves_no_process():
     def stop(text: str) -> None:
         raise KeyboardInterrupt
 
-    book = Book()
+    collector = SampleCollector()
     todo = [runs.Run("quiet", 30, 1, 2), *(runs.Run("quiet", 300, seed, 100) for seed in (1, 2, 3))]
-    slopes.play_all(todo, book, stop, jobs=1)
-    assert {row.point.size for rows in book.rows.values() for row in rows} == {30}
-    assert len(book.partial) == 3 and all("stopped before its end" in text for text in book.partial)
+    slopes.execute_runs(todo, collector, stop, jobs=1)
+    assert {row.point.size for rows in collector.samples.values() for row in rows} == {30}
+    assert len(collector.partial) == 3 and all("stopped before its end" in text for text in collector.partial)
     assert multiprocessing.active_children() == []
 
 
@@ -347,14 +351,14 @@
     told = ["returns: not run", "z"]
     old = Measured("a", "1", "d", [1], 1.0, 8, [one("x", 1.0), one("y", 1.0)], partial=told)
     new = Measured("b", "2", "e", [1], 2.0, 8, [one("y", 2.0)], partial=["members: not run"])
-    found = slopes.merged(old, new, ("returns",))
+    found = slopes.merge(old, new, ("returns",))
     assert [(figure.name, figure.points[0].mean) for figure in found.figures] == [("x", 1.0), ("y", 2.0)]
     assert found.partial == ["z"] and found.parts == {"returns": "b, text 2, e"}
 
 
 def test_parts_that_are_not_there_are_told():
     found = Measured("c", "t", "d", [1], 1.0, 1)
-    slopes.others(found, [1], ["no_such_part"], print)
+    slopes.measure_other_parts(found, [1], ["no_such_part"], print)
     assert found.partial == ["no_such_part: not there, not run"]
 
 
@@ -362,17 +366,19 @@
     found = Measured("lupinmill lab slopes", "abc", "d", [1, 2], 9.5, 8, quiet_figures(), partial=["x"])
     measured.write(found, tmp_path / "m.json")
     assert measured.read(tmp_path / "m.json") == found
-    assert slopes.table(found).count("\n") == len(found.figures) + 1
+    assert slopes.format_table(found).count("\n") == len(found.figures) + 1
 
 
 def test_the_quick_command_writes_where_it_is_told_and_fails_by_what_is_wrong(tmp_path, monkeypatch):
-    monkeypatch.setattr(slopes, "beside", lambda *a, **k: ["planted"])
-    monkeypatch.setattr(slopes, "plan", lambda *a: [runs.Run("quiet", size, 1, 11) for size in (30, 40, 50)])
+    monkeypatch.setattr(slopes, "compare_real_and_hollow", lambda *a, **k: ["planted"])
+    monkeypatch.setattr(
+        slopes, "plan_runs", lambda *a: [runs.Run("quiet", size, 1, 11) for size in (30, 40, 50)]
+    )
     out = tmp_path / "m.json"
     done = CliRunner().invoke(command, ["--quick", "--out", str(out)])
     assert done.exit_code == 1 and [line for line in done.output.splitlines() if "BROKEN" in line] == [
         "BROKEN: planted"
     ]
     assert measured.read(out).figures and measured.read(out).commit
-    monkeypatch.setattr(slopes, "beside", lambda *a, **k: [])
+    monkeypatch.setattr(slopes, "compare_real_and_hollow", lambda *a, **k: [])
     assert CliRunner().invoke(command, ["--quick"]).exit_code == 0
