--- a/lupinmill/lab/scale/capacity.py
+++ b/lupinmill/lab/scale/capacity.py
@@ -11,7 +11,18 @@
 import msgspec
 
 from lupinmill.lab.scale import computed, tables
-from lupinmill.lab.scale.curves import ANY, LAST, NEAR, NEVER, Bound, Curve, Use, breaks, curve, value
+from lupinmill.lab.scale.curves import (
+    ANY_SIZE,
+    AT_LAST_SIZE,
+    NEVER,
+    SIZE_TOLERANCE,
+    Bound,
+    Curve,
+    Usage,
+    breaking_size,
+    make_curve,
+    value_at,
+)
 from lupinmill.lab.scale.measured import Figure, Measured, Point
 from lupinmill.lab.scale.row import BREAKS, HOLDS, UNKNOWN, Row, verdict
 from lupinmill.lab.scale.tables import ADDED, BESIDE, CHANGES, CORE, KINDS, ONE_RELAY, Kind
@@ -28,7 +39,7 @@
         one = of_figure(target, figure, fleet_run(measured))
         if one is not None:
             found.append(one)
-    return sorted(found, key=lambda row: (row.bound.order, row.role, row.key))
+    return sorted(found, key=lambda row: (row.bound.sort_key, row.role, row.key))
 
 
 def kind_of(figure: Figure) -> Kind | None:
@@ -61,10 +72,10 @@
     if kind.files:
         points = [each(point, tables.new_files(target, point.size)) for point in points]
     peaks = any(point.peak > 0 for point in points)
-    dearest = curve(points, peaks).times(faster)
+    dearest = make_curve(points, peaks).scaled(faster)
     budget = tables.BUDGETS[kind.budget](target)
-    use = value(dearest, size)
-    mean = value(curve(points, False).times(faster), size) if peaks else None
+    use = value_at(dearest, size)
+    mean = value_at(make_curve(points, False).scaled(faster), size) if peaks else None
     bound = in_fleet(target, dearest, budget, size, figure.grows_with)
     if figure.grows_with == CHANGES:
         use, bound = in_that_fleet(target, use, bound, largest)
@@ -75,12 +86,12 @@
     )  # fmt: skip
 
 
-def in_that_fleet(target: Target, use: Use, bound: Bound, largest: float) -> tuple[Use, Bound]:
+def in_that_fleet(target: Target, use: Usage, bound: Bound, largest: float) -> tuple[Usage, Bound]:
     """Guards against a fleet larger than the one run: more changes a second were played, more sidecars
     not."""
-    if target.fleet.sidecars > largest * (1 + NEAR):
-        use = Use(use.amount, LAST, largest)
-    return use, bound if bound.order < (largest, 0) else Bound("over", largest)
+    if target.fleet.sidecars > largest * (1 + SIZE_TOLERANCE):
+        use = Usage(use.amount, AT_LAST_SIZE, largest)
+    return use, bound if bound.sort_key < (largest, 0) else Bound("over", largest)
 
 
 def what(figure: Figure, kind: Kind) -> str:
@@ -100,11 +111,11 @@
     return [point for point in points if point.hollow] or points
 
 
-def in_fleet(target: Target, c: Curve, budget: float, size: float, grows_with: str) -> Bound:
+def in_fleet(target: Target, curve: Curve, budget: float, size: float, grows_with: str) -> Bound:
     if grows_with in tables.APART:
-        found = verdict(value(c, size), budget)
-        return {BREAKS: ANY, HOLDS: NEVER}.get(found, Bound("unknown"))
-    return breaks(c, budget).times(target.fleet.sidecars / size)
+        found = verdict(value_at(curve, size), budget)
+        return {BREAKS: ANY_SIZE, HOLDS: NEVER}.get(found, Bound("unknown"))
+    return breaking_size(curve, budget).scaled(target.fleet.sidecars / size)
 
 
 def joined(figures: list[Figure]) -> list[Figure]:
@@ -147,14 +158,17 @@
     ]
     if not points:
         return []
-    c, budget = curve(points, False).times(1 / target.assumed("pace")), tables.BUDGETS["added_p99_ms"](target)
+    curve, budget = (
+        make_curve(points, False).scaled(1 / target.assumed("pace")),
+        tables.BUDGETS["added_p99_ms"](target),
+    )
     found = []
     for name, rate in (
         ("mean", target.calls_a_sidecar),
         ("hottest", target.calls_a_sidecar * target.assumed("skew")),
     ):
-        use, why = value(c, rate), ""
-        bound, judged = in_fleet(target, c, budget, rate, "calls a second"), verdict(use, budget)
+        use, why = value_at(curve, rate), ""
+        bound, judged = in_fleet(target, curve, budget, rate, "calls a second"), verdict(use, budget)
         if disturbed(measured, rate):
             bound, judged, why = Bound("unknown"), UNKNOWN, ", disturbed by other load"
         found.append(
@@ -173,7 +187,7 @@
     if not waited or not cpu:
         return False
     nearest = min((point.size for point in waited), key=lambda size: abs(size - rate))
-    means = [value(curve(points, False), nearest).amount for points in (waited, cpu)]
+    means = [value_at(make_curve(points, False), nearest).amount for points in (waited, cpu)]
     return means[0] > tables.DISTURBED * means[1]
 
 
@@ -205,8 +219,8 @@
     if not may:
         return None
     stand = standing(text)
-    least = min(row.bound.order for row in may)
-    equals = tuple(row for row in may if row.bound.order == least)
+    least = min(row.bound.sort_key for row in may)
+    equals = tuple(row for row in may if row.bound.sort_key == least)
     best = min(equals, key=lambda row: (-stand[row.next[0]], row.key))
     return Choice(best, best.next[0], equals, stand)
 
@@ -266,7 +280,7 @@
     }
 
 
-def unbudgeted(target: Target, measured: Measured) -> list[tuple[Figure, Use | None, bool]]:
+def unbudgeted(target: Target, measured: Measured) -> list[tuple[Figure, Usage | None, bool]]:
     """Figures without a budget: their value at the target, and whether it is of peaks. Nothing measured is
     left out of the page; those by calls a second have a table of their own."""
     found = []
@@ -279,6 +293,6 @@
             size = tables.size(target, figure)
             points = hollow(figure.points)
             peaks = any(point.peak > 0 for point in points)
-            use = value(curve(points, peaks), size) if size is not None and points else None
+            use = value_at(make_curve(points, peaks), size) if size is not None and points else None
             found.append((figure, use, peaks))
     return found
--- a/lupinmill/lab/scale/computed.py
+++ b/lupinmill/lab/scale/computed.py
@@ -4,7 +4,7 @@
 from __future__ import annotations
 
 from lupinmill.lab.scale import tables
-from lupinmill.lab.scale.curves import ANY, COMPUTED, NEVER, Bound, Use
+from lupinmill.lab.scale.curves import ANY_SIZE, COMPUTED, NEVER, Bound, Usage
 from lupinmill.lab.scale.row import Row, verdict
 from lupinmill.lab.scale.tables import CELLS, CONFIG, ROSTERS
 from lupinmill.lab.scale.target import Target
@@ -20,7 +20,7 @@
     key: str, role: str, what: str, unit: str, use: float, budget: float, bound: Bound, carried: str,
     next: tuple[str, ...], fatal: bool, because: str, added: str = "", after: str = "",
 ) -> Row:  # fmt: skip
-    found = Use(use, COMPUTED)
+    found = Usage(use, COMPUTED)
     return Row(
         key, role, what, unit, budget, found, bound, verdict(found, budget), carried, next, fatal,
         added=added, after=after, because=because,
@@ -33,7 +33,7 @@
 
 def either(use: float, budget: float) -> Bound:
     """Of what is the same part of the budget in a fleet of any size."""
-    return ANY if use > budget else NEVER
+    return ANY_SIZE if use > budget else NEVER
 
 
 def settings(target: Target) -> list[Row]:
--- a/lupinmill/lab/scale/curves.py
+++ b/lupinmill/lab/scale/curves.py
@@ -1,9 +1,9 @@
-"""One figure by size: its value at another size, and the size at which a budget breaks. Pure.
+"""A figure as a function of size: its value at a size, and the size at which it exceeds a budget. No I/O.
 
-A value is read off where it was measured, between two sizes by the line between them. Beyond them only where
-a straight line fits all of them (`fit.fit`), the line without the last size foretells that one, and up to
-`FAR`; then it says so. A curved figure is never extended: it has the value at its last size, and breaks over
-it, or under the first."""
+Values are measured at a size, or interpolated between two sizes. Values are extrapolated, and marked so, only
+where a straight line fits all sizes (`fit.fit`), where the line without the last size predicts that one, and
+up to `MAX_EXTRAPOLATION`. A curved figure is never extrapolated: it keeps the value at its last or first
+size, and its budget is said to break over the last size or under the first."""
 
 from __future__ import annotations
 
@@ -15,64 +15,67 @@
 from lupinmill.lab.scale import fit as fits
 from lupinmill.lab.scale.measured import Point
 
-FLAT = 1e-9  # part of the intercept: a fit's last digits are no slope
-FAR = 10.0  # times the last size measured: no line is used beyond it
-NEAR = 0.01  # part of a measured size within which a value counts as measured there
-MEASURED, BETWEEN, EXTENDED, LAST, FIRST, COMPUTED = (
+FLAT_SLOPE = 1e-9  # part of the intercept; a smaller slope is a rounding error of the fit
+MAX_EXTRAPOLATION = 10.0  # multiple of the last measured size beyond which no line is used
+SIZE_TOLERANCE = 0.01  # part of a measured size within which a value counts as measured there
+MEASURED, INTERPOLATED, EXTRAPOLATED, AT_LAST_SIZE, AT_FIRST_SIZE, COMPUTED = (
     "measured", "between sizes", "extended", "at the last size", "at the first size", "computed"
 )  # fmt: skip
-AT = (MEASURED, COMPUTED)  # the size that was asked for
+AT_THIS_SIZE = (MEASURED, COMPUTED)  # bases of a value at exactly the requested size
 
 
 @dataclass(frozen=True, slots=True)
 class Curve:
-    """`line`: intercept and slope, only where a straight line fits."""
+    """`line`: intercept and slope; None where no straight line fits."""
 
     sizes: tuple[float, ...]
     values: tuple[float, ...]
     line: tuple[float, float] | None = None
 
-    def times(self, factor: float) -> Curve:
+    def scaled(self, factor: float) -> Curve:
         line = None if self.line is None else (self.line[0] * factor, self.line[1] * factor)
-        return Curve(self.sizes, tuple(value * factor for value in self.values), line)
+        return Curve(self.sizes, tuple(amount * factor for amount in self.values), line)
 
 
 @dataclass(frozen=True, slots=True)
-class Use:
+class Usage:
     amount: float
-    how: str
-    size: float = 0.0  # that it was read at
+    basis: str  # "measured", "between sizes", ...
+    size: float = 0.0  # size at which the amount holds
 
 
 @dataclass(frozen=True, slots=True)
 class Bound:
-    """The size at which a budget breaks. `kind`: "any" size; "at" `size`; "under" or "over" all that was
-    measured, which ends at `size`; "never"; "unknown"."""
+    """The size at which a budget is exceeded.
+
+    `kind`: "any" size; "at" `size`; "under" or "over" the measured range, which ends at `size`; "never";
+    "unknown".
+    """
 
     kind: str
     size: float = 0.0
-    extended: bool = False
+    extrapolated: bool = False
 
     @property
-    def order(self) -> tuple[float, int]:
+    def sort_key(self) -> tuple[float, int]:
         if self.kind in ("any", "never", "unknown"):
             return (0.0 if self.kind == "any" else math.inf, int(self.kind == "unknown"))
         return (self.size, ("under", "at", "over").index(self.kind))
 
-    def times(self, factor: float) -> Bound:
+    def scaled(self, factor: float) -> Bound:
         return replace(self, size=self.size * factor)
 
 
-ANY, NEVER = Bound("any"), Bound("never")
+ANY_SIZE, NEVER = Bound("any"), Bound("never")
 
 
-def curve(points: list[Point], peaks: bool) -> Curve:
-    """`peaks`: the worst seed's peak at each size, as budgets break there; else the mean over seeds."""
-    return fitted(tuple((point.size, point.peak if peaks else point.mean) for point in points), peaks)
+def make_curve(points: list[Point], peaks: bool) -> Curve:
+    """`peaks`: use the worst seed's peak at each size, as budgets break there; else the mean over seeds."""
+    return fitted_curve(tuple((point.size, point.peak if peaks else point.mean) for point in points), peaks)
 
 
-@lru_cache(4096)  # one page asks for each some thirty times, as assumptions are varied
-def fitted(pairs: tuple[tuple[float, float], ...], worst: bool) -> Curve:
+@lru_cache(4096)  # a page evaluates each curve some thirty times, as assumptions are varied
+def fitted_curve(pairs: tuple[tuple[float, float], ...], worst: bool) -> Curve:
     rows: dict[float, list[float]] = {}
     for size, amount in pairs:
         rows.setdefault(size, []).append(amount)
@@ -80,14 +83,16 @@
     values = tuple(max(rows[size]) if worst else statistics.fmean(rows[size]) for size in sizes)
     points = [Point(size, 0, amount) for size, amount in (zip(sizes, values) if worst else pairs)]
     found = fits.fit(points)
-    straight = found is not None and found.straight and foretells(points)
+    straight = found is not None and found.straight and predicts_last_size(points)
     return Curve(sizes, values, (found.intercept, found.slope) if found and straight else None)
 
 
-def foretells(points: list[Point]) -> bool:
-    """Whether the line through the other sizes comes as close to the last one as a fit must. Guards against
-    slow curves: size**1.15 passes for straight from 100 to 3,000, and is half as much again as its line at
-    20,000."""
+def predicts_last_size(points: list[Point]) -> bool:
+    """Whether the line through the other sizes predicts the last one within the tolerance of a fit.
+
+    Guards against slow curves: size**1.15 passes for straight from 100 to 3,000, but is one and a half times
+    its line at 20,000.
+    """
     last = max(point.size for point in points)
     there = [point.mean for point in points if point.size == last]
     found = fits.fit([point for point in points if point.size < last])
@@ -96,39 +101,47 @@
     mean = statistics.fmean(there)
     spread = statistics.stdev(there) if len(there) > 1 else 0.0
     apart = abs(found.intercept + found.slope * last - mean)
-    return apart <= max(fits.WITHIN * abs(mean), fits.SPREADS * spread)
+    return apart <= max(fits.RELATIVE_TOLERANCE * abs(mean), fits.TOLERATED_DEVIATIONS * spread)
 
 
-def value(c: Curve, size: float) -> Use:
-    for known, amount in zip(c.sizes, c.values):
-        if abs(size - known) <= NEAR * known:
-            return Use(amount, MEASURED, known)
-    pairs = list(zip(c.sizes, c.values))
+def value_at(curve: Curve, size: float) -> Usage:
+    for known, amount in zip(curve.sizes, curve.values):
+        if abs(size - known) <= SIZE_TOLERANCE * known:
+            return Usage(amount, MEASURED, known)
+    pairs = list(zip(curve.sizes, curve.values))
     for (before, low), (after, high) in zip(pairs, pairs[1:]):
         if before < size < after:
-            return Use(low + (high - low) * (size - before) / (after - before), BETWEEN, size)
-    if c.line is not None and size <= FAR * c.sizes[-1]:
-        return Use(max(0.0, c.line[0] + c.line[1] * size), EXTENDED, size)
-    return Use(c.values[-1], LAST, c.sizes[-1]) if size > c.sizes[-1] else Use(c.values[0], FIRST, c.sizes[0])
-
-
-def breaks(c: Curve, budget: float) -> Bound:
-    """The smallest size at which the figure is over it."""
-    if c.values[0] > budget:
-        if c.line is not None and c.line[0] > budget:
-            return ANY
-        if c.line is not None and 0 < c.line[1] and (budget - c.line[0]) / c.line[1] < c.sizes[0]:
-            return Bound("at", (budget - c.line[0]) / c.line[1], extended=True)
-        return Bound("under", c.sizes[0])
-    pairs = list(zip(c.sizes, c.values))
+            return Usage(low + (high - low) * (size - before) / (after - before), INTERPOLATED, size)
+    if curve.line is not None and size <= MAX_EXTRAPOLATION * curve.sizes[-1]:
+        return Usage(max(0.0, curve.line[0] + curve.line[1] * size), EXTRAPOLATED, size)
+    return (
+        Usage(curve.values[-1], AT_LAST_SIZE, curve.sizes[-1])
+        if size > curve.sizes[-1]
+        else Usage(curve.values[0], AT_FIRST_SIZE, curve.sizes[0])
+    )
+
+
+def breaking_size(curve: Curve, budget: float) -> Bound:
+    """The smallest size at which the figure exceeds the budget."""
+    if curve.values[0] > budget:
+        if curve.line is not None and curve.line[0] > budget:
+            return ANY_SIZE
+        if (
+            curve.line is not None
+            and 0 < curve.line[1]
+            and (budget - curve.line[0]) / curve.line[1] < curve.sizes[0]
+        ):
+            return Bound("at", (budget - curve.line[0]) / curve.line[1], extrapolated=True)
+        return Bound("under", curve.sizes[0])
+    pairs = list(zip(curve.sizes, curve.values))
     for (before, low), (after, high) in zip(pairs, pairs[1:]):
         if high > budget:
             return Bound("at", before + (after - before) * (budget - low) / (high - low))
-    if c.line is None:
-        return Bound("over", c.sizes[-1])
-    if c.line[1] * c.sizes[-1] <= FLAT * abs(c.line[0]):
+    if curve.line is None:
+        return Bound("over", curve.sizes[-1])
+    if curve.line[1] * curve.sizes[-1] <= FLAT_SLOPE * abs(curve.line[0]):
         return NEVER
-    size, most = (budget - c.line[0]) / c.line[1], FAR * c.sizes[-1]
+    size, most = (budget - curve.line[0]) / curve.line[1], MAX_EXTRAPOLATION * curve.sizes[-1]
     if size > most:
-        return Bound("over", most, extended=True)
-    return Bound("at", max(c.sizes[-1], size), extended=True)
+        return Bound("over", most, extrapolated=True)
+    return Bound("at", max(curve.sizes[-1], size), extrapolated=True)
--- a/lupinmill/lab/scale/machines.py
+++ b/lupinmill/lab/scale/machines.py
@@ -38,7 +38,9 @@
 def part(row: Row | None) -> str:
     if row is None:
         return "not measured"
-    return f"{row.what}: {amount(row.use.amount, row.unit)} of {amount(row.budget, row.unit)} ({row.use.how})"
+    return (
+        f"{row.what}: {amount(row.use.amount, row.unit)} of {amount(row.budget, row.unit)} ({row.use.basis})"
+    )
 
 
 def of_machines(target: Target, measured: Measured) -> str:
@@ -83,8 +85,8 @@
     if not found:
         return "After all control machines restart: not measured when all sidecars are back."
     return "After all control machines restart: " + "; ".join(
-        f"{row.what}, {amount(row.use.amount, row.unit)} ({row.use.how}) of {amount(row.budget, row.unit)}, "
-        f"{row.verdict}"
+        f"{row.what}, {amount(row.use.amount, row.unit)} ({row.use.basis}) of "
+        f"{amount(row.budget, row.unit)}, {row.verdict}"
         for row in found
     ) + "."  # fmt: skip
 
--- a/lupinmill/lab/scale/page.py
+++ b/lupinmill/lab/scale/page.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 from lupinmill.lab.scale import capacity, machines, page_run, tables
-from lupinmill.lab.scale.curves import AT, FIRST, LAST, Bound, Use
+from lupinmill.lab.scale.curves import AT_FIRST_SIZE, AT_LAST_SIZE, AT_THIS_SIZE, Bound, Usage
 from lupinmill.lab.scale.measured import Measured
 from lupinmill.lab.scale.row import BREAKS, Row
 from lupinmill.lab.scale.show import amount, count, digits, headroom, table
@@ -25,18 +25,20 @@
     size = count(round(bound.size))
     return {
         "any": "any size",
-        "at": f"{size}, extended" if bound.extended else size,
+        "at": f"{size}, extended" if bound.extrapolated else size,
         "under": f"under {size} as measured",
-        "over": f"over {size}, extended" if bound.extended else f"over {size} as measured",
+        "over": f"over {size}, extended" if bound.extrapolated else f"over {size} as measured",
         "never": "none: flat",
     }.get(bound.kind, "not known")
 
 
-def used(use: Use, unit: str) -> str:
+def used(use: Usage, unit: str) -> str:
     text = amount(use.amount, unit)
-    if use.how in (LAST, FIRST):
-        return f"{text} at {count(use.size)}, measured no {'further' if use.how == LAST else 'lower'}"
-    return text if use.how in AT else f"{text} ({use.how})"
+    if use.basis in (AT_LAST_SIZE, AT_FIRST_SIZE):
+        return (
+            f"{text} at {count(use.size)}, measured no {'further' if use.basis == AT_LAST_SIZE else 'lower'}"
+        )
+    return text if use.basis in AT_THIS_SIZE else f"{text} ({use.basis})"
 
 
 def mean(row: Row) -> str:
@@ -169,7 +171,11 @@
         if len(parts) > 1:
             whole, first = sum(row.use.amount for row in parts), parts[0]
             told = " + ".join(f"{used(row.use, row.unit)} ({row.what})" for row in parts)
-            less = ", as far as measured," if any(row.use.how in (LAST, FIRST) for row in parts) else ""
+            less = (
+                ", as far as measured,"
+                if any(row.use.basis in (AT_LAST_SIZE, AT_FIRST_SIZE) for row in parts)
+                else ""
+            )
             found.append(
                 f"{name} {told} = {amount(whole, first.unit)}{less} of {amount(first.budget, first.unit)}"
             )
--- a/lupinmill/lab/scale/row.py
+++ b/lupinmill/lab/scale/row.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from lupinmill.lab.scale.curves import FIRST, LAST, Bound, Use
+from lupinmill.lab.scale.curves import AT_FIRST_SIZE, AT_LAST_SIZE, Bound, Usage
 
 HOLDS, BREAKS, UNKNOWN = "holds", "**breaks**", "not known"
 
@@ -20,7 +20,7 @@
     what: str
     unit: str
     budget: float
-    use: Use
+    use: Usage
     bound: Bound  # in sidecars, of a fleet in the target's proportions
     verdict: str
     carried: str  # by file, or "missing"
@@ -28,15 +28,15 @@
     fatal: bool = False
     control: bool = True
     added: str = ""
-    mean: Use | None = None  # beside a peak
+    mean: Usage | None = None  # beside a peak
     mean_is: str = "mean"
     because: str = ""  # how it is computed, where nothing was measured
     after: str = ""  # figures of that name, or the row of that key, say what it is with its mechanism
 
 
-def verdict(use: Use, budget: float) -> str:
-    if use.how == LAST:  # beyond what was measured, and not extended
+def verdict(use: Usage, budget: float) -> str:
+    if use.basis == AT_LAST_SIZE:  # beyond the measured sizes, not extrapolated
         return BREAKS if use.amount > budget else UNKNOWN
-    if use.how == FIRST:  # below it
+    if use.basis == AT_FIRST_SIZE:  # below the measured sizes
         return HOLDS if use.amount <= budget else UNKNOWN
     return BREAKS if use.amount > budget else HOLDS
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -16,16 +16,16 @@
 from lupinmill.cli.lab import lab
 from lupinmill.lab.scale import capacity, computed, curves, fit, measured, page, page_run, tables, target
 from lupinmill.lab.scale.curves import (
-    ANY,
-    BETWEEN,
+    ANY_SIZE,
+    AT_FIRST_SIZE,
+    AT_LAST_SIZE,
     COMPUTED,
-    EXTENDED,
-    FIRST,
-    LAST,
+    EXTRAPOLATED,
+    INTERPOLATED,
     MEASURED,
     NEVER,
     Bound,
-    Use,
+    Usage,
 )
 from lupinmill.lab.scale.measured import Added, Figure, Measured, Point
 from lupinmill.lab.scale.row import BREAKS, HOLDS, UNKNOWN, Row
@@ -64,7 +64,7 @@
 
 
 def row(key: str, bound: Bound, *next: str, verdict=BREAKS, fatal=True, control=True, added="") -> Row:
-    use = Use(2.0, COMPUTED)
+    use = Usage(2.0, COMPUTED)
     return Row(key, "holder", key, "s", 1.0, use, bound, verdict, "missing", next, fatal, control, added)
 
 
@@ -148,48 +148,52 @@
 
 
 def test_a_value_between_sizes_lies_between_them_and_at_one_it_is_measured():
-    c = curves.curve(figure(line(1, 0.01)).points, False)
-    assert curves.value(c, 1000) == Use(11.0, MEASURED, 1000)
-    between = curves.value(c, 2000)
-    assert between.how == BETWEEN and between.amount == pytest.approx(21)
+    curve = curves.make_curve(figure(line(1, 0.01)).points, False)
+    assert curves.value_at(curve, 1000) == Usage(11.0, MEASURED, 1000)
+    between = curves.value_at(curve, 2000)
+    assert between.basis == INTERPOLATED and between.amount == pytest.approx(21)
 
 
 def test_a_straight_line_is_extended_and_says_so():
-    c = curves.curve(figure(line(1, 0.01)).points, False)
-    use = curves.value(c, 20_000)
-    assert use.how == EXTENDED and use.amount == pytest.approx(201)
-    found = curves.breaks(c, 100)
-    assert found.kind == "at" and found.extended and found.size == pytest.approx(9_900)
+    curve = curves.make_curve(figure(line(1, 0.01)).points, False)
+    use = curves.value_at(curve, 20_000)
+    assert use.basis == EXTRAPOLATED and use.amount == pytest.approx(201)
+    found = curves.breaking_size(curve, 100)
+    assert found.kind == "at" and found.extrapolated and found.size == pytest.approx(9_900)
 
 
 def test_a_curved_figure_is_never_extended():
-    c = curves.curve(figure(square).points, False)
-    assert c.line is None
-    assert curves.value(c, 20_000) == Use(square(3000), LAST, 3000)
-    assert curves.value(c, 10) == Use(square(100), FIRST, 100)
-    assert curves.breaks(c, 1.0) == Bound("over", 3000)
-    assert curves.breaks(c, square(50)) == Bound("under", 100)
+    curve = curves.make_curve(figure(square).points, False)
+    assert curve.line is None
+    assert curves.value_at(curve, 20_000) == Usage(square(3000), AT_LAST_SIZE, 3000)
+    assert curves.value_at(curve, 10) == Usage(square(100), AT_FIRST_SIZE, 100)
+    assert curves.breaking_size(curve, 1.0) == Bound("over", 3000)
+    assert curves.breaking_size(curve, square(50)) == Bound("under", 100)
 
 
 def test_two_sizes_are_no_line():
-    c = curves.curve(figure(line(1, 0.01), sizes=(100, 300)).points, False)
-    assert curves.value(c, 1000).how == LAST and curves.breaks(c, 100) == Bound("over", 300)
+    curve = curves.make_curve(figure(line(1, 0.01), sizes=(100, 300)).points, False)
+    assert curves.value_at(curve, 1000).basis == AT_LAST_SIZE and curves.breaking_size(curve, 100) == Bound(
+        "over", 300
+    )
 
 
 def test_one_size_says_nothing_of_others():
-    c = curves.curve(figure(line(1, 0), sizes=(20_000,)).points, False)
-    assert curves.value(c, 20_000) == Use(1, MEASURED, 20_000)
-    assert curves.breaks(c, 2) == Bound("over", 20_000) and curves.breaks(c, 0.5) == Bound("under", 20_000)
+    curve = curves.make_curve(figure(line(1, 0), sizes=(20_000,)).points, False)
+    assert curves.value_at(curve, 20_000) == Usage(1, MEASURED, 20_000)
+    assert curves.breaking_size(curve, 2) == Bound("over", 20_000) and curves.breaking_size(
+        curve, 0.5
+    ) == Bound("under", 20_000)
 
 
 @drawn(derandomize=True, deadline=None)
 @given(st.floats(0.5, 3), st.floats(1e-3, 1e3), st.floats(100, 1e6))
 def test_no_power_but_a_line_is_ever_used_beyond_its_sizes(power, budget, size):
-    c = curves.curve(figure(lambda n: 1e-6 * n**power).points, False)
-    use, bound = curves.value(c, size), curves.breaks(c, budget)
-    if c.line is None:
-        assert use.how != EXTENDED and not bound.extended
-        assert min(c.values) <= use.amount <= max(c.values)
+    curve = curves.make_curve(figure(lambda n: 1e-6 * n**power).points, False)
+    use, bound = curves.value_at(curve, size), curves.breaking_size(curve, budget)
+    if curve.line is None:
+        assert use.basis != EXTRAPOLATED and not bound.extrapolated
+        assert min(curve.values) <= use.amount <= max(curve.values)
     else:
         assert 0.85 < power < 1.15
 
@@ -197,39 +201,43 @@
 @pytest.mark.parametrize("power", [0.8, 1.15, 1.3])
 def test_a_slow_curve_that_passes_for_straight_is_not_extended(power):
     one = figure(lambda n: 1e-6 * n**power)
-    assert curves.curve(one.points, False).line is None
+    assert curves.make_curve(one.points, False).line is None
     assert one.fit.straight or power == 1.3
 
 
 def test_where_nothing_grows_no_size_breaks_and_where_the_intercept_does_any_size_breaks():
-    flat = curves.curve(figure(line(1, 0)).points, False)
-    assert curves.breaks(flat, 2) == NEVER and curves.breaks(flat, 0.9) == ANY
-    falling = curves.curve(figure(line(10, -0.001)).points, False)
-    assert curves.breaks(falling, 11) == NEVER
+    flat = curves.make_curve(figure(line(1, 0)).points, False)
+    assert curves.breaking_size(flat, 2) == NEVER and curves.breaking_size(flat, 0.9) == ANY_SIZE
+    falling = curves.make_curve(figure(line(10, -0.001)).points, False)
+    assert curves.breaking_size(falling, 11) == NEVER
 
 
 def test_no_line_is_used_beyond_ten_times_its_last_size():
-    c = curves.curve(figure(line(1, 0.01)).points, False)
-    assert curves.value(c, 30_000).how == EXTENDED and curves.value(c, 30_001) == Use(31.0, LAST, 3000)
-    assert curves.breaks(c, 300).kind == "at" and curves.breaks(c, 302) == Bound("over", 30_000, True)
+    curve = curves.make_curve(figure(line(1, 0.01)).points, False)
+    assert curves.value_at(curve, 30_000).basis == EXTRAPOLATED and curves.value_at(curve, 30_001) == Usage(
+        31.0, AT_LAST_SIZE, 3000
+    )
+    assert curves.breaking_size(curve, 300).kind == "at" and curves.breaking_size(curve, 302) == Bound(
+        "over", 30_000, True
+    )
 
 
 @drawn(derandomize=True, deadline=None)
 @given(st.floats(0, 1), st.floats(1e-3, 1e-2), st.floats(1.5, 1e3))
 def test_n_star_of_a_known_slope(intercept, slope, budget):
-    c = curves.curve(figure(line(intercept, slope)).points, False)
-    found = curves.breaks(c, budget)
+    curve = curves.make_curve(figure(line(intercept, slope)).points, False)
+    found = curves.breaking_size(curve, budget)
     breaks = (budget - intercept) / slope
     if breaks > 10 * SIZES[-1]:
         assert found == Bound("over", 10 * SIZES[-1], True)
     else:
         assert found.kind == "at" and found.size == pytest.approx(breaks, rel=1e-6)
-        assert found.extended == (not SIZES[0] <= found.size <= SIZES[-1])
+        assert found.extrapolated == (not SIZES[0] <= found.size <= SIZES[-1])
 
 
 def test_a_budget_breaks_at_the_worst_seeds_peak():
     points = [Point(size, seed, size, size * (2 + seed)) for size in SIZES for seed in (1, 2)]
-    assert curves.value(curves.curve(points, True), 1000).amount == 4000
+    assert curves.value_at(curves.make_curve(points, True), 1000).amount == 4000
     one = Figure("elector", "evidence cpu", "part of a core", "members", "quiet", points, fit.fit(points))
     found = by_key(run(one))["elector evidence cpu quiet, by members"]
     assert found.use.amount == pytest.approx(80_000) and found.mean.amount == pytest.approx(20_000)
@@ -290,18 +298,18 @@
     ways = (("bytes in", 3000), ("bytes out", 6000))
     one = run(*(figure(line(amount, 0), name=name, unit="bytes/s") for name, amount in ways))
     found = by_key(one)["sidecar bytes quiet, by members"]
-    assert found.use.amount == pytest.approx(9000) and found.verdict == BREAKS and found.bound == ANY
+    assert found.use.amount == pytest.approx(9000) and found.verdict == BREAKS and found.bound == ANY_SIZE
 
 
 def test_a_new_file_for_each_machine_that_comes_back_grows_with_the_square_of_the_fleet():
     one = figure(line(0, 87.0), name="file bytes", unit="bytes", day="change", sizes=(1000, 3000, 20_000))
     found = by_key(run(one))["sidecar file bytes change, by members"]
     a_second = (95 + 1200) * 10 / 86_400
-    assert found.use == Use(pytest.approx(87 * 20_000 * a_second), MEASURED, 20_000)
+    assert found.use == Usage(pytest.approx(87 * 20_000 * a_second), MEASURED, 20_000)
     assert found.unit == "bytes/s" and found.bound.kind == "at" and 3000 < found.bound.size < 20_000
     half = by_key(run(msgspec.structs.replace(one, points=one.points[:4])))
     half = half["sidecar file bytes change, by members"]
-    assert half.use == Use(pytest.approx(87 * 3000 * a_second * 3000 / 20_000), LAST, 3000)
+    assert half.use == Usage(pytest.approx(87 * 3000 * a_second * 3000 / 20_000), AT_LAST_SIZE, 3000)
 
 
 def test_hollow_members_count_and_real_ones_stand_beside_them():
@@ -327,7 +335,7 @@
     one = run(added=[calls(285, 1, 0.0009), calls(285, 2, 0.0011), calls(2280, 1, 0.0081)])
     rows = by_key(one)
     assert (rows["added mean"].verdict, rows["added mean"].bound) == (HOLDS, NEVER)
-    assert (rows["added hottest"].verdict, rows["added hottest"].bound) == (BREAKS, ANY)
+    assert (rows["added hottest"].verdict, rows["added hottest"].bound) == (BREAKS, ANY_SIZE)
     assert rows["added mean"].use.amount == pytest.approx(0.001) and not rows["added mean"].control
 
 
@@ -356,7 +364,7 @@
     assert told.fixed(one, one) == []
     assert told.fixed(one, replace(one, deployment=replace(one.deployment, instances=99))) == ["settings"]
     found = by_key(run())["settings"]
-    assert found.bound == ANY and found.use.amount == 31_000 * 24
+    assert found.bound == ANY_SIZE and found.use.amount == 31_000 * 24
 
 
 def test_words_of_members_run_out_from_the_size_on_that_the_text_gives():
@@ -369,20 +377,20 @@
 
 
 def test_rows_stand_by_n_star_smallest_first():
-    bounds = [NEVER, Bound("over", 500), Bound("at", 500), Bound("unknown"), Bound("under", 500), ANY]
+    bounds = [NEVER, Bound("over", 500), Bound("at", 500), Bound("unknown"), Bound("under", 500), ANY_SIZE]
     bounds.append(Bound("at", 9))
-    order = sorted(bounds, key=lambda bound: bound.order)
+    order = sorted(bounds, key=lambda bound: bound.sort_key)
     assert [b.kind for b in order] == ["any", "at", "under", "at", "over", "never", "unknown"]
     found = capacity.rows(TARGET, run(figure(line(0, 1e-5)), figure(square, "holder", "evidence cpu")))
-    assert [row.bound.order for row in found] == sorted(row.bound.order for row in found)
+    assert [row.bound.sort_key for row in found] == sorted(row.bound.sort_key for row in found)
 
 
 def test_the_choice_is_the_smallest_n_star_of_controls_fatal_rows():
     rows = [
         row("early", Bound("at", 10), "cells", fatal=False),
-        row("path", ANY, "added", control=False),
+        row("path", ANY_SIZE, "added", control=False),
         row("holds", Bound("at", 5), "lists", verdict=HOLDS),
-        row("later", ANY, "layers", added="config"),
+        row("later", ANY_SIZE, "layers", added="config"),
         row("first", Bound("at", 100), "rosters"),
         row("second", Bound("at", 200), "cells"),
     ]
@@ -393,8 +401,8 @@
 
 def test_of_equals_the_one_that_more_rows_stand_on_is_chosen():
     rows = [
-        row("a", ANY, "config"),
-        row("b", ANY, "cells"),
+        row("a", ANY_SIZE, "config"),
+        row("b", ANY_SIZE, "cells"),
         row("c", Bound("at", 9), "lists", "cells"),
         row("d", Bound("at", 9), "config", verdict=HOLDS),
     ]
