--- a/lupinmill/cli/capacity.py
+++ b/lupinmill/cli/capacity.py
@@ -9,7 +9,7 @@
 
 from lupinmill.cli.exit_codes import exit_with_error
 from lupinmill.lab.scale import measured, page, target
-from lupinmill.lab.scale.target import BadTarget
+from lupinmill.lab.scale.target import InvalidTarget
 
 PAGE = Path(__file__).parents[2] / "docs" / "CAPACITY.md"
 
@@ -50,7 +50,7 @@
         )
     try:
         wanted = target.read(target_ or target.FILE)
-    except BadTarget as error:
+    except InvalidTarget as error:
         exit_with_error(error)
     blocks = page.blocks(wanted, read_measured(measured_ or measured.FILE))
     if not write:
--- a/lupinmill/lab/scale/machines.py
+++ b/lupinmill/lab/scale/machines.py
@@ -7,9 +7,9 @@
 from lupinmill.lab.scale import capacity, tables
 from lupinmill.lab.scale.curves import Bound
 from lupinmill.lab.scale.measured import Measured
-from lupinmill.lab.scale.row import Row
+from lupinmill.lab.scale.row import BudgetRow
 from lupinmill.lab.scale.show import amount, count, digits, table
-from lupinmill.lab.scale.target import DAY, Target
+from lupinmill.lab.scale.target import SECONDS_PER_DAY, Target
 from lupinmill.peers.elector import majority
 
 YEAR = 365.0  # days
@@ -26,32 +26,33 @@
     return -(-parts // places)
 
 
-def dearest(rows: list[Row], role: str) -> Row | None:
+def dearest(rows: list[BudgetRow], role: str) -> BudgetRow | None:
     """The one of its measured rows that uses most of its budget."""
     return max(
-        (row for row in rows if row.role == role and not row.because and row.control and row.unit != "s"),
-        key=lambda row: row.use.amount / row.budget,
+        (row for row in rows if row.role == role and not row.computation and row.control and row.unit != "s"),
+        key=lambda row: row.usage.amount / row.budget,
         default=None,
     )
 
 
-def part(row: Row | None) -> str:
+def part(row: BudgetRow | None) -> str:
     if row is None:
         return "not measured"
     return (
-        f"{row.what}: {amount(row.use.amount, row.unit)} of {amount(row.budget, row.unit)} ({row.use.basis})"
+        f"{row.what}: {amount(row.usage.amount, row.unit)} of {amount(row.budget, row.unit)} "
+        f"({row.usage.basis})"
     )
 
 
 def of_machines(target: Target, measured: Measured) -> str:
-    rows, c, fleet = capacity.rows(target, measured), target.control, target.fleet
+    rows, c, fleet = capacity.budget_rows(target, measured), target.control, target.fleet
     zone, region = (
         target.machines_a_zone,
         min(c.machines, target.machines_a_zone * most(fleet.zones, fleet.regions)),
     )
     lost = min(c.electors, most(c.electors, fleet.zones))
     need = majority(c.electors) if c.electors else 0
-    left = tables.relays_left(target)
+    left = tables.remaining_relays(target)
     found = [
         ("elector", str(c.electors),
          "one member without clients, in different zones and regions, beside a relay",
@@ -79,19 +80,19 @@
     return text + "\n\n" + back(target, measured, rows)
 
 
-def back(target: Target, measured: Measured, rows: list[Row]) -> str:
+def back(target: Target, measured: Measured, rows: list[BudgetRow]) -> str:
     """When all sidecars are back after all control machines restart."""
     found = [row for row in rows if row.role == "relay" and "all are at the newest" in row.what]
     if not found:
         return "After all control machines restart: not measured when all sidecars are back."
     return "After all control machines restart: " + "; ".join(
-        f"{row.what}, {amount(row.use.amount, row.unit)} ({row.use.basis}) of "
+        f"{row.what}, {amount(row.usage.amount, row.unit)} ({row.usage.basis}) of "
         f"{amount(row.budget, row.unit)}, {row.verdict}"
         for row in found
     ) + "."  # fmt: skip
 
 
-def planned(rows: list[Row], fleet: int) -> str:
+def planned(rows: list[BudgetRow], fleet: int) -> str:
     half: Bound | None = next((row.bound for row in rows if row.key == "half heard"), None)
     if half is None or half.size >= fleet:
         return "the plan moves traffic out of it"
@@ -99,7 +100,7 @@
 
 
 def of_domains(target: Target, measured: Measured) -> str:
-    rows, c, fleet, d = capacity.rows(target, measured), target.control, target.fleet, target.faults
+    rows, c, fleet, d = capacity.budget_rows(target, measured), target.control, target.fleet, target.faults
     zones = most(fleet.zones, fleet.regions)
     electors = most(c.electors, fleet.regions) if c.electors else 0
     need = majority(c.electors) if c.electors else 0
@@ -126,7 +127,7 @@
          f"{plan}",
          "the other regions"),
         ("a region cut off", f"for {count(d.region_cut_s)} s: "
-         f"{count(d.region_cut_s * target.goals.changes_a_day / DAY)} changes in the mean",
+         f"{count(d.region_cut_s * target.goals.changes_a_day / SECONDS_PER_DAY)} changes in the mean",
          "in it nothing is decided and no version comes; leases there are given up; its relays serve what "
          "they hold",
          "both sides, by the last version and by their own evidence; the plan fades there to the local rule; "
--- a/lupinmill/lab/scale/page.py
+++ b/lupinmill/lab/scale/page.py
@@ -10,7 +10,7 @@
 from lupinmill.lab.scale import capacity, machines, page_run, tables
 from lupinmill.lab.scale.curves import AT_FIRST_SIZE, AT_LAST_SIZE, AT_THIS_SIZE, Bound, Usage
 from lupinmill.lab.scale.measured import Measured
-from lupinmill.lab.scale.row import BREAKS, Row
+from lupinmill.lab.scale.row import BREAKS, BudgetRow
 from lupinmill.lab.scale.show import amount, count, digits, headroom, table
 from lupinmill.lab.scale.target import Target
 
@@ -41,8 +41,8 @@
     return text if use.basis in AT_THIS_SIZE else f"{text} ({use.basis})"
 
 
-def mean(row: Row) -> str:
-    return "" if row.mean is None else f"; {row.mean_is} {used(row.mean, row.unit)}"
+def mean(row: BudgetRow) -> str:
+    return "" if row.mean is None else f"; {row.mean_label} {used(row.mean, row.unit)}"
 
 
 def place(role: str) -> int:
@@ -76,16 +76,16 @@
 
 def of_roles(target: Target, measured: Measured) -> str:
     found = [
-        (row.role, row.what, amount(row.budget, row.unit), used(row.use, row.unit) + mean(row),
-         headroom(row), nstar(row.bound), row.verdict, row.carried)
-        for row in sorted(capacity.rows(target, measured), key=lambda row: place(row.role))
+        (row.role, row.what, amount(row.budget, row.unit), used(row.usage, row.unit) + mean(row),
+         headroom(row), nstar(row.bound), row.verdict, row.carried_by)
+        for row in sorted(capacity.budget_rows(target, measured), key=lambda row: place(row.role))
     ]  # fmt: skip
     head = ("role", "what", "budget", "use at the target", "headroom", "N*", "verdict", "carried by")
     text = table(head, found)
     others = [
         (figure.role, f"{figure.name}, {figure.day}", figure.grows_with,
          "no such size" if use is None else used(use, figure.unit), "peak" if peaks else "mean")
-        for figure, use, peaks in capacity.unbudgeted(target, measured)
+        for figure, use, peaks in capacity.figures_without_budget(target, measured)
     ]  # fmt: skip
     if others:
         text += "\n\nMeasured, without a budget of the letter:\n\n"
@@ -95,19 +95,23 @@
 
 def of_computed(target: Target, measured: Measured) -> str:
     """How rows that no run gave are computed."""
-    found = [(row.role, row.what, row.because) for row in capacity.rows(target, measured) if row.because]
+    found = [
+        (row.role, row.what, row.computation)
+        for row in capacity.budget_rows(target, measured)
+        if row.computation
+    ]
     return table(("role", "what", "how"), found)
 
 
 def of_order(target: Target, measured: Measured) -> str:
-    rows = capacity.next_rows(target, measured, capacity.rows(target, measured))
+    rows = capacity.open_rows(target, measured, capacity.budget_rows(target, measured))
     found = [
         (str(place), row.what, row.role, nstar(row.bound), row.verdict,
-         "yes" if row.fatal else "no", ", ".join(row.next))
+         "yes" if row.fatal else "no", ", ".join(row.mechanisms))
         for place, row in enumerate(rows, 1)
     ]  # fmt: skip
     text = table(("", "row", "role", "N*", "verdict", "fatal", "stands on"), found)
-    for name, row in capacity.mechanisms(rows).items():
+    for name, row in capacity.rows_by_mechanism(rows).items():
         one = tables.MECHANISMS[name]
         why = f"first wanted by: {row.what} ({nstar(row.bound)})" if row else "no row above wants it first"
         text += f"\n\n**{name}: {one.title}** ({one.file}; {why}). {' '.join(one.design)}"
@@ -115,12 +119,16 @@
 
 
 def of_choice(target: Target, measured: Measured) -> str:
-    choice = capacity.choose(capacity.rows(target, measured))
+    choice = capacity.choose_mechanism(capacity.budget_rows(target, measured))
     if choice is None:
         return "No row of control breaks: no mechanism is missing."
-    apart = [row for row in capacity.rows(target, measured) if not row.control and row.verdict == BREAKS]
-    equals = ", ".join(row.what for row in choice.equals)
-    stand = ", ".join(f"{name} {n}" for name, n in sorted(choice.stand.items(), key=lambda p: (-p[1], p[0])))
+    apart = [
+        row for row in capacity.budget_rows(target, measured) if not row.control and row.verdict == BREAKS
+    ]
+    equals = ", ".join(row.what for row in choice.tied)
+    stand = ", ".join(
+        f"{name} {n}" for name, n in sorted(choice.dependents.items(), key=lambda p: (-p[1], p[0]))
+    )
     text = (
         "Smallest N* of the rows of control whose failing makes the target impossible: "
         f"{nstar(choice.row.bound)} ({equals}). Rows that break, by the mechanism that they stand on: "
@@ -136,29 +144,31 @@
 
 def of_after(target: Target, measured: Measured) -> str:
     """Use after beside before."""
-    found, rows = [], capacity.rows(target, measured)
+    found, rows = [], capacity.budget_rows(target, measured)
     for row in rows:
-        if not row.after:
+        if not row.successor:
             continue
-        now = capacity.after(target, measured, row)
+        now = capacity.successors(target, measured, row)
         what = row.what
-        before = f"{used(row.use, row.unit)} of {amount(row.budget, row.unit)}, {row.verdict}"
+        before = f"{used(row.usage, row.unit)} of {amount(row.budget, row.unit)}, {row.verdict}"
         for one in now:
-            after = f"{used(one.use, one.unit)}{mean(one)}, of {amount(one.budget, one.unit)}, {one.verdict}"
+            after = (
+                f"{used(one.usage, one.unit)}{mean(one)}, of {amount(one.budget, one.unit)}, {one.verdict}"
+            )
             found.append((what, before, one.what, after, nstar(one.bound)))
             what = before = ""
         if not now:
             found.append((row.what, before, "", "not measured", ""))
     text = table(("before", "use", "with the mechanism", "use", "N*"), found)
     added = [
-        (row.role, row.what, used(row.use, row.unit) + mean(row), amount(row.budget, row.unit), row.verdict)
-        for row in rows if row.added
+        (row.role, row.what, used(row.usage, row.unit) + mean(row), amount(row.budget, row.unit), row.verdict)
+        for row in rows if row.requires
     ]  # fmt: skip
     text += "\n\nWhat it costs:\n\n" + table(("role", "what", "use", "budget", "verdict"), added)
     return text + "\n\n" + together(rows)
 
 
-def together(rows: list[Row]) -> str:
+def together(rows: list[BudgetRow]) -> str:
     """Budgets are of all of control: membership's part of them and the mechanism's, summed."""
     found = []
     wanted = {
@@ -169,11 +179,11 @@
     for name, names in wanted.items():
         parts = [row for row in rows if row.role == "sidecar" and row.what in names]
         if len(parts) > 1:
-            whole, first = sum(row.use.amount for row in parts), parts[0]
-            told = " + ".join(f"{used(row.use, row.unit)} ({row.what})" for row in parts)
+            whole, first = sum(row.usage.amount for row in parts), parts[0]
+            told = " + ".join(f"{used(row.usage, row.unit)} ({row.what})" for row in parts)
             less = (
                 ", as far as measured,"
-                if any(row.use.basis in (AT_LAST_SIZE, AT_FIRST_SIZE) for row in parts)
+                if any(row.usage.basis in (AT_LAST_SIZE, AT_FIRST_SIZE) for row in parts)
                 else ""
             )
             found.append(
@@ -183,7 +193,7 @@
 
 
 def of_assumptions(target: Target, measured: Measured) -> str:
-    def told(one: capacity.Moved) -> str:
+    def told(one: capacity.Sensitivity) -> str:
         if not one.verdicts:
             return f"{digits(one.value)}: no verdict" + (
                 f", figures of {one.figures}" if one.figures else ", no figure"
@@ -191,7 +201,7 @@
         return f"{digits(one.value)}: " + "; ".join(f"{key} {was} → {now}" for key, was, now in one.verdicts)
 
     found = []
-    for name, (less, more) in capacity.all_moved(target, measured).items():
+    for name, (less, more) in capacity.sensitivities(target, measured).items():
         one = getattr(target.assumptions, name)
         found.append((f"`{name}`", digits(one.value), one.reason, told(less), told(more)))
     return table(("assumption", "value", "what, and why so", "a third: moves", "three times: moves"), found)
--- a/lupinmill/lab/scale/page_run.py
+++ b/lupinmill/lab/scale/page_run.py
@@ -68,7 +68,7 @@
     rates = sorted({one.calls_a_second for one in measured.added})
     if not rates:
         return "Not measured."
-    parts = [f for f in measured.figures if f.grows_with in tables.APART]
+    parts = [f for f in measured.figures if f.grows_with in tables.FLEET_INDEPENDENT_SIZES]
     rows: list[list[str]] = []
     for rate in rates:
         runs = [one for one in measured.added if one.calls_a_second == rate]
--- a/lupinmill/lab/scale/row.py
+++ b/lupinmill/lab/scale/row.py
@@ -1,4 +1,4 @@
-"""One budget of the page of capacity: what it is, what is used of it at the target, and N*."""
+"""One budget of the capacity page: what it is for, its usage at the target, and N*, which exceeds it."""
 
 from __future__ import annotations
 
@@ -10,33 +10,35 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Row:
-    """`next`: mechanisms that it stands on, its own first. `fatal`: the target is impossible while it fails.
-    `control`: it is control's, not the ordinary path's. `added`: there only with the mechanism of that
-    key."""
+class BudgetRow:
+    """`mechanisms`: keys of the mechanisms that it depends on, its own first.
+
+    `fatal`: the target can't be met while the budget is exceeded. `control`: it belongs to control, not to
+    the request path. `requires`: exists only with the mechanism of that key.
+    """
 
     key: str
     role: str
     what: str
     unit: str
     budget: float
-    use: Usage
-    bound: Bound  # in sidecars, of a fleet in the target's proportions
+    usage: Usage
+    bound: Bound  # in sidecars, for a fleet in the target's proportions
     verdict: str
-    carried: str  # by file, or "missing"
-    next: tuple[str, ...] = ()
+    carried_by: str  # file that implements it, or "missing"
+    mechanisms: tuple[str, ...] = ()
     fatal: bool = False
     control: bool = True
-    added: str = ""
-    mean: Usage | None = None  # beside a peak
-    mean_is: str = "mean"
-    because: str = ""  # how it is computed, where nothing was measured
-    after: str = ""  # figures of that name, or the row of that key, say what it is with its mechanism
-
-
-def verdict(use: Usage, budget: float) -> str:
-    if use.basis == AT_LAST_SIZE:  # beyond the measured sizes, not extrapolated
-        return BREAKS if use.amount > budget else UNKNOWN
-    if use.basis == AT_FIRST_SIZE:  # below the measured sizes
-        return HOLDS if use.amount <= budget else UNKNOWN
-    return BREAKS if use.amount > budget else HOLDS
+    requires: str = ""
+    mean: Usage | None = None  # where `usage` is of peaks
+    mean_label: str = "mean"
+    computation: str = ""  # how it is computed, where nothing was measured
+    successor: str = ""  # name of the figures, or key of the row, that replace it once its mechanism exists
+
+
+def judge(usage: Usage, budget: float) -> str:
+    if usage.basis == AT_LAST_SIZE:  # beyond the measured sizes, not extrapolated
+        return BREAKS if usage.amount > budget else UNKNOWN
+    if usage.basis == AT_FIRST_SIZE:  # below the measured sizes
+        return HOLDS if usage.amount <= budget else UNKNOWN
+    return BREAKS if usage.amount > budget else HOLDS
--- a/lupinmill/lab/scale/show.py
+++ b/lupinmill/lab/scale/show.py
@@ -5,7 +5,7 @@
 import math
 from collections.abc import Sequence
 
-from lupinmill.lab.scale.row import Row
+from lupinmill.lab.scale.row import BudgetRow
 
 LARGE = ((1e9, "G"), (1e6, "M"), (1e3, "K"))
 NOTHING = 1e-12
@@ -44,8 +44,8 @@
     return f"{digits(value)} {unit}"
 
 
-def headroom(row: Row) -> str:
-    part = row.use.amount / row.budget
+def headroom(row: BudgetRow) -> str:
+    part = row.usage.amount / row.budget
     if part <= 1:
         return f"{100 * (1 - part):.0f}%"
     return f"none: {digits(part)} times the budget"
--- a/lupinmill/lab/scale/tables.py
+++ b/lupinmill/lab/scale/tables.py
@@ -1,5 +1,5 @@
-"""What `capacity` knows by hand, checked when it is read: which measured figure stands for which budget, by
-which file it is carried, which mechanism it wants next, and each mechanism's design in three sentences."""
+"""Hand-written tables of `capacity`: which measured figure counts against which budget, which file implements
+it, which mechanism it needs next, and the design of each mechanism in three sentences."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from fnmatch import fnmatchcase
 
 from lupinmill.lab.scale.measured import Figure
-from lupinmill.lab.scale.target import DAY, Target
+from lupinmill.lab.scale.target import SECONDS_PER_DAY, Target
 from lupinmill.protocol.lists import LARGEST_LIST
 
 MISSING = "missing"
@@ -21,7 +21,7 @@
 @dataclass(frozen=True, slots=True)
 class Mechanism:
     title: str
-    file: str  # that carries it, or "missing"
+    file: str  # that implements it, or "missing"
     design: tuple[str, str, str]
 
 
@@ -154,10 +154,10 @@
     "sidecar.memory_mb": lambda t: t.sidecar.memory_mb * 1e6,
     "sidecar.bytes_a_second": lambda t: t.sidecar.bytes_a_second,
     "control_load": lambda t: t.assumed("control_load"),
-    # A process uses one core of a control machine, and may have its part of the rest.
+    # A process uses one core of a control machine, and so its share of the machine's memory and bytes.
     "control_memory_mb": lambda t: t.assumed("control_memory_mb") * 1e6 / t.assumed("control_cores"),
     "control_bytes_a_second": lambda t: t.assumed("control_bytes_a_second") / t.assumed("control_cores"),
-    "look_s": lambda t: t.assumed("control_load"),  # one is due each second
+    "look_s": lambda t: t.assumed("control_load"),  # an evaluation is due each second
     "largest_list": lambda t: LARGEST_LIST,
     "list_calls_a_second": lambda t: t.assumed("list_calls_a_second"),
     "in_force_s": lambda t: t.goals.in_force_s,
@@ -167,29 +167,32 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Kind:
-    """Figures of this role, name and day (shell patterns) stand for this budget. Of several the first
-    counts."""
+class BudgetRule:
+    """Figures whose role, name and day match the patterns count against this budget.
+
+    Patterns are those of the shell; the first rule that matches applies.
+    """
 
     role: str
     name: str
     day: str
     budget: str
-    carried: str
-    next: tuple[str, ...] = ()
+    carried_by: str
+    mechanisms: tuple[str, ...] = ()
     fatal: bool = False
-    added: str = ""  # there only with this mechanism
-    grows: str = "*"
-    after: str = ""  # see `Row`
-    mean: str = "mean"  # what stands in a point's `mean`
-    files: str = ""  # the figure is of one new operators' file; of those that come a second it has this unit
+    requires: str = ""  # exists only with this mechanism
+    grows_with: str = "*"
+    successor: str = ""  # see `BudgetRow`
+    mean_label: str = "mean"  # what a point's `mean` holds
+    # Set where the figure is of one new operators' file: the unit of its product with new files per second.
+    new_file_unit: str = ""
 
-    def takes(self, figure: Figure) -> bool:
+    def matches(self, figure: Figure) -> bool:
         pairs = (
             (figure.role, self.role),
             (figure.name, self.name),
             (figure.day, self.day),
-            (figure.grows_with, self.grows),
+            (figure.grows_with, self.grows_with),
         )
         return all(fnmatchcase(text, pattern) for text, pattern in pairs)
 
@@ -197,97 +200,110 @@
 # --- sizes --------------------------------------------------------------------------------------
 
 
-def changes(target: Target) -> float:
-    """A second, in the dearest minute."""
-    return target.goals.changes_a_day / DAY * target.assumed("peak_factor")
+def changes_per_second(target: Target) -> float:
+    """In the busiest minute."""
+    return target.goals.changes_a_day / SECONDS_PER_DAY * target.assumed("peak_factor")
+
 
+def new_files_per_second(target: Target, sidecars: float) -> float:
+    """New operators' files per second in the busiest minute, for a fleet of that many sidecars.
 
-def new_files(target: Target, sidecars: float) -> float:
-    """Operators' files a second in the dearest minute, in a fleet of so many: one for each machine that comes
-    back at another address, for every sidecar."""
+    Each machine that comes back at another address means a new file for every sidecar.
+    """
     day = target.faults.restarted_a_day + target.faults.failed_a_day
-    return day / DAY * target.assumed("peak_factor") * sidecars / target.fleet.sidecars
+    return day / SECONDS_PER_DAY * target.assumed("peak_factor") * sidecars / target.fleet.sidecars
 
 
-def relays_left(target: Target) -> int:
-    """With a zone of control machines lost, in the worst case all of them relays."""
+def remaining_relays(target: Target) -> int:
+    """Relays left after a zone is lost; in the worst case all its control machines run relays."""
     return max(1, target.control.relays - target.machines_a_zone)
 
 
-def size(target: Target, figure: Figure) -> float | None:
-    """Of a figure at the target; None where the target has no size that it grows with."""
-    if figure.name.startswith(ONE_RELAY):
-        return target.fleet.sidecars / relays_left(target)
+def size_at_target(target: Target, figure: Figure) -> float | None:
+    """Size of a figure at the target; None where the target has no size that the figure grows with."""
+    if figure.name.startswith(SINGLE_RELAY_PREFIXES):
+        return target.fleet.sidecars / remaining_relays(target)
     sizes = {
         "members": float(target.fleet.sidecars),
         "sidecars": float(target.fleet.sidecars),
         "endpoints": float(target.list_endpoints if figure.role == "sidecar" else target.fleet.endpoints),
         "zones": float(target.fleet.zones),
         "relays": float(target.control.relays),
-        CHANGES: changes(target),
+        CHANGES_PER_SECOND: changes_per_second(target),
         "calls a second": target.calls_a_sidecar * target.assumed("skew"),
     }
     return sizes.get(figure.grows_with)
 
 
-# Figures of one relay by its own sidecars are named so, of cores or of processes; others are by the fleet's.
-ONE_RELAY = ("core ", "process ", "watch ")
-ENTRIES = "members' entries"  # key of the computed row that takes the place of new files
-BESIDE = "quiet, sockets"  # a day that is run to compare real members with hollow ones, and sizes nothing
-# Of its time on a core that a call waited for one, as `added.WAITED`: then the run judges nothing.
-DISTURBED = 0.1
-# A size that the fleet's does not move: a budget that breaks there breaks in a fleet of any size.
-APART = ("calls a second",)
+# Prefixes of figures of one relay by its own sidecars, of cores or of processes. Others are by the fleet's.
+SINGLE_RELAY_PREFIXES = ("core ", "process ", "watch ")
+MEMBER_ENTRIES = "members' entries"  # key of the computed row that replaces those of new files
+COMPARISON_DAY = "quiet, sockets"  # compares real members with hollow ones; counts against no budget
+# Time that a call waited for a core as a part of its time on one, as `added.WAITED`. Above it the run was
+# disturbed and gives no verdict.
+MAX_CORE_WAIT = 0.1
+# Sizes that don't depend on the fleet's: a budget exceeded there is exceeded in a fleet of any size.
+FLEET_INDEPENDENT_SIZES = ("calls a second",)
 
-# --- kinds --------------------------------------------------------------------------------------
+# --- budget rules -------------------------------------------------------------------------------
 
-CORE, CHANGES = "part of a core", "changes a second"
-MEMBERS, FILES = "lupinmill/peers/membership.py", "lupinmill/program/operators_file.py"
-ZONES, LIST = "lupinmill/zones/reports.py", "lupinmill/protocol/lists.py"
-WATCH, FANNED = "lupinmill/discovery/", "lupinmill/config/"
+CORE_UNIT, CHANGES_PER_SECOND = "part of a core", "changes a second"
+MEMBERSHIP_FILE, OPERATORS_FILE = "lupinmill/peers/membership.py", "lupinmill/program/operators_file.py"
+REPORTS_FILE, LISTS_FILE = "lupinmill/zones/reports.py", "lupinmill/protocol/lists.py"
+DISCOVERY_FILES, CONFIG_FILES = "lupinmill/discovery/", "lupinmill/config/"
 
-KINDS: tuple[Kind, ...] = (
-    Kind("*", "time in force", "*", "in_force_s", FANNED, (CONFIG,), True, added=CONFIG, mean="p50"),
-    Kind("*", "process time in force", "*", "in_force_s", FANNED, (CONFIG,), True, added=CONFIG, mean="p50"),
-    Kind("*", "time in force p99", "*", "in_force_s", FANNED, (CONFIG,), True, added=CONFIG, mean="p99"),
-    Kind("*", "time until all are at the newest", "*", "back_s", FANNED, (LAYERS,), added=CONFIG),
-    Kind("relay", "*cpu", "*", "control_load", FANNED, (LAYERS,), added=CONFIG),
-    Kind("relay", "*memory", "*", "control_memory_mb", FANNED, (LAYERS,), added=CONFIG),
-    Kind("relay", "*bytes", "*", "control_bytes_a_second", FANNED, (LAYERS,), added=CONFIG),
-    Kind("relay", "bytes out", "*", "control_bytes_a_second", FANNED, (LAYERS,), added=CONFIG),
-    Kind("source", "*cpu", "*", "control_load", FANNED, (LAYERS,), added=CONFIG),
-    Kind("source", "*memory", "*", "control_memory_mb", FANNED, (LAYERS,), added=CONFIG),
-    Kind("source", "bytes*", "*", "control_bytes_a_second", FANNED, (LAYERS,), added=CONFIG),
-    Kind("sidecar", "watch cpu", "*", "sidecar.cpu", FANNED, (CONFIG,), added=CONFIG),
-    Kind("sidecar", "cpu", "*", "sidecar.cpu", FANNED, (CONFIG,), added=CONFIG, grows=CHANGES),
-    Kind("sidecar", "bytes", "*", "sidecar.bytes_a_second", FANNED, (CONFIG,), added=CONFIG, grows=CHANGES),
-    Kind("sidecar", "memory", "*", "sidecar.memory_mb", FANNED, (CONFIG,), added=CONFIG, grows="sidecars"),
-    # Fatal on a quiet or an ordinary day. What is passed for some seconds after a start or a loss is not.
-    Kind("sidecar", "cpu", "quiet", "sidecar.cpu", MEMBERS, (CELLS, ROSTERS), True),
-    Kind("sidecar", "cpu", "ordinary", "sidecar.cpu", MEMBERS, (CELLS, ROSTERS), True),
-    Kind("sidecar", "cpu", "*", "sidecar.cpu", MEMBERS, (CELLS, ROSTERS)),
-    Kind("sidecar", "bytes", "quiet", "sidecar.bytes_a_second", MEMBERS, (CELLS, ROSTERS), True),
-    Kind("sidecar", "bytes", "ordinary", "sidecar.bytes_a_second", MEMBERS, (CELLS, ROSTERS), True),
-    Kind("sidecar", "bytes", "start", "sidecar.bytes_a_second", MEMBERS, (JOINING, CELLS)),
-    Kind("sidecar", "bytes", "*", "sidecar.bytes_a_second", MEMBERS, (CELLS, ROSTERS)),
-    Kind("sidecar", "evidence bytes", "*", "sidecar.bytes_a_second", ZONES, (CELLS,), True),
-    Kind("sidecar", "state", "*", "sidecar.memory_mb", MEMBERS, (CELLS, ROSTERS), True),
-    Kind("sidecar", "file memory", "*", "sidecar.memory_mb", FILES, (ROSTERS, CELLS), True),
-    Kind("sidecar", "file cpu", "*", "sidecar.cpu", FILES, (CONFIG, ROSTERS), True, files=CORE,
-         after=ENTRIES),
-    Kind("sidecar", "file bytes", "*", "sidecar.bytes_a_second", FILES, (CONFIG, ROSTERS), True,
-         files="bytes/s", after=ENTRIES),
-    Kind("sidecar", "list memory", "*", "sidecar.memory_mb", LIST, (LISTS,), True),
-    Kind("sidecar", "list bytes", "*", "largest_list", LIST, (LISTS,), True),
-    Kind("elector", "evidence cpu", "*", "control_load", ZONES, (CELLS,), True),
-    Kind("elector", "evidence memory", "*", "control_memory_mb", ZONES, (CELLS,), True),
-    Kind("elector", "evidence bytes", "*", "control_bytes_a_second", ZONES, (CELLS,), True),
-    Kind("holder", "evidence cpu", "*", "control_load", ZONES, (CELLS,), True),
-    Kind("holder", "look if all heard", "*", "look_s", ZONES, (CELLS,), True),
-    Kind("holder", "evidence memory", "*", "control_memory_mb", ZONES, (CELLS,), True),
-    Kind("holder", "evidence bytes", "*", "control_bytes_a_second", ZONES, (CELLS,), True),
-    Kind("discovery", "calls, *, 5000 *", "quiet", "list_calls_a_second", WATCH, (LISTS,)),
-    Kind("discovery", "calls, *, 5000 *", "*", "list_calls_a_second", WATCH, (DISCOVERY, LISTS), True),
-    Kind("discovery", "wait for a list, *, 5000 *", "*", "back_s", WATCH, (DISCOVERY, LISTS), True,
-         mean="p50"),
+BUDGET_RULES: tuple[BudgetRule, ...] = (
+    BudgetRule("*", "time in force", "*", "in_force_s", CONFIG_FILES, (CONFIG,), True, requires=CONFIG,
+               mean_label="p50"),
+    BudgetRule("*", "process time in force", "*", "in_force_s", CONFIG_FILES, (CONFIG,), True,
+               requires=CONFIG, mean_label="p50"),
+    BudgetRule("*", "time in force p99", "*", "in_force_s", CONFIG_FILES, (CONFIG,), True, requires=CONFIG,
+               mean_label="p99"),
+    BudgetRule("*", "time until all are at the newest", "*", "back_s", CONFIG_FILES, (LAYERS,),
+               requires=CONFIG),
+    BudgetRule("relay", "*cpu", "*", "control_load", CONFIG_FILES, (LAYERS,), requires=CONFIG),
+    BudgetRule("relay", "*memory", "*", "control_memory_mb", CONFIG_FILES, (LAYERS,), requires=CONFIG),
+    BudgetRule("relay", "*bytes", "*", "control_bytes_a_second", CONFIG_FILES, (LAYERS,), requires=CONFIG),
+    BudgetRule("relay", "bytes out", "*", "control_bytes_a_second", CONFIG_FILES, (LAYERS,), requires=CONFIG),
+    BudgetRule("source", "*cpu", "*", "control_load", CONFIG_FILES, (LAYERS,), requires=CONFIG),
+    BudgetRule("source", "*memory", "*", "control_memory_mb", CONFIG_FILES, (LAYERS,), requires=CONFIG),
+    BudgetRule("source", "bytes*", "*", "control_bytes_a_second", CONFIG_FILES, (LAYERS,), requires=CONFIG),
+    BudgetRule("sidecar", "watch cpu", "*", "sidecar.cpu", CONFIG_FILES, (CONFIG,), requires=CONFIG),
+    BudgetRule("sidecar", "cpu", "*", "sidecar.cpu", CONFIG_FILES, (CONFIG,), requires=CONFIG,
+               grows_with=CHANGES_PER_SECOND),
+    BudgetRule("sidecar", "bytes", "*", "sidecar.bytes_a_second", CONFIG_FILES, (CONFIG,), requires=CONFIG,
+               grows_with=CHANGES_PER_SECOND),
+    BudgetRule("sidecar", "memory", "*", "sidecar.memory_mb", CONFIG_FILES, (CONFIG,), requires=CONFIG,
+               grows_with="sidecars"),
+    # Fatal on a quiet or an ordinary day, not when exceeded for some seconds after a start or a loss.
+    BudgetRule("sidecar", "cpu", "quiet", "sidecar.cpu", MEMBERSHIP_FILE, (CELLS, ROSTERS), True),
+    BudgetRule("sidecar", "cpu", "ordinary", "sidecar.cpu", MEMBERSHIP_FILE, (CELLS, ROSTERS), True),
+    BudgetRule("sidecar", "cpu", "*", "sidecar.cpu", MEMBERSHIP_FILE, (CELLS, ROSTERS)),
+    BudgetRule("sidecar", "bytes", "quiet", "sidecar.bytes_a_second", MEMBERSHIP_FILE, (CELLS, ROSTERS),
+               True),
+    BudgetRule("sidecar", "bytes", "ordinary", "sidecar.bytes_a_second", MEMBERSHIP_FILE, (CELLS, ROSTERS),
+               True),
+    BudgetRule("sidecar", "bytes", "start", "sidecar.bytes_a_second", MEMBERSHIP_FILE, (JOINING, CELLS)),
+    BudgetRule("sidecar", "bytes", "*", "sidecar.bytes_a_second", MEMBERSHIP_FILE, (CELLS, ROSTERS)),
+    BudgetRule("sidecar", "evidence bytes", "*", "sidecar.bytes_a_second", REPORTS_FILE, (CELLS,), True),
+    BudgetRule("sidecar", "state", "*", "sidecar.memory_mb", MEMBERSHIP_FILE, (CELLS, ROSTERS), True),
+    BudgetRule("sidecar", "file memory", "*", "sidecar.memory_mb", OPERATORS_FILE, (ROSTERS, CELLS), True),
+    BudgetRule("sidecar", "file cpu", "*", "sidecar.cpu", OPERATORS_FILE, (CONFIG, ROSTERS), True,
+               new_file_unit=CORE_UNIT, successor=MEMBER_ENTRIES),
+    BudgetRule("sidecar", "file bytes", "*", "sidecar.bytes_a_second", OPERATORS_FILE, (CONFIG, ROSTERS),
+               True, new_file_unit="bytes/s", successor=MEMBER_ENTRIES),
+    BudgetRule("sidecar", "list memory", "*", "sidecar.memory_mb", LISTS_FILE, (LISTS,), True),
+    BudgetRule("sidecar", "list bytes", "*", "largest_list", LISTS_FILE, (LISTS,), True),
+    BudgetRule("elector", "evidence cpu", "*", "control_load", REPORTS_FILE, (CELLS,), True),
+    BudgetRule("elector", "evidence memory", "*", "control_memory_mb", REPORTS_FILE, (CELLS,), True),
+    BudgetRule("elector", "evidence bytes", "*", "control_bytes_a_second", REPORTS_FILE, (CELLS,), True),
+    BudgetRule("holder", "evidence cpu", "*", "control_load", REPORTS_FILE, (CELLS,), True),
+    BudgetRule("holder", "look if all heard", "*", "look_s", REPORTS_FILE, (CELLS,), True),
+    BudgetRule("holder", "evidence memory", "*", "control_memory_mb", REPORTS_FILE, (CELLS,), True),
+    BudgetRule("holder", "evidence bytes", "*", "control_bytes_a_second", REPORTS_FILE, (CELLS,), True),
+    BudgetRule("discovery", "calls, *, 5000 *", "quiet", "list_calls_a_second", DISCOVERY_FILES, (LISTS,)),
+    BudgetRule("discovery", "calls, *, 5000 *", "*", "list_calls_a_second", DISCOVERY_FILES,
+               (DISCOVERY, LISTS), True),
+    BudgetRule("discovery", "wait for a list, *, 5000 *", "*", "back_s", DISCOVERY_FILES,
+               (DISCOVERY, LISTS), True, mean_label="p50"),
 )  # fmt: skip
--- a/lupinmill/lab/scale/target.py
+++ b/lupinmill/lab/scale/target.py
@@ -1,8 +1,9 @@
-"""The target of `lupinmill lab capacity`: a TOML file read into closed types. Every fault is one line that
-names the key, an unknown one together with the nearest known one.
+"""The target of `lupinmill lab capacity`: a TOML file decoded into types that reject unknown keys.
 
-An assumption is a figure that the users' letter does not give; it has a reason, and `wrong_by` gives the
-target in which it is another."""
+Every error is one line that names the key, and for an unknown key also the nearest known one.
+
+An assumption is a figure that the requirements do not give. It has a reason, and `with_error` returns the
+target with another value of it."""
 
 from __future__ import annotations
 
@@ -17,8 +18,8 @@
 from lupinmill.program.operators_file import BadFile, known_keys
 
 FILE = Path(__file__).with_name("target.toml")
-LARGEST = 2**18  # bytes
-DAY = 86_400.0  # seconds
+MAX_FILE_BYTES = 2**18  # bytes
+SECONDS_PER_DAY = 86_400.0  # seconds
 
 Count = Annotated[int, Meta(ge=1, le=10_000_000)]
 Few = Annotated[int, Meta(ge=0, le=10_000)]
@@ -26,8 +27,8 @@
 Part = Annotated[float, Meta(gt=0, le=1)]
 
 
-class BadTarget(Exception):
-    """The text is the one line."""
+class InvalidTarget(Exception):
+    """The target file can't be used. The message is one line."""
 
 
 class Fleet(Struct, forbid_unknown_fields=True, frozen=True):
@@ -47,7 +48,7 @@
 
 
 class Sidecar(Struct, forbid_unknown_fields=True, frozen=True):
-    """What one sidecar may spend on control."""
+    """What one sidecar may use for control."""
 
     cpu: Part  # of a core
     memory_mb: Amount  # of 10**6 bytes
@@ -55,7 +56,7 @@
 
 
 class Control(Struct, forbid_unknown_fields=True, frozen=True):
-    """The machines set aside for it. Each runs a relay, and some run another role beside it."""
+    """The machines dedicated to control. Each runs a relay, and some run another role as well."""
 
     machines: Count
     electors: Few
@@ -96,7 +97,7 @@
     back_s: Assumption
 
 
-# Least and most that an assumption may be, also where it is taken for wrong.
+# Minimum and maximum of each assumption, also where its error is tried out.
 RANGES: dict[str, tuple[float, float]] = {
     "skew": (1, 10_000),
     "services_called": (1, 10_000),
@@ -127,12 +128,12 @@
 
     @property
     def calls_a_sidecar(self) -> float:
-        """A second, in the mean."""
+        """Mean calls per second."""
         return self.fleet.calls_a_second / self.fleet.sidecars
 
     @property
     def list_endpoints(self) -> float:
-        """In one sidecar's list."""
+        """Endpoints in the lists of one sidecar."""
         whole = self.assumed("services_called") * self.fleet.endpoints / self.fleet.services
         return min(whole, float(self.fleet.endpoints))
 
@@ -142,7 +143,7 @@
 
     @property
     def machines_a_zone(self) -> int:
-        """Control machines lost with a zone, where they stand as evenly as can be."""
+        """Control machines lost with a zone, when spread as evenly as possible."""
         return -(-self.control.machines // self.fleet.zones)
 
 
@@ -150,18 +151,18 @@
     """Raises BadTarget."""
     try:
         data = path.read_bytes()
-        if len(data) > LARGEST:
-            raise BadFile(f"over {LARGEST} bytes")
-        return understand(tomllib.loads(data.decode()))
+        if len(data) > MAX_FILE_BYTES:
+            raise BadFile(f"over {MAX_FILE_BYTES} bytes")
+        return parse(tomllib.loads(data.decode()))
     except OSError as error:
-        raise BadTarget(f"{path}: {error.strerror}") from error
+        raise InvalidTarget(f"{path}: {error.strerror}") from error
     except UnicodeDecodeError as error:
-        raise BadTarget(f"{path}: no UTF-8") from error
+        raise InvalidTarget(f"{path}: not valid UTF-8") from error
     except (tomllib.TOMLDecodeError, BadFile) as error:
-        raise BadTarget(f"{path}: {error}") from error
+        raise InvalidTarget(f"{path}: {error}") from error
 
 
-def understand(table: dict[str, Any]) -> Target:
+def parse(table: dict[str, Any]) -> Target:
     """Raises BadFile."""
     known_keys(table, Target, "")
     try:
@@ -172,30 +173,30 @@
         if missing := re.fullmatch(r"Object missing required field `(.+)`", text):
             raise BadFile(f"{place}{'.' if place else ''}{missing[1]}: missing") from error
         raise BadFile(f"{place or 'the file'}: {text}") from error
-    check(target)
+    validate(target)
     return target
 
 
-def check(target: Target) -> None:
-    for name, (least, most) in RANGES.items():
-        if not least <= target.assumed(name) <= most:
-            raise BadFile(f"assumptions.{name}.value: wants {least:g} to {most:g}")
+def validate(target: Target) -> None:
+    for name, (minimum, maximum) in RANGES.items():
+        if not minimum <= target.assumed(name) <= maximum:
+            raise BadFile(f"assumptions.{name}.value: must be {minimum:g} to {maximum:g}")
     fleet = target.fleet
     for key in ("services", "zones"):
         if getattr(fleet, key) > fleet.sidecars:
-            raise BadFile(f"fleet.{key}: wants no more than fleet.sidecars, {fleet.sidecars}")
+            raise BadFile(f"fleet.{key}: must be at most fleet.sidecars, {fleet.sidecars}")
     if fleet.regions > fleet.zones:
-        raise BadFile(f"fleet.regions: wants no more than fleet.zones, {fleet.zones}")
+        raise BadFile(f"fleet.regions: must be at most fleet.zones, {fleet.zones}")
     for key in ("electors", "sources", "discovery"):
         if getattr(target.control, key) > target.control.machines:
-            raise BadFile(f"control.{key}: wants no more than control.machines, {target.control.machines}")
+            raise BadFile(f"control.{key}: must be at most control.machines, {target.control.machines}")
 
 
-def wrong_by(target: Target, name: str, factor: float) -> Target:
-    """The same with one assumption wrong by that factor, within its range."""
-    least, most = RANGES[name]
+def with_error(target: Target, name: str, factor: float) -> Target:
+    """The target with one assumption multiplied by a factor, clamped to its range."""
+    minimum, maximum = RANGES[name]
     was = getattr(target.assumptions, name)
-    changed = msgspec.structs.replace(was, value=min(most, max(least, was.value * factor)))
+    changed = msgspec.structs.replace(was, value=min(maximum, max(minimum, was.value * factor)))
     return msgspec.structs.replace(
         target, assumptions=msgspec.structs.replace(target.assumptions, **{name: changed})
     )
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,5 +1,6 @@
-"""Measured slopes times the target: what may be extended, N*, order and choice of rows, assumptions that are
-wrong, files that can't be used. Measured figures are made up here; the page's own are compared at the end."""
+"""`lupinmill lab capacity`: extrapolation, N*, order and choice of rows, wrong assumptions, unusable files.
+
+Most tests use invented figures; the last ones compare the page with the command's output."""
 
 import re
 import tomllib
@@ -9,10 +10,10 @@
 import pytest
 from click.testing import CliRunner
 from hypothesis import given
-from hypothesis import settings as drawn
+from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from lupinmill.cli import capacity as command
+from lupinmill.cli import capacity as capacity_command
 from lupinmill.cli.lab import lab
 from lupinmill.lab.scale import capacity, computed, curves, fit, measured, page, page_run, tables, target
 from lupinmill.lab.scale.curves import (
@@ -28,7 +29,7 @@
     Usage,
 )
 from lupinmill.lab.scale.measured import Added, Figure, Measured, Point
-from lupinmill.lab.scale.row import BREAKS, HOLDS, UNKNOWN, Row
+from lupinmill.lab.scale.row import BREAKS, HOLDS, UNKNOWN, BudgetRow
 from lupinmill.program import operators_file, told
 
 TARGET = target.read()
@@ -46,7 +47,7 @@
     peak=None,
     seeds=(1, 2),
 ) -> Figure:
-    """`of`: a size's mean; `peak`: a size's peak."""
+    """A figure whose mean at a size is `of(size)` and whose peak is `peak(size)`."""
     points = [Point(size, seed, of(size), peak(size) if peak else 0.0) for size in sizes for seed in seeds]
     return Figure(role, name, unit, grows, day, points, fit.fit(points))
 
@@ -63,9 +64,11 @@
     return 1e-8 * size**2
 
 
-def row(key: str, bound: Bound, *next: str, verdict=BREAKS, fatal=True, control=True, added="") -> Row:
-    use = Usage(2.0, COMPUTED)
-    return Row(key, "holder", key, "s", 1.0, use, bound, verdict, "missing", next, fatal, control, added)
+def row(key: str, bound: Bound, *next: str, verdict=BREAKS, fatal=True, control=True, added="") -> BudgetRow:
+    usage = Usage(2.0, COMPUTED)
+    return BudgetRow(
+        key, "holder", key, "s", 1.0, usage, bound, verdict, "missing", next, fatal, control, added
+    )
 
 
 # --- the target's file --------------------------------------------------------------------------
@@ -89,10 +92,10 @@
     ("cpu = 0.044", "cpu = nan", "sidecar.cpu: Expected"),
     ("in_force_s = 12.0", "in_force_s = inf", "goals.in_force_s: Expected `float` <= 1000000000000.0"),
     ("in_force_s = 12.0 ", "", "goals.in_force_s: missing"),
-    ("value = 8.0", "value = 0.5", "assumptions.skew.value: wants 1 to 10000"),
-    ("regions = 7", "regions = 30", "fleet.regions: wants no more than fleet.zones, 20"),
+    ("value = 8.0", "value = 0.5", "assumptions.skew.value: must be 1 to 10000"),
+    ("regions = 7", "regions = 30", "fleet.regions: must be at most fleet.zones, 20"),
     ("zones = 20", "zones = 9_000\nservices = 1", "Cannot overwrite a value"),
-    ("machines = 50 ", "machines = 4 ", "control.electors: wants no more than control.machines, 4"),
+    ("machines = 50 ", "machines = 4 ", "control.electors: must be at most control.machines, 4"),
 ]
 
 
@@ -109,9 +112,9 @@
     "data, said",
     [
         (None, "No such file"),
-        (b"\xff", "no UTF-8"),
+        (b"\xff", "not valid UTF-8"),
         (b"a = ", "Invalid value"),
-        (b"#" * (target.LARGEST + 1), "over"),
+        (b"#" * (target.MAX_FILE_BYTES + 1), "over"),
     ],
 )
 def test_a_file_that_is_none_is_one_line(tmp_path, data, said):
@@ -156,8 +159,8 @@
 
 def test_a_straight_line_is_extended_and_says_so():
     curve = curves.make_curve(figure(line(1, 0.01)).points, False)
-    use = curves.value_at(curve, 20_000)
-    assert use.basis == EXTRAPOLATED and use.amount == pytest.approx(201)
+    usage = curves.value_at(curve, 20_000)
+    assert usage.basis == EXTRAPOLATED and usage.amount == pytest.approx(201)
     found = curves.breaking_size(curve, 100)
     assert found.kind == "at" and found.extrapolated and found.size == pytest.approx(9_900)
 
@@ -186,14 +189,14 @@
     ) == Bound("under", 20_000)
 
 
-@drawn(derandomize=True, deadline=None)
+@hypothesis_settings(derandomize=True, deadline=None)
 @given(st.floats(0.5, 3), st.floats(1e-3, 1e3), st.floats(100, 1e6))
 def test_no_power_but_a_line_is_ever_used_beyond_its_sizes(power, budget, size):
     curve = curves.make_curve(figure(lambda n: 1e-6 * n**power).points, False)
-    use, bound = curves.value_at(curve, size), curves.breaking_size(curve, budget)
+    usage, bound = curves.value_at(curve, size), curves.breaking_size(curve, budget)
     if curve.line is None:
-        assert use.basis != EXTRAPOLATED and not bound.extrapolated
-        assert min(curve.values) <= use.amount <= max(curve.values)
+        assert usage.basis != EXTRAPOLATED and not bound.extrapolated
+        assert min(curve.values) <= usage.amount <= max(curve.values)
     else:
         assert 0.85 < power < 1.15
 
@@ -222,7 +225,7 @@
     )
 
 
-@drawn(derandomize=True, deadline=None)
+@hypothesis_settings(derandomize=True, deadline=None)
 @given(st.floats(0, 1), st.floats(1e-3, 1e-2), st.floats(1.5, 1e3))
 def test_n_star_of_a_known_slope(intercept, slope, budget):
     curve = curves.make_curve(figure(line(intercept, slope)).points, False)
@@ -240,21 +243,21 @@
     assert curves.value_at(curves.make_curve(points, True), 1000).amount == 4000
     one = Figure("elector", "evidence cpu", "part of a core", "members", "quiet", points, fit.fit(points))
     found = by_key(run(one))["elector evidence cpu quiet, by members"]
-    assert found.use.amount == pytest.approx(80_000) and found.mean.amount == pytest.approx(20_000)
+    assert found.usage.amount == pytest.approx(80_000) and found.mean.amount == pytest.approx(20_000)
 
 
 # --- rows ---------------------------------------------------------------------------------------
 
 
-def by_key(one: Measured, wanted=TARGET) -> dict[str, Row]:
-    return {row.key: row for row in capacity.rows(wanted, one)}
+def by_key(one: Measured, wanted=TARGET) -> dict[str, BudgetRow]:
+    return {row.key: row for row in capacity.budget_rows(wanted, one)}
 
 
 def test_n_star_is_of_the_fleet_whatever_the_figure_grows_with():
     relay = by_key(run(figure(line(0, 0.001), "relay", "core cpu", grows="sidecars")))
     relay = relay["relay core cpu quiet, by sidecars"]
     a_relay = 20_000 / (50 - 3)  # with a zone of the control machines lost
-    assert relay.use.amount == pytest.approx(0.001 * a_relay)
+    assert relay.usage.amount == pytest.approx(0.001 * a_relay)
     assert relay.bound.size == pytest.approx(500 * 20_000 / a_relay)
     sidecar = by_key(run(figure(line(0, 0.044 / 5000))))["sidecar cpu quiet, by members"]
     assert sidecar.bound.size == pytest.approx(5000) and sidecar.verdict == BREAKS
@@ -262,7 +265,7 @@
 
 def test_figures_of_one_relay_are_by_its_own_sidecars_and_others_by_the_fleets():
     def size(name: str, role: str = "relay") -> float:
-        return tables.size(TARGET, figure(line(1, 0), role, name, grows="sidecars"))
+        return tables.size_at_target(TARGET, figure(line(1, 0), role, name, grows="sidecars"))
 
     assert size("process cpu") == size("core memory") == size("watch cpu", "sidecar") == 20_000 / 47
     assert size("time until all are at the newest") == size("calls, all relays") == 20_000
@@ -298,29 +301,29 @@
     ways = (("bytes in", 3000), ("bytes out", 6000))
     one = run(*(figure(line(amount, 0), name=name, unit="bytes/s") for name, amount in ways))
     found = by_key(one)["sidecar bytes quiet, by members"]
-    assert found.use.amount == pytest.approx(9000) and found.verdict == BREAKS and found.bound == ANY_SIZE
+    assert found.usage.amount == pytest.approx(9000) and found.verdict == BREAKS and found.bound == ANY_SIZE
 
 
 def test_a_new_file_for_each_machine_that_comes_back_grows_with_the_square_of_the_fleet():
     one = figure(line(0, 87.0), name="file bytes", unit="bytes", day="change", sizes=(1000, 3000, 20_000))
     found = by_key(run(one))["sidecar file bytes change, by members"]
     a_second = (95 + 1200) * 10 / 86_400
-    assert found.use == Usage(pytest.approx(87 * 20_000 * a_second), MEASURED, 20_000)
+    assert found.usage == Usage(pytest.approx(87 * 20_000 * a_second), MEASURED, 20_000)
     assert found.unit == "bytes/s" and found.bound.kind == "at" and 3000 < found.bound.size < 20_000
     half = by_key(run(msgspec.structs.replace(one, points=one.points[:4])))
     half = half["sidecar file bytes change, by members"]
-    assert half.use == Usage(pytest.approx(87 * 3000 * a_second * 3000 / 20_000), AT_LAST_SIZE, 3000)
+    assert half.usage == Usage(pytest.approx(87 * 3000 * a_second * 3000 / 20_000), AT_LAST_SIZE, 3000)
 
 
 def test_hollow_members_count_and_real_ones_stand_beside_them():
     one = figure(line(0.01, 0))
     one.points += [Point(30, 1, 0.5, hollow=False)]
-    assert by_key(run(one))["sidecar cpu quiet, by members"].use.amount == pytest.approx(0.01)
+    assert by_key(run(one))["sidecar cpu quiet, by members"].usage.amount == pytest.approx(0.01)
 
 
 def test_a_figure_without_budget_or_size_is_still_on_the_page():
     one = run(figure(line(5, 0), name="rows"), figure(line(5, 0), grows="moons"))
-    assert {(f.name, f.grows_with) for f, _, _ in capacity.unbudgeted(TARGET, one)} == {
+    assert {(f.name, f.grows_with) for f, _, _ in capacity.figures_without_budget(TARGET, one)} == {
         ("rows", "members"),
         ("cpu", "moons"),
     }
@@ -336,7 +339,7 @@
     rows = by_key(one)
     assert (rows["added mean"].verdict, rows["added mean"].bound) == (HOLDS, NEVER)
     assert (rows["added hottest"].verdict, rows["added hottest"].bound) == (BREAKS, ANY_SIZE)
-    assert rows["added mean"].use.amount == pytest.approx(0.001) and not rows["added mean"].control
+    assert rows["added mean"].usage.amount == pytest.approx(0.001) and not rows["added mean"].control
 
 
 def test_a_run_in_which_the_sidecar_waited_for_a_core_judges_no_time_added():
@@ -357,14 +360,14 @@
 
 
 def test_the_text_refuses_a_change_of_settings_while_it_runs():
-    """The premise of the row `settings`."""
+    """The row `settings` assumes this."""
     from bed import deployment
 
     one = told.Told("n", "127.0.0.1:1", "127.0.0.1:2", deployment(), None, 1, None, 1.0, 1.0)
     assert told.fixed(one, one) == []
     assert told.fixed(one, replace(one, deployment=replace(one.deployment, instances=99))) == ["settings"]
     found = by_key(run())["settings"]
-    assert found.bound == ANY_SIZE and found.use.amount == 31_000 * 24
+    assert found.bound == ANY_SIZE and found.usage.amount == 31_000 * 24
 
 
 def test_words_of_members_run_out_from_the_size_on_that_the_text_gives():
@@ -381,7 +384,7 @@
     bounds.append(Bound("at", 9))
     order = sorted(bounds, key=lambda bound: bound.sort_key)
     assert [b.kind for b in order] == ["any", "at", "under", "at", "over", "never", "unknown"]
-    found = capacity.rows(TARGET, run(figure(line(0, 1e-5)), figure(square, "holder", "evidence cpu")))
+    found = capacity.budget_rows(TARGET, run(figure(line(0, 1e-5)), figure(square, "holder", "evidence cpu")))
     assert [row.bound.sort_key for row in found] == sorted(row.bound.sort_key for row in found)
 
 
@@ -394,9 +397,12 @@
         row("first", Bound("at", 100), "rosters"),
         row("second", Bound("at", 200), "cells"),
     ]
-    choice = capacity.choose(rows)
+    choice = capacity.choose_mechanism(rows)
     assert choice.row.key == "first" and choice.mechanism == "rosters"
-    assert capacity.choose([one for one in rows if not one.fatal or not one.control or one.added]) is None
+    assert (
+        capacity.choose_mechanism([one for one in rows if not one.fatal or not one.control or one.requires])
+        is None
+    )
 
 
 def test_of_equals_the_one_that_more_rows_stand_on_is_chosen():
@@ -406,24 +412,28 @@
         row("c", Bound("at", 9), "lists", "cells"),
         row("d", Bound("at", 9), "config", verdict=HOLDS),
     ]
-    choice = capacity.choose(rows)
-    assert choice.mechanism == "cells" and choice.stand == {"cells": 2, "config": 1, "lists": 1}
-    assert {one.key for one in choice.equals} == {"a", "b"}
+    choice = capacity.choose_mechanism(rows)
+    assert choice.mechanism == "cells" and choice.dependents == {"cells": 2, "config": 1, "lists": 1}
+    assert {one.key for one in choice.tied} == {"a", "b"}
     rows += [row("e", Bound("at", 9), "config"), row("f", Bound("at", 9), "config")]
-    assert capacity.choose(rows).mechanism == "config"
+    assert capacity.choose_mechanism(rows).mechanism == "config"
 
 
 def test_a_row_whose_mechanism_is_measured_counts_by_what_it_has_become():
     before = run()
-    assert "settings" in [r.key for r in capacity.next_rows(TARGET, before, capacity.rows(TARGET, before))]
+    assert "settings" in [
+        r.key for r in capacity.open_rows(TARGET, before, capacity.budget_rows(TARGET, before))
+    ]
     force = figure(line(1.5, 0), "sidecar", "time in force", "s", "sidecars", "ordinary", (1000, 20_000))
     now = run(force)
-    rows = capacity.rows(TARGET, now)
-    assert "settings" not in [r.key for r in capacity.next_rows(TARGET, now, rows)]
-    assert capacity.choose(rows).row.key == "settings"  # the choice is of the text without it
+    rows = capacity.budget_rows(TARGET, now)
+    assert "settings" not in [r.key for r in capacity.open_rows(TARGET, now, rows)]
+    assert (
+        capacity.choose_mechanism(rows).row.key == "settings"
+    )  # rows of existing mechanisms don't count in the choice
     assert "1.5 s, of 12 s, holds" in page.of_after(TARGET, now)
     slow = run(msgspec.structs.replace(force, points=[Point(20_000, 1, 15.0)]))
-    left = [r.key for r in capacity.next_rows(TARGET, slow, capacity.rows(TARGET, slow))]
+    left = [r.key for r in capacity.open_rows(TARGET, slow, capacity.budget_rows(TARGET, slow))]
     assert "sidecar time in force ordinary, by sidecars" in left
 
 
@@ -431,20 +441,22 @@
     sizes = (1000, 3000, 20_000)
     one = run(figure(line(0, 87.0), name="file bytes", unit="bytes", day="change", sizes=sizes))
     rows = by_key(one)
-    file, entries = rows["sidecar file bytes change, by members"], rows[tables.ENTRIES]
-    assert file.verdict == BREAKS and entries.verdict == HOLDS and entries.added == "config"
-    assert capacity.after(TARGET, one, file) == [entries]
-    assert file not in capacity.next_rows(TARGET, one, list(rows.values()))
+    file, entries = rows["sidecar file bytes change, by members"], rows[tables.MEMBER_ENTRIES]
+    assert file.verdict == BREAKS and entries.verdict == HOLDS and entries.requires == "config"
+    assert capacity.successors(TARGET, one, file) == [entries]
+    assert file not in capacity.open_rows(TARGET, one, list(rows.values()))
 
 
 def test_the_table_of_mechanisms_is_whole():
-    named = {name for kind in tables.KINDS for name in kind.next}
-    named |= {name for row in computed.rows(TARGET) for name in row.next}
+    named = {name for rule in tables.BUDGET_RULES for name in rule.mechanisms}
+    named |= {name for row in computed.budget_rows(TARGET) for name in row.mechanisms}
     assert named <= set(tables.MECHANISMS)
     for one in tables.MECHANISMS.values():
         assert len(one.design) == 3 and all(re.fullmatch(r"[A-Z][^.]*\.", text) for text in one.design)
-    assert {kind.budget for kind in tables.KINDS} <= set(tables.BUDGETS)
-    files = [row.carried for row in computed.rows(TARGET)] + [kind.carried for kind in tables.KINDS]
+    assert {rule.budget for rule in tables.BUDGET_RULES} <= set(tables.BUDGETS)
+    files = [row.carried_by for row in computed.budget_rows(TARGET)] + [
+        rule.carried_by for rule in tables.BUDGET_RULES
+    ]
     root = target.FILE.parents[3]
     assert all((root / file).exists() for file in files if file != tables.MISSING)
 
@@ -454,18 +466,18 @@
 
 def test_an_assumption_wrong_by_three_moves_the_verdicts_that_stand_on_it():
     one = run(figure(line(0, 0.044 / 15_000)), added=[calls(285, 1, 0.001), calls(2280, 1, 0.002)])
-    less, more = capacity.all_moved(TARGET, one)["pace"]
+    less, more = capacity.sensitivities(TARGET, one)["pace"]
     assert (less.value, more.value) == (pytest.approx(1 / 3), 3.0)
     assert ("sidecar cpu quiet, by members", BREAKS, HOLDS) in more.verdicts
     assert ("added mean", HOLDS, BREAKS) in less.verdicts
     assert ("sidecar cpu quiet, by members", BREAKS, HOLDS) not in less.verdicts
-    assert capacity.moved(TARGET, run(), "skew", 3).figures == 0
-    assert capacity.moved(TARGET, run(), "control_load", 3).value == 1  # within its range
+    assert capacity.sensitivity(TARGET, run(), "skew", 3).figures == 0
+    assert capacity.sensitivity(TARGET, run(), "control_load", 3).value == 1  # within its range
 
 
 def test_wrong_by_nothing_moves_nothing():
     one = run(figure(line(0, 1e-5)), figure(square, "holder", "evidence cpu"))
-    assert all(capacity.moved(TARGET, one, name, 1).figures == 0 for name in target.RANGES)
+    assert all(capacity.sensitivity(TARGET, one, name, 1).figures == 0 for name in target.RANGES)
 
 
 # --- page and command ---------------------------------------------------------------------------
@@ -510,13 +522,13 @@
 def test_the_page_is_what_the_command_prints_word_for_word():
     done = CliRunner().invoke(lab, ["capacity"])
     assert done.exit_code == 0
-    stands = page.on_page(command.PAGE.read_text())
+    stands = page.on_page(capacity_command.PAGE.read_text())
     assert done.stdout == "\n\n".join(stands.values()) + "\n"
 
 
 def test_no_figure_stands_in_the_pages_own_words():
-    """Figures come from the command alone."""
-    text = command.PAGE.read_text()
+    """Figures appear in the generated blocks only, so that they can't become outdated."""
+    text = capacity_command.PAGE.read_text()
     for name in page.BLOCKS:
         text = page.pattern(name).sub("", text)
     text = re.sub(r"`[^`]*`|\[[^\]]*\]\([^)]*\)|docs/\S+|HTTP/1\.1", "", text)
