--- a/lupinmill/lab/scale/capacity.py
+++ b/lupinmill/lab/scale/capacity.py
@@ -107,7 +107,7 @@
 def limit_to_measured_fleet(
     target: Target, usage: Usage, bound: Bound, largest: float
 ) -> tuple[Usage, Bound]:
-    """Limits usage and bound to the measured fleet, as rates of changes were varied but not its size."""
+    """Limits usage and bound to the measured fleet, because only its rate of changes was varied, not its size."""
     if target.fleet.sidecars > largest * (1 + SIZE_TOLERANCE):
         usage = Usage(usage.amount, AT_LAST_SIZE, largest)
     return usage, bound if bound.sort_key < (largest, 0) else Bound("over", largest)
@@ -125,7 +125,7 @@
 
 
 def hollow_points(points: list[Point]) -> list[Point]:
-    """Points of hollow members. Real processes beside them are for comparison only, and count where alone."""
+    """Points of hollow members. Real processes are there for comparison, so they count only without them."""
     return [point for point in points if point.hollow] or points
 
 
@@ -173,7 +173,7 @@
 def added_time_rows(target: Target, measured: Measured) -> list[BudgetRow]:
     """Time added to a call, at the mean rate and at that of the busiest sidecar.
 
-    A run in which the sidecar waited for a core gives no verdict: it measured the machine's other load.
+    A run in which the sidecar waited for a core gives no verdict, because it measured the machine's other load.
     """
     points = [
         Point(one.calls_a_second, one.seed, one.through_p99 - one.straight_p99) for one in measured.added
--- a/lupinmill/lab/scale/days.py
+++ b/lupinmill/lab/scale/days.py
@@ -1,7 +1,7 @@
-"""Days of a hollow fleet in virtual time: a zone lost and back, the ordinary day condensed.
+"""Scenarios of a hollow fleet in virtual time: a zone lost and back, and a condensed ordinary day.
 
-Both begin from a settled fleet all of whose cores are played: a lost member is found by as many probes as
-there are members, and one that comes back is a fresh one, so a few can't stand for all here."""
+Both start from a settled fleet with all cores simulated: detecting a lost member takes probes of all members,
+and a returning one starts anew, so a subset of the cores can't stand for the fleet here."""
 
 from __future__ import annotations
 
@@ -12,60 +12,64 @@
 
 Figures = dict[str, tuple[float, float]]
 
-BEFORE = 5  # seconds of quiet first
-LOST = 0.05  # of the members: one zone of twenty
-KNOWN = 120  # seconds for all to know, at most
-FAILURES, RESTARTS, FLEET, DAY = 95, 1_200, 20_000, 86_400
-EVERY = 5  # seconds between two restarts of the condensed day
-AWAY = 3  # seconds that a restart takes
-EVENTS = 12
+QUIET_S = 5  # quiet seconds before the event
+LOST_PART = 0.05  # part of the members: one zone of twenty
+MAX_DETECTION_S = 120  # most seconds until all members know
+# Of a fleet of `FLEET_SIZE` members.
+# Failures and restarts are those of a fleet of `FLEET_SIZE` members.
+FAILURES_PER_DAY, RESTARTS_PER_DAY, FLEET_SIZE, SECONDS_PER_DAY = 95, 1_200, 20_000, 86_400
+RESTART_INTERVAL_S = 5  # seconds between two restarts in the condensed day
+RESTART_DURATION_S = 3  # seconds that a restart takes
+RESTART_COUNT = 12
 
 
 @dataclass
-class Lost:
+class ZoneLoss:
     figures: Figures
-    known: float  # seconds until all that are left hold all lost ones for gone; 0: not within `KNOWN`
-    back: Figures
-    back_known: float
+    detected_s: float  # seconds until all remaining members regard the lost ones as gone; 0: not in time
+    back_figures: Figures
+    back_detected_s: float
 
 
-def until(hollow: Hollow, present: int) -> float:
-    """Seconds until each played core that is up sees so many, itself among them; 0: not in time."""
-    for at in range(1, KNOWN * 2 + 1):
+def run_until_present(hollow: Hollow, present: int) -> float:
+    """Seconds until each running core sees that many members, including itself; 0: not in time."""
+    for at in range(1, MAX_DETECTION_S * 2 + 1):
         hollow.run(0.5)
         if all(core.peer.membership.present_count + 1 == present for core in hollow.played if core.up):
             return at / 2
     return 0.0
 
 
-def zone_lost(members: int, seed: int) -> Lost:
-    """5% of the members stop at one moment, and start anew once all know."""
+def zone_lost(members: int, seed: int) -> ZoneLoss:
+    """5% of the members stop at the same moment, and start anew once all others know."""
     first = members // 2
-    lost = set(range(first, first + max(1, int(LOST * members))))
+    lost = set(range(first, first + max(1, int(LOST_PART * members))))
     hollow = Hollow(members, seed, 0, watched=20, absent=lost)
     hollow.settle()
-    hollow.run(BEFORE)
+    hollow.run(QUIET_S)
     hollow.lose()
-    known = until(hollow, members - len(lost))
-    # Through the news of it, up to a whole second.
+    detected_s = run_until_present(hollow, members - len(lost))
+    # Runs on to a whole second, to include the updates about it.
     hollow.run((SECOND - hollow.now % SECOND) % SECOND / SECOND)
     ends = hollow.now // SECOND
-    figures = hollow.figures(BEFORE, max(BEFORE + 1, ends))
+    figures = hollow.figures(QUIET_S, max(QUIET_S + 1, ends))
     hollow.bring_back()
-    back_known = until(hollow, members)
+    back_detected_s = run_until_present(hollow, members)
     hollow.run((SECOND - hollow.now % SECOND) % SECOND / SECOND)
-    return Lost(figures, known, hollow.figures(ends, max(ends + 1, hollow.now // SECOND)), back_known)
+    return ZoneLoss(
+        figures, detected_s, hollow.figures(ends, max(ends + 1, hollow.now // SECOND)), back_detected_s
+    )
 
 
 @dataclass
-class Ordinary:
+class OrdinaryDay:
     quiet: Figures
     condensed: Figures
     rate: float  # restarts a second while condensed
-    true_rate: float  # restarts and failures a second of so many members on an ordinary day
+    true_rate: float  # restarts and failures per second of that many members on an ordinary day
 
     def day(self) -> Figures:
-        """Quiet, and what events cost beyond it at their true rate; the dearest second as condensed."""
+        """Quiet cost plus that of events at their true rate; the peak is that of the condensed day."""
         found = {}
         for name, (mean, _) in self.quiet.items():
             more = max(0.0, self.condensed[name][0] - mean)
@@ -73,17 +77,19 @@
         return found
 
 
-def ordinary(members: int, seed: int) -> Ordinary:
-    """One after another is restarted, `EVERY` seconds apart; a failure differs by a longer absence only."""
+def ordinary_day(members: int, seed: int) -> OrdinaryDay:
+    """Restarts one member after another at a fixed interval; a failure differs only by a longer absence."""
     hollow = Hollow(members, seed, 0, watched=min(20, members // 2))
     hollow.settle()
-    hollow.run(BEFORE + 10)
+    hollow.run(QUIET_S + 10)
     began = hollow.now // SECOND
-    for at in range(EVENTS):
+    for at in range(RESTART_COUNT):
         core = hollow.chance.choice([core for core in hollow.played if not core.watched])
         hollow.stop(core)
-        hollow.run(AWAY)
+        hollow.run(RESTART_DURATION_S)
         hollow.restart(core, members + at + 1)
-        hollow.run(EVERY - AWAY)
-    rate = (FAILURES + RESTARTS) / DAY * members / FLEET
-    return Ordinary(hollow.figures(1, began), hollow.figures(began, hollow.now // SECOND), 1 / EVERY, rate)
+        hollow.run(RESTART_INTERVAL_S - RESTART_DURATION_S)
+    rate = (FAILURES_PER_DAY + RESTARTS_PER_DAY) / SECONDS_PER_DAY * members / FLEET_SIZE
+    return OrdinaryDay(
+        hollow.figures(1, began), hollow.figures(began, hollow.now // SECOND), 1 / RESTART_INTERVAL_S, rate
+    )
--- a/lupinmill/lab/scale/honest.py
+++ b/lupinmill/lab/scale/honest.py
@@ -1,8 +1,8 @@
-"""Shown honest: real sidecars, each a process of `python -m lupinmill`, against as many hollow ones of the
-same operators' file. Messages and bytes by the probe, and rows, are to be within `WITHIN` of each other: by
-the second they would tell how busy the machine is. Processor time is told and not judged.
+"""Compares real sidecars, each a process of `python -m lupinmill`, with as many hollow ones.
 
-Owns the processes and their folder, ended and removed whatever happens."""
+Both have the same operators' file. Messages and bytes per probe, and rows, must agree within `TOLERANCE`;
+rates per second would depend on the load of the machine. CPU time is reported but not compared. The processes
+are always ended and their directory removed."""
 
 from __future__ import annotations
 
@@ -21,27 +21,27 @@
 from lupinmill.lab.processes import Process, call_operator
 from lupinmill.lab.scale.hollow import names
 from lupinmill.lab.scale.loopback import ALL_KNOWN, WINDOW, Hollow, Side, Watch, fleet_text, settled_rounds
-from lupinmill.lab.scale.settings import cpu_of
+from lupinmill.lab.scale.settings import cpu_seconds
 from lupinmill.program import operators_file
 
-WITHIN = 0.10
+TOLERANCE = 0.10
 OPERATOR_LIMIT_S = 20.0
-AT_ONCE = 4  # processes that start at a time
-BY_PROBE = ("messages_out", "messages_in", "bytes_out", "bytes_in")
-COMPARED = (*BY_PROBE, "rows")
+CONCURRENT_STARTS = 4  # processes started at the same time
+PER_PROBE = ("messages_out", "messages_in", "bytes_out", "bytes_in")
+COMPARED = (*PER_PROBE, "rows")
 
 
-async def call(address: str, path: str) -> dict[str, Any]:
-    """What an operator's call is answered with, read as JSON."""
+async def fetch_json(address: str, path: str) -> dict[str, Any]:
+    """The decoded JSON answer to an operator's call."""
     _, body = await call_operator(address, path, timeout_s=OPERATOR_LIMIT_S)
     return orjson.loads(body)
 
 
-class Real:
+class RealFleet:
     def __init__(self, members: int, round_ms: int) -> None:
         self.members, self.round_s = members, round_ms / 1000
         *self.names, self.last = names(members + 1)
-        # Others than those of the hollow ones beside it, which are chosen in the same moment.
+        # Offset by process id, as the hollow fleet chooses its ports at the same time.
         self.ports = [free_port(os.getpid() * 97 % 4_000 + at) for at in range(2 * members + 1)]
         self.binds = [f"{HOST}:{port}" for port in self.ports[: members + 1]]
         self.text = fleet_text(self.binds, round_ms)
@@ -52,24 +52,24 @@
             path.write_text(self.text)
             environ = {"BALANCER_OPERATOR_FILE": str(path)}
             processes = [
-                Process(name, 0, Path(folder), self.told, lambda process, event: None, environ)
+                Process(name, 0, Path(folder), self.process_settings, lambda process, event: None, environ)
                 for name in self.names
             ]
             try:
-                for at in range(0, self.members, AT_ONCE):
-                    await asyncio.gather(*(one.start() for one in processes[at : at + AT_ONCE]))
+                for at in range(0, self.members, CONCURRENT_STARTS):
+                    await asyncio.gather(*(one.start() for one in processes[at : at + CONCURRENT_STARTS]))
                 watcher = Hollow(operators_file.understand(tomllib.loads(self.text)), self.last)
                 async with anyio.create_task_group() as group:
                     group.start_soon(watcher.driver.run, False)
                     group.start_soon(watcher.common.run)
-                    found = await self.count(processes, watcher, window)
+                    found = await self.measure(processes, watcher, window)
                     group.cancel_scope.cancel()
                 return found
             finally:
                 await asyncio.gather(*(one.end() for one in processes))
                 TAKEN.difference_update(self.ports)
 
-    def told(self, process: Process) -> dict[str, Any]:
+    def process_settings(self, process: Process) -> dict[str, Any]:
         at = self.names.index(process.name)
         return {
             "name": process.name,
@@ -82,24 +82,24 @@
             "settings": SETTINGS,
         }
 
-    async def shows(self, processes: list[Process]) -> list[tuple[float, float, dict[str, Any]]]:
+    async def snapshots(self, processes: list[Process]) -> list[tuple[float, float, dict[str, Any]]]:
         found = []
         for one in processes:
-            table = await call(one.operator_address, "peers")
-            found.append((time.monotonic(), cpu_of(one), table))
+            table = await fetch_json(one.operator_address, "peers")
+            found.append((time.monotonic(), cpu_seconds(one), table))
         return found
 
-    async def count(self, processes: list[Process], watcher: Hollow, window: int) -> Side:
-        ends = time.monotonic() + ALL_KNOWN
-        while any(table.get("sees") != self.members + 1 for _, _, table in await self.shows(processes)):
-            if time.monotonic() > ends:
+    async def measure(self, processes: list[Process], watcher: Hollow, window: int) -> Side:
+        deadline = time.monotonic() + ALL_KNOWN
+        while any(table.get("sees") != self.members + 1 for _, _, table in await self.snapshots(processes)):
+            if time.monotonic() > deadline:
                 raise TimeoutError("real sidecars have not all seen all")
             await asyncio.sleep(0.5)
         await asyncio.sleep(settled_rounds(self.members) * self.round_s)
         watch = Watch(watcher.driver)
-        before = await self.shows(processes)
+        before = await self.snapshots(processes)
         await asyncio.sleep(window * self.round_s)
-        after = await self.shows(processes)
+        after = await self.snapshots(processes)
         found = Side(self.members, seconds=window * self.round_s, probes=watch.pace())
         for (at, used, early), (then, spent, late) in zip(before, after):
             seconds, part = then - at, 1 / self.members
@@ -120,32 +120,32 @@
 
 
 def play(members: int, round_ms: int = 200, window: int = WINDOW) -> Side:
-    return asyncio.run(Real(members, round_ms).run(window))
+    return asyncio.run(RealFleet(members, round_ms).run(window))
 
 
 def differences(real: Side, hollow: Side) -> dict[str, float]:
-    """Of the hollow from the real, as a part of the real."""
+    """Deviation of the hollow figures from the real ones, as a part of the real ones."""
     found = {}
     for name in COMPARED:
-        ours, theirs = told(hollow, name), told(real, name)
-        found[name] = abs(ours - theirs) / theirs if theirs > 0 else float("inf")
+        hollow_value, real_value = comparable(hollow, name), comparable(real, name)
+        found[name] = abs(hollow_value - real_value) / real_value if real_value > 0 else float("inf")
     return found
 
 
-def told(side: Side, name: str) -> float:
-    """By the probe, where it is a rate; infinite where no probe was heard."""
+def comparable(side: Side, name: str) -> float:
+    """A figure per probe if it is a rate; infinite where no probe was counted."""
     value = getattr(side, name)
-    if name not in BY_PROBE:
+    if name not in PER_PROBE:
         return value
     return value / side.probes if side.probes > 0 else float("inf")
 
 
-def wrong(real: Side, hollow: Side) -> list[str]:
-    """What is further apart than it may be, in words."""
+def violations(real: Side, hollow: Side) -> list[str]:
+    """Differences beyond the tolerance, in words."""
     return [
-        f"{name.replace('_', ' ')} of {hollow.members} hollow sidecars is {told(hollow, name):.4g}, "
-        f"of real ones {told(real, name):.4g}{' by the probe' * (name in BY_PROBE)}: {apart:.0%} apart, "
-        f"{WITHIN:.0%} allowed"
-        for name, apart in differences(real, hollow).items()
-        if not apart <= WITHIN
+        f"{name.replace('_', ' ')} of {hollow.members} hollow sidecars is {comparable(hollow, name):.4g}, "
+        f"of real ones {comparable(real, name):.4g}{' by the probe' * (name in PER_PROBE)}: "
+        f"{difference:.0%} apart, {TOLERANCE:.0%} allowed"
+        for name, difference in differences(real, hollow).items()
+        if not difference <= TOLERANCE
     ]
--- a/lupinmill/lab/scale/measured.py
+++ b/lupinmill/lab/scale/measured.py
@@ -1,8 +1,9 @@
-"""What `lupinmill lab slopes` writes and `lupinmill lab capacity` reads: one JSON file, written by the run
-alone.
+"""The JSON file that `lupinmill lab slopes` writes and `lupinmill lab capacity` reads.
 
-A figure belongs to a role ("sidecar", "elector", "holder", "discovery", "source", "relay"), has a unit and a
-size that it grows with. Points are single runs; the fit is over all of them."""
+Only that run writes it.
+
+A figure belongs to a role ("sidecar", "elector", "holder", "discovery", "source", "relay"), has a unit and
+a size that it grows with. Points are single runs; the fit covers all of them."""
 
 from __future__ import annotations
 
@@ -18,14 +19,16 @@
     size: float
     seed: int
     mean: float
-    peak: float = 0.0  # of the dearest second; 0 where only means are measured
-    hollow: bool = True  # else real processes
+    peak: float = 0.0  # of the busiest second; 0 where only means are measured
+    hollow: bool = True  # otherwise of real processes
 
 
 class Fit(Struct, forbid_unknown_fields=True):
-    """`intercept + slope * size`, over sizes `first` to `last`; where `straight`, `curvature` is 0. Else
-    the line (and any sum beyond `last`) must not be extended: intercept and slope are those of the line that
-    misses, `curvature` that of the best parabola."""
+    """`intercept + slope * size`, over sizes `first` to `last`; where `straight`, `curvature` is 0.
+
+    Otherwise the line, and any value beyond `last`, must not be extrapolated: intercept and slope are those
+    of the line that does not fit, `curvature` is that of the best parabola.
+    """
 
     intercept: float
     slope: float
@@ -44,14 +47,16 @@
     grows_with: str  # "members", "sidecars", "endpoints", "zones", "changes a second", ...
     day: str  # "quiet", "start", "ordinary", "zone lost", "discovery away", "relays restart", ...
     points: list[Point]
-    fit: Fit | None = None  # none where there is one size
-    note: str = ""  # where it was measured: sockets, virtual time, hollow
+    fit: Fit | None = None  # None for a single size
+    note: str = ""  # how it was measured: sockets, virtual time, hollow
     relative: float = 0.0  # CPU figures: mean at `last` as a multiple of the reference loop of the same run
 
 
 class Added(Struct, forbid_unknown_fields=True):
-    """Time added to a call: through a sidecar less straight, by turns in one run, open loop, from when it was
-    due."""
+    """Time added to a call: the time through a sidecar minus that of a direct call.
+
+    Both kinds alternate in one run, in an open loop. Times count from when the call was due.
+    """
 
     calls_a_second: float
     seed: int
@@ -63,15 +68,15 @@
 
 class Measured(Struct, forbid_unknown_fields=True):
     command: str
-    commit: str  # of the text measured
+    commit: str  # of the measured source
     date: str
     seeds: list[int]
     reference_us: float  # of one turn of the reference loop on this machine
     cores: int
     figures: list[Figure] = []
     added: list[Added] = []
-    partial: list[str] = []  # what was not run, or ended before its end, in words
-    parts: dict[str, str] = {}  # of what was measured by a run of its own: command, commit and date
+    partial: list[str] = []  # what was not run or did not finish, in words
+    parts: dict[str, str] = {}  # by part that a run of its own measured: command, commit and date
 
 
 def read(path: Path = FILE) -> Measured:
--- a/lupinmill/lab/scale/reference.py
+++ b/lupinmill/lab/scale/reference.py
@@ -1,6 +1,6 @@
-"""A loop of fixed work in plain Python, timed beside the figures: machines differ, and this one is shared.
+"""A reference loop of fixed work in plain Python, timed with each run because machines differ and are shared.
 
-A CPU figure divided by the loop's turns a second can be compared between machines."""
+A CPU figure divided by the time of one turn of the loop can be compared between machines."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 BEST_OF = 15
 
 
-class Row:
+class Item:
     __slots__ = ("name", "at")
 
     def __init__(self, name: str, at: int) -> None:
@@ -18,23 +18,23 @@
 
 
 def turn() -> int:
-    """Dictionary, small objects, strings, integers: what the cores are made of."""
-    table = {f"m{at}": Row(f"m{at}", at * 7 % 31) for at in range(16)}
-    found = sorted(table.values(), key=lambda row: row.at)
+    """One unit of work on dictionaries, small objects, strings and integers, as in the cores."""
+    table = {f"m{at}": Item(f"m{at}", at * 7 % 31) for at in range(16)}
+    items = sorted(table.values(), key=lambda item: item.at)
     state = 1
-    for row in found:
-        state = (state * 6364136223846793005 + row.at) & 0xFFFFFFFFFFFFFFFF
-        if row.name in table:
-            table[row.name].at = state >> 60
-    return sum(row.at for row in table.values())
+    for item in items:
+        state = (state * 6364136223846793005 + item.at) & 0xFFFFFFFFFFFFFFFF
+        if item.name in table:
+            table[item.name].at = state >> 60
+    return sum(item.at for item in table.values())
 
 
 def microseconds() -> float:
-    """Processor time of one turn: the best of several, as the others were disturbed."""
+    """CPU time of one turn: the best of several, as other processes disturb the rest."""
     best = float("inf")
     for _ in range(BEST_OF):
-        began = time.thread_time_ns()
+        started_at = time.thread_time_ns()
         for _ in range(TURNS // BEST_OF):
             turn()
-        best = min(best, (time.thread_time_ns() - began) / (TURNS // BEST_OF))
+        best = min(best, (time.thread_time_ns() - started_at) / (TURNS // BEST_OF))
     return best / 1000
--- a/lupinmill/lab/scale/runs.py
+++ b/lupinmill/lab/scale/runs.py
@@ -127,16 +127,16 @@
 def member_state(run: Run) -> list[Sample]:
     note = "tracemalloc of driver and core, all heard of; without interpreter, program and file"
     key = FigureKey("sidecar", "state", "bytes", "members", "quiet")
-    return [Sample(key, make_point(run, settings.state(run.size)), 0.0, note)]
+    return [Sample(key, make_point(run, settings.member_state_bytes(run.size)), 0.0, note)]
 
 
 def read_operators_file(run: Run) -> list[Sample]:
     try:
-        took, memory, size = settings.read_file(run.size)
+        took, memory, size = settings.measure_file_reading(run.size)
         note = ""
     except BadFile as error:
-        with settings.caps_lifted():
-            took, memory, size = settings.read_file(run.size)
+        with settings.without_caps():
+            took, memory, size = settings.measure_file_reading(run.size)
         why = str(error).rpartition(": ")[2]
         note = f"at {run.size} a trial with the caps lifted: the reader refuses it ({why})"
     found = (("file cpu", "s", took), ("file memory", "bytes", memory), ("file bytes", "bytes", float(size)))
@@ -152,7 +152,7 @@
 
 
 def read_endpoint_lists(run: Run) -> list[Sample]:
-    took, memory, size = settings.read_lists(run.size)
+    took, memory, size = settings.measure_list_reading(run.size)
     found = (("list cpu", "s", took), ("list memory", "bytes", memory), ("list bytes", "bytes", float(size)))
     return [
         Sample(
@@ -163,7 +163,7 @@
 
 
 def process_start(run: Run) -> list[Sample]:
-    found = asyncio.run(settings.start(run.size, run.seconds))
+    found = asyncio.run(settings.measure_start(run.size, run.seconds))
     note = "a real process, no clients, no discovery; wall time on a shared machine"
     rows = [
         ("start cpu", "s", "change", found["cpu"], True),
@@ -288,25 +288,26 @@
         "know"
     )
     rows = member_samples(run, "zone lost", found.figures, note)
-    if found.known:
+    if found.detected_s:
         key = FigureKey("sidecar", "known after", "s", "members", "zone lost")
         text = "until all that are left hold all of them for gone"
-        rows.append(Sample(key, make_point(run, found.known), 0.0, text))
+        rows.append(Sample(key, make_point(run, found.detected_s), 0.0, text))
     rows += member_samples(
-        run, "zone back", found.back, f"{VIRTUAL_NOTE}; those lost start anew; of the others"
+        run, "zone back", found.back_figures, f"{VIRTUAL_NOTE}; those lost start anew; of the others"
     )
-    if found.back_known:
+    if found.back_detected_s:
         key = FigureKey("sidecar", "known after", "s", "members", "zone back")
         text = "until all hold all for present"
-        rows.append(Sample(key, make_point(run, found.back_known), 0.0, text))
+        rows.append(Sample(key, make_point(run, found.back_detected_s), 0.0, text))
     return rows
 
 
 def ordinary_day(run: Run) -> list[Sample]:
-    found = days.ordinary(run.size, run.seed)
+    found = days.ordinary_day(run.size, run.seed)
     note = (
-        f"{VIRTUAL_NOTE}; restarts {days.EVERY} s apart, their cost put at the true rate of so many members "
-        f"({days.FAILURES + days.RESTARTS} a day at {days.FLEET}); peak as condensed"
+        f"{VIRTUAL_NOTE}; restarts {days.RESTART_INTERVAL_S} s apart, their cost put at the true rate of so "
+        f"many members ({days.FAILURES_PER_DAY + days.RESTARTS_PER_DAY} a day at {days.FLEET_SIZE}); "
+        "peak as condensed"
     )
     return member_samples(run, "ordinary", found.day(), note)
 
--- a/lupinmill/lab/scale/settings.py
+++ b/lupinmill/lab/scale/settings.py
@@ -1,8 +1,8 @@
-"""What settings, rosters and lists cost a sidecar: the operators' file of N members as its own reader reads
-it, lists of N endpoints, the state of N members, and a start as a new process.
+"""Costs of settings, rosters and lists in a sidecar: reading the operators' file of N members and lists of N
+endpoints, the state of N members, and the start of a new process.
 
-A change of a limit is refused by SIGHUP, so what it costs is a restart: processor time and seconds until the
-new process listens. Processes are real ones, ended here whatever happens."""
+SIGHUP refuses a change of a limit, so its cost is that of a restart: CPU time, and seconds until the new
+process listens. The processes are real and are always ended here."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 def operators_text(members: int, own: str = "", zones: int = ZONES) -> str:
-    """As an operator would write it; `own`: address of the first member."""
+    """An operators' file of N members; `own`: address of the first member."""
     rows = []
     for at, seat in enumerate(seats(members, zones)):
         address = own if own and not at else seat.address
@@ -46,45 +46,48 @@
 
 
 @contextmanager
-def caps_lifted() -> Iterator[None]:
-    """A trial: what reading would cost if the file were taken."""
-    kept = operators_file.LARGEST, operators_file.MOST_MEMBERS
+def without_caps() -> Iterator[None]:
+    """Lifts the file's caps for a trial of what reading a refused file would cost."""
+    caps = operators_file.LARGEST, operators_file.MOST_MEMBERS
     operators_file.LARGEST, operators_file.MOST_MEMBERS = 2**30, 10**9
     try:
         yield
     finally:
-        operators_file.LARGEST, operators_file.MOST_MEMBERS = kept
+        operators_file.LARGEST, operators_file.MOST_MEMBERS = caps
 
 
-def read_file(members: int) -> tuple[float, float, int]:
-    """Processor seconds of one reading, bytes kept by it, bytes of the file. Raises `BadFile` at a cap."""
+def measure_file_reading(members: int) -> tuple[float, float, int]:
+    """CPU seconds of reading the file once, bytes that its result holds, size of the file.
+
+    Raises `BadFile` if the file exceeds a cap.
+    """
     with tempfile.TemporaryDirectory(prefix="lupinmill-slopes-") as folder:
         path = Path(folder) / "operators.toml"
         path.write_text(operators_text(ELECTORS))
-        operators_file.read(str(path))  # what a first reading alone costs is no part of the slope
+        operators_file.read(str(path))  # one-time costs of the first reading are no part of the slope
         path.write_text(operators_text(members))
-        began = time.thread_time_ns()
+        started_at = time.thread_time_ns()
         operators_file.read(str(path))
-        took = (time.thread_time_ns() - began) / 1e9
-        # The less of two: one may have met the moment at which a table of the interpreter's own grows.
-        memory = min(memory_of(lambda: operators_file.read(str(path))) for _ in range(2))
-        return took, memory, path.stat().st_size
+        cpu_s = (time.thread_time_ns() - started_at) / 1e9
+        # The minimum of two, as an internal table of the interpreter may grow during one of them.
+        memory = min(held_memory(lambda: operators_file.read(str(path))) for _ in range(2))
+        return cpu_s, memory, path.stat().st_size
 
 
-def memory_of(make: Callable[[], Any]) -> float:
-    """Bytes that what it makes goes on holding."""
+def held_memory(make: Callable[[], Any]) -> float:
+    """Bytes held by the object that `make` returns."""
     gc.collect()
     tracemalloc.start()
-    made = make()
+    result = make()
     gc.collect()
     held = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    del made
+    del result
     return float(held)
 
 
-def read_lists(endpoints: int) -> tuple[float, float, int]:
-    """The same of a list of endpoints as discovery tells it."""
+def measure_list_reading(endpoints: int) -> tuple[float, float, int]:
+    """The same costs for a list of endpoints as discovery sends it."""
     rows = [
         {
             "name": f"endpoint-{at:05d}",
@@ -101,28 +104,28 @@
     del rows
     best = float("inf")
     for _ in range(3):
-        began = time.thread_time_ns()
+        started_at = time.thread_time_ns()
         lists.known(orjson.loads(data))
-        best = min(best, (time.thread_time_ns() - began) / 1e9)
-    memory = min(memory_of(lambda: lists.known(orjson.loads(data))) for _ in range(2))
+        best = min(best, (time.thread_time_ns() - started_at) / 1e9)
+    memory = min(held_memory(lambda: lists.known(orjson.loads(data))) for _ in range(2))
     return best, memory, len(data)
 
 
-def state(members: int, zones: int = ZONES, warm: bool = True) -> float:
-    """Bytes that the peers' core and driver hold of N members, all heard of; the file that told them not
-    counted."""
+def member_state_bytes(members: int, zones: int = ZONES, warm: bool = True) -> float:
+    """Bytes that the peers' core and driver hold for N known members, without the operators' file."""
     if warm:
-        state(ELECTORS, zones, False)  # what the first one alone fills, as caches of types
-    told_seats = seats(members, zones)
-    told = PeerSettings(told_seats[0].name, told_seats)
+        member_state_bytes(ELECTORS, zones, False)  # fills caches of types, which only the first call does
+    known_seats = seats(members, zones)
+    peer_settings = PeerSettings(known_seats[0].name, known_seats)
     tracemalloc.start()
-    driver = Driver(told, "hollow", "127.0.0.1:1", None, lambda *a, **k: None)
-    driver.peer = Peer(told, 1, 1, 0)
+    driver = Driver(peer_settings, "hollow", "127.0.0.1:1", None, lambda *a, **k: None)
+    driver.peer = Peer(peer_settings, 1, 1, 0)
     for at in range(0, members, wire.MAX_UPDATES):
         notes = [
-            wire.MemberUpdate(s.name, Status.ALIVE, 0, s.name) for s in told_seats[at : at + wire.MAX_UPDATES]
+            wire.MemberUpdate(s.name, Status.ALIVE, 0, s.name)
+            for s in known_seats[at : at + wire.MAX_UPDATES]
         ]
-        driver.peer.membership.receive(Received(told_seats[-1].name, wire.Table(False, 0, []), notes))
+        driver.peer.membership.receive(Received(known_seats[-1].name, wire.Table(False, 0, []), notes))
     driver.peer.membership.commands.clear()
     driver.peer.membership.pending_updates.clear()
     driver.peer.membership.next_in_rotation(driver.peer.membership.probe_order, (Status.ALIVE,))
@@ -132,8 +135,8 @@
     return float(memory)
 
 
-def cpu_of(process: Process) -> float:
-    """Seconds, of its main thread and the others; finer than the ticks of `stat`."""
+def cpu_seconds(process: Process) -> float:
+    """CPU seconds of all threads of a process, with a finer resolution than the ticks of `stat`."""
     assert process.process is not None
     whole = 0
     for task in Path(f"/proc/{process.process.pid}/task").iterdir():
@@ -141,9 +144,11 @@
     return whole / 1e9
 
 
-async def start(members: int, idle_s: float = 0.0) -> dict[str, float]:
-    """A real sidecar with a roster of N (0: no operators' file): from its start to its `started` line, in
-    processor and in wall time; then idle for so long."""
+async def measure_start(members: int, idle_s: float = 0.0) -> dict[str, float]:
+    """Starts a real sidecar with a roster of N members (0: no operators' file), then leaves it idle.
+
+    Measures CPU and wall time until its `started` line, memory, and CPU while idle.
+    """
     ports = free_port(os.getpid() * 97), free_port(os.getpid() * 97)
     with tempfile.TemporaryDirectory(prefix="lupinmill-slopes-") as folder:
         own = f"{HOST}:{ports[0]}"
@@ -154,7 +159,7 @@
             path.write_text(operators_text(members, own))
             environ["BALANCER_OPERATOR_FILE"] = str(path)
 
-        def told(process: Process) -> dict[str, Any]:
+        def process_settings(process: Process) -> dict[str, Any]:
             return {
                 "name": process.name,
                 "listen": own,
@@ -166,16 +171,16 @@
                 "settings": SETTINGS,
             }
 
-        process = Process(name, 0, Path(folder), told, lambda process, event: None, environ)
+        process = Process(name, 0, Path(folder), process_settings, lambda process, event: None, environ)
         try:
-            began = time.monotonic()
+            started_at = time.monotonic()
             await process.start()
-            found = {"wall": time.monotonic() - began, "cpu": cpu_of(process)}
+            found = {"wall": time.monotonic() - started_at, "cpu": cpu_seconds(process)}
             if idle_s:
-                await asyncio.sleep(idle_s / 4)  # what it puts off to after its start
-                before, at = cpu_of(process), time.monotonic()
+                await asyncio.sleep(idle_s / 4)  # work deferred until after the start
+                before, at = cpu_seconds(process), time.monotonic()
                 await asyncio.sleep(idle_s)
-                found["idle"] = (cpu_of(process) - before) / (time.monotonic() - at)
+                found["idle"] = (cpu_seconds(process) - before) / (time.monotonic() - at)
             found["memory"] = process.memory() * 2**20
             return found
         finally:
--- a/lupinmill/lab/scale/slopes.py
+++ b/lupinmill/lab/scale/slopes.py
@@ -137,7 +137,7 @@
         if not quick:
             record_skipped_runs(measured, sizes)
         measured.partial += collector.partial
-        found += checks.wrong(measured.figures)
+        found += checks.violations(measured.figures)
     else:
         measured.reference_us = round(microseconds(), 3)
     measure_other_parts(measured, seeds, [name for name in OTHER_PARTS if name in parts], progress, quick)
@@ -207,9 +207,9 @@
                 found = [f"real sidecars beside hollow ones: ended by {type(error).__name__} {error}"[:300]]
                 notes += found
                 continue
-        notes.append(checks.compared(real, hollow_ones))
+        notes.append(checks.summarize_comparison(real, hollow_ones))
         progress(f"  {notes[-1]}")
-        found = honest.wrong(real, hollow_ones)
+        found = honest.violations(real, hollow_ones)
         if not found or len(notes) == COMPARISON_ATTEMPTS:
             collector.add(side_samples(real, False, "; ".join(notes)) + side_samples(hollow_ones, True, ""))
         if not found:
--- a/tests/test_scale_slopes.py
+++ b/tests/test_scale_slopes.py
@@ -117,7 +117,7 @@
 
 
 def test_the_look_ahead_at_memory_is_more_than_the_state():
-    assert hollow.memory_wanted(1_000, 1) > costs.state(1_000)
+    assert hollow.memory_wanted(1_000, 1) > costs.member_state_bytes(1_000)
 
 
 # --- hollow members --------------------------------------------------------------------------------
@@ -167,7 +167,7 @@
 
 def test_a_lost_zone_is_known_to_all_that_are_left_and_its_return_too():
     found = days.zone_lost(40, 2)
-    assert 0 < found.known < days.KNOWN and 0 < found.back_known < days.KNOWN
+    assert 0 < found.detected_s < days.MAX_DETECTION_S and 0 < found.back_detected_s < days.MAX_DETECTION_S
     assert found.figures["messages out"][1] > found.figures["messages out"][0] > 0
     with pytest.raises(AssertionError):
         hollow.Hollow(60, 2, 12, absent={3})
@@ -181,7 +181,7 @@
 
 
 def test_a_condensed_day_costs_more_than_quiet_and_at_its_true_rate_hardly():
-    found = days.ordinary(24, 1)
+    found = days.ordinary_day(24, 1)
     quiet, condensed, day = found.quiet["bytes out"], found.condensed["bytes out"], found.day()["bytes out"]
     assert quiet[0] <= day[0] < condensed[0] and day[1] == condensed[1]
 
@@ -211,7 +211,7 @@
     monkeypatch.setattr(operators_file, "MOST_MEMBERS", 200)
     kept = operators_file.MOST_MEMBERS, operators_file.LARGEST
     with pytest.raises(operators_file.BadFile, match="200"):
-        costs.read_file(210)
+        costs.measure_file_reading(210)
     rows = runs.read_operators_file(runs.Run("file", 210, 1))
     assert all("trial with the caps lifted" in row.note for row in rows)
     assert (operators_file.MOST_MEMBERS, operators_file.LARGEST) == kept
@@ -219,9 +219,9 @@
 
 
 def test_lists_and_state_grow_by_endpoint_and_member():
-    _, memory, size = costs.read_lists(2_000)
+    _, memory, size = costs.measure_list_reading(2_000)
     assert 100 < size / 2_000 < 200 and memory > size
-    assert costs.state(2_000) > 1.5 * costs.state(1_000)
+    assert costs.member_state_bytes(2_000) > 1.5 * costs.member_state_bytes(1_000)
 
 
 # --- checks that can fail --------------------------------------------------------------------------
@@ -246,24 +246,26 @@
                 pool.submit(loopback.play, *told, Doubling),
             ]
             real, good, bad = (one.result() for one in waiting)
-            assert any("messages out" in text for text in honest.wrong(real, bad))
-            if not honest.wrong(real, good):
+            assert any("messages out" in text for text in honest.violations(real, bad))
+            if not honest.violations(real, good):
                 break
-    assert honest.wrong(real, good) == []
+    assert honest.violations(real, good) == []
 
 
 def test_a_side_that_is_missing_or_no_number_is_wrong():
     good = Side(5, 10.0, 10.0, 900.0, 900.0, 5.0, probes=2.0)
-    assert honest.wrong(good, good) == []
-    assert len(honest.wrong(good, Side(5))) == len(honest.wrong(Side(5), good)) == len(honest.COMPARED)
-    assert honest.wrong(good, Side(5, 10.0, 10.0, float("nan"), 900.0, 5.0, probes=2.0))
+    assert honest.violations(good, good) == []
+    assert (
+        len(honest.violations(good, Side(5))) == len(honest.violations(Side(5), good)) == len(honest.COMPARED)
+    )
+    assert honest.violations(good, Side(5, 10.0, 10.0, float("nan"), 900.0, 5.0, probes=2.0))
 
 
 def test_figures_are_compared_by_the_probe_so_that_a_slow_machine_is_no_difference():
     good, slow = Side(5, 10, 10, 900, 900, 5, probes=2), Side(5, 5, 5, 450, 450, 5, probes=1)
-    assert honest.wrong(good, slow) == []
+    assert honest.violations(good, slow) == []
     slow.messages_out *= 1.2
-    assert len(honest.wrong(good, slow)) == 1
+    assert len(honest.violations(good, slow)) == 1
 
 
 @functools.cache
@@ -307,10 +309,10 @@
 
 
 def test_a_quiet_fleet_keeps_its_bounds_and_planted_faults_break_them():
-    assert checks.wrong(quiet_figures()) == []
-    doubled = checks.wrong(quiet_figures(Double))
-    assert any("messages out" in text and "wants up to" in text for text in doubled)
-    assert any("rows" in text for text in checks.wrong(quiet_figures(Deaf)))
+    assert checks.violations(quiet_figures()) == []
+    doubled = checks.violations(quiet_figures(Double))
+    assert any("messages out" in text and "expected up to" in text for text in doubled)
+    assert any("rows" in text for text in checks.violations(quiet_figures(Deaf)))
 
 
 def test_a_figure_that_grows_or_was_not_measured_breaks_the_bounds():
@@ -318,8 +320,8 @@
     grown = [one for one in good if one.name != "bytes out"]
     law = points(lambda n: 100 * n**0.2, sizes=(30, 60, 90))
     grown.append(Figure("sidecar", "bytes out", "bytes/s", "members", "quiet", law, fit(law)))
-    assert [text for text in checks.wrong(grown) if "grows with the power 0.20" in text]
-    missing = checks.wrong([one for one in good if one.name != "bytes in"])
+    assert [text for text in checks.violations(grown) if "grows with the power 0.20" in text]
+    missing = checks.violations([one for one in good if one.name != "bytes in"])
     assert missing == ["sidecar, quiet, bytes in: was not measured"]
 
 
