--- a/lupinmill/cli/capacity.py
+++ b/lupinmill/cli/capacity.py
@@ -52,13 +52,13 @@
         wanted = target.read(target_ or target.FILE)
     except InvalidTarget as error:
         exit_with_error(error)
-    blocks = page.blocks(wanted, read_measured(measured_ or measured.FILE))
+    blocks = page.render_blocks(wanted, read_measured(measured_ or measured.FILE))
     if not write:
         click.echo("\n\n".join(blocks.values()))
         return
     try:
-        page.put(PAGE, blocks)
+        page.write_blocks(PAGE, blocks)
     except OSError as error:
         exit_with_error(f"{PAGE}: {error.strerror}")
-    except page.NoPlace as error:
+    except page.MarkersNotFound as error:
         exit_with_error(f"{PAGE}: {error}")
--- a/lupinmill/lab/scale/capacity.py
+++ b/lupinmill/lab/scale/capacity.py
@@ -107,7 +107,7 @@
 def limit_to_measured_fleet(
     target: Target, usage: Usage, bound: Bound, largest: float
 ) -> tuple[Usage, Bound]:
-    """Limits usage and bound to the measured fleet, because only its rate of changes was varied, not its size."""
+    """Limits both to the measured fleet, because its size was not varied, only its rate of changes."""
     if target.fleet.sidecars > largest * (1 + SIZE_TOLERANCE):
         usage = Usage(usage.amount, AT_LAST_SIZE, largest)
     return usage, bound if bound.sort_key < (largest, 0) else Bound("over", largest)
@@ -173,7 +173,7 @@
 def added_time_rows(target: Target, measured: Measured) -> list[BudgetRow]:
     """Time added to a call, at the mean rate and at that of the busiest sidecar.
 
-    A run in which the sidecar waited for a core gives no verdict, because it measured the machine's other load.
+    A run in which the sidecar waited for a core gives no verdict, because other load disturbed it.
     """
     points = [
         Point(one.calls_a_second, one.seed, one.through_p99 - one.straight_p99) for one in measured.added
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -275,7 +275,9 @@
     one = figure(line(0.2, 0), day="quiet, sockets", sizes=(30,))
     one.points += [Point(30, 0, 0.25, hollow=False)]
     assert "sidecar cpu quiet, sockets, by members" not in by_key(run(one))
-    assert "| sidecar | cpu, quiet, sockets | 30 | 20% | 25% | -20% |" in page_run.of_run(TARGET, run(one))
+    assert "| sidecar | cpu, quiet, sockets | 30 | 20% | 25% | -20% |" in page_run.run_section(
+        TARGET, run(one)
+    )
 
 
 def test_more_changes_a_second_are_no_larger_fleet():
@@ -327,7 +329,7 @@
         ("rows", "members"),
         ("cpu", "moons"),
     }
-    assert "rows, quiet" in page.of_roles(TARGET, one) and "no such size" in page.of_roles(TARGET, one)
+    assert "rows, quiet" in page.roles_table(TARGET, one) and "no such size" in page.roles_table(TARGET, one)
 
 
 def calls(rate: float, seed: int, added: float) -> Added:
@@ -431,7 +433,7 @@
     assert (
         capacity.choose_mechanism(rows).row.key == "settings"
     )  # rows of existing mechanisms don't count in the choice
-    assert "1.5 s, of 12 s, holds" in page.of_after(TARGET, now)
+    assert "1.5 s, of 12 s, holds" in page.before_after_tables(TARGET, now)
     slow = run(msgspec.structs.replace(force, points=[Point(20_000, 1, 15.0)]))
     left = [r.key for r in capacity.open_rows(TARGET, slow, capacity.budget_rows(TARGET, slow))]
     assert "sidecar time in force ordinary, by sidecars" in left
@@ -503,14 +505,14 @@
     path = tmp_path / "p.md"
     marks = [f"{page.BEGIN.format(name)}\nold\n{page.END.format(name)}" for name in page.BLOCKS]
     path.write_text("# Page\n\n" + "\n\nwords\n\n".join(marks) + "\n\nend\n")
-    blocks = page.blocks(TARGET, run(figure(line(0, 1e-5))))
-    page.put(path, blocks)
-    assert page.on_page(path.read_text()) == blocks
+    blocks = page.render_blocks(TARGET, run(figure(line(0, 1e-5))))
+    page.write_blocks(path, blocks)
+    assert page.parse_blocks(path.read_text()) == blocks
     assert path.read_text().startswith("# Page\n") and path.read_text().count("\nwords\n") == len(marks) - 1
     for broken in ("# Page\n", path.read_text() + blocks["order"]):
         path.write_text(broken)
-        with pytest.raises(page.NoPlace):
-            page.put(path, blocks)
+        with pytest.raises(page.MarkersNotFound):
+            page.write_blocks(path, blocks)
         assert path.read_text() == broken
 
 
@@ -522,7 +524,7 @@
 def test_the_page_is_what_the_command_prints_word_for_word():
     done = CliRunner().invoke(lab, ["capacity"])
     assert done.exit_code == 0
-    stands = page.on_page(capacity_command.PAGE.read_text())
+    stands = page.parse_blocks(capacity_command.PAGE.read_text())
     assert done.stdout == "\n\n".join(stands.values()) + "\n"
 
 
@@ -530,7 +532,7 @@
     """Figures appear in the generated blocks only, so that they can't become outdated."""
     text = capacity_command.PAGE.read_text()
     for name in page.BLOCKS:
-        text = page.pattern(name).sub("", text)
+        text = page.block_pattern(name).sub("", text)
     text = re.sub(r"`[^`]*`|\[[^\]]*\]\([^)]*\)|docs/\S+|HTTP/1\.1", "", text)
     assert not re.search(r"\d", text), re.search(r".*\d.*", text)[0]
 
