--- a/lupinmill/cli/capacity.py
+++ b/lupinmill/cli/capacity.py
@@ -9,7 +9,7 @@
 
 from lupinmill.cli.exit_codes import exit_with_error
 from lupinmill.lab.scale import measured, page, target
-from lupinmill.lab.scale.target import BadTarget
+from lupinmill.lab.scale.target import InvalidTarget
 
 PAGE = Path(__file__).parents[2] / "docs" / "CAPACITY.md"
 
@@ -50,15 +50,15 @@
         )
     try:
         wanted = target.read(target_ or target.FILE)
-    except BadTarget as error:
+    except InvalidTarget as error:
         exit_with_error(error)
-    blocks = page.blocks(wanted, read_measured(measured_ or measured.FILE))
+    blocks = page.render_blocks(wanted, read_measured(measured_ or measured.FILE))
     if not write:
         click.echo("\n\n".join(blocks.values()))
         return
     try:
-        page.put(PAGE, blocks)
+        page.write_blocks(PAGE, blocks)
     except OSError as error:
         exit_with_error(f"{PAGE}: {error.strerror}")
-    except page.NoPlace as error:
+    except page.MarkersNotFound as error:
         exit_with_error(f"{PAGE}: {error}")
--- a/lupinmill/routing/client_handler.py
+++ b/lupinmill/routing/client_handler.py
@@ -31,7 +31,7 @@
 from lupinmill.transport.listener import REQUEST_TIMEOUT_S, Listener
 
 # bytes of a body that are buffered before its first attempt, if the memory budget allows
-MAX_BUFFERED_BODY = 1024 * 1024
+MAX_PRELOADED_BODY = 1024 * 1024
 MIN_UPLOAD_RATE = 48_000  # bytes per second; a slower upload times out
 TURN_AWAY_TIMEOUT_S = 0.5  # seconds for a request on a connection for which no descriptor is free
 # Sent if a request was read in full and its task ends without a response. It is not the response of a
@@ -312,7 +312,7 @@
         try:
             await body.put(bytes(received), False)
             received.clear()
-            if body.fully_buffered() and not await self.collect_body(client, side, body, MAX_BUFFERED_BODY):
+            if body.fully_buffered() and not await self.collect_body(client, side, body, MAX_PRELOADED_BODY):
                 body.drop()
                 return None
         except BaseException:
