--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -1,4 +1,4 @@
-"""Large and slow bodies, and every form of HTTP/1.1: byte for byte, within bounds, and none cut off."""
+"""Large and slow bodies, and every form of HTTP/1.1: unchanged, within memory limits, never truncated."""
 
 import asyncio
 import random
@@ -14,7 +14,7 @@
 
 from lupinmill import terms as t
 from lupinmill.protocol.http import SMALL, Answer, ClientSide, Garbled, Request, ServerSide
-from lupinmill.routing import request_body as bodies
+from lupinmill.routing import request_body
 from lupinmill.routing import client_handler
 from lupinmill.routing.request_body import RequestBody, BodyUnavailable
 from lupinmill.transport.buffers import MemoryBudget
@@ -27,8 +27,8 @@
     return random.Random(seed).randbytes(size)
 
 
-def cuts(data: bytes):
-    """Every split in two, and every byte by itself."""
+def splits(data: bytes):
+    """Every split of the data into two pieces, and a split into single bytes."""
     for at in range(1, len(data)):
         yield [data[:at], data[at:]]
     yield [data[at : at + 1] for at in range(len(data))]
@@ -59,18 +59,18 @@
     ],
 )
 def test_requests_in_every_form_and_split(data, target, body):
-    for pieces in cuts(data + b"\r\n" + data):
-        side, got = ServerSide(), []
+    for pieces in splits(data + b"\r\n" + data):
+        side, received = ServerSide(), []
         for piece in pieces:
             side.feed(piece)
             while (request := side.next_request()) is not None:
-                got.append(request)
+                received.append(request)
                 side.answer(Answer(200, [], b"" if request.method == b"HEAD" else b"ok"), False)
                 if not side.goes_on():
                     break
             if side.http.their_state is h11.MUST_CLOSE:
                 break
-        assert [(one.target, one.body) for one in got] == [(target, body)] * (1 if b"1.0" in data else 2)
+        assert [(one.target, one.body) for one in received] == [(target, body)] * (1 if b"1.0" in data else 2)
 
 
 @pytest.mark.parametrize(
@@ -93,7 +93,7 @@
     ],
 )
 def test_answers_in_every_form_and_split(data, status, body, kept):
-    for pieces in cuts(data):
+    for pieces in splits(data):
         side = ClientSide()
         side.ask(Request(b"GET", b"/", [(b"Host", b"a")]))
         for piece in pieces:
@@ -116,7 +116,7 @@
     ],
 )
 def test_an_end_that_is_none_counts_as_none(data):
-    for pieces in cuts(data):
+    for pieces in splits(data):
         side = ClientSide()
         side.ask(Request(b"GET", b"/", [(b"Host", b"a")]))
         with pytest.raises((Garbled, ConnectionResetError)):
@@ -135,50 +135,53 @@
     assert answer.body == b"" and answer.header(b"content-length") == "70000" and side.reusable()
 
 
-# --- what is kept of a body ---------------------------------------------------------------------
+# --- buffered bodies ----------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("seed", range(20))
 def test_a_body_reaches_its_launches_whole_and_within_its_bounds(seed):
-    rng = random.Random(seed)
-    shelf = MemoryBudget(rng.choice([0, 40_000, 10**9]))
+    random_source = random.Random(seed)
+    memory_budget = MemoryBudget(random_source.choice([0, 40_000, 10**9]))
     data = noise(300_000, seed)
-    body = RequestBody(shelf, None)
+    body = RequestBody(memory_budget, None)
 
     async def put() -> None:
         at = 0
         while at < len(data):
-            size = rng.randrange(1, 16_000)
+            size = random_source.randrange(1, 16_000)
             await body.put(data[at : at + size])
             at += size
             held = sum(len(part) for part in body.parts)
-            assert shelf.leased <= shelf.limit and held <= shelf.leased + bodies.MAX_UNSENT_BYTES + 16_000
+            assert (
+                memory_budget.leased <= memory_budget.limit
+                and held <= memory_budget.leased + request_body.MAX_UNSENT_BYTES + 16_000
+            )
             await anyio.sleep(0)
         body.finish()
 
-    async def launch(until: int) -> bytes:
-        got, number = b"", 0
-        while len(got) < until and (part := await body.read(len(got), number)):
-            got, number = got + part, number + 1
-            if rng.random() < 0.3:
+    async def attempt(until: int) -> bytes:
+        received, number = b"", 0
+        while len(received) < until and (part := await body.read(len(received), number)):
+            received, number = received + part, number + 1
+            if random_source.random() < 0.3:
                 await anyio.sleep(0)
-        return got
+        return received
 
     async def main() -> None:
         with anyio.fail_after(5):
             async with anyio.create_task_group() as group:
                 group.start_soon(put)
-                first = await launch(20_000)
+                first = await attempt(20_000)
                 assert data.startswith(first)
                 try:
                     assert body.can_restart()
-                    assert await launch(10**9) == data
+                    assert await attempt(10**9) == data
                 except BodyUnavailable:
-                    assert not body.can_restart() and shelf.limit < len(data)
+                    assert not body.can_restart() and memory_budget.limit < len(data)
                     group.cancel_scope.cancel()
-        assert (shelf.limit < len(data)) == (not body.can_restart())
+        assert (memory_budget.limit < len(data)) == (not body.can_restart())
         body.drop()
-        assert shelf.leased == 0
+        assert memory_budget.leased == 0
         with pytest.raises(BodyUnavailable):
             await body.read(0, 0)
 
@@ -193,31 +196,33 @@
     for at in range(30):
         bed.step(t.RequestArrived(f"u{at}", "view", bed.now + 60 * SECOND, whole=False))
     assert all(len(bed.out(f"u{at}")) == 1 for at in range(30))
-    desk = bed.sidecar.dispatcher
-    assert desk.in_flight == 0 and not desk.busy
-    for _ in range(40):  # what is usual is quick, and those uploads last
+    dispatcher = bed.sidecar.dispatcher
+    assert dispatcher.in_flight == 0 and not dispatcher.busy
+    for _ in range(40):  # usual requests are quick, so the open uploads look slow
         name = bed.arrive(IDEM)
         bed.end(name, 0, t.Outcome.HANDLED, after=10_000)
         bed.run(100_000)
-    assert all(seat.report.open for seat in desk.endpoint_states.values())
+    assert all(endpoint.report.open for endpoint in dispatcher.endpoint_states.values())
     bed.step(t.RequestBodyReceived("u0", bed.now + SECOND))
-    assert desk.in_flight == 1 and len(desk.busy) == 1
-    bed.run(SECOND + 50_000)  # its hard limit counts from its last byte
+    assert dispatcher.in_flight == 1 and len(dispatcher.busy) == 1
+    bed.run(SECOND + 50_000)  # the hard limit counts from the last byte
     assert bed.closed["u0"] == "denied" and "u1" not in bed.closed
     bed.end("u0", 0, t.Outcome.CALLED_OFF)
     bed.step(t.RequestCancelled("u1"))
     for at in range(1, 30):
         bed.end(f"u{at}", 0, t.Outcome.UNSENT if at % 2 else t.Outcome.UNCONNECTED)
-    assert desk.in_flight == sum(seat.in_flight for seat in desk.endpoint_states.values() if seat.report.open)
+    assert dispatcher.in_flight == sum(
+        endpoint.in_flight for endpoint in dispatcher.endpoint_states.values() if endpoint.report.open
+    )
 
 
 def test_what_can_not_be_sent_once_more_is_denied_where_it_never_ran_and_broken_off_where_it_may_have():
-    for how, answer in ((t.Outcome.UNCONNECTED, "denied"), (t.Outcome.RESET, "broken off")):
+    for outcome, answer in ((t.Outcome.UNCONNECTED, "denied"), (t.Outcome.RESET, "broken off")):
         bed = Bed(deployment(), 3)
         for _ in range(40):
             bed.end(bed.arrive(IDEM), 0, t.Outcome.HANDLED, after=10_000)
         name = bed.arrive(ONCE)
-        bed.step(t.AttemptEnded(name, 0, how, 10_000, last=True))
+        bed.step(t.AttemptEnded(name, 0, outcome, 10_000, last=True))
         assert bed.closed[name] == answer and len(bed.attempts[name]) == 1
 
 
@@ -225,9 +230,9 @@
 
 
 def chunked(name: str, body: bytes, seed: int, more: str = "") -> bytes:
-    rng, at, parts = random.Random(seed), 0, []
+    random_source, at, parts = random.Random(seed), 0, []
     while at < len(body):
-        size = rng.randrange(1, 60_000)
+        size = random_source.randrange(1, 60_000)
         piece = body[at : at + size]
         parts.append(b"%x;x=y\r\n%s\r\n" % (len(piece), piece))
         at += size
@@ -235,13 +240,13 @@
     return head + b"".join(parts) + b"0\r\nX-Sum: 1\r\n\r\n"
 
 
-@pytest.mark.parametrize("shelf", [0, 2 * MIB, 64 * MIB])
+@pytest.mark.parametrize("memory_budget", [0, 2 * MIB, 64 * MIB])
 @pytest.mark.parametrize("form", ["length", "chunked"])
-def test_bodies_reach_the_endpoint_byte_for_byte(form, shelf):
+def test_bodies_reach_the_endpoint_byte_for_byte(form, memory_budget):
     sizes = [SMALL, SMALL + 1, 300_000, MIB + 5, 6 * MIB]
 
     async def check(net: Net):
-        net.program.body_memory.limit = shelf
+        net.program.body_memory.limit = memory_budget
         for at, size in enumerate(sizes):
             body = noise(size, at)
             data = wanted(f"s{at}", body=body) if form == "length" else chunked(f"s{at}", body, at)
@@ -249,13 +254,13 @@
         await until(lambda: net.program.body_memory.leased == 0)
 
     net = on_network(check, fine)
-    got = {one.header(b"req-id"): one.body for one in net.stands[0].seen if one.header(b"req-id")}
-    assert got == {f"s{at}": noise(size, at) for at, size in enumerate(sizes)}
+    received = {one.header(b"req-id"): one.body for one in net.stands[0].seen if one.header(b"req-id")}
+    assert received == {f"s{at}": noise(size, at) for at, size in enumerate(sizes)}
 
 
 @pytest.mark.parametrize("form", ["length", "chunked", "close"])
 def test_large_answers_come_back_byte_for_byte_long_after_the_hard_limit(form):
-    body, rng = noise(3 * MIB), random.Random(4)
+    body, random_source = noise(3 * MIB), random.Random(4)
 
     async def act(request):
         if not request.header(b"req-id"):
@@ -267,7 +272,7 @@
         }[form]
         pieces, at = [b"HTTP/1.1 200 OK\r\n%s\r\n\r\n" % head], 0
         while at < len(body):
-            size = rng.randrange(1, 90_000)
+            size = random_source.randrange(1, 90_000)
             piece = body[at : at + size]
             pieces.append(b"%x\r\n%s\r\n" % (len(piece), piece) if form == "chunked" else piece)
             at += size
@@ -285,9 +290,9 @@
                 side.feed(await stream.receive())
                 at += 1
                 if at == 10:
-                    await anyio.sleep(0.5)  # a slow reader, far beyond the hard limit
+                    await anyio.sleep(0.5)  # a slow reader, well past the hard limit
             assert answer.status == 200 and answer.body == body
-            await stream.send(wanted("s2", deadline="0.5"))  # the connection serves on
+            await stream.send(wanted("s2", deadline="0.5"))  # the connection stays usable
             assert (await stream.receive()).startswith(b"HTTP/1.1 200 ")
 
     net = on_network(check, act)
@@ -295,30 +300,33 @@
 
 
 def test_an_answer_that_breaks_after_its_first_bytes_looks_broken_to_every_client():
-    cut = [b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + b"20000\r\n" + noise(2**17) + b"\r\n"]
+    truncated = [
+        b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + b"20000\r\n" + noise(2**17) + b"\r\n"
+    ]
 
     async def check(net: Net):
         assert await net.ask(wanted("s1")) is None
         host, port = net.address.split(":")
         async with await anyio.connect_tcp(host, int(port)) as stream:
             await stream.send(wanted("s2").replace(b"HTTP/1.1", b"HTTP/1.0"))
-            with pytest.raises(anyio.BrokenResourceError):  # an end would look like the answer's
+            # A clean close would look like the end of the answer.
+            with pytest.raises(anyio.BrokenResourceError):
                 while True:
                     await stream.receive()
 
-    on_network(check, always(cut))
+    on_network(check, always(truncated))
 
 
 def test_a_launch_that_breaks_before_the_last_byte_is_followed_by_another_while_all_is_kept():
-    async def broken(net: Net, shelf: int, status: int, launches: int):
-        net.program.body_memory.limit = shelf
-        tries = []
+    async def broken(net: Net, memory_budget: int, status: int, attempts: int):
+        net.program.body_memory.limit = memory_budget
+        opened = []
         whole = net.program.connection_pool.open
 
         async def opens(address):
             connection = await whole(address)
-            tries.append(address)
-            if len(tries) == 1:
+            opened.append(address)
+            if len(opened) == 1:
                 send, sent = connection.send, []
 
                 async def breaks(data):
@@ -334,10 +342,10 @@
         data = chunked("s1", noise(4 * MIB), 1)
         data = data.replace(b"/view", b"/issue").replace(b"Kind: view", b"Kind: issue")
         assert (await net.ask(data)).status == status
-        assert len(tries) == launches
+        assert len(opened) == attempts
 
     limits = {"probes": False, "most-launches": 4, "cancel": True}
-    warm = [wanted(f"w{at}") for at in range(30)]  # retries are a tenth of these
+    warm = [wanted(f"w{at}") for at in range(30)]  # retries are limited to a tenth of these
 
     async def kept(net: Net):
         for data in warm:
@@ -382,12 +390,12 @@
             assert answer.startswith(b"HTTP/1.1 413 ")
 
     async def endpoint(stream) -> None:
-        """Answers what has come of a request when half a MiB is there."""
+        """Answers a request as soon as half a megabyte of it has arrived."""
         async with stream:
-            got = 0
+            received = 0
             try:
-                while got < 500_000:
-                    got += len(await stream.receive())
+                while received < 500_000:
+                    received += len(await stream.receive())
             except (anyio.EndOfStream, anyio.BrokenResourceError):
                 return  # a probe
             await stream.send(b"HTTP/1.1 413 Too Large\r\nContent-Length: 0\r\n\r\n")
@@ -406,16 +414,16 @@
             async with await anyio.connect_tcp(host, int(port)) as stream:
                 data = wanted(f"s{size}-{step}", body=noise(size))
                 await stream.send(data[:200])
-                at, got = 200, b""
+                at, received = 200, b""
                 try:
                     while at < len(data):
                         await anyio.sleep(step)
                         await stream.send(data[at : at + 7_000])
                         at += 7_000
-                    got = await stream.receive()
+                    received = await stream.receive()
                 except (anyio.BrokenResourceError, anyio.EndOfStream):
                     pass
-                assert got.startswith(b"HTTP/1.1 200 ") == whole
+                assert received.startswith(b"HTTP/1.1 200 ") == whole
         assert not net.program.request_table.pending_requests and net.program.body_memory.leased == 0
 
     on_network(check, fine)
@@ -438,15 +446,15 @@
     assert not seen(net, "s0") and not seen(net, "s1") and len(seen(net, "s2")) == 1
 
 
-# --- a process within its memory ----------------------------------------------------------------
+# --- memory limit of a process ------------------------------------------------------------------
 
 
-BULK, AT_ONCE = 32 * MIB, 20
-PART = noise(MIB)
+BULK_SIZE, CONCURRENT_REQUESTS = 32 * MIB, 20
+CHUNK = noise(MIB)
 
 
 class BulkServer(asyncio.Protocol):
-    """Counts and checks what it is sent, answers with 32 MiB."""
+    """Counts and checks the received body, then answers with 32 MiB."""
 
     done: dict[str, int] = {}
     wrong: list[str] = []
@@ -465,35 +473,37 @@
                 self.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
                 return self.connection_made(self.transport)
         place = self.at % MIB
-        if data[: MIB - place] != PART[place : place + len(data[: MIB - place])]:
+        if data[: MIB - place] != CHUNK[place : place + len(data[: MIB - place])]:
             self.wrong.append(self.name)
         self.at += len(data)
-        if self.at == BULK:
+        if self.at == BULK_SIZE:
             self.done[self.name] = self.at
             asyncio.get_running_loop().create_task(self.answer())
 
     async def answer(self) -> None:
-        self.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % BULK)
-        for _ in range(BULK // MIB):
-            self.transport.write(PART)
+        self.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % BULK_SIZE)
+        for _ in range(BULK_SIZE // MIB):
+            self.transport.write(CHUNK)
             while self.transport.get_write_buffer_size() > MIB:
                 await asyncio.sleep(0.002)
         self.connection_made(self.transport)
 
 
 def test_twenty_of_32_mib_both_ways_at_once_stay_within_the_memory_told(tmp_path):
-    net, most = Net([fine]), []
+    net, peak_mib = Net([fine]), []
 
     async def one(number: int) -> None:
         reader, writer = await asyncio.open_connection(*net.address.split(":"), limit=MIB)
-        head = wanted(f"s{number}", deadline="30").replace(b"Content-Length: 0", b"Content-Length: %d" % BULK)
+        head = wanted(f"s{number}", deadline="30").replace(
+            b"Content-Length: 0", b"Content-Length: %d" % BULK_SIZE
+        )
         writer.write(head)
-        for _ in range(BULK // MIB):
-            writer.write(PART)
+        for _ in range(BULK_SIZE // MIB):
+            writer.write(CHUNK)
             await writer.drain()
         assert (await reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 200 ")
-        for _ in range(BULK // MIB):
-            assert await reader.readexactly(MIB) == PART
+        for _ in range(BULK_SIZE // MIB):
+            assert await reader.readexactly(MIB) == CHUNK
         writer.close()
 
     async def main() -> None:
@@ -520,37 +530,37 @@
                                 break
                         except OSError:
                             await anyio.sleep(0.05)
-                    await asyncio.gather(*(one(number) for number in range(AT_ONCE)))
+                    await asyncio.gather(*(one(number) for number in range(CONCURRENT_REQUESTS)))
                 status = open(f"/proc/{process.pid}/status").read()
-                most.append(int(status.partition("VmHWM:")[2].split()[0]) // 1024)
+                peak_mib.append(int(status.partition("VmHWM:")[2].split()[0]) // 1024)
             finally:
                 process.send_signal(signal.SIGKILL)
                 process.wait()
             group.cancel_scope.cancel()
 
     anyio.run(main)
-    assert len(BulkServer.done) == AT_ONCE and not BulkServer.wrong
-    assert most[0] <= 80 * 9 // 10, f"{most[0]} MiB"
+    assert len(BulkServer.done) == CONCURRENT_REQUESTS and not BulkServer.wrong
+    assert peak_mib[0] <= 80 * 9 // 10, f"{peak_mib[0]} MiB"
 
 
 def test_what_comes_after_a_body_was_dropped_leases_nothing():
-    """Seen failing: the lease of a part put after the drop was given back by nobody."""
-    shelf = MemoryBudget(100)
+    """Guards against a leak: nothing released the lease of a part that was put after the drop."""
+    memory_budget = MemoryBudget(100)
 
     async def main() -> None:
-        body = RequestBody(shelf, None)
+        body = RequestBody(memory_budget, None)
         await body.put(b"x" * 30)
         body.drop()
         await body.put(b"x" * 30)
-        assert shelf.leased == 0 and not body.parts
+        assert memory_budget.leased == 0 and not body.parts
 
     anyio.run(main)
 
 
 def test_alarms_of_uploads_that_came_soon_do_not_outlast_them_by_minutes():
-    """Seen failing: each kept its submission for as long as the slowest body could have taken."""
+    """Guards against timers that kept a request for as long as the slowest body could have taken."""
     bed = Bed(deployment(), 2)
-    # One that stays open, with an alarm before theirs: done ones are let go of at the head of the heap.
+    # This one stays open with an earlier timer, as finished timers are only removed at the head of the heap.
     bed.step(t.RequestArrived("stays", "view", bed.now + 300 * SECOND, whole=False))
     for at in range(50):
         bed.step(t.RequestArrived(f"u{at}", "view", bed.now + 600 * SECOND, whole=False))
