--- a/lupinmill/lab/scale/fanout.py
+++ b/lupinmill/lab/scale/fanout.py
@@ -142,12 +142,12 @@
     relay_cpu = [(server.count.cpu + server.upstream.cpu) / seconds for server in world.relays]
     source = world.source.count
     world.run(world.now + shape.wait + 5 * SECOND)
-    took, lag = [one / SECOND for one in world.apply_delays], world.pending_changes()
+    delays, lag = [one / SECOND for one in world.apply_delays], world.pending_changes()
     note = f"{describe_assumptions(costs, shape)}; {describe_shape(shape)}"
     day, grows = "ordinary", "changes a second"
     for name, mean, peak in (
-        ("time in force", percentile(took, 0.5), max(took, default=0.0)),
-        ("time in force p99", percentile(took, 0.99), max(took, default=0.0)),
+        ("time in force", percentile(delays, 0.5), max(delays, default=0.0)),
+        ("time in force p99", percentile(delays, 0.99), max(delays, default=0.0)),
     ):
         what = "; mean is the p50" if name == "time in force" else "; mean is the p99"
         figure_table.add(
@@ -176,9 +176,9 @@
         figure_table.add(role, name, unit, grows, day, rate, seed, mean, peak, note + more)
     return (
         f"{describe_shape(shape)}, {rate:.2f} changes/s for {seconds:g} s, seed {seed}: {world.pushed}"
-        f" versions, {len(took)}"
-        f" in force after p50 {percentile(took, 0.5):.3f} p99 {percentile(took, 0.99):.3f} max"
-        f" {max(took, default=0.0):.3f} s, {lag} not; all equal: {world.all_consistent()};"
+        f" versions, {len(delays)}"
+        f" in force after p50 {percentile(delays, 0.5):.3f} p99 {percentile(delays, 0.99):.3f} max"
+        f" {max(delays, default=0.0):.3f} s, {lag} not; all equal: {world.all_consistent()};"
         f" sidecar: cpu {cpu:.2e},"
         f" bytes/s in"
         f" {bytes_in:.1f} out {bytes_out:.1f}; a relay's core {statistics.mean(relay_cpu):.2e} (most"
@@ -280,7 +280,7 @@
     world.run(back + costs.keep + POLL_INTERVAL)
     last, left = run_until_consistent(world, back)
     world.run(world.now + 5 * SECOND)
-    took = [one / SECOND for one in world.apply_delays]
+    delays = [one / SECOND for one in world.apply_delays]
     note = (
         f"{describe_assumptions(costs, shape)}; away {SOURCE_OUTAGE_S:g} s for ten minutes,"
         f" a change for everyone pushed at its return"
@@ -291,7 +291,7 @@
         ("source", "calls while away", "1/s", tries, 0.0),
         ("source", "calls at the return", "1/s", source, source),
         ("relay", "calls, all relays", "1/s", calm, 0.0),
-        ("sidecar", "time in force", "s", percentile(took, 0.5), max(took, default=0.0)),
+        ("sidecar", "time in force", "s", percentile(delays, 0.5), max(delays, default=0.0)),
         ("sidecar", "left behind", "sidecars", float(left), 0.0),
     ):
         figure_table.add(role, name, unit, "sidecars", day, size, seed, mean, peak, note)
@@ -300,7 +300,7 @@
         f" watches/s at the"
         f" relays; at the return {source:.0f} calls in the dearest second, all at the newest {last:.2f} s"
         f" after, {left}"
-        f" never; in force p50 {percentile(took, 0.5):.3f} max {max(took, default=0.0):.3f} s; all equal:"
+        f" never; in force p50 {percentile(delays, 0.5):.3f} max {max(delays, default=0.0):.3f} s; all equal:"
         f" {world.all_consistent()}"
     )
 
@@ -324,8 +324,8 @@
         began = world.now
         world.run(began + int(seconds * SECOND))
         server = world.relays[0]
-        took = (server.count.cpu, server.upstream.cpu)
-        rates = [sum(took) / seconds, server.count.bytes_out / seconds, server.count.bytes_in / seconds]
+        cpu_times = (server.count.cpu, server.upstream.cpu)
+        rates = [sum(cpu_times) / seconds, server.count.bytes_out / seconds, server.count.bytes_in / seconds]
         calls = len(server.count.calls) / seconds
         note = (
             f"{describe_assumptions(costs, one)}; cores alone, with all entries of {shape.sidecars} sidecars"
@@ -373,19 +373,19 @@
         gc.collect()
         base = tracemalloc.get_traced_memory()[0]
         entries = decode_entries(data)
-        server = History(history.version, entries)
+        relay_history = History(history.version, entries)
         follower = Follower("relay", ("source",), 1, SECOND, SECOND, history.version, entries)
-        fan = Fanout(server, wire.encode_reply, 0, 4 * max(counts), 1000)
+        watch_server = Fanout(relay_history, wire.encode_reply, 0, 4 * max(counts), 1000)
         gc.collect()
         empty = tracemalloc.get_traced_memory()[0] - base
-        texts, there = (
+        texts, connected = (
             [f"a sidecar's entries {each:.0f} bytes", f"a relay's core with none watching {empty:.0f}"],
             0,
         )
         for count in counts:
-            for at in range(there, count):
+            for at in range(connected, count):
                 status = Status(f"m{at}", Version(history.version.index, str(history.version.mark)))
-                fan.step(
+                watch_server.step(
                     0,
                     [
                         WatchReceived(
@@ -397,7 +397,7 @@
                         )
                     ],
                 )
-            there = count
+            connected = count
             gc.collect()
             size = tracemalloc.get_traced_memory()[0] - base
             figure_table.add(
--- a/lupinmill/lab/scale/fanout_sockets.py
+++ b/lupinmill/lab/scale/fanout_sockets.py
@@ -137,9 +137,8 @@
     watcher_memory: float  # bytes of the watchers' process, per watcher
     cpu_a_call: float  # processor seconds of the relay
     whole_cpu: float  # processor seconds of the relay to give all watchers their first snapshot
-    took: list[float] = field(
-        default_factory=list
-    )  # seconds from the push's call until in force, at each watcher
+    # Seconds from the push's call until in force, at each watcher.
+    took: list[float] = field(default_factory=list)
     loadavg: float = 0.0
     pushes: list[float] = field(default_factory=list)  # seconds until the source acknowledged a version
 
--- a/lupinmill/lab/scale/hollow.py
+++ b/lupinmill/lab/scale/hollow.py
@@ -63,7 +63,7 @@
 
 
 @dataclass
-class Core:
+class SimulatedMember:
     name: str
     peer: Peer
     timer_at: int = -1
@@ -106,14 +106,14 @@
         simulated = self.names if self.all_simulated else [self.names[at * every] for at in range(cores)]
         self.electors = tuple(self.names[at * members // electors] for at in range(electors))
         self.now = 0
-        self.queue: list[tuple[int, int, Core, object]] = []
+        self.queue: list[tuple[int, int, SimulatedMember, object]] = []
         self.serial = 0
-        self.cores: dict[str, Core] = {}
-        self.conversations: dict[tuple[str, str], tuple[Core, str]] = {}
+        self.cores: dict[str, SimulatedMember] = {}
+        self.conversations: dict[tuple[str, str], tuple[SimulatedMember, str]] = {}
         self.changes = 0
         for at, name in enumerate(simulated):
             watch = not watched or at % max(1, len(simulated) // watched) == 0
-            self.cores[name] = Core(name, self.make_peer(name, at + 1), watched=watch)
+            self.cores[name] = SimulatedMember(name, self.make_peer(name, at + 1), watched=watch)
         self.simulated = list(self.cores.values())
         self.watched = [core for core in self.simulated if core.watched]
 
@@ -150,9 +150,9 @@
             peer.membership.check_tokens_at = EPOCH
             self.schedule_timer(core, self.random_source.randrange(self.timing.round))
 
-    # The run.
+    # Event loop.
 
-    def schedule_timer(self, core: Core, at: int) -> None:
+    def schedule_timer(self, core: SimulatedMember, at: int) -> None:
         if core.timer_at != at:
             core.timer_at = at
             self.serial += 1
@@ -173,7 +173,7 @@
                 self.step(core, event)  # type: ignore[arg-type]
         self.now = end
 
-    def step(self, core: Core, datagram: tuple[str, bytes] | None) -> None:
+    def step(self, core: SimulatedMember, datagram: tuple[str, bytes] | None) -> None:
         second, clock = core.second(self.now), EPOCH + self.now
         began = time.thread_time_ns() if core.watched else 0
         received: list[Received] = []
@@ -205,16 +205,20 @@
         self.schedule_timer(core, max(self.now + 1, core.peer.next_due() - EPOCH))
 
     def encode(
-        self, core: Core, command: Send, out: list[tuple[str, wire.Body, bytes]], own: list[Received]
+        self,
+        core: SimulatedMember,
+        command: Send,
+        out: list[tuple[str, wire.Body, bytes]],
+        own: list[Received],
     ) -> None:
         if command.to == core.name:
             own.append(Received(command.to, command.body))
         else:
             out.append((command.to, command.body, wire.encode(SITE, command.body, command.updates)))
 
-    # The network.
+    # Network.
 
-    def deliver(self, core: Core, to: str, body: wire.Body, data: bytes) -> None:
+    def deliver(self, core: SimulatedMember, to: str, body: wire.Body, data: bytes) -> None:
         if to in self.stopped or self.loss and self.random_source.random() < self.loss:
             return
         if self.all_simulated:
@@ -254,10 +258,10 @@
             self.restart(self.cores[name], self.members + at + 1, self.random_source.randrange(SECOND))
         self.stopped = set()
 
-    def stop(self, core: Core) -> None:
+    def stop(self, core: SimulatedMember) -> None:
         core.up = False
 
-    def restart(self, core: Core, incarnation: int, after: int = 1) -> None:
+    def restart(self, core: SimulatedMember, incarnation: int, after: int = 1) -> None:
         core.peer, core.up, core.timer_at = self.make_peer(core.name, incarnation), True, -1
         self.schedule_timer(core, self.now + after)
 
--- a/tests/test_scale_fanout.py
+++ b/tests/test_scale_fanout.py
@@ -31,53 +31,53 @@
 
 
 def warmed_up_world(seed=1, shape=SHAPE):
-    made = World(shape, seed, COSTS)
-    made.run(made.now + shape.wait)
-    made.reset_counters()
-    return made
+    world = World(shape, seed, COSTS)
+    world.run(world.now + shape.wait)
+    world.reset_counters()
+    return world
 
 
-def apply_changes(made, rate=2.0, seconds=10.0):
+def apply_changes(world, rate=2.0, seconds=10.0):
     """Applies changes, then lets all of them arrive. Returns the number of pushed changes by scope."""
     pushes = Counter()
-    push = made.source.history.push
+    push = world.source.history.push
 
     def counted(changes):
-        before = made.source.history.version
+        before = world.source.history.version
         version = push(changes)
         if version != before:
             pushes.update(key.scope for key in changes)
         return version
 
-    made.source.history.push = counted
-    made.schedule_changes(rate, seconds)
-    made.run(made.now + int(seconds * SECOND) + 2 * made.shape.wait)
+    world.source.history.push = counted
+    world.schedule_changes(rate, seconds)
+    world.run(world.now + int(seconds * SECOND) + 2 * world.shape.wait)
     return pushes
 
 
 def test_each_change_is_in_force_at_all_whom_it_concerns_and_counted_once():
-    made = warmed_up_world()
-    pushes = apply_changes(made)
-    concerned = sum(pushes[scope] for one in made.sidecars for scope in one.scopes)
-    assert made.pushed == sum(pushes.values()) > 10
-    assert len(made.apply_delays) == concerned > made.pushed and made.pending_changes() == 0
-    assert made.all_consistent() and made.count_behind(max(made.source.history.version.index - 1, 0)) < len(
-        made.sidecars
-    )
-    assert min(made.apply_delays) >= COSTS.keep + COSTS.force
+    world = warmed_up_world()
+    pushes = apply_changes(world)
+    concerned = sum(pushes[scope] for one in world.sidecars for scope in one.scopes)
+    assert world.pushed == sum(pushes.values()) > 10
+    assert len(world.apply_delays) == concerned > world.pushed and world.pending_changes() == 0
+    assert world.all_consistent() and world.count_behind(
+        max(world.source.history.version.index - 1, 0)
+    ) < len(world.sidecars)
+    assert min(world.apply_delays) >= COSTS.keep + COSTS.force
 
 
 def test_calls_and_bytes_on_both_sides_are_the_same_but_for_what_is_under_way():
-    made = World(SHAPE, 1, COSTS)
-    apply_changes(made, seconds=15.0)
-    relays, sidecars = sum_counters(place.count for place in made.relays), set(made.sidecars)
-    coming = [args for _, _, do, args in made.heap if do.__name__ == "arrive" and args[1] in sidecars]
-    going = [args for _, _, do, args in made.heap if do.__name__ == "answered" and do.__self__ in sidecars]
+    world = World(SHAPE, 1, COSTS)
+    apply_changes(world, seconds=15.0)
+    relays, sidecars = sum_counters(server.count for server in world.relays), set(world.sidecars)
+    coming = [args for _, _, do, args in world.heap if do.__name__ == "arrive" and args[1] in sidecars]
+    going = [args for _, _, do, args in world.heap if do.__name__ == "answered" and do.__self__ in sidecars]
     assert sum(one.calls for one in sidecars) == len(relays.calls) + len(coming) > 3 * len(sidecars)
     assert sum(one.bytes_out for one in sidecars) == relays.bytes_in + sum(args[-1] for args in coming)
     sizes = [len(args[-1]) + len(HEAD % len(args[-1])) for args in going]
     assert relays.bytes_out == sum(one.bytes_in for one in sidecars) + sum(sizes)
-    assert len(made.open_calls) <= len(sidecars) + len(made.relays)  # each has at most one open call
+    assert len(world.open_calls) <= len(sidecars) + len(world.relays)  # each has at most one open call
     assert not relays.refused and not relays.rejected and not relays.snapshots
 
 
@@ -86,19 +86,19 @@
              for one in (warmed_up_world(), warmed_up_world(), warmed_up_world(2))
              if apply_changes(one)]  # fmt: skip
     assert found[0] == found[1] != found[2]
-    made = warmed_up_world()
-    apply_changes(made)
+    world = warmed_up_world()
+    apply_changes(world)
     by_service = {}
-    for one in made.sidecars:
+    for one in world.sidecars:
         key = (one.scopes[3], "settings")
         by_service.setdefault(one.scopes[3], set()).add(str(one.follower.entries.get(Key(*key))))
-    assert any(one.sampled for one in made.sidecars) and not all(one.sampled for one in made.sidecars)
+    assert any(one.sampled for one in world.sidecars) and not all(one.sampled for one in world.sidecars)
     assert all(len(values) == 1 for values in by_service.values())
 
 
 @pytest.mark.parametrize("kept", [True, False])
 def test_after_all_relays_restart_all_are_at_the_newest_and_calls_that_found_none_are_told_apart(kept):
-    made, figure_table = warmed_up_world(), fanout.FigureTable()
+    world, figure_table = warmed_up_world(), fanout.FigureTable()
     text = fanout.measure_relay_restart(figure_table, SHAPE, 1, COSTS, kept)
     assert "all equal: True" in text and " 0 never" in text
     name = "relays restart" if kept else "relays restart without their files"
@@ -106,7 +106,7 @@
     assert points["left behind"] == 0 and points["refused while down, all relays"] > 0
     assert points["calls, all relays"] >= points["calls"] > 0
     assert points["time until all are at the newest"] >= SHAPE.restart_time / SECOND
-    assert made.all_consistent()
+    assert world.all_consistent()
 
 
 def test_with_the_source_away_relays_go_on_and_a_change_at_its_return_reaches_everyone(monkeypatch):
@@ -126,14 +126,14 @@
     good = warmed_up_world()
     apply_changes(good)
 
-    def sleepy(self, now, note, orders):
+    def wake_no_watch(self, now, note, orders):
         self.cache.clear()
 
-    monkeypatch.setattr(Fanout, "version_available", sleepy)
-    made = warmed_up_world()
-    apply_changes(made)
+    monkeypatch.setattr(Fanout, "version_available", wake_no_watch)
+    world = warmed_up_world()
+    apply_changes(world)
     assert (
-        sorted(made.apply_delays)[len(made.apply_delays) // 2]
+        sorted(world.apply_delays)[len(world.apply_delays) // 2]
         > 3 * sorted(good.apply_delays)[len(good.apply_delays) // 2]
     )
 
@@ -150,16 +150,16 @@
         return found
 
     monkeypatch.setattr(History, "reply", short)
-    made = warmed_up_world()
-    apply_changes(made, rate=6.0)
-    assert not made.all_consistent()
+    world = warmed_up_world()
+    apply_changes(world, rate=6.0)
+    assert not world.all_consistent()
 
 
 def test_a_follower_that_takes_nothing_more_lags(monkeypatch):
-    made = warmed_up_world()
+    world = warmed_up_world()
     monkeypatch.setattr(Follower, "offer_version", lambda self, now: None)
-    apply_changes(made)
-    assert made.pending_changes() > 0
+    apply_changes(world)
+    assert world.pending_changes() > 0
 
 
 # --- parts ------------------------------------------------------------------------------------------
