--- a/lupinmill/lab/explorer.py
+++ b/lupinmill/lab/explorer.py
@@ -146,24 +146,24 @@
         return (forgot + 1) * 2 < self.size
 
     def apply(self, action: Action) -> None:
-        what, index = action
-        if what == "deliver":
+        kind, index = action
+        if kind == "deliver":
             sender, to, body = self.in_flight.pop(index)
             self.step(to, [Received(self.processes[sender].name, body)])
-        elif what == "lose":
+        elif kind == "lose":
             self.in_flight.pop(index)
-        elif what == "double":
+        elif kind == "double":
             self.in_flight.append(self.in_flight[index])
-        elif what == "restart":
+        elif kind == "restart":
             self.processes[index].paused = False
             self.start(index)
             self.step(index, [])
-        elif what == "stop":
+        elif kind == "stop":
             self.processes[index].paused = True
-        elif what == "go on":
+        elif kind == "go on":
             self.processes[index].paused = False
             self.step(index, [])
-        elif what == "give up":
+        elif kind == "give up":
             process = self.processes[index]
             assert process.proposer is not None
             process.proposer.now = self.clock(index)
@@ -171,7 +171,7 @@
             if self.faults.reuses_ballots:
                 process.proposer.ballot_numbers.clear()
             self.step(index, [])
-        elif what == "move wall clock":
+        elif kind == "move wall clock":
             self.processes[index].wall_clock_offset += 60 * SECOND
         else:
             self.advance_time()
@@ -333,19 +333,19 @@
         return found
 
     def apply(self, action: Action) -> None:
-        what, index = action
-        if what == "deliver":
+        kind, index = action
+        if kind == "deliver":
             sender, to, received = self.in_flight.pop(index)
             self.step(to, [received])
-        elif what == "lose":
+        elif kind == "lose":
             self.in_flight.pop(index)
-        elif what == "double":
+        elif kind == "double":
             self.in_flight.append(self.in_flight[index])
-        elif what == "restart":
+        elif kind == "restart":
             self.start(index)
-        elif what in ("stop", "go on"):
-            self.paused[index] = what == "stop"
-        elif what == "lie about":
+        elif kind in ("stop", "go on"):
+            self.paused[index] = kind == "stop"
+        elif kind == "lie about":
             self.report_false_death(index)
         else:
             self.advance_time()
@@ -431,7 +431,7 @@
     schedule: list[Action]
 
     def text(self) -> str:
-        return "; ".join(f"{what} {index}" for what, index in self.schedule)
+        return "; ".join(f"{kind} {index}" for kind, index in self.schedule)
 
 
 @dataclass
@@ -492,8 +492,8 @@
     """The violation under a schedule in the form of `Failure.text`; empty if there is none."""
     world = make_world()
     for part in text.split("; "):
-        what, _, index = part.rpartition(" ")
-        world.apply((what, int(index)))
+        kind, _, index = part.rpartition(" ")
+        world.apply((kind, int(index)))
         if world.violation:
             break
     world.finish()
@@ -533,15 +533,15 @@
 def violation_of(make_world: Callable[[], World], schedule: list[Action]) -> str:
     """The violation under a schedule; empty if there is none, or if a step is not possible."""
     world = make_world()
-    for what, index in schedule:
+    for kind, index in schedule:
         bound = (
             len(world.processes)
-            if what in ("restart", "stop", "go on", "give up", "move wall clock", "wait")
+            if kind in ("restart", "stop", "go on", "give up", "move wall clock", "wait")
             else len(world.in_flight)
         )
         if index >= bound:
             return ""
-        world.apply((what, index))
+        world.apply((kind, index))
         if world.violation:
             return world.violation
     world.finish()
