--- a/lupinmill/lab/scale/runs.py
+++ b/lupinmill/lab/scale/runs.py
@@ -40,11 +40,11 @@
 
     def execute(self) -> list[Sample]:
         before = microseconds()
-        rows = RUN_KINDS[self.kind](self)
+        samples = RUN_KINDS[self.kind](self)
         reference = min(before, microseconds())
-        for row in rows:
-            row.reference_us = reference
-        return rows
+        for sample in samples:
+            sample.reference_us = reference
+        return samples
 
 
 def simulated_cores(size: int) -> int:
@@ -78,8 +78,8 @@
     note = (
         f"{VIRTUAL_NOTE}; {SUBSET_NOTE}; settled by tables heard, news and joining rounds taken away by hand"
     )
-    rows = member_samples(run, "quiet", hollow.figures(1, seconds), note)
-    rows.append(
+    samples = member_samples(run, "quiet", hollow.figures(1, seconds), note)
+    samples.append(
         Sample(
             FigureKey("sidecar", "rows", "rows", "members", "quiet"),
             make_point(run, hollow.rows()),
@@ -87,7 +87,7 @@
             note,
         )
     )
-    return rows
+    return samples
 
 
 def fleet_start(run: Run) -> list[Sample]:
@@ -95,33 +95,33 @@
     hollow = Hollow(run.size, run.seed, min(simulated_cores(run.size), SIMULATED_CORES_AT_START))
     hollow.start()
     limit = int(run.seconds or MAX_START_S)
-    tables = news = 0
+    tables_last_s = updates_last_s = 0
     for at in range(limit):
         hollow.run(1)
         asked = sum(core.seconds[at].tables for core in hollow.played if at < len(core.seconds))
         if asked > len(hollow.played):  # a member usually asks in one round of ten: 0.5 a second
-            tables = at + 1
+            tables_last_s = at + 1
         if hollow.news() >= 1:
-            news = at + 1
-        elif at > tables + 2 and at > 5:
+            updates_last_s = at + 1
+        elif at > tables_last_s + 2 and at > 5:
             break
-    whole = news < limit
+    finished = updates_last_s < limit
     note = f"{VIRTUAL_NOTE}; {SUBSET_NOTE}; over the time until tables and news are told"
-    if not whole:
+    if not finished:
         note += f"; at {run.size} ended after {limit} s, news was still being told"
-    rows = member_samples(run, "start", hollow.figures(0, max(tables, news)), note)
-    rows.append(
+    samples = member_samples(run, "start", hollow.figures(0, max(tables_last_s, updates_last_s)), note)
+    samples.append(
         Sample(
             FigureKey("sidecar", "tables last", "s", "members", "start"),
-            make_point(run, tables),
+            make_point(run, tables_last_s),
             0.0,
             "virtual time",
         )
     )
-    if whole:
+    if finished:
         key = FigureKey("sidecar", "news lasts", "s", "members", "start")
-        rows.append(Sample(key, make_point(run, news), 0.0, "virtual time"))
-    return rows
+        samples.append(Sample(key, make_point(run, updates_last_s), 0.0, "virtual time"))
+    return samples
 
 
 def member_state(run: Run) -> list[Sample]:
@@ -132,14 +132,14 @@
 
 def read_operators_file(run: Run) -> list[Sample]:
     try:
-        took, memory, size = settings.measure_file_reading(run.size)
+        cpu_s, memory, size = settings.measure_file_reading(run.size)
         note = ""
     except BadFile as error:
         with settings.without_caps():
-            took, memory, size = settings.measure_file_reading(run.size)
+            cpu_s, memory, size = settings.measure_file_reading(run.size)
         why = str(error).rpartition(": ")[2]
         note = f"at {run.size} a trial with the caps lifted: the reader refuses it ({why})"
-    found = (("file cpu", "s", took), ("file memory", "bytes", memory), ("file bytes", "bytes", float(size)))
+    found = (("file cpu", "s", cpu_s), ("file memory", "bytes", memory), ("file bytes", "bytes", float(size)))
     return [
         Sample(
             FigureKey("sidecar", name, unit, "members", "change", unit == "s"),
@@ -152,8 +152,8 @@
 
 
 def read_endpoint_lists(run: Run) -> list[Sample]:
-    took, memory, size = settings.measure_list_reading(run.size)
-    found = (("list cpu", "s", took), ("list memory", "bytes", memory), ("list bytes", "bytes", float(size)))
+    cpu_s, memory, size = settings.measure_list_reading(run.size)
+    found = (("list cpu", "s", cpu_s), ("list memory", "bytes", memory), ("list bytes", "bytes", float(size)))
     return [
         Sample(
             FigureKey("sidecar", name, unit, "endpoints", "change", unit == "s"), make_point(run, value), 0.0
@@ -185,7 +185,7 @@
 
 def evidence_load(run: Run) -> list[Sample]:
     """Load of the holder and of another elector by members, at the 16 zones that reports allow."""
-    rows: list[Sample] = []
+    samples: list[Sample] = []
     note = f"hollow, virtual time, {settings.ZONES} zones, lease by hand; the peers' own probes apart"
     for role in ("holder", "elector"):
         found = holder.Holder(run.size, settings.ZONES, run.seed, role == "holder").play()
@@ -199,9 +199,9 @@
             ("evidence messages out", "1/s", found.messages_out, 0.0, False),
         ):
             key = FigureKey(role, name, unit, "members", "quiet", cpu)
-            rows.append(Sample(key, make_point(run, mean, peak), 0.0, note))
+            samples.append(Sample(key, make_point(run, mean, peak), 0.0, note))
         if role == "holder":
-            rows += [
+            samples += [
                 Sample(
                     FigureKey(role, "heard fresh", "part", "members", "quiet"),
                     make_point(run, found.fresh),
@@ -215,10 +215,10 @@
                     note,
                 ),
             ]
-            rows += reporter_samples(run, found, note)
+            samples += reporter_samples(run, found, note)
     look, memory = holder.Holder(run.size, settings.ZONES, run.seed).all_heard()
     note += "; a trial: words of all put in at one moment, as they don't stay fresh"
-    rows += [
+    samples += [
         Sample(
             FigureKey("holder", "look if all heard", "s", "members", "quiet", True),
             make_point(run, look),
@@ -232,7 +232,7 @@
             note,
         ),
     ]
-    return rows
+    return samples
 
 
 def reporter_samples(run: Run, found: holder.Played, note: str) -> list[Sample]:
@@ -271,14 +271,14 @@
     found = holder.Holder(members, run.size, run.seed)
     note = f"{members} members, reports put in by hand"
     look = found.look_by_hand()
-    rows = [
+    samples = [
         Sample(FigureKey("holder", "look", "s", "zones", "quiet", True), make_point(run, look), 0.0, note)
     ]
     played = holder.Holder(members, run.size, run.seed).play(4.0)
     note = f"{members} members; words on more than 16 zones are refused as garbled"
     key = FigureKey("holder", "heard fresh", "part", "zones", "quiet")
-    rows.append(Sample(key, make_point(run, played.fresh), 0.0, note))
-    return rows
+    samples.append(Sample(key, make_point(run, played.fresh), 0.0, note))
+    return samples
 
 
 def zone_loss(run: Run) -> list[Sample]:
@@ -287,19 +287,19 @@
         f"{VIRTUAL_NOTE}; all cores played; 5% of the members lost at one moment; over the time until all "
         "know"
     )
-    rows = member_samples(run, "zone lost", found.figures, note)
+    samples = member_samples(run, "zone lost", found.figures, note)
     if found.detected_s:
         key = FigureKey("sidecar", "known after", "s", "members", "zone lost")
         text = "until all that are left hold all of them for gone"
-        rows.append(Sample(key, make_point(run, found.detected_s), 0.0, text))
-    rows += member_samples(
+        samples.append(Sample(key, make_point(run, found.detected_s), 0.0, text))
+    samples += member_samples(
         run, "zone back", found.back_figures, f"{VIRTUAL_NOTE}; those lost start anew; of the others"
     )
     if found.back_detected_s:
         key = FigureKey("sidecar", "known after", "s", "members", "zone back")
         text = "until all hold all for present"
-        rows.append(Sample(key, make_point(run, found.back_detected_s), 0.0, text))
-    return rows
+        samples.append(Sample(key, make_point(run, found.back_detected_s), 0.0, text))
+    return samples
 
 
 def ordinary_day(run: Run) -> list[Sample]:
--- a/tests/test_scale_slopes.py
+++ b/tests/test_scale_slopes.py
@@ -83,7 +83,7 @@
 
 
 @pytest.mark.parametrize(
-    "told, word",
+    "arguments, word",
     [
         (["--sizes", "many"], "--sizes many"),
         (["--sizes", "100,100"], "--sizes 100,100"),
@@ -95,8 +95,8 @@
         (["--only", "members,all"], "--only all"),
     ],
 )
-def test_a_bad_option_is_one_line_and_exit_2(told, word):
-    done = CliRunner().invoke(command, told)
+def test_a_bad_option_is_one_line_and_exit_2(arguments, word):
+    done = CliRunner().invoke(command, arguments)
     assert done.exit_code == 2 and done.output.count("\n") == 1 and word in done.output
 
 
@@ -156,12 +156,12 @@
 def test_hollow_members_send_as_much_as_the_lab_s_virtual_fleet():
     """The virtual fleet drives the same cores with a network and clocks of its own."""
     fleet = Fleet("quiet", 30.0, 20, electors=0)
-    other = VirtualFleet(fleet, 4, decide=False)
-    result = other.play()
-    ours = hollow.Hollow(20, 4)
-    ours.start()
-    ours.run(30)
-    mean, _ = ours.figures(0, 30)["messages out"]
+    virtual_fleet = VirtualFleet(fleet, 4, decide=False)
+    result = virtual_fleet.play()
+    hollow_fleet = hollow.Hollow(20, 4)
+    hollow_fleet.start()
+    hollow_fleet.run(30)
+    mean, _ = hollow_fleet.figures(0, 30)["messages out"]
     assert mean == pytest.approx(result.figures["datagrams_a_member_and_second"], rel=0.1)
 
 
@@ -224,26 +224,26 @@
     assert costs.member_state_bytes(2_000) > 1.5 * costs.member_state_bytes(1_000)
 
 
-# --- checks that can fail --------------------------------------------------------------------------
+# --- planted faults -------------------------------------------------------------------------------
 
 
 class Doubling(loopback.Hollow):
     """A planted fault: each datagram is sent twice."""
 
-    def __init__(self, *told) -> None:
-        super().__init__(*told)
+    def __init__(self, *arguments) -> None:
+        super().__init__(*arguments)
         send = self.driver.send
         self.driver.send = lambda order: (send(order), send(order))
 
 
 def test_hollow_sidecars_equal_real_ones_and_doubling_ones_do_not():
-    told = 5, 400, 30
+    arguments = 5, 400, 30
     with ProcessPoolExecutor(3) as pool:
         for _ in range(slopes.COMPARISON_ATTEMPTS):
             waiting = [
-                pool.submit(honest.play, *told),
-                pool.submit(loopback.play, *told),
-                pool.submit(loopback.play, *told, Doubling),
+                pool.submit(honest.play, *arguments),
+                pool.submit(loopback.play, *arguments),
+                pool.submit(loopback.play, *arguments, Doubling),
             ]
             real, good, bad = (one.result() for one in waiting)
             assert any("messages out" in text for text in honest.violations(real, bad))
@@ -350,8 +350,8 @@
     def one(name: str, mean: float) -> Figure:
         return Figure("sidecar", name, "s", "members", "quiet", [Point(1, 1, mean)])
 
-    told = ["returns: not run", "z"]
-    old = Measured("a", "1", "d", [1], 1.0, 8, [one("x", 1.0), one("y", 1.0)], partial=told)
+    partial = ["returns: not run", "z"]
+    old = Measured("a", "1", "d", [1], 1.0, 8, [one("x", 1.0), one("y", 1.0)], partial=partial)
     new = Measured("b", "2", "e", [1], 2.0, 8, [one("y", 2.0)], partial=["members: not run"])
     found = slopes.merge(old, new, ("returns",))
     assert [(figure.name, figure.points[0].mean) for figure in found.figures] == [("x", 1.0), ("y", 2.0)]
