--- a/lupinmill/lab/scale/target.py
+++ b/lupinmill/lab/scale/target.py
@@ -148,7 +148,7 @@
 
 
 def read(path: Path = FILE) -> Target:
-    """Raises BadTarget."""
+    """Raises InvalidTarget."""
     try:
         data = path.read_bytes()
         if len(data) > MAX_FILE_BYTES:
