--- a/lupinmill/lab/clients.py
+++ b/lupinmill/lab/clients.py
@@ -209,8 +209,8 @@
     def draw_max_retries(self, client_request: ClientRequest) -> int:
         """Draws the number of retries; the fraction of `retries` is the share of clients that make one
         more."""
-        whole = int(self.retries)
-        return whole + (self.retry_random.random() < self.retries - whole)
+        whole_part = int(self.retries)
+        return whole_part + (self.retry_random.random() < self.retries - whole_part)
 
     def may_repeat(self, client_request: ClientRequest, outcome: Outcome) -> bool:
         if outcome in (Outcome.REJECTED, Outcome.UNREACHABLE):
@@ -218,8 +218,8 @@
         terms = client_request.workload.terms
         if terms.repeat.value == "idempotent":
             return True
-        whole = terms.repeat.value == "deduplicated" and terms.group.value == "all"
-        return whole and self.world.timeline.now < client_request.repeatable_until
+        deduplicated_by_all = terms.repeat.value == "deduplicated" and terms.group.value == "all"
+        return deduplicated_by_all and self.world.timeline.now < client_request.repeatable_until
 
     def give_up(self, client_request: ClientRequest) -> None:
         client_request.over = True
--- a/lupinmill/lab/endpoint.py
+++ b/lupinmill/lab/endpoint.py
@@ -403,6 +403,7 @@
     # Overload while cold.
 
     def add_load(self, work: float, informed: bool) -> None:
+        """Counts work sent to a cold endpoint, which collapses if it is too much within the time span."""
         multiple, span = self.rule_checker.overload_limit
         if not self.started or not multiple or not self.cold():
             return
@@ -414,7 +415,7 @@
         capacity = self.spec.cores * self.spec.speed * self.warmth() * span / SECOND
         if self.load_sum > multiple * capacity * OVERLOAD_SLACK + 3 * work and not self.collapsed:
             self.collapsed = True
-            informed_load = sum(amount for _, amount, knew in self.recent_load if knew)
+            informed_load = sum(amount for _, amount, from_informed in self.recent_load if from_informed)
             self.rule_checker.endpoint_collapsed(self, informed_load / max(1e-9, self.load_sum))
             self.advance()
             self.reschedule()
--- a/lupinmill/lab/rule_checker.py
+++ b/lupinmill/lab/rule_checker.py
@@ -109,7 +109,7 @@
         self.now = now
         record = self.records.get(request_id)
         if record is None:
-            return self.violation(1, request_id, f"{what} without having been taken")
+            return self.violation(1, request_id, f"{what} without having been received")
         if record.answer:
             return self.violation(1, request_id, f"{what} after it was {record.answer}")
         record.answer, record.answered = what, now
@@ -126,7 +126,7 @@
             and workload.group is t.DeduplicationScope.ALL
         )
         if not safe and any(attempt.executed for attempt in record.attempts):
-            self.violation(2, record.request_id, "denied, but a launch of it has run or may run")
+            self.violation(2, record.request_id, "denied, but an attempt has run or may run")
 
     def released(self, request_id: str) -> None:
         """The client has left, or the sidecar that accepted the request was killed."""
@@ -153,7 +153,7 @@
         record = self.records.get(request_id)
         if record is None:
             self.violation(
-                1, request_id, f"sent to {endpoint.spec.name} without having been taken, or long after"
+                1, request_id, f"sent to {endpoint.spec.name} without having been received, or long after"
             )
             return None
         if record.answer and now > record.answered + self.slack:
@@ -166,19 +166,19 @@
     def check_retry(self, record: RequestRecord, attempt: AttemptRecord) -> None:
         workload, executed = record.workload, [other for other in record.attempts if other.executed]
         if not self.hedging_allowed and any(other.in_flight for other in record.attempts):
-            self.violation(2, record.request_id, "two launches out together where copies are forbidden")
+            self.violation(2, record.request_id, "two attempts in flight where hedging is forbidden")
         if not executed or workload.repeat is t.RepeatPolicy.IDEMPOTENT:
             return
         first = executed[0]
         if workload.repeat is t.RepeatPolicy.UNREPEATABLE:
             self.violation(
-                2, record.request_id, f"launched at {attempt.endpoint}, may have run at {first.endpoint}"
+                2, record.request_id, f"sent to {attempt.endpoint}, may have run at {first.endpoint}"
             )
         elif attempt.at > first.at + workload.window + self.grace:
-            self.violation(2, record.request_id, "launched again after its window")
+            self.violation(2, record.request_id, "sent again after its window")
         elif not self.same_group(workload, first.cell, first.zone, attempt.cell, attempt.zone):
             self.violation(
-                2, record.request_id, f"launched at {attempt.endpoint}, outside the group of {first.endpoint}"
+                2, record.request_id, f"sent to {attempt.endpoint}, outside the group of {first.endpoint}"
             )
 
     def same_group(
@@ -238,6 +238,7 @@
             self.leaving_since.pop((sidecar, endpoint), None)
 
     def restarted(self, sidecar: str) -> None:
+        """A sidecar was restarted: it no longer knows which endpoints leave."""
         for key in [key for key in self.leaving_since if key[0] == sidecar]:
             del self.leaving_since[key]
 
@@ -249,10 +250,12 @@
                 3, request_id, f"{sidecar} sent to {endpoint} {late_s:.2f} s after hearing that it leaves"
             )
 
-    def endpoint_collapsed(self, endpoint: Any, informed: float) -> None:
+    def endpoint_collapsed(self, endpoint: Any, informed_share: float) -> None:
+        """A cold endpoint collapsed under load; `informed_share` of it came from sidecars that know that it
+        is cold."""
         self.collapsed.append(endpoint.spec.name)
-        if informed >= 2 / 3:
-            self.violation(4, endpoint.spec.name, "pushed over while cold")
+        if informed_share >= 2 / 3:
+            self.violation(4, endpoint.spec.name, "overloaded while cold")
 
     def sweep(self, now: int) -> None:
         """Drops records that can no longer affect a check, so that memory does not grow with the length of a
--- a/lupinmill/lab/sockets/requests.py
+++ b/lupinmill/lab/sockets/requests.py
@@ -86,7 +86,9 @@
             except orjson.JSONDecodeError:
                 body = {}
             if body.get("for") != request_id:
-                self.rule_checker.violation(1, request_id, "handled with what no endpoint made for it")
+                self.rule_checker.violation(
+                    1, request_id, "handled with a response that no endpoint made for it"
+                )
             return Outcome.SUCCEEDED
         return Outcome.REJECTED if answer.status in REJECTED else Outcome.FAILED
 
--- a/lupinmill/lab/virtual/attempts.py
+++ b/lupinmill/lab/virtual/attempts.py
@@ -46,7 +46,7 @@
         request = sidecar.requests.get(command.request)
         endpoint = self.world.by_endpoint.get(command.endpoint)
         if request is None or endpoint is None or request.end_known:
-            text = f"a launch of what is not open, to {command.endpoint}"
+            text = f"attempt for a request that is not open, to {command.endpoint}"
             self.world.rule_checker.violation(1, command.request, text)
             return
         second = self.run.metrics.at(now)
--- a/lupinmill/lab/world/site.py
+++ b/lupinmill/lab/world/site.py
@@ -251,19 +251,19 @@
         """Returns the quota of each tenant in requests per second."""
         if not self.scenario.tenant:
             return {}
-        whole = (
+        total_quota = (
             draw(random_stream(self.seed, "quota"), self.scenario.load.quota_of_capacity) * self.capacity()
         )
         total = sum(tenant.share for tenant in self.scenario.tenant)
-        return {tenant.name: whole * tenant.share / total for tenant in self.scenario.tenant}
+        return {tenant.name: total_quota * tenant.share / total for tenant in self.scenario.tenant}
 
     def draw_calls(self, tier: int, random_source: np.random.Generator) -> int:
         """Draws how many calls to the next tier a request makes at an endpoint of `tier`."""
         if tier + 1 >= len(self.tiers):
             return 0
         mean = self.calls[tier + 1]
-        whole = int(mean)
-        return whole + (random_source.random() < mean - whole)
+        whole_part = int(mean)
+        return whole_part + (random_source.random() < mean - whole_part)
 
     def call_work(self, job: Job, spec: EndpointSpec, random_source: np.random.Generator) -> float:
         """Returns the work in seconds of a call that this job makes to the next tier, before it is scaled by
