--- a/lupinmill/__main__.py
+++ b/lupinmill/__main__.py
@@ -5,7 +5,7 @@
 import sys
 
 from lupinmill.program.signals import Signals
-from lupinmill.program.standard_streams import print_error, open_missing
+from lupinmill.program.standard_streams import open_missing, print_error
 
 SERVES = __name__ == "__main__" and len(sys.argv) < 2
 SIGNALS = Signals()
--- a/lupinmill/config/driver.py
+++ b/lupinmill/config/driver.py
@@ -36,8 +36,8 @@
 from lupinmill.protocol.http import ClientSide, Garbled
 from lupinmill.routing.engine import Log as Logs
 from lupinmill.routing.engine import error_fields
-from lupinmill.transport.connection import Connection, NoDescriptor, Unconnected, connect
 from lupinmill.transport.buffers import BlockPool
+from lupinmill.transport.connection import Connection, NoDescriptor, Unconnected, connect
 
 SECOND = 1_000_000
 SAVE_RETRY_S = 5.0  # delay before a failed save is retried
--- a/lupinmill/config/relay_file.py
+++ b/lupinmill/config/relay_file.py
@@ -13,7 +13,7 @@
 import msgspec
 from msgspec import Struct
 
-from lupinmill.program.operators_file import MAX_NAME_LENGTH, ConfigFileError, known_keys, check_address
+from lupinmill.program.operators_file import MAX_NAME_LENGTH, ConfigFileError, check_address, known_keys
 
 MAX_FILE_BYTES = 64 * 1024
 MAX_UPSTREAMS = 8
--- a/lupinmill/config/server.py
+++ b/lupinmill/config/server.py
@@ -27,10 +27,10 @@
 )
 from lupinmill.protocol.http import Answer, Malformed, Request, ServerSide, plain
 from lupinmill.routing.engine import Clock, Log, error_fields
+from lupinmill.transport.buffers import BlockPool, MemoryBudget
 from lupinmill.transport.client import Client
 from lupinmill.transport.descriptors import RESERVED_DESCRIPTORS, DescriptorBudget
 from lupinmill.transport.listener import Listener
-from lupinmill.transport.buffers import MemoryBudget, BlockPool
 
 WRITE_TIMEOUT_S = 10.0  # for the client to read an answer
 CALL_TIMEOUT_S = 2.5  # from a request's first byte to its last
--- a/lupinmill/discovery/driver.py
+++ b/lupinmill/discovery/driver.py
@@ -21,8 +21,8 @@
 from lupinmill.protocol.http import Answer, ClientSide, Garbled
 from lupinmill.routing.directory import EndpointDirectory
 from lupinmill.routing.engine import Log, error_fields
-from lupinmill.transport.connection import Connection, NoDescriptor, Unconnected, connect
 from lupinmill.transport.buffers import BlockPool
+from lupinmill.transport.connection import Connection, NoDescriptor, Unconnected, connect
 
 # Delay before a failed watch restarts where lists are pushed: the maximum, also as a fraction of the grace,
 # and the minimum. A change that the agent received when discovery returned counts as known at once.
--- a/lupinmill/handover/driver.py
+++ b/lupinmill/handover/driver.py
@@ -20,7 +20,7 @@
 from lupinmill.protocol.admin_calls import AdminCall
 from lupinmill.protocol.http import Malformed
 from lupinmill.routing.engine import Log, error_fields
-from lupinmill.transport.link import LinkError, Link
+from lupinmill.transport.link import Link, LinkError
 
 SOCKET_NAME = "lupinmill-%08x.sock"  # by a hash of name and address: sidecars may share the directory
 MAX_SOCKET_PATH = 100  # bytes; a margin below the system's limit for Unix addresses
--- a/lupinmill/lab/clients.py
+++ b/lupinmill/lab/clients.py
@@ -11,7 +11,7 @@
 from lupinmill.lab.outcome import Outcome
 from lupinmill.lab.scenario import Scenario
 from lupinmill.lab.timeline import SECOND
-from lupinmill.lab.world import RequestClass, World, random_stream, draw
+from lupinmill.lab.world import RequestClass, World, draw, random_stream
 
 QUOTA_WINDOW = SECOND // 2
 
--- a/lupinmill/lab/explorer.py
+++ b/lupinmill/lab/explorer.py
@@ -19,11 +19,11 @@
 
 import msgspec
 
-from lupinmill.peers.proposer import DecisionAccepted, Proposer, LeaseLost, LeaseAcquired
-from lupinmill.peers.elector import Elector, Persist, Memory
 from lupinmill.peers import wire
+from lupinmill.peers.elector import Elector, Memory, Persist
 from lupinmill.peers.membership import Membership
-from lupinmill.peers.view import MS, SECOND, MemberChanged, Received, RosterEntry, Send, MembershipTiming
+from lupinmill.peers.proposer import DecisionAccepted, LeaseAcquired, LeaseLost, Proposer
+from lupinmill.peers.view import MS, SECOND, MemberChanged, MembershipTiming, Received, RosterEntry, Send
 from lupinmill.peers.wire import Status
 from lupinmill.workings import RandomSource
 
--- a/lupinmill/lab/faults/clients.py
+++ b/lupinmill/lab/faults/clients.py
@@ -10,16 +10,16 @@
 from random import Random
 from urllib.parse import quote
 
-from lupinmill.lab.faults.customers import Customer, Workload
-from lupinmill.lab.faults.records import Answer, ConnectionEnd, ProcessRecord, RunRecords, SentRequest
 from lupinmill.lab.faults.connection import (
-    MalformedMessage,
-    ConnectionCut,
     Connection,
+    ConnectionCut,
+    MalformedMessage,
     connect,
     read_answer,
     status_of,
 )
+from lupinmill.lab.faults.customers import Customer, Workload
+from lupinmill.lab.faults.records import Answer, ConnectionEnd, ProcessRecord, RunRecords, SentRequest
 
 ANSWER_TIMEOUT_S = 8.0  # beyond the deadline of a request, so that a busy machine fails none
 CONNECT_TIMEOUT_S = 10.0
--- a/lupinmill/lab/faults/discovery.py
+++ b/lupinmill/lab/faults/discovery.py
@@ -10,14 +10,14 @@
 from typing import Any
 from urllib.parse import parse_qs
 
-from lupinmill.lab.faults.records import StatusChange, RunRecords
 from lupinmill.lab.faults.connection import (
-    MalformedMessage,
-    ConnectionCut,
     Connection,
+    ConnectionCut,
+    MalformedMessage,
     read_request,
     wait_for_socket,
 )
+from lupinmill.lab.faults.records import RunRecords, StatusChange
 
 MAX_WAIT_S = 60.0
 REFUSAL_ANSWER = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
--- a/lupinmill/lab/faults/endpoints.py
+++ b/lupinmill/lab/faults/endpoints.py
@@ -10,18 +10,18 @@
 import time
 from random import Random
 
-from lupinmill.lab.faults.records import Attempt, RunRecords
 from lupinmill.lab.faults.connection import (
     TCP_ESTABLISHED,
     TIMESTAMP_OPTION,
-    MalformedMessage,
+    Connection,
     ConnectionCut,
+    MalformedMessage,
     Message,
-    Connection,
     read_body,
     read_head,
     wait_for_socket,
 )
+from lupinmill.lab.faults.records import Attempt, RunRecords
 
 PROBE_PATHS = (b"/health", b"/status/load")
 HANG_S = 30.0
--- a/lupinmill/lab/faults/referee.py
+++ b/lupinmill/lab/faults/referee.py
@@ -12,13 +12,13 @@
 from lupinmill.lab.faults.records import (
     HEARTBEAT_S,
     Attempt,
-    Violation,
-    StatusChange,
     ConnectionEnd,
     Fault,
     ProcessRecord,
     RunRecords,
     SentRequest,
+    StatusChange,
+    Violation,
 )
 
 ATTEMPT_AFTER_END_S = 0.1  # an attempt may still begin this long after its request has ended
--- a/lupinmill/lab/faults/run.py
+++ b/lupinmill/lab/faults/run.py
@@ -17,16 +17,16 @@
 
 from lupinmill.lab.faults import customers, discovery, endpoints, referee, schedule
 from lupinmill.lab.faults.clients import Clients, Sidecar
-from lupinmill.lab.faults.processes import PROGRAM, READ, Process
-from lupinmill.lab.faults.records import Violation, Fault, ProcessRecord, RunRecords
 from lupinmill.lab.faults.connection import (
-    MalformedMessage,
-    ConnectionCut,
     Connection,
+    ConnectionCut,
+    MalformedMessage,
     connect,
     read_answer,
     status_of,
 )
+from lupinmill.lab.faults.processes import PROGRAM, READ, Process
+from lupinmill.lab.faults.records import Fault, ProcessRecord, RunRecords, Violation
 
 SIDECARS_PER_CUSTOMER = 3
 MAX_COUNTED_DEADLINE_S = 3.0  # longer deadlines do not postpone SIGKILL
--- a/lupinmill/lab/overload.py
+++ b/lupinmill/lab/overload.py
@@ -16,7 +16,7 @@
 import msgspec
 import orjson
 
-from lupinmill.lab.flood import WorkloadLoad, LoadSpec, Phase, LoadResult
+from lupinmill.lab.flood import LoadResult, LoadSpec, Phase, WorkloadLoad
 from lupinmill.lab.processes import ROOT
 
 VIEW = WorkloadLoad("view", 0.73, 0.6, 1.5)
--- a/lupinmill/lab/replay.py
+++ b/lupinmill/lab/replay.py
@@ -10,7 +10,7 @@
 from lupinmill.lab import scenario
 from lupinmill.lab.result import BadResult, Result
 from lupinmill.lab.timeline import SECOND
-from lupinmill.lab.virtual import EPOCH, VirtualSidecar, VirtualRun
+from lupinmill.lab.virtual import EPOCH, VirtualRun, VirtualSidecar
 
 
 @dataclass
--- a/lupinmill/lab/sockets/run.py
+++ b/lupinmill/lab/sockets/run.py
@@ -16,17 +16,17 @@
 from lupinmill.lab.processes import Process
 from lupinmill.lab.registry import Entry
 from lupinmill.lab.scenario import Scenario
-from lupinmill.lab.sockets.requests import Requests, SentRequest
 from lupinmill.lab.sockets.clock import Clock, now_us
 from lupinmill.lab.sockets.configuration import endpoint_row, operators_file
 from lupinmill.lab.sockets.endpoints import EndpointServers
 from lupinmill.lab.sockets.front import FrontRouter
 from lupinmill.lab.sockets.inner import InnerCalls
+from lupinmill.lab.sockets.requests import Requests, SentRequest
 from lupinmill.lab.sockets.sidecars import EjectedEndpoints, until_ready
 from lupinmill.lab.sockets.slow_clients import stay_idle, trickle
 from lupinmill.lab.stand_ins import HOST, DiscoveryServer
 from lupinmill.lab.timeline import MS, SECOND, Timeline
-from lupinmill.lab.world import World, random_stream, draw
+from lupinmill.lab.world import World, draw, random_stream
 from lupinmill.lab.world.troubles.plan import plan
 
 T = TypeVar("T")
--- a/lupinmill/lab/stand_ins.py
+++ b/lupinmill/lab/stand_ins.py
@@ -17,7 +17,7 @@
 from lupinmill.lab.registry import Entry, Registry
 from lupinmill.lab.timeline import SECOND
 from lupinmill.protocol.http import Answer, ClientSide, Garbled, Malformed, Request, ServerSide
-from lupinmill.protocol.reports import SOCKET_FIELD_NAMES, REPORT_FIELDS
+from lupinmill.protocol.reports import REPORT_FIELDS, SOCKET_FIELD_NAMES
 
 HOST = "127.0.0.1"
 BACKLOG = 512
--- a/lupinmill/lab/virtual/run.py
+++ b/lupinmill/lab/virtual/run.py
@@ -20,7 +20,7 @@
 from lupinmill.lab.virtual.inner import InnerCalls
 from lupinmill.lab.virtual.recorded import recorded_text
 from lupinmill.lab.virtual.sidecar import VirtualSidecar
-from lupinmill.lab.world import World, random_stream, draw
+from lupinmill.lab.world import World, draw, random_stream
 from lupinmill.lab.world.troubles.plan import plan
 
 EPOCH = 1_000 * SECOND  # virtual time at which each run starts
--- a/lupinmill/lab/world/configuration.py
+++ b/lupinmill/lab/world/configuration.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from lupinmill.lab.scenario import Scenario, Range, Tier
+from lupinmill.lab.scenario import Range, Scenario, Tier
 
 FIELD_NAMES = {"queued": "waiting", "held": "active", "busy": "cpu", "service": "avg_ms", "rate": "rps"}
 REPEAT_NAMES = {"idempotent": "repeatable", "deduplicated": "by_key", "unrepeatable": "once"}
--- a/lupinmill/lab/world/network.py
+++ b/lupinmill/lab/world/network.py
@@ -6,7 +6,7 @@
 
 from lupinmill.lab.scenario import Net
 from lupinmill.lab.timeline import MS
-from lupinmill.lab.world.random_streams import random_stream, draw
+from lupinmill.lab.world.random_streams import draw, random_stream
 
 
 class Network:
--- a/lupinmill/lab/world/request_class.py
+++ b/lupinmill/lab/world/request_class.py
@@ -11,7 +11,6 @@
 from lupinmill.lab.timeline import SECOND
 from lupinmill.lab.world.random_streams import draw
 
-
 MIN_NOISE_FACTOR = 0.1
 
 
--- a/lupinmill/lab/world/site.py
+++ b/lupinmill/lab/world/site.py
@@ -11,15 +11,15 @@
 import xxhash
 
 from lupinmill import terms as t
-from lupinmill.lab.endpoint import Endpoint, Job, EndpointSpec
-from lupinmill.lab.rule_checker import RuleChecker
+from lupinmill.lab.endpoint import Endpoint, EndpointSpec, Job
 from lupinmill.lab.registry import Entry, Registry, as_gone
+from lupinmill.lab.rule_checker import RuleChecker
 from lupinmill.lab.scenario import Scenario, Tier
 from lupinmill.lab.timeline import MS, SECOND, Timeline
 from lupinmill.lab.world import machines
-from lupinmill.lab.world.random_streams import random_stream, draw
 from lupinmill.lab.world.configuration import sidecar_settings
 from lupinmill.lab.world.network import Network
+from lupinmill.lab.world.random_streams import draw, random_stream
 from lupinmill.lab.world.request_class import draw_request_classes
 from lupinmill.protocol import settings
 
--- a/lupinmill/lab/world/troubles/plan.py
+++ b/lupinmill/lab/world/troubles/plan.py
@@ -6,8 +6,8 @@
 
 from lupinmill.lab.scenario import Event
 from lupinmill.lab.timeline import SECOND
-from lupinmill.lab.world.random_streams import random_stream, draw
-from lupinmill.lab.world.site import TroubleRecord, Driver, World
+from lupinmill.lab.world.random_streams import draw, random_stream
+from lupinmill.lab.world.site import Driver, TroubleRecord, World
 from lupinmill.lab.world.troubles import discovery, endpoints, load, sidecars, zones
 from lupinmill.lab.world.troubles.trouble import Act, Trouble
 
--- a/lupinmill/limits/gate.py
+++ b/lupinmill/limits/gate.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from lupinmill import terms as t
-from lupinmill.workings import RandomSource, BucketedSum
+from lupinmill.workings import BucketedSum, RandomSource
 
 MS, SECOND = 1_000, 1_000_000
 TARGET_LATENESS = 7 * MS  # of the event loop, through which each request passes about five times
--- a/lupinmill/program/sidecar.py
+++ b/lupinmill/program/sidecar.py
@@ -17,29 +17,29 @@
 from lupinmill.admin.admin_handler import AdminHandler
 from lupinmill.admin.admin_server import MAX_CONNECTIONS, AdminServer
 from lupinmill.admin.operator_overrides import Mode, OperatorOverrides
+from lupinmill.discovery.driver import DiscoveryClient
 from lupinmill.handover import handover_state
 from lupinmill.handover.driver import Handover
 from lupinmill.limits.gate import AdmissionGate
-from lupinmill.discovery.driver import DiscoveryClient
-from lupinmill.program.signals import SHUTDOWN_SIGNALS, HANDLED_SIGNALS, Signals
-from lupinmill.program.process_settings import StartupError, ProcessSettings, changes_needing_restart
+from lupinmill.program.process_settings import ProcessSettings, StartupError, changes_needing_restart
+from lupinmill.program.signals import HANDLED_SIGNALS, SHUTDOWN_SIGNALS, Signals
 from lupinmill.protocol import lists
 from lupinmill.protocol.client_requests import MAX_DEADLINE_S
-from lupinmill.routing.request_factory import RequestFactory
-from lupinmill.routing.request_table import RequestTable
-from lupinmill.routing.directory import EndpointDirectory
 from lupinmill.routing.admission import AdmissionController
-from lupinmill.routing.engine import Clock, Engine, Log, error_fields
-from lupinmill.routing.response_writer import ResponseWriter
-from lupinmill.routing.command_executor import CommandExecutor
 from lupinmill.routing.attempt_runner import AttemptRunner
 from lupinmill.routing.client_handler import ClientHandler
+from lupinmill.routing.command_executor import CommandExecutor
+from lupinmill.routing.directory import EndpointDirectory
+from lupinmill.routing.engine import Clock, Engine, Log, error_fields
+from lupinmill.routing.request_factory import RequestFactory
+from lupinmill.routing.request_table import RequestTable
+from lupinmill.routing.response_writer import ResponseWriter
 from lupinmill.state import learned
 from lupinmill.transport import wall_clock
-from lupinmill.transport.descriptors import DescriptorBudget, ConnectionKind, body_memory_limit
-from lupinmill.transport.listener import Listener
+from lupinmill.transport.buffers import BlockPool, MemoryBudget
 from lupinmill.transport.connection_pool import ConnectionPool
-from lupinmill.transport.buffers import MemoryBudget, BlockPool
+from lupinmill.transport.descriptors import ConnectionKind, DescriptorBudget, body_memory_limit
+from lupinmill.transport.listener import Listener
 
 if TYPE_CHECKING:
     from lupinmill.peers.driver import Driver
--- a/lupinmill/protocol/fast_path.py
+++ b/lupinmill/protocol/fast_path.py
@@ -8,8 +8,8 @@
 import re
 from dataclasses import dataclass
 
+from lupinmill.protocol.client_requests import DECIMAL_SECONDS, MAX_DEADLINE_S, MAX_KEY_BYTES
 from lupinmill.protocol.http import MAX_HEAD_BYTES
-from lupinmill.protocol.client_requests import MAX_DEADLINE_S, MAX_KEY_BYTES, DECIMAL_SECONDS
 
 REQUEST_HEAD = re.compile(
     rb"(?:GET|POST) /([A-Za-z0-9_.~-]{1,100})(?:[/?][!-~]{0,2000})? HTTP/1\.1\r\n"
--- a/lupinmill/routing/client_handler.py
+++ b/lupinmill/routing/client_handler.py
@@ -8,6 +8,7 @@
 import anyio
 import h11
 
+from lupinmill.protocol.client_requests import rejection
 from lupinmill.protocol.http import (
     END,
     MAX_BODY_BYTES,
@@ -19,7 +20,6 @@
     length_of,
     plain,
 )
-from lupinmill.protocol.client_requests import rejection
 from lupinmill.routing.admission import AdmissionController
 from lupinmill.routing.engine import Log, error_fields
 from lupinmill.routing.request_body import RequestBody
--- a/lupinmill/routing/request_table.py
+++ b/lupinmill/routing/request_table.py
@@ -9,8 +9,8 @@
 import anyio
 
 from lupinmill import terms as t
-from lupinmill.protocol.http import Answer, Request
 from lupinmill.protocol.client_requests import ClientRequest, aborted_response
+from lupinmill.protocol.http import Answer, Request
 from lupinmill.routing.deadline import Deadline
 from lupinmill.routing.engine import Engine
 from lupinmill.routing.request_body import RequestBody
--- a/lupinmill/routing/response_writer.py
+++ b/lupinmill/routing/response_writer.py
@@ -5,8 +5,8 @@
 import anyio
 import h11
 
-from lupinmill.protocol.http import Answer, ServerSide
 from lupinmill.protocol.client_requests import aborted_response
+from lupinmill.protocol.http import Answer, ServerSide
 from lupinmill.routing.engine import Log
 from lupinmill.routing.request_table import PendingRequest, RequestTable
 from lupinmill.routing.response_stream import IncompleteResponse, ResponseStream
--- a/tests/bed.py
+++ b/tests/bed.py
@@ -13,8 +13,8 @@
 import orjson
 
 from lupinmill import terms as t
-from lupinmill.program.sidecar import Program
 from lupinmill.program.process_settings import parse_settings
+from lupinmill.program.sidecar import Program
 from lupinmill.protocol.http import MAX_BODY_BYTES, Answer, ClientSide, Garbled, ServerSide
 from lupinmill.rules import SECOND, Sidecar
 
--- a/tests/test_clients_accept.py
+++ b/tests/test_clients_accept.py
@@ -11,15 +11,15 @@
 import anyio
 import pytest
 
+from lupinmill.transport.buffers import BlockPool
 from lupinmill.transport.client import Client
 from lupinmill.transport.descriptors import (
     MIN_ENDPOINT_CONNECTIONS,
     RESERVED_DESCRIPTORS,
-    DescriptorBudget,
     ConnectionKind,
+    DescriptorBudget,
 )
 from lupinmill.transport.listener import ACCEPT_BATCH, Listener
-from lupinmill.transport.buffers import BlockPool
 
 LONGEST_RUN = ACCEPT_BATCH + 1  # calls of `accept` in a row, the last of which finds nothing
 
--- a/tests/test_clients_door.py
+++ b/tests/test_clients_door.py
@@ -13,9 +13,9 @@
 from lupinmill import terms as t
 from lupinmill.limits.gate import AdmissionGate
 from lupinmill.protocol import fast_path
-from lupinmill.routing.request_table import RequestTable
 from lupinmill.routing.admission import AdmissionController
 from lupinmill.routing.engine import Clock, Engine
+from lupinmill.routing.request_table import RequestTable
 from lupinmill.transport.descriptors import ConnectionKind
 
 
--- a/tests/test_clients_end.py
+++ b/tests/test_clients_end.py
@@ -11,8 +11,8 @@
 from test_sidecar import fine, seen, until
 
 from lupinmill import terms as t
-from lupinmill.transport.client import MAX_PIPELINED_BYTES, Client
 from lupinmill.transport.buffers import BlockPool
+from lupinmill.transport.client import MAX_PIPELINED_BYTES, Client
 
 LARGE_WINDOW = 1 << 20  # bytes that a kernel accepts on a connection that nobody reads
 
--- a/tests/test_config_overlay.py
+++ b/tests/test_config_overlay.py
@@ -11,7 +11,7 @@
 from lupinmill import terms as t
 from lupinmill.config import checks, merge
 from lupinmill.config.model import Entries, Key
-from lupinmill.limits.gate import Verdict, AdmissionGate, AdmissionRequest
+from lupinmill.limits.gate import AdmissionGate, AdmissionRequest, Verdict
 from lupinmill.program import live_config, operators_file
 from lupinmill.program.process_settings import parse_settings
 from lupinmill.protocol import settings as protocol_settings
--- a/tests/test_config_sidecar.py
+++ b/tests/test_config_sidecar.py
@@ -22,8 +22,8 @@
 from lupinmill.config.history import History
 from lupinmill.config.model import Entries, Key, Version
 from lupinmill.program import live_config, operators_file
-from lupinmill.program.sidecar import Program
 from lupinmill.program.process_settings import parse_settings
+from lupinmill.program.sidecar import Program
 from lupinmill.protocol.http import Answer
 from lupinmill.transport.buffers import BlockPool
 
--- a/tests/test_config_terms.py
+++ b/tests/test_config_terms.py
@@ -11,7 +11,7 @@
 
 from lupinmill import terms as t
 from lupinmill.config.model import Key
-from lupinmill.limits.gate import Verdict, AdmissionGate, AdmissionRequest
+from lupinmill.limits.gate import AdmissionGate, AdmissionRequest, Verdict
 from lupinmill.program import live_config
 from lupinmill.routing.request_factory import RequestFactory
 from lupinmill.rules import Sidecar
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -13,9 +13,9 @@
 from lupinmill import terms as t
 from lupinmill.protocol.http import Answer
 from lupinmill.routing import client_handler
+from lupinmill.transport.connection_pool import MIN_IDLE_S
 from lupinmill.transport.descriptors import RESERVED_DESCRIPTORS, ConnectionKind
 from lupinmill.transport.listener import Client
-from lupinmill.transport.connection_pool import MIN_IDLE_S
 
 
 async def connect(net: Net) -> anyio.abc.SocketStream:
--- a/tests/test_crossings_end.py
+++ b/tests/test_crossings_end.py
@@ -12,8 +12,8 @@
 from test_sidecar import always, fine, seen, start, until
 
 from lupinmill.protocol.http import Answer
-from lupinmill.routing.response_writer import ResponseWriter
 from lupinmill.routing.client_handler import ClientHandler
+from lupinmill.routing.response_writer import ResponseWriter
 
 
 def send_termination_signal(net: Net) -> None:
--- a/tests/test_crossings_endpoints.py
+++ b/tests/test_crossings_endpoints.py
@@ -19,10 +19,10 @@
 from lupinmill.program.process_settings import parse_settings
 from lupinmill.protocol import client_requests
 from lupinmill.protocol.http import Answer, Request
-from lupinmill.routing.request_table import RequestTable, PendingRequest, Attempt
+from lupinmill.routing.command_executor import CommandExecutor
 from lupinmill.routing.deadline import Deadline
 from lupinmill.routing.engine import Clock, Engine
-from lupinmill.routing.command_executor import CommandExecutor
+from lupinmill.routing.request_table import Attempt, PendingRequest, RequestTable
 from lupinmill.transport import connection as transport
 
 NO_PROBES = settings()["limits"] | {"probes": False}
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -15,8 +15,8 @@
 from lupinmill.discovery.driver import DiscoveryClient
 from lupinmill.protocol import lists
 from lupinmill.protocol.http import Answer, Garbled
-from lupinmill.transport.connection import Unconnected
 from lupinmill.transport.buffers import BlockPool
+from lupinmill.transport.connection import Unconnected
 
 ROWS = [
     {
--- a/tests/test_discovery_six_seconds.py
+++ b/tests/test_discovery_six_seconds.py
@@ -14,8 +14,8 @@
 from lupinmill.discovery import driver as discovery
 from lupinmill.discovery import watcher
 from lupinmill.discovery.driver import DiscoveryClient
-from lupinmill.transport.connection import NoDescriptor, Unconnected
 from lupinmill.transport.buffers import BlockPool
+from lupinmill.transport.connection import NoDescriptor, Unconnected
 
 PROPAGATION_LIMIT_S = 6.0  # required by the operators
 ANSWER_DELAY_S = 1.5
--- a/tests/test_endpoints_connections.py
+++ b/tests/test_endpoints_connections.py
@@ -18,13 +18,13 @@
 
 from lupinmill import terms as t
 from lupinmill.protocol.http import Request
-from lupinmill.routing.request_table import PendingRequest
 from lupinmill.routing.attempt_runner import AttemptRunner
+from lupinmill.routing.request_table import PendingRequest
 from lupinmill.transport import connection as transport
 from lupinmill.transport import connection_pool
+from lupinmill.transport.buffers import BlockPool
 from lupinmill.transport.client import Client
 from lupinmill.transport.connection import Connection, NoDescriptor, Unconnected
-from lupinmill.transport.buffers import BlockPool
 
 NO_PROBES = settings()["limits"] | {"probes": False}
 LARGE = 3 * 1024 * 1024  # bytes, far more than is buffered before a body is sent
--- a/tests/test_endpoints_late.py
+++ b/tests/test_endpoints_late.py
@@ -10,10 +10,10 @@
 import pytest
 
 from lupinmill.transport import connection_pool as pools
+from lupinmill.transport.buffers import BlockPool
 from lupinmill.transport.connection import Connection, Unconnected
-from lupinmill.transport.descriptors import DescriptorBudget, ConnectionKind
 from lupinmill.transport.connection_pool import ConnectionPool
-from lupinmill.transport.buffers import BlockPool
+from lupinmill.transport.descriptors import ConnectionKind, DescriptorBudget
 
 TIME_OUT = 0.1  # seconds, of one attempt; the kernel retries a second after the first try
 BACKLOG = 0  # the system accepts one more than this
--- a/tests/test_fault_campaign.py
+++ b/tests/test_fault_campaign.py
@@ -14,11 +14,11 @@
 from lupinmill.lab.faults.records import (
     Answer,
     Attempt,
-    Violation,
     Fault,
     ProcessRecord,
     RunRecords,
     SentRequest,
+    Violation,
 )
 from lupinmill.lab.faults.run import Campaign, Timeouts, Verdict
 
--- a/tests/test_forwarded_body.py
+++ b/tests/test_forwarded_body.py
@@ -14,7 +14,7 @@
 
 from lupinmill.protocol.http import END, Request, ServerSide
 from lupinmill.routing import request_body as bodies
-from lupinmill.routing.request_body import RequestBody, BodyUnavailable
+from lupinmill.routing.request_body import BodyUnavailable, RequestBody
 from lupinmill.transport.buffers import MemoryBudget
 
 SEARCH = hypothesis_settings(derandomize=True, deadline=None, max_examples=400)
--- a/tests/test_forwarded_framing.py
+++ b/tests/test_forwarded_framing.py
@@ -15,7 +15,7 @@
 from test_sidecar import always, fine
 
 from lupinmill import terms as t
-from lupinmill.protocol import http, client_requests
+from lupinmill.protocol import client_requests, http
 from lupinmill.protocol.http import END, Answer, ClientSide, Garbled, Malformed, Request, ServerSide
 
 SEARCH = hypothesis_settings(derandomize=True, deadline=None, max_examples=300)
--- a/tests/test_forwarded_headers.py
+++ b/tests/test_forwarded_headers.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 from test_sidecar import fine
 
-from lupinmill.protocol import http, fast_path, client_requests
+from lupinmill.protocol import client_requests, fast_path, http
 from lupinmill.protocol.http import Answer, ClientSide, Malformed, Request, ServerSide
 
 KNOWN = {"view", "bid"}
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -24,13 +24,13 @@
 from lupinmill.handover import handover_state
 from lupinmill.handover.driver import Handover, UpgradeSocket
 from lupinmill.handover.upgrade_protocol import VERSION, CommandKind, Phase, UpgradeProtocol
-from lupinmill.program.sidecar import Program
 from lupinmill.program.process_settings import parse_settings
+from lupinmill.program.sidecar import Program
 from lupinmill.protocol.http import Answer
 from lupinmill.rules import Sidecar
 from lupinmill.state import learned
 from lupinmill.transport.descriptors import ConnectionKind
-from lupinmill.transport.link import LinkError, Link
+from lupinmill.transport.link import Link, LinkError
 
 HELLO = {"say": "hello", "version": VERSION, "name": "n1", "listen": "a:1"}
 
--- a/tests/test_lab_model.py
+++ b/tests/test_lab_model.py
@@ -9,9 +9,9 @@
 import pytest
 
 from lupinmill import terms as t
-from lupinmill.lab.endpoint import Endpoint, Job, EndpointSpec
-from lupinmill.lab.rule_checker import RuleChecker
+from lupinmill.lab.endpoint import Endpoint, EndpointSpec, Job
 from lupinmill.lab.registry import Entry, Registry, as_gone
+from lupinmill.lab.rule_checker import RuleChecker
 from lupinmill.lab.timeline import SECOND, Timeline
 
 VIEW = t.Workload("view", SECOND, 2 * SECOND)
--- a/tests/test_lab_scenario.py
+++ b/tests/test_lab_scenario.py
@@ -13,7 +13,7 @@
 from lupinmill.lab.experiments import Variant, grid, parse_variant
 from lupinmill.lab.scenario import BadScenario
 from lupinmill.lab.timeline import SECOND, Timeline
-from lupinmill.lab.world import World, random_stream, draw
+from lupinmill.lab.world import World, draw, random_stream
 from lupinmill.lab.world.troubles.plan import KINDS, plan
 
 
--- a/tests/test_lab_sockets.py
+++ b/tests/test_lab_sockets.py
@@ -13,12 +13,12 @@
 
 import pytest
 
+from lupinmill import terms as t
 from lupinmill.lab import result, scenario
 from lupinmill.lab.experiments import play
 from lupinmill.lab.scenario import Scenario
 from lupinmill.lab.sockets import SocketRun
 from lupinmill.lab.stand_ins import ConnectionPool, Exchange, ListeningServer, ServerConnection, report_text
-from lupinmill import terms as t
 from lupinmill.protocol import reports
 from lupinmill.protocol.http import Answer, Request
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -6,10 +6,10 @@
 from collections import deque
 
 import pytest
-
 from bed import Net, on_network, settings, wanted
+
 from lupinmill import terms as t
-from lupinmill.limits.gate import ENTER_LATENESS, Verdict, AdmissionGate, AdmissionRequest
+from lupinmill.limits.gate import ENTER_LATENESS, AdmissionGate, AdmissionRequest, Verdict
 from lupinmill.limits.gate import HEARTBEAT as GATE_HEARTBEAT
 from lupinmill.protocol import fast_path
 from lupinmill.protocol.http import Answer
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -6,7 +6,7 @@
 import pytest
 
 from lupinmill import terms as t
-from lupinmill.protocol import http, lists, reports, settings, client_requests
+from lupinmill.protocol import client_requests, http, lists, reports, settings
 from lupinmill.protocol.http import Answer, ClientSide, Garbled, Malformed, Request, ServerSide
 
 REQUEST = (
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -11,9 +11,9 @@
 from lupinmill.rules import (
     CAP_START,
     FLEET_CAP_START,
+    FRACTIONAL_CAP_FACTOR,
     RETRY_BASE_DELAY,
     SECOND,
-    FRACTIONAL_CAP_FACTOR,
     LatencyEstimate,
 )
 
--- a/tests/test_scale_added.py
+++ b/tests/test_scale_added.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from lupinmill.lab.scale import added, load, returns
 from lupinmill.discovery import driver as discovery
 from lupinmill.discovery import watcher
+from lupinmill.lab.scale import added, load, returns
 
 
 def test_percentiles_are_by_the_nearest_rank():
--- a/tests/test_scale_slopes.py
+++ b/tests/test_scale_slopes.py
@@ -14,7 +14,7 @@
 from lupinmill.cli.scale import slopes as command
 from lupinmill.lab.fleet import Fleet
 from lupinmill.lab.fleet_virtual import VirtualFleet
-from lupinmill.lab.scale import checks, days, holder, honest, hollow, loopback, measured, runs, slopes
+from lupinmill.lab.scale import checks, days, holder, hollow, honest, loopback, measured, runs, slopes
 from lupinmill.lab.scale import settings as costs
 from lupinmill.lab.scale.book import FigureKey, Sample, SampleCollector
 from lupinmill.lab.scale.fit import fit
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -26,8 +26,8 @@
 from lupinmill.routing import attempt_runner, client_handler
 from lupinmill.transport import listener, wall_clock
 from lupinmill.transport.connection import Connection
-from lupinmill.transport.descriptors import MEMORY_PER_CLIENT, BASE_MEMORY, ConnectionKind
 from lupinmill.transport.connection_pool import MIN_IDLE_S
+from lupinmill.transport.descriptors import BASE_MEMORY, MEMORY_PER_CLIENT, ConnectionKind
 
 DECLINED = Answer(503, [(b"Srv-Declined", b"1")])
 
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -14,9 +14,8 @@
 
 from lupinmill import terms as t
 from lupinmill.protocol.http import MAX_BUFFERED_BODY, Answer, ClientSide, Garbled, Request, ServerSide
-from lupinmill.routing import request_body
-from lupinmill.routing import client_handler
-from lupinmill.routing.request_body import RequestBody, BodyUnavailable
+from lupinmill.routing import client_handler, request_body
+from lupinmill.routing.request_body import BodyUnavailable, RequestBody
 from lupinmill.transport.buffers import MemoryBudget
 from lupinmill.workings import RequestTimeout
 
--- a/tests/test_slow_start_fleet.py
+++ b/tests/test_slow_start_fleet.py
@@ -7,11 +7,11 @@
 import test_cold_fleet
 from bed import Bed, deployment, listing
 from test_cold_fleet import (
-    PER_CLIENT,
     CAPACITY,
     FAULT,
     FEW,
     MS,
+    PER_CLIENT,
     POOL,
     SHARE,
     SPAN,
--- a/tests/test_standstill.py
+++ b/tests/test_standstill.py
@@ -15,8 +15,8 @@
 from lupinmill.protocol.http import Answer, ClientSide, Request
 from lupinmill.routing.deadline import Deadline
 from lupinmill.routing.engine import LATE_WAKEUP_US, MAX_TIMER_HOLD_US, Engine
-from lupinmill.transport.connection import Connection
 from lupinmill.transport.buffers import BlockPool
+from lupinmill.transport.connection import Connection
 
 ANSWERS_AFTER = 0.015  # seconds, of each endpoint
 STILL = 0.4  # seconds, many times the usual, and less than an attempt has
--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -8,10 +8,10 @@
 import pytest
 
 from lupinmill.transport import connection as c
-from lupinmill.transport.descriptors import DescriptorBudget, ConnectionKind
-from lupinmill.transport.listener import Listener
+from lupinmill.transport.buffers import BlockPool, RingBuffer
 from lupinmill.transport.connection_pool import MIN_IDLE_S, ConnectionPool
-from lupinmill.transport.buffers import RingBuffer, BlockPool
+from lupinmill.transport.descriptors import ConnectionKind, DescriptorBudget
+from lupinmill.transport.listener import Listener
 
 
 @pytest.mark.parametrize("seed", range(5))
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -6,20 +6,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lupinmill.zones.reports import (
-    REPORT_LIFETIME,
-    SECOND,
-    ReportAggregator,
-    AggregateView,
-    Report,
-    ZoneObservation,
-    ZoneState,
-    weighted_median,
-)
-from lupinmill.zones.follower import MAX_LOCAL_SHIFT, FADED_AFTER, FRESH_FOR, Follower
+from lupinmill.zones.follower import FADED_AFTER, FRESH_FOR, MAX_LOCAL_SHIFT, Follower
 from lupinmill.zones.plan import (
-    MAX_FILL_LEVEL,
     FILL_LEVELS,
+    MAX_FILL_LEVEL,
     SHIFT_PER_S,
     TRIAL_SHARE,
     LastGoodZoneError,
@@ -27,6 +17,16 @@
     Planner,
     compute_target,
 )
+from lupinmill.zones.reports import (
+    REPORT_LIFETIME,
+    SECOND,
+    AggregateView,
+    Report,
+    ReportAggregator,
+    ZoneObservation,
+    ZoneState,
+    weighted_median,
+)
 from lupinmill.zones.zone_map import InvalidZoneMap, Workload, Zone, ZoneMap
 
 BID, VIEW = Workload("bid", 4.0), Workload("view", 1.0)
--- a/tests/test_zones_member.py
+++ b/tests/test_zones_member.py
@@ -13,18 +13,18 @@
 from lupinmill.lab.virtual import VirtualRun
 from lupinmill.rules import Sidecar
 from lupinmill.zones import member, messages
+from lupinmill.zones.follower import FADED_AFTER, FRESH_FOR
+from lupinmill.zones.member import Member
+from lupinmill.zones.messages import MAX_PLAN_BYTES, InvalidMessage
+from lupinmill.zones.plan import Plan
 from lupinmill.zones.reports import (
     REPORT_LIFETIME,
     SECOND,
-    ReportAggregator,
     Report,
+    ReportAggregator,
     ZoneObservation,
     ZoneState,
 )
-from lupinmill.zones.follower import FADED_AFTER, FRESH_FOR
-from lupinmill.zones.member import Member
-from lupinmill.zones.messages import MAX_PLAN_BYTES, InvalidMessage
-from lupinmill.zones.plan import Plan
 from lupinmill.zones.traffic_monitor import MAX_DENIED_SHARE, TrafficMonitor, attach_monitor
 from lupinmill.zones.zone_map import Workload, Zone, ZoneMap
 
