--- a/lupinmill/cli/check.py
+++ b/lupinmill/cli/check.py
@@ -51,10 +51,14 @@
             )
         )
         lines.append(f"electors' promises are {keep}")
-        electors = [peers.members[one] for one in peers.electors]
+        electors = [peers.members[elector] for elector in peers.electors]
         for place in ("zone", "region"):
-            places = [getattr(one, place) for one in electors]
-            critical = [one for one in dict.fromkeys(places) if one and places.count(one) >= quorum]
+            places = [getattr(elector, place) for elector in electors]
+            critical = [
+                location
+                for location in dict.fromkeys(places)
+                if location and places.count(location) >= quorum
+            ]
             if critical:
                 lines.append(f"caution: losing {place} {critical[0]} alone loses the majority")
     else:
--- a/lupinmill/cli/config.py
+++ b/lupinmill/cli/config.py
@@ -67,15 +67,15 @@
 
 def summarize(tables: list[dict[str, Any]]) -> dict[str, Any]:
     """Combines the status of several relays: each watcher counts once, as seen by the latest relay."""
-    newest = max(one["index"] for one in tables)
+    newest = max(table["index"] for table in tables)
     rows: dict[str, dict[str, Any]] = {}
-    for one in tables:
-        for row in one["watchers"]:
+    for table in tables:
+        for row in table["watchers"]:
             known = rows.get(row["name"])
             if known is None or (row["away"], row["heard_s"]) < (known["away"], known["heard_s"]):
-                rows[row["name"]] = row | {"at": one["name"], "relay_index": one["index"]}
+                rows[row["name"]] = row | {"at": table["name"], "relay_index": table["index"]}
     report: dict[str, Any] = {"index": newest, "in_force": [], "lags": [], "refuses": [], "away": []}
-    relays = {one["name"] for one in tables}
+    relays = {table["name"] for table in tables}
     for row in rows.values():
         if row["relay"] or row["name"] in relays:
             continue
@@ -87,24 +87,24 @@
             state = "in_force" if row["index"] >= row["due"] and row["relay_index"] == newest else "lags"
         report[state].append(row)
     report["of"] = sum(len(report[state]) for state in ("in_force", "lags", "refuses", "away"))
-    report["time_in_force"] = merge_times([one["in_force"] for one in tables])
-    report["time_at_relays"] = merge_times([one["at_relays"] for one in tables])
+    report["time_in_force"] = merge_times([table["in_force"] for table in tables])
+    report["time_at_relays"] = merge_times([table["at_relays"] for table in tables])
     apart = ("watchers", "in_force", "at_relays")
-    report["relays"] = [{key: one[key] for key in one if key not in apart} for one in tables]
+    report["relays"] = [{key: table[key] for key in table if key not in apart} for table in tables]
     return report
 
 
 def merge_times(histograms: list[dict[str, Any]]) -> dict[str, Any]:
     """Merges the time histograms of several relays."""
     times = LatencyHistogram()
-    for one in histograms:
-        classes = {int(at): count for at, count in one["classes"].items()}
-        times.merge(classes, round((one["last_ms"] or 0) * 1000))
+    for histogram in histograms:
+        classes = {int(at): count for at, count in histogram["classes"].items()}
+        times.merge(classes, round((histogram["last_ms"] or 0) * 1000))
     return times.show()
 
 
 def in_force_everywhere(report: dict[str, Any]) -> bool:
-    behind = any(one["index"] < report["index"] or one["ahead"] for one in report["relays"])
+    behind = any(relay["index"] < report["index"] or relay["ahead"] for relay in report["relays"])
     return not (report["lags"] or report["refuses"] or report["away"] or behind)
 
 
@@ -128,16 +128,17 @@
     for state in ("refuses", "lags", "away"):
         if len(report[state]) > MAX_LISTED:
             lines.append(f"  and {len(report[state]) - MAX_LISTED} more: {state}")
-    for one in report["relays"]:
+    for relay in report["relays"]:
         lines.append(
-            f"{one['role']} {one['name']}: version {one['index']}, {one['kept']} on disk"
-            + (f" (the disk refuses: {one['keep_failing']})" if one["keep_failing"] else "")
-            + f", {one['waiting']} wait, {one['cut_off']} were cut off, {one['turned_away']} turned away"
+            f"{relay['role']} {relay['name']}: version {relay['index']}, {relay['kept']} on disk"
+            + (f" (the disk refuses: {relay['keep_failing']})" if relay["keep_failing"] else "")
+            + f", {relay['waiting']} wait, {relay['cut_off']} were cut off, "
+            f"{relay['turned_away']} turned away"
         )
-        if one["ahead"]:
+        if relay["ahead"]:
             lines.append(
-                f"caution: {one['name']} has seen references to version {one['ahead']}, which it never had: "
-                "a source came back from an older backup, or there are two; run "
+                f"caution: {relay['name']} has seen references to version {relay['ahead']}, "
+                "which it never had: a source came back from an older backup, or there are two; run "
                 "`lupinmill config restore` at the source"
             )
     return lines
--- a/lupinmill/config/server.py
+++ b/lupinmill/config/server.py
@@ -153,7 +153,7 @@
         self.fanout, self.clock = fanout, clock
         self.tokens = itertools.count(1)
         self.watchers: dict[int, Watcher] = {}
-        self.shelf = MemoryBudget(reply_memory)
+        self.reply_budget = MemoryBudget(reply_memory)
         self.sending: dict[int, int] = {}  # by id of a reply's bytes: number of connections sending it
         self.timer_at: int | None = None
         self.timer_changed = anyio.Event()
@@ -214,7 +214,7 @@
     async def send_reply(self, client: Client, side: ServerSide, data: bytes) -> bool:
         """Limits the total bytes of replies being sent, however slowly clients read."""
         key = id(data)
-        if key not in self.sending and not self.shelf.lease(len(data)):
+        if key not in self.sending and not self.reply_budget.lease(len(data)):
             return await self.send_unavailable(client, side)
         self.sending[key] = self.sending.get(key, 0) + 1
         try:
@@ -223,7 +223,7 @@
             self.sending[key] -= 1
             if not self.sending[key]:
                 del self.sending[key]
-                self.shelf.release(len(data))
+                self.reply_budget.release(len(data))
 
     async def send_unavailable(self, client: Client, side: ServerSide) -> bool:
         self.refused += 1
@@ -232,14 +232,14 @@
         answer = plain(503, f"at capacity; retry within {spread} s or ask another relay\n", headers)
         return await self.write(client, side, answer, True)
 
-    async def drain(self, duration_s: float, chance: random.Random) -> None:
+    async def drain(self, duration_s: float, random_source: random.Random) -> None:
         """Rejects all waiting watches one by one over `duration_s` seconds, so that they do not all reach
         another relay at once."""
         self.draining = True
         self.listener.pause()
         self.listener.close()
         tokens = list(self.watchers)
-        chance.shuffle(tokens)
+        random_source.shuffle(tokens)
         for remaining in range(len(tokens), 0, -1):
             token = tokens[remaining - 1]
             if (watcher := self.watchers.get(token)) is not None:
--- a/lupinmill/handover/driver.py
+++ b/lupinmill/handover/driver.py
@@ -91,7 +91,7 @@
 
 
 def listening_socket(descriptor: int) -> socket.socket:
-    """Raises BrokenLink if the descriptor is not a listening socket."""
+    """Raises LinkError if the descriptor is not a listening socket."""
     try:
         sock = socket.socket(fileno=descriptor)
     except OSError as error:
--- a/lupinmill/peers/live_count.py
+++ b/lupinmill/peers/live_count.py
@@ -3,7 +3,7 @@
 A rise counts at once, as it makes everyone's caps smaller, which is harmless. A fall counts after
 `FALL_DELAY_US`, as a restarting sidecar is back before, and only while a majority is present. A sidecar cut
 off from the majority can't tell failed members from those beyond the partition: it returns to the
-configured number in step with the age of its last known one. So two sides of a partition together never act
+configured number gradually, as its last known one ages. So two sides of a partition together never act
 as more than twice the fleet, and mostly as the fleet.
 
 Owns the counts of the last `FALL_DELAY_US`, at most `MAX_SAMPLES`."""
--- a/lupinmill/peers/membership.py
+++ b/lupinmill/peers/membership.py
@@ -2,9 +2,9 @@
 Phillips, Currey 2018). No I/O: `step(now, events)` returns commands, times are microseconds of a monotonic
 clock, and random numbers come from a seeded LCG.
 
-Differences from SWIM, for members that lie (docs/design/peers.md): no member is marked dead or left on
-hearsay alone. A report by others starts an own probe. It is believed only if that probe fails or three
-other members report the same from their own addresses.
+Differences from SWIM, for members that lie (docs/design/peers.md): no member is marked dead or left
+because of a report by another member alone. Such a report starts an own probe. It is believed only if that
+probe fails or three other members report the same from their own addresses.
 
 Owns the table of members (the names in the roster and no others), the outstanding probes (at most
 `MAX_PROBES`, each released by its ack or its timeout) and the queue of updates to gossip (at most one per
--- a/lupinmill/program/live_config.py
+++ b/lupinmill/program/live_config.py
@@ -208,21 +208,21 @@
         file = process.operator_file
         return tuple(file.config.relays) if file is not None and file.config is not None else ()
 
-    def change_deployment(self, d: t.Deployment) -> None:
+    def change_deployment(self, deployment: t.Deployment) -> None:
         program, dispatcher = self.program, self.program.engine.sidecar.dispatcher
         before = dispatcher.settings
-        program.engine.handle_event(t.DeploymentChanged(d))
+        program.engine.handle_event(t.DeploymentChanged(deployment))
         if dispatcher.settings is before:
             raise RuntimeError(
                 "the decision module refused the deployment"
             )  # the engine has logged the cause
-        advice = d.longest_advice // 2 if d.advice_allowed else 0
-        program.request_factory.deploy({w.name for w in d.workloads}, advice)
-        program.admission.deploy(d)
+        advice = deployment.longest_advice // 2 if deployment.advice_allowed else 0
+        program.request_factory.deploy({w.name for w in deployment.workloads}, advice)
+        program.admission.deploy(deployment)
         program.client_handler.retry_after = advice
-        program.discovery.set_instances(d.instances)
+        program.discovery.set_instances(deployment.instances)
         if program.fleet_state is not None:
-            program.fleet_state.change_configured_count(d.instances)
+            program.fleet_state.change_configured_count(deployment.instances)
 
     def show(self) -> dict[str, object]:
         version, refused = self.current.version, self.refused
--- a/lupinmill/program/operators_file.py
+++ b/lupinmill/program/operators_file.py
@@ -295,7 +295,10 @@
     assert peers is not None
     if name not in peers.members:
         raise ConfigFileError(f"peers.members: has no entry for this sidecar, {name or 'which has no name'}")
-    roster = tuple(RosterEntry(one, e.address, e.zone, e.region) for one, e in peers.members.items())
+    roster = tuple(
+        RosterEntry(member, entry.address, entry.zone, entry.region)
+        for member, entry in peers.members.items()
+    )
     return PeerSettings(
         name,
         roster,
--- a/lupinmill/protocol/settings.py
+++ b/lupinmill/protocol/settings.py
@@ -95,58 +95,60 @@
         return crc32(text.encode("utf-8", "backslashreplace"))
 
 
-def workload(s: Settings) -> t.Workload:
+def workload(settings: Settings) -> t.Workload:
     return t.Workload(
-        name=s.text("name"),
-        contract=s.micros("contract-time-s"),
-        hard_limit=s.micros("hard-limit-s"),
-        value=s.number("value", 1.0),
-        overdue_value=s.number("overdue-value"),
-        repeat=REPEAT_POLICIES.get(s.text("repeat"), t.RepeatPolicy.UNREPEATABLE),
-        group=DEDUPLICATION_SCOPES.get(s.text("group"), t.DeduplicationScope.CELL),
-        window=s.micros("window-s"),
-        zones=s.names("confined-to"),
-        kinds=s.names("bound-to"),
+        name=settings.text("name"),
+        contract=settings.micros("contract-time-s"),
+        hard_limit=settings.micros("hard-limit-s"),
+        value=settings.number("value", 1.0),
+        overdue_value=settings.number("overdue-value"),
+        repeat=REPEAT_POLICIES.get(settings.text("repeat"), t.RepeatPolicy.UNREPEATABLE),
+        group=DEDUPLICATION_SCOPES.get(settings.text("group"), t.DeduplicationScope.CELL),
+        window=settings.micros("window-s"),
+        zones=settings.names("confined-to"),
+        kinds=settings.names("bound-to"),
     )
 
 
 def deployment(fields: Fields) -> t.Deployment:
-    s = Settings(fields)
+    settings = Settings(fields)
     # Settings without effect in a topology count as missing.
-    per_client = s.text("family") == "mesh"
+    per_client = settings.text("family") == "mesh"
     return t.Deployment(
-        seed=decimal_seed(s.text("random-seed", "0")),
-        tier=int(s.number("tier")),
-        instances=max(1, int(s.number("instances", 1))),
-        workloads=[workload(w) for w in s.items("workloads")],
-        tenants=[t.Tenant(a.text("name"), a.number("quota-per-s")) for a in s.items("accounts")],
-        beyond_share_value=s.number("beyond-share-value", 1.0),
-        pooled_weight=s.number("blend.whole") + s.number("blend.worst-window"),
-        evenness_weight=s.number("blend.worst-class") + s.number("blend.kept-promises"),
-        poll_discovery=s.text("discovery") == "ask",
-        poll_interval=s.micros("invariants.ask-within-s", 10.0),
-        grace=s.micros("invariants.stop-sending-within-s", 0.5),
-        cold_share=min(1.0, s.number("invariants.cold-share", 1.0)),
-        cold_time=s.micros("invariants.cold-s"),
-        overload_time=s.micros("invariants.fall-s", 1.0),
-        round=s.micros("round-s", 0.001),
-        max_attempts=int(s.number("limits.most-launches", 1)),
-        hedging_allowed=not per_client and s.flag("limits.may-duplicate"),
-        cancel_allowed=s.flag("limits.cancel"),
-        probes_allowed=not per_client and s.flag("limits.probes"),
-        reports_asked=not per_client and s.text("load-report.how", "off") == "on_probe",
-        advice_allowed=s.flag("limits.retry-after"),
-        longest_advice=s.micros("limits.max-retry-after-s"),
+        seed=decimal_seed(settings.text("random-seed", "0")),
+        tier=int(settings.number("tier")),
+        instances=max(1, int(settings.number("instances", 1))),
+        workloads=[workload(w) for w in settings.items("workloads")],
+        tenants=[t.Tenant(a.text("name"), a.number("quota-per-s")) for a in settings.items("accounts")],
+        beyond_share_value=settings.number("beyond-share-value", 1.0),
+        pooled_weight=settings.number("blend.whole") + settings.number("blend.worst-window"),
+        evenness_weight=settings.number("blend.worst-class") + settings.number("blend.kept-promises"),
+        poll_discovery=settings.text("discovery") == "ask",
+        poll_interval=settings.micros("invariants.ask-within-s", 10.0),
+        grace=settings.micros("invariants.stop-sending-within-s", 0.5),
+        cold_share=min(1.0, settings.number("invariants.cold-share", 1.0)),
+        cold_time=settings.micros("invariants.cold-s"),
+        overload_time=settings.micros("invariants.fall-s", 1.0),
+        round=settings.micros("round-s", 0.001),
+        max_attempts=int(settings.number("limits.most-launches", 1)),
+        hedging_allowed=not per_client and settings.flag("limits.may-duplicate"),
+        cancel_allowed=settings.flag("limits.cancel"),
+        probes_allowed=not per_client and settings.flag("limits.probes"),
+        reports_asked=not per_client and settings.text("load-report.how", "off") == "on_probe",
+        advice_allowed=settings.flag("limits.retry-after"),
+        longest_advice=settings.micros("limits.max-retry-after-s"),
         sidecar_per_client=per_client,
-        zone=s.text("locality"),
-        gone_binds=not s.flag("invariants.dropped-stay-open"),
-        uneven=per_client or s.number("prices.cross-zone") > 0 or len(s.names("kinds")) > 1,
-        crossing_price=s.number("prices.cross-zone"),
-        warm_keys=per_client and s.flag("family-info.warm-keys"),
-        weights_live=s.text("weights") == "live",
-        weights_tell_speed=per_client and s.text("weights") == "nominal",
+        zone=settings.text("locality"),
+        gone_binds=not settings.flag("invariants.dropped-stay-open"),
+        uneven=per_client or settings.number("prices.cross-zone") > 0 or len(settings.names("kinds")) > 1,
+        crossing_price=settings.number("prices.cross-zone"),
+        warm_keys=per_client and settings.flag("family-info.warm-keys"),
+        weights_live=settings.text("weights") == "live",
+        weights_tell_speed=per_client and settings.text("weights") == "nominal",
         few_connections=(
-            per_client and s.number("limits.streams-per-conn", 1) > 1 and s.number("prices.connection") > 0
+            per_client
+            and settings.number("limits.streams-per-conn", 1) > 1
+            and settings.number("prices.connection") > 0
         ),
     )
 
--- a/lupinmill/routing/admission.py
+++ b/lupinmill/routing/admission.py
@@ -45,8 +45,8 @@
         self.denial_time = 0.0  # seconds spent on rejections since the last heartbeat, ...
         self.denial_time_this_pass = 0.0  # ... and since the current event loop pass began
 
-    def deploy(self, d: t.Deployment) -> None:
-        self.gate.deploy(d)
+    def deploy(self, deployment: t.Deployment) -> None:
+        self.gate.deploy(deployment)
         self.workloads = set(self.gate.workloads)
 
     @property
@@ -68,15 +68,15 @@
         if metadata is None:
             return True
         left = max(0, metadata.time_left - client.max_elapsed_wait(metadata.time_left))
-        offer = AdmissionRequest(metadata.workload, left, metadata.is_retry, metadata.tenant, client=client)
-        fate = self.gate.admit(self.engine.clock.now(), offer)
-        if fate is Verdict.DENIED:
+        request = AdmissionRequest(metadata.workload, left, metadata.is_retry, metadata.tenant, client=client)
+        verdict = self.gate.admit(self.engine.clock.now(), request)
+        if verdict is Verdict.DENIED:
             denied = self.send_denial(client)
             self.count_denial_time(perf_counter() - began + READ_COST_S)
             return not denied
         client.has_requested = client.response_due = True
-        if fate is Verdict.HELD:
-            offer.token, client.waiter = AdmissionTurn(), offer
+        if verdict is Verdict.HELD:
+            request.token, client.waiter = AdmissionTurn(), request
         else:
             client.admitted = True
         self.schedule_heartbeat()
@@ -110,14 +110,14 @@
         """Waits for the turn of a held request. Returns False if it was rejected in the end, or if its client
         disconnected, as nobody would receive the response. Has a time-out of its own in case the turn is
         never granted: the gate rejects what it cannot admit after half of the remaining time."""
-        offer = client.waiter
-        if offer is None:
+        request = client.waiter
+        if request is None:
             return not client.unwritable
         try:
             with anyio.move_on_after(
-                offer.time_left * HELD_TIMEOUT_FRACTION / 1_000_000
-            ) as offer.token.scope:
-                if not offer.token.granted:
+                request.time_left * HELD_TIMEOUT_FRACTION / 1_000_000
+            ) as request.token.scope:
+                if not request.token.granted:
                     await client.wait_disconnected()
         finally:
             self.forget(client)  # its task was cancelled before its turn
@@ -138,9 +138,9 @@
 
     def forget(self, client: Client) -> None:
         """Removes the client's held request, if it has one."""
-        offer, client.waiter = client.waiter, None
-        if offer is not None:
-            self.gate.forget(offer)
+        request, client.waiter = client.waiter, None
+        if request is not None:
+            self.gate.forget(request)
 
     def leave(self, client: Client) -> None:
         """Releases everything that the client holds here. Never raises: this is the last call of a client's
@@ -156,9 +156,9 @@
             self.log("task_failed", task="door", **error_fields(error))
 
     def release(self) -> None:
-        for offer, fate in self.gate.release(self.engine.clock.now()):
-            offer.client.admitted = fate is Verdict.TAKEN
-            offer.token.grant()
+        for request, verdict in self.gate.release(self.engine.clock.now()):
+            request.client.admitted = verdict is Verdict.TAKEN
+            request.token.grant()
 
     # Heartbeat.
 
--- a/lupinmill/routing/engine.py
+++ b/lupinmill/routing/engine.py
@@ -54,9 +54,8 @@
         # for again.
         self.resume_at: int | None = None
         self.resume_delay = RESUME_DELAY_US
-        self.failure_listeners: list[
-            Callable[[Any], None]
-        ] = []  # called with each event that the decision module failed on
+        # Called with each event that the decision module failed on.
+        self.failure_listeners: list[Callable[[Any], None]] = []
         self.lateness = 0  # microseconds of recent event loop lag
         self.timers_held_since: int | None = None  # since when due timers wait for unread bytes
         self.timer_changed = anyio.Event()
--- a/lupinmill/routing/start_times.py
+++ b/lupinmill/routing/start_times.py
@@ -20,9 +20,8 @@
 
     def __init__(self, wall_clock: WallClock) -> None:
         self.wall_clock = wall_clock
-        self.resolved: dict[
-            str, tuple[int, int]
-        ] = {}  # as listed and as converted, microseconds of Unix time
+        # By endpoint: its start as listed and as converted, microseconds of Unix time.
+        self.resolved: dict[str, tuple[int, int]] = {}
 
     def resolve(self, entry: t.ListEntry, now: int) -> t.ListEntry:
         """`now`: microseconds of this process's time, which is never set. A start that was listed before is
@@ -40,4 +39,4 @@
         return max((start for start in starts if start <= now + MAX_CLOCK_SKEW_US), default=listed)
 
     def retain(self, names: Container[str]) -> None:
-        self.resolved = {name: read for name, read in self.resolved.items() if name in names}
+        self.resolved = {name: starts for name, starts in self.resolved.items() if name in names}
--- a/lupinmill/rules.py
+++ b/lupinmill/rules.py
@@ -70,7 +70,7 @@
     1_250 * MS,
     1_000,
 )
-MIN_PACE = 0.001  # of a kind of endpoint: it is a divisor
+MIN_PACE = 0.001  # of an answer: the mean pace of a kind of endpoint is a divisor
 # Below this CPU utilization in load reports endpoints are not crowded, whatever a few answers suggest.
 BUSY_UTILIZATION = 0.8
 EJECTION_TIME, EJECTION_TIME_MAX = 3 * SECOND, 12 * SECOND
@@ -167,7 +167,7 @@
             else 0
         )
         self.set_active_sidecars(self.configured_sidecars)
-        # The more the goal pools all workloads, the more value weighs against evenness.
+        # The higher the weight of the pooled goal, the more a workload's value counts for its priority.
         weight = deployment.pooled_weight + deployment.evenness_weight
         self.value_exponent = deployment.pooled_weight / weight if weight else 1.0
         total_quota = sum(tenant.quota_per_s for tenant in deployment.tenants) or 1.0
@@ -253,7 +253,7 @@
         self.warm_rate, self.listed_size = 0.0, 0.0
         # Requests handled by cold endpoints, and how many warm ones those amount to.
         self.cold_handled, self.cold_capacity, self.first_arrival = BucketedSum(4, SECOND // 2), 0.0, -1
-        # Time without traffic earns no credit: all sidecars would spend their savings at once.
+        # Time without traffic earns no credit, or all sidecars would use up the saved credit at once.
         self.idle_time, self.last_arrival = 0, -1
         self.warm_handled, self.warm_measured_at = 0, 0
         self.pace_by_kind: dict[str, float] = {}  # of endpoint
@@ -381,8 +381,10 @@
         )
         for shares in plans:
             if not zone or self.is_zone_lost(zone):
-                at = self.random_source.draw()
-                zone = next((name for name, share in shares.items() if (at := at - share) < 0), zone)
+                remainder = self.random_source.draw()
+                zone = next(
+                    (name for name, share in shares.items() if (remainder := remainder - share) < 0), zone
+                )
         return zone
 
     def is_zone_lost(self, zone: str) -> bool:
@@ -462,8 +464,8 @@
             request.queue.waiting.append(request)
 
     def admit(self, request: RequestState) -> None:
-        """Rejects at once what would wait in vain. Where caps are fractions the rate follows from the
-        capacity."""
+        """Rejects the request at once if it is not expected to be sent in time. Where caps are fractions the
+        expected rate follows from the capacity."""
         queue, queues = request.queue, self.queues.values()
         ahead = sum(len(other.waiting) for other in queues if other.priority > queue.priority) + len(
             queue.waiting
@@ -607,8 +609,8 @@
         return None
 
     def rank(self, endpoint: EndpointState, request: RequestState) -> float:
-        """Weighted order among equals, least first: random, or by the key and then the same in all
-        sidecars."""
+        """Sort key among endpoints of equal load, lowest first, weighted by preference. Random, or for a
+        request with a key derived from it and then the same in all sidecars."""
         return (
             -log(
                 mixed(request.key_hash, endpoint.name_hash)
@@ -621,8 +623,8 @@
     def least_reported(
         self, load: int, request: RequestState, tried: list[EndpointState]
     ) -> EndpointState | None:
-        """Of equals the one with the least reported load below the mean. Reports decay towards the mean with
-        age."""
+        """Among endpoints with `load` attempts in flight, the one with the least reported load below the
+        mean. Reports decay towards the mean with age."""
         mean, least, best = self.averages.reported_load, self.averages.reported_load, None
         for endpoint in self.recent_reporters:
             report = endpoint.report
@@ -1202,11 +1204,12 @@
         )
         fresh = fresh and (entry.started != self.entry.started or self.last_heard == 0)
         if fresh:
-            # By another machine's clock the start may lie in the future: it would stay cold for too long.
+            # Another machine's clock may be ahead: a start in the future would keep it cold for too long.
             self.cold_since = min(entry.started, self.message_queue.now)
         is_ready_again, self.entry = self.entry.state is not entry.state is t.EndpointStatus.READY, entry
         if self.mode == "aside" and fresh and entry.state is t.EndpointStatus.READY:
-            # By the list it runs, and the probes of all sidecars would use up its whole cold budget.
+            # The list shows that it runs, and the probes of all sidecars together would use up all that a
+            # cold endpoint can handle.
             return self.start_trial()
         if self.mode == "aside" and is_ready_again:
             self.schedule_probe(0)  # it was not probed so far: no need to wait out the ejection time
@@ -1252,7 +1255,7 @@
             self.connection_failures = 0
             self.reduce_share(outcome)
             if silence > SILENCE_MULTIPLE * self.averages.latency:
-                # A hang met by one attempt alone: else each sidecar would keep losing single attempts to it.
+                # One attempt that hangs is enough, or each sidecar would keep losing single attempts to it.
                 self.request_ejection(f"silent {silence // MS} ms up to a time-out", False)
         if self.mode == "trial":
             self.request_ejection("failed its trial", True)
@@ -1268,7 +1271,7 @@
         now, averages = self.message_queue.now, self.averages
         # Own attempts in flight say little about a shared endpoint: a slow or full one is picked last.
         fresh = self.reported_load is not None and now - self.reported_at <= REPORT_LIFETIME
-        # A mean of 0 is not known yet.
+        # 0: the mean is not known yet.
         self.crowded = fresh and 0 < 2 * averages.reported_load < self.reported_load
         if self.pace and self.answers >= 3 and now - self.last_heard < REPORT_LIFETIME:
             self.crowded = self.crowded or self.pace > DEPRIORITIZED_PACE * max(1.0, averages.pace)
@@ -1513,9 +1516,9 @@
         self.timer_at: int | None = None
 
     def step(self, now: int, events: list[t.Event], fire_timers: bool = True) -> list[t.Command]:
-        """Without `ring`, timers that are due wait for a later step. An exception while handling one event
-        loses only that event: it is raised after the others are handled, with all commands, including the
-        next timer, in `message_queue.commands`."""
+        """Without `fire_timers`, timers that are due wait for a later step. An exception while handling one
+        event loses only that event: it is raised after the others are handled, with all commands, including
+        the next timer, in `message_queue.commands`."""
         message_queue = self.message_queue
         message_queue.now, message_queue.commands = now, []
         for event in (event for event in events if not isinstance(event, t.TimerFired)):
--- a/lupinmill/workings.py
+++ b/lupinmill/workings.py
@@ -303,7 +303,8 @@
 
 @dataclass(slots=True)
 class RequestQueue:
-    """Held requests of one workload, tenant standing, repeat flag and zone; first come, first served."""
+    """Held requests of one workload and zone, within or beyond the tenant's share, new or repeated; first
+    come, first served."""
 
     priority: float
     zone: str = ""
--- a/lupinmill/zones/driver.py
+++ b/lupinmill/zones/driver.py
@@ -32,10 +32,10 @@
     ) -> None:
         self.map, self.peers, self.engine, self.log = map_, peers, engine, log
         now = engine.clock.now()
-        seats = {seat.name: seat for seat in settings.roster}
-        home = seats[settings.name].zone
+        members = {entry.name: entry for entry in settings.roster}
+        home = members[settings.name].zone
         member_zones = tuple(
-            zone.name for zone in map_.zones if any(s.zone == zone.name for s in settings.roster)
+            zone.name for zone in map_.zones if any(entry.zone == zone.name for entry in settings.roster)
         )
         self.core = Member(map_, settings.name, home, settings.electors, member_zones, now)
         self.monitor = TrafficMonitor(map_, home, now)
@@ -50,7 +50,7 @@
 
     def update_members(self, settings: peer.PeerSettings) -> None:
         """Another member list applies from now on."""
-        zones = {seat.zone for seat in settings.roster}
+        zones = {entry.zone for entry in settings.roster}
         self.core.aggregator.member_zones = tuple(zone.name for zone in self.map.zones if zone.name in zones)
 
     # From the peers.
--- a/lupinmill/zones/plan.py
+++ b/lupinmill/zones/plan.py
@@ -26,10 +26,7 @@
 PLAN_INTERVAL = SECOND
 SHIFT_PER_S, RETURN_PER_S = 0.1, 0.03  # share of a zone's traffic per second
 # Share of traffic that is sent to a recovered zone as a trial, and how long the trial must succeed.
-TRIAL_SHARE, TRIAL_DURATION = (
-    0.05,
-    5 * SECOND,
-)
+TRIAL_SHARE, TRIAL_DURATION = 0.05, 5 * SECOND
 # The same where the other zones cannot carry all traffic; the share is also the step per second.
 URGENT_SHARE, URGENT_TRIAL_DURATION = 0.1, SECOND
 # The delay before the trial doubles with each relapse, up to `MAX_RELAPSES` times; a zone that has been back
@@ -38,10 +35,7 @@
 DEAD_BAND = 0.03
 # Share of a jump that the smoothed figure follows per second; smaller changes are followed by a quarter of
 # that.
-SMOOTHING_FACTOR, JUMP_THRESHOLD = (
-    0.35,
-    0.25,
-)
+SMOOTHING_FACTOR, JUMP_THRESHOLD = 0.35, 0.25
 FAILOVER_UPDATE_INTERVAL, FAILOVER_DEAD_BAND = 5 * SECOND, 0.1
 # Shares of its capacity to which a zone is filled before the next level is used; beyond the last nothing
 # fits.
@@ -196,7 +190,7 @@
             )
             budget = workload.leave_zone * traffic - left_zone
             if workload.breaks and (capacity[name] <= EPSILON or not view.reaches(name, name)):
-                budget = traffic  # `zones show` tells that it is over its budget
+                budget = traffic  # `zones show` marks it as over its budget
             elif region[to] != region[name]:
                 budget = min(budget, workload.leave_region * traffic - left_region)
             amount = min(unplaced[name][workload.name], budget)
@@ -238,9 +232,8 @@
         # By zone: how often it was lost again during its return, or soon after.
         self.relapses: dict[str, int] = {}
         self.recovered_at: dict[str, int] = {}  # when a lost zone had all of its traffic back
-        self.next_failover_update = (
-            0  # no plan is made for a change of failover routes alone before this time
-        )
+        # No plan is made for a change of failover routes alone before this time.
+        self.next_failover_update = 0
 
     def take_over(self, plan: Plan, now: int) -> None:
         """A new lease holder continues from the plan in force: it may have seen none of the events that led
--- a/lupinmill/zones/reports.py
+++ b/lupinmill/zones/reports.py
@@ -73,8 +73,8 @@
     state: dict[tuple[str, str], ZoneState]  # by observing zone and observed zone
     observers: dict[str, int] = field(default_factory=dict)
 
-    def reaches(self, a: str, b: str) -> bool:
-        return self.state.get((a, b), ZoneState.UNKNOWN) in (ZoneState.HEALTHY, ZoneState.UNKNOWN)
+    def reaches(self, origin: str, target: str) -> bool:
+        return self.state.get((origin, target), ZoneState.UNKNOWN) in (ZoneState.HEALTHY, ZoneState.UNKNOWN)
 
 
 def sanitize(value: float) -> float:
--- a/lupinmill/zones/zone_map.py
+++ b/lupinmill/zones/zone_map.py
@@ -51,27 +51,29 @@
                     raise InvalidZoneMap(f"workloads.{workload.name}.{key}: wants 0 to 1")
             if workload.leave_region > workload.leave_zone:
                 raise InvalidZoneMap(f"workloads.{workload.name}.leave_region: more than leave_zone")
-        for a, b in self.costs:
-            if a not in names or b not in names:
-                raise InvalidZoneMap(f"costs.{a}.{b}: no such zone")
+        for origin, target in self.costs:
+            if origin not in names or target not in names:
+                raise InvalidZoneMap(f"costs.{origin}.{target}: no such zone")
 
     def zone(self, name: str) -> Zone:
         return next(zone for zone in self.zones if zone.name == name)
 
-    def cost(self, a: str, b: str) -> float:
-        if a == b:
+    def cost(self, origin: str, target: str) -> float:
+        if origin == target:
             return 0.0
-        configured = self.costs.get((a, b), self.costs.get((b, a)))
+        configured = self.costs.get((origin, target), self.costs.get((target, origin)))
         if configured is not None:
             return configured
-        return self.near if self.zone(a).region == self.zone(b).region else self.far
+        return self.near if self.zone(origin).region == self.zone(target).region else self.far
 
-    def order(self, a: str) -> list[str]:
+    def order(self, origin: str) -> list[str]:
         """The other zones, nearest first, and of equal cost in the map's order. Zones in other regions come
         after all of the own region."""
-        home = self.zone(a).region
-        others = [zone for zone in self.zones if zone.name != a]
-        return [zone.name for zone in sorted(others, key=lambda z: (z.region != home, self.cost(a, z.name)))]
+        home = self.zone(origin).region
+        others = [zone for zone in self.zones if zone.name != origin]
+        return [
+            zone.name for zone in sorted(others, key=lambda z: (z.region != home, self.cost(origin, z.name)))
+        ]
 
     def checksum(self) -> int:
         """Checksum of the names and their order. Members send positions instead of names to each other; where
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -175,8 +175,8 @@
     for _ in range(30):
         bed.arrive(bed.workloads["view"])
         for name in list(bed.unanswered):
-            for launch in bed.out(name):
-                bed.end(name, launch, t.Outcome.HANDLED, after=2_000)
+            for number in bed.out(name):
+                bed.end(name, number, t.Outcome.HANDLED, after=2_000)
     bed.sidecar.step(bed.now, [t.ListReceived(t.ListKind.FULL, [listing(0), listing(1)])])
     for _ in range(10):
         name = bed.arrive(bed.workloads["view"])
@@ -187,7 +187,7 @@
     for _ in range(300):
         name = bed.arrive(bed.workloads["view"])
         bed.end(name, 0, t.Outcome.HANDLED, after=5_000)
-    sent = [f["endpoint"] for flights in bed.attempts.values() for f in flights]
+    sent = [attempt["endpoint"] for attempts in bed.attempts.values() for attempt in attempts]
     assert "e0" not in sent[:40] and 0 < sent[-300:].count("e0") < 150
 
 
--- a/tests/test_beside.py
+++ b/tests/test_beside.py
@@ -46,13 +46,13 @@
             out.append(name)
         bed.run(apart)
         for name in list(out):
-            for attempt in bed.out(name):
-                flight = bed.attempts[name][attempt]
-                if bed.now - flight["sent"] >= latency(flight["endpoint"]):
-                    bed.end(name, attempt, t.Outcome.HANDLED)
+            for number in bed.out(name):
+                attempt = bed.attempts[name][number]
+                if bed.now - attempt["sent"] >= latency(attempt["endpoint"]):
+                    bed.end(name, number, t.Outcome.HANDLED)
             if name not in bed.unanswered:
                 out.remove(name)
-                picks += [flight["endpoint"] for flight in bed.attempts[name]]
+                picks += [attempt["endpoint"] for attempt in bed.attempts[name]]
     return picks
 
 
--- a/tests/test_common.py
+++ b/tests/test_common.py
@@ -102,7 +102,7 @@
     name = bed.arrive(IDEM)
     bed.end(name, 0, t.Outcome.UNCONNECTED)
     bed.run(100 * MS)
-    assert [flight["endpoint"][0] for flight in bed.attempts[name]][0] == "a"
+    assert [attempt["endpoint"][0] for attempt in bed.attempts[name]][0] == "a"
     assert len(bed.attempts[name]) == 2 and bed.attempts[name][1]["endpoint"][0] in "bc"
 
 
@@ -147,7 +147,7 @@
     drain(bed, "b")
     bed.end(name, 0, t.Outcome.RESET)
     bed.run(SECOND)
-    assert {flight["endpoint"][0] for flight in bed.attempts[name]} == {"a"}
+    assert {attempt["endpoint"][0] for attempt in bed.attempts[name]} == {"a"}
 
 
 def test_a_cold_endpoint_gets_less_where_all_together_send_it_too_much():
@@ -162,7 +162,7 @@
         update_shared_state(bed, brakes=brakes)
         names = complete_requests(bed, 200)
         assert warm
-        return sum(flight["endpoint"] == "a9" for name in names for flight in bed.attempts[name])
+        return sum(attempt["endpoint"] == "a9" for name in names for attempt in bed.attempts[name])
 
     unlimited, limited = sent({}), sent({"a9": 0.1})
     assert unlimited >= 8 and limited <= unlimited / 3
--- a/tests/test_config_core.py
+++ b/tests/test_config_core.py
@@ -1083,10 +1083,10 @@
 
 
 def test_difference_is_what_leads_from_one_to_the_other():
-    chance = random.Random(1)
+    rng = random.Random(1)
     for _ in range(300):
         old, new = (
-            {key: chance.choice([1, 1.0, True, "x"]) for key in KEYS if chance.random() < 0.6} for _ in "ab"
+            {key: rng.choice([1, 1.0, True, "x"]) for key in KEYS if rng.random() < 0.6} for _ in "ab"
         )
         assert canonical(apply_changes(old, difference(old, new))) == canonical(new)
         assert difference(new, new) == {}
--- a/tests/test_config_relay.py
+++ b/tests/test_config_relay.py
@@ -67,7 +67,7 @@
         assert part is None or part.store.leased == 0 and set(part.descriptors.open.values()) == {0}
     assert (
         not relay.watch_server.watchers
-        and relay.watch_server.shelf.leased == 0
+        and relay.watch_server.reply_budget.leased == 0
         and not relay.watch_server.sending
     )
 
@@ -362,14 +362,14 @@
                 await stream.send(ClientSide().ask(watch(scopes=(), name=f"slow{at}")))
             await wait_until(lambda: sum(watches.sending.values()) == readers)
             # One shared copy, and one block per connection.
-            assert len(watches.sending) == 1 and watches.shelf.leased < 7 * 2**20
+            assert len(watches.sending) == 1 and watches.reply_budget.leased < 7 * 2**20
             assert watches.store.leased <= readers + 1
             reply = wire.decode_reply(
                 await call(watches.address, watch(scopes=("service/s1",), name="quick"))
             )
             assert set(reply.entries) == {service_settings("s1")}
             await wait_until(lambda: watches.cut_off == readers)
-            await wait_until(lambda: not watches.sending and watches.shelf.leased == 0)
+            await wait_until(lambda: not watches.sending and watches.reply_budget.leased == 0)
             with pytest.raises((anyio.BrokenResourceError, anyio.EndOfStream)):
                 while True:
                     await slow[0].receive(2**20)
@@ -417,7 +417,7 @@
     async def check():
         async with running(source_file(tmp_path)) as run:
             assert (await run.push({FLEET: {"kinds": ["y" * 50_000]}}))[0] == 200
-            run.relay.watch_server.shelf.limit = 40_000
+            run.relay.watch_server.reply_budget.limit = 40_000
             answer = await call(run.relay.watch_server.address, watch())
             assert answer.status == 503 and answer.header(b"retry-after") == "2"
             assert (await call(run.relay.watch_server.address, watch(scopes=("zone/z",)))).status == 200
--- a/tests/test_config_sidecar.py
+++ b/tests/test_config_sidecar.py
@@ -678,7 +678,7 @@
 
     async def check(net):
         def names() -> set[str]:
-            return {seat.name for seat in net.program.peers.settings.roster}
+            return {entry.name for entry in net.program.peers.settings.roster}
 
         await until(lambda: net.program.peers.peer is not None)
         row = {"address": f"127.0.0.1:{ports[3]}", "zone": "z"}
@@ -712,7 +712,7 @@
 
     async def check(net):
         def names() -> set[str]:
-            return {seat.name for seat in net.program.peers.settings.roster}
+            return {entry.name for entry in net.program.peers.settings.roster}
 
         await net.in_force({Key("fleet", "member/n5"): {"address": f"127.0.0.1:{ports[4]}"}})
         net.file += f'[peers.members.n4]\naddress = "127.0.0.1:{ports[3]}"\n'
--- a/tests/test_config_terms.py
+++ b/tests/test_config_terms.py
@@ -42,9 +42,9 @@
             assert self.d.cancel_allowed, f"{name}: called off, which its terms forbid"
         super().check(command)
 
-    def end(self, name: str, launch: int, how: t.Outcome, load=None, after: int = 0) -> list[t.Command]:
+    def end(self, name: str, number: int, how: t.Outcome, load=None, after: int = 0) -> list[t.Command]:
         self.now += after  # how long it took
-        return super().end(name, launch, how, load)
+        return super().end(name, number, how, load)
 
     def deploy(self, **changes) -> t.Deployment:
         d = deployment(**changes)
@@ -147,49 +147,53 @@
 def test_worths_follow_and_what_was_learned_stays():
     bed = SettingsBed(deployment(workloads=[IDEM, KEYED]), endpoints=1)
     earn_retry_budget(bed)
-    desk = bed.sidecar.dispatcher
+    dispatcher = bed.sidecar.dispatcher
     held = [bed.arrive(one) for one in (IDEM, KEYED) for _ in range(6)]
-    cap, gauge, lanes = desk.cap, desk.latency_estimates["view"], dict(desk.queues)
+    cap, gauge, queues = dispatcher.cap, dispatcher.latency_estimates["view"], dict(dispatcher.queues)
     usual = (gauge.current, gauge.uncrowded)
-    assert {key[0] for key, lane in lanes.items() if lane.waiting} == {"view", "bid"}
+    assert {key[0] for key, queue in queues.items() if queue.waiting} == {"view", "bid"}
     bed.deploy(workloads=[changed(IDEM, value=9.0), KEYED])
     assert (
-        desk.cap == cap
-        and desk.latency_estimates["view"] is gauge
+        dispatcher.cap == cap
+        and dispatcher.latency_estimates["view"] is gauge
         and (gauge.current, gauge.uncrowded) == usual
     )
-    assert {key: lane.priority for key, lane in desk.queues.items()} == {
-        key: 9.0 if key[0] == "view" else KEYED.value for key in desk.queues
+    assert {key: queue.priority for key, queue in dispatcher.queues.items()} == {
+        key: 9.0 if key[0] == "view" else KEYED.value for key in dispatcher.queues
     }
-    view = next(lane for key, lane in desk.queues.items() if key[0] == "view")
-    assert view is lanes["view", False, False, ""]
-    launched = [
+    view = next(queue for key, queue in dispatcher.queues.items() if key[0] == "view")
+    assert view is queues["view", False, False, ""]
+    attempted = [
         command.request
         for command in bed.end(held[0], 0, t.Outcome.HANDLED, after=5_000)
         if isinstance(command, t.StartAttempt)
     ]
-    assert launched and all(
-        bed.sidecar.dispatcher.requests[name].workload.name == "view" for name in launched
+    assert attempted and all(
+        bed.sidecar.dispatcher.requests[name].workload.name == "view" for name in attempted
     )
 
 
 def test_instances_share_out_the_learned_cap():
     bed = SettingsBed(deployment(instances=2))
     earn_retry_budget(bed)
-    desk = bed.sidecar.dispatcher
-    cap = desk.cap
+    dispatcher = bed.sidecar.dispatcher
+    cap = dispatcher.cap
     bed.deploy(instances=8)
     assert (
-        desk.cap == cap / 4 and desk.settings.active_sidecars == 8 and desk.settings.configured_sidecars == 8
+        dispatcher.cap == cap / 4
+        and dispatcher.settings.active_sidecars == 8
+        and dispatcher.settings.configured_sidecars == 8
     )
     bed.step(t.FleetState(sidecars=4, until=bed.now + SECOND), after=1)
-    assert desk.cap == cap / 2
+    assert dispatcher.cap == cap / 2
     bed.deploy(instances=16)  # the live count takes precedence while it is valid
     assert (
-        desk.cap == cap / 2 and desk.settings.active_sidecars == 4 and desk.settings.configured_sidecars == 16
+        dispatcher.cap == cap / 2
+        and dispatcher.settings.active_sidecars == 4
+        and dispatcher.settings.configured_sidecars == 16
     )
     bed.run(2 * SECOND)
-    assert desk.cap == pytest.approx(cap / 8) and desk.settings.active_sidecars == 16
+    assert dispatcher.cap == pytest.approx(cap / 8) and dispatcher.settings.active_sidecars == 16
 
 
 def test_the_same_deployment_again_changes_no_decision():
@@ -210,11 +214,11 @@
                 new += sidecar.step(
                     now, [t.AttemptEnded(name, number, how, 30_000, how is t.Outcome.HANDLED)]
                 )
-            launched = [one.request for one in commands if isinstance(one, t.StartAttempt)]
+            attempted = [one.request for one in commands if isinstance(one, t.StartAttempt)]
             for command in new:
                 if isinstance(command, t.StartAttempt):
-                    out.append((command.request, launched.count(command.request)))
-                    launched.append(command.request)
+                    out.append((command.request, attempted.count(command.request)))
+                    attempted.append(command.request)
             commands += [one for one in new if not isinstance(one, t.SetTimer)]
         return [repr(one) for one in commands]
 
@@ -310,14 +314,14 @@
         for at in bed.out(name):
             bed.end(name, at, t.Outcome.CALLED_OFF)
     bed.run(SECOND)
-    desk = bed.sidecar.dispatcher
-    assert not desk.requests and not desk.waiting and not desk.in_flight
+    dispatcher = bed.sidecar.dispatcher
+    assert not dispatcher.requests and not dispatcher.waiting and not dispatcher.in_flight
 
 
 def test_two_thousand_changes_leave_memory_and_tables_bounded():
     """Names appear and never return, as for a day's changes of a service that names its releases."""
     bed, rng, names = SettingsBed(deployment(workloads=[IDEM])), random.Random(11), iter(range(10**6))
-    gate, desk = AdmissionGate(deployment(workloads=[IDEM])), bed.sidecar.dispatcher
+    gate, dispatcher = AdmissionGate(deployment(workloads=[IDEM])), bed.sidecar.dispatcher
     gate.active, gate.window, gate.peak_rate = True, 0.0, 1_000.0
     factory = RequestFactory(None, None, {"view"}, None)
     row = live_config.replace(IDEM)
@@ -331,9 +335,9 @@
         factory.deploy({w.name for w in workloads}, 0)
         for w in workloads:
             name = bed.arrive(w, tenant=tenants[0].name)
-            offer = AdmissionRequest(w.name, w.hard_limit)
-            if gate.admit(bed.now, offer) is Verdict.HELD:
-                gate.forget(offer)
+            admission_request = AdmissionRequest(w.name, w.hard_limit)
+            if gate.admit(bed.now, admission_request) is Verdict.HELD:
+                gate.forget(admission_request)
             if bed.out(name):
                 bed.end(name, 0, t.Outcome.HANDLED, after=5_000)
         gate.release(bed.now)
@@ -344,13 +348,13 @@
                     bed.end(name, number, t.Outcome.CALLED_OFF)
             bed.step(t.DeploymentChanged(d))
             gate.deploy(d)
-            for book in (bed.attempts, bed.terms, bed.closed, bed.answers, bed.logs, bed.wakes, bed.probes):
-                book.clear()
+            for table in (bed.attempts, bed.terms, bed.closed, bed.answers, bed.logs, bed.wakes, bed.probes):
+                table.clear()
             sizes.append(len(pickle.dumps(bed.sidecar)))
-        assert len(desk.queues) <= 5 + len(desk.requests) and len(desk.latency_estimates) <= 5 + len(
-            desk.requests
-        )
-        assert len(desk.arrivals_by_tenant) == 1 and len(gate.queues) <= 5
+        assert len(dispatcher.queues) <= 5 + len(dispatcher.requests) and len(
+            dispatcher.latency_estimates
+        ) <= 5 + len(dispatcher.requests)
+        assert len(dispatcher.arrivals_by_tenant) == 1 and len(gate.queues) <= 5
         assert len(factory.removed_workloads) <= 1_000 and len(factory.known_workloads) <= 1_005
-    assert not desk.requests and len(desk.queues) == 0
+    assert not dispatcher.requests and len(dispatcher.queues) == 0
     assert max(sizes[1:]) < 1.2 * sizes[0], sizes
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -69,7 +69,7 @@
     assert (
         dispatcher.waiting == 0
         and dispatcher.in_flight == 0
-        and not any(seat.in_flight for seat in dispatcher.endpoint_states.values())
+        and not any(endpoint.in_flight for endpoint in dispatcher.endpoint_states.values())
     )
 
 
--- a/tests/test_discovery_fleet.py
+++ b/tests/test_discovery_fleet.py
@@ -125,11 +125,11 @@
         self.versions[sidecar] = index
 
     async def main(self, change_interval: float | None) -> None:
-        chance = random.Random(f"fleet {self.count}")
+        rng = random.Random(f"fleet {self.count}")
         async with anyio.create_task_group() as group:
             for _ in range(self.count):
                 terms = t.Deployment(
-                    seed=chance.getrandbits(62),
+                    seed=rng.getrandbits(62),
                     instances=self.count,
                     poll_discovery=self.asked,
                     poll_interval=10 * SECOND,
@@ -137,7 +137,7 @@
                 sidecar = SimulatedSidecar(self.loop, terms, self.on_list)
                 sidecar.discovery = driver.DiscoveryClient("d:1", terms, sidecar, None, lambda *_, **__: None)
                 self.sidecars.append(sidecar)
-                group.start_soon(self.begin, sidecar, chance.uniform(0, sidecar.discovery.wait))
+                group.start_soon(self.begin, sidecar, rng.uniform(0, sidecar.discovery.wait))
             while self.loop.time() < RUN_LENGTH_S:
                 await anyio.sleep(RUN_LENGTH_S if change_interval is None else change_interval)
                 if change_interval is None:
--- a/tests/test_fault_campaign.py
+++ b/tests/test_fault_campaign.py
@@ -46,9 +46,9 @@
     return ended(self, *more)
 RequestTable.attempt_ended = planted
 """
-LAUNCH = """
+ATTEMPT_REQUEST = """
 from lupinmill.protocol import client_requests
-launch = client_requests.attempt_request
+attempt_request = client_requests.attempt_request
 """
 
 # The code that plants a fault, and the kind and rule of the violation that the referee has to find.
@@ -71,8 +71,8 @@
         "not ready",
     ),
     "body changed": (
-        LAUNCH + "def planted(request, left):\n"
-        "    made = launch(request, left)\n"
+        ATTEMPT_REQUEST + "def planted(request, left):\n"
+        "    made = attempt_request(request, left)\n"
         "    made.body = made.body[::-1]\n"
         "    return made\n"
         "client_requests.attempt_request = planted",
@@ -80,8 +80,8 @@
         "body changed",
     ),
     "key left out": (
-        LAUNCH + "def planted(request, left):\n"
-        "    made = launch(request, left)\n"
+        ATTEMPT_REQUEST + "def planted(request, left):\n"
+        "    made = attempt_request(request, left)\n"
         "    made.headers = [one for one in made.headers if one[0].lower() != b'idempotency-key']\n"
         "    return made\n"
         "client_requests.attempt_request = planted",
@@ -111,7 +111,8 @@
         None,  # varies: run twice, outside its group, or refused after an attempt that may have run
     ),
     "more time than is left": (
-        LAUNCH + "client_requests.attempt_request = lambda request, left: launch(request, left + 1_000_000)",
+        ATTEMPT_REQUEST + "client_requests.attempt_request = "
+        "lambda request, left: attempt_request(request, left + 1_000_000)",
         Fault.TOO_LATE,
         "told more time than is left",
     ),
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -179,11 +179,11 @@
         how = t.Outcome.RESET if at % 10 == 9 else t.Outcome.HANDLED
         bed.end(name, 0, how, after=20_000)
         bed.run(100_000)
-        for launch in bed.out(name):
-            bed.end(name, launch, t.Outcome.HANDLED, after=20_000)
+        for number in bed.out(name):
+            bed.end(name, number, t.Outcome.HANDLED, after=20_000)
     old = bed.sidecar
-    asided = next(iter(old.dispatcher.endpoints))
-    old.dispatcher.endpoints[asided].mode = "aside"
+    ejected = next(iter(old.dispatcher.endpoints))
+    old.dispatcher.endpoints[ejected].mode = "aside"
     table = orjson.loads(orjson.dumps(learned.learned(old)))
     new = Sidecar(deployment(seed=8))
     new.step(bed.now, [t.ListReceived(t.ListKind.CACHED, [listing(at) for at in range(4)])])
@@ -192,8 +192,8 @@
     assert new.dispatcher.new_requests.total(bed.now) == old.dispatcher.new_requests.total(bed.now)
     assert new.dispatcher.cap == old.dispatcher.cap and new.dispatcher.crowding == old.dispatcher.crowding
     assert (
-        new.dispatcher.endpoints[asided].mode == "aside"
-        and not new.dispatcher.endpoint_states[asided].report.open
+        new.dispatcher.endpoints[ejected].mode == "aside"
+        and not new.dispatcher.endpoint_states[ejected].report.open
     )
     gauge = new.dispatcher.latency_estimates["view"]
     assert (
@@ -204,12 +204,12 @@
 
 def test_what_an_older_process_has_out_counts_in_caps_and_retries_until_it_ended():
     bed = Bed(deployment(), 2)
-    desk = bed.sidecar.dispatcher
+    dispatcher = bed.sidecar.dispatcher
     for _ in range(40):
         bed.end(bed.arrive(IDEM), 0, t.Outcome.HANDLED, after=10_000)
-    full = {f"e{at}": round(desk.cap) for at in range(2)}
+    full = {f"e{at}": round(dispatcher.cap) for at in range(2)}
     bed.step(t.PredecessorLoad(full, 3))
-    assert desk.retries.total(bed.now) == 3 and desk.in_flight == sum(full.values())
+    assert dispatcher.retries.total(bed.now) == 3 and dispatcher.in_flight == sum(full.values())
     name = bed.arrive(IDEM)
     assert not bed.out(name)  # queued: the cap is reached
     bed.step(t.PredecessorLoad({"e0": full["e0"]}))
@@ -217,7 +217,7 @@
     bed.step(t.ListReceived(t.ListKind.CHANGES, [listing(0, t.EndpointStatus.GONE)]))
     bed.end(name, 0, t.Outcome.HANDLED, after=1_000)
     bed.step(t.PredecessorLoad({}))
-    assert desk.in_flight == 0 and not desk.busy and set(desk.endpoint_states) == {"e1"}
+    assert dispatcher.in_flight == 0 and not dispatcher.busy and set(dispatcher.endpoint_states) == {"e1"}
 
 
 # --- two programs in one process ------------------------------------------------------------------
@@ -304,8 +304,8 @@
             await until(lambda: "slow" in new.request_table.open_in_predecessor)
             assert (
                 sum(
-                    seat.predecessor_in_flight
-                    for seat in new.engine.sidecar.dispatcher.endpoint_states.values()
+                    endpoint.predecessor_in_flight
+                    for endpoint in new.engine.sidecar.dispatcher.endpoint_states.values()
                 )
                 == 1
             )
@@ -317,8 +317,8 @@
             await until(lambda: clients(new) == 2 and clients(old) == 0)
             await until(lambda: not new.request_table.open_in_predecessor)
             assert all(
-                seat.predecessor_in_flight == 0
-                for seat in new.engine.sidecar.dispatcher.endpoint_states.values()
+                endpoint.predecessor_in_flight == 0
+                for endpoint in new.engine.sidecar.dispatcher.endpoint_states.values()
             )
             assert (await net.ask(wanted("fresh"))).body == b"done-fresh"
             assert not old.request_table.pending_requests
--- a/tests/test_peers_members.py
+++ b/tests/test_peers_members.py
@@ -201,7 +201,7 @@
 # --- a single core ----------------------------------------------------------------------------------------
 
 
-def seats(count: int) -> list[RosterEntry]:
+def roster_entries(count: int) -> list[RosterEntry]:
     return [RosterEntry(f"m{at}", f"127.0.0.1:{at + 1}") for at in range(count)]
 
 
@@ -210,7 +210,7 @@
 
     def __init__(self, count: int = 6) -> None:
         self.now = 1000 * SECOND
-        self.core = Membership("m0", seats(count), MembershipTiming(), 5, self.now)
+        self.core = Membership("m0", roster_entries(count), MembershipTiming(), 5, self.now)
         self.answering = {f"m{at}": 0 for at in range(1, count)}  # incarnation of each that answers
         self.changes: list[MemberChanged] = []
         self.sent: list[Send] = []
@@ -363,7 +363,7 @@
 
 def test_a_roster_may_change_while_it_runs_and_strangers_are_counted():
     single = joined_member(6)
-    single.deliver(RosterChange(seats(4) + [RosterEntry("m9", "127.0.0.1:99")]))
+    single.deliver(RosterChange(roster_entries(4) + [RosterEntry("m9", "127.0.0.1:99")]))
     assert sorted(single.core.members) == ["m1", "m2", "m3", "m9"]
     assert (single.core.present_count, single.core.roster_size) == (3, 5)
     single.deliver(accuse("m5", Status.DEAD, 0, "m1"), accuse("m2", Status.ALIVE, 1, "m5"))
@@ -385,38 +385,36 @@
     assert not single.changes and single.core.quorum_state is QuorumState.MAJORITY
 
 
-def random_message(chance: random.Random) -> Received:
-    name = lambda: f"m{chance.randrange(9)}"  # noqa: E731
-    status = lambda: Status(chance.randrange(5))  # noqa: E731
-    number = lambda: chance.choice([0, 1, chance.randrange(20), chance.randrange(2**53)])  # noqa: E731
+def random_message(rng: random.Random) -> Received:
+    name = lambda: f"m{rng.randrange(9)}"  # noqa: E731
+    status = lambda: Status(rng.randrange(5))  # noqa: E731
+    number = lambda: rng.choice([0, 1, rng.randrange(20), rng.randrange(2**53)])  # noqa: E731
     ballot = wire.Ballot(number(), name())
-    topic = wire.TopicState(
-        number(), name(), number(), chance.randrange(2**53), number(), chance.randbytes(9)
-    )
-    about = chance.choice([REHEARSAL_TOPIC, REHEARSAL_TOPIC, "other"])
+    topic = wire.TopicState(number(), name(), number(), rng.randrange(2**53), number(), rng.randbytes(9))
+    about = rng.choice([REHEARSAL_TOPIC, REHEARSAL_TOPIC, "other"])
     height = wire.TopicProgress(about, number(), number(), number())
-    body = chance.choice(
+    body = rng.choice(
         [
             lambda: wire.Ping(number(), status(), number(), status(), number(), number()),
             lambda: wire.Ack(number(), status(), number(), status(), number(), number()),
             lambda: wire.PingRequest(number(), name()),
-            lambda: wire.IndirectAck(number(), name(), chance.random() < 0.5, number()),
-            lambda: wire.Table(chance.random() < 0.5, number(), [height]),
+            lambda: wire.IndirectAck(number(), name(), rng.random() < 0.5, number()),
+            lambda: wire.Table(rng.random() < 0.5, number(), [height]),
             lambda: wire.Prepare(about, ballot),
             lambda: wire.Promise(about, ballot, number(), ballot, topic, number()),
             lambda: wire.Accept(about, ballot, number(), topic),
             lambda: wire.Accepted(about, ballot, number()),
-            lambda: wire.Nack(about, ballot, ballot, chance.random() < 0.5),
+            lambda: wire.Nack(about, ballot, ballot, rng.random() < 0.5),
             lambda: wire.RecallRequest(number(), number()),
             lambda: wire.RecallReply(
                 number(), number(), True, number(), [(about, ballot, ballot, topic)], True, 0
             ),
-            lambda: wire.DecisionMade(about, number(), number(), chance.randbytes(5)),
+            lambda: wire.DecisionMade(about, number(), number(), rng.randbytes(5)),
             lambda: wire.ConfirmRequest(about, number(), number()),
             lambda: wire.ConfirmReply(about, number(), number()),
         ]
     )()
-    updates = [MemberUpdate(name(), status(), number(), name()) for _ in range(chance.randrange(4))]
+    updates = [MemberUpdate(name(), status(), number(), name()) for _ in range(rng.randrange(4))]
     return Received(name(), body, updates)
 
 
@@ -439,16 +437,16 @@
 def test_a_mad_member_makes_nothing_grow_and_nothing_fail():
     """Seeded fuzzing: well-formed messages of any content, from any member, at any time. FUZZ=1000000 runs
     a million of them."""
-    chance = random.Random(11)
+    rng = random.Random(11)
     names = tuple(f"m{at}" for at in range(8))
     now = 1000 * SECOND
-    settings = PeerSettings("m0", tuple(seats(8)), names[:3], wanted_topics=(REHEARSAL_TOPIC,))
+    settings = PeerSettings("m0", tuple(roster_entries(8)), names[:3], wanted_topics=(REHEARSAL_TOPIC,))
     peer = Peer(settings, 1, 1, now)
     for at in range(FUZZ):
-        now += chance.choice([0, 0, 100, 3_000, 20_000])
-        peer.step(now, [random_message(chance)])
+        now += rng.choice([0, 0, 100, 3_000, 20_000])
+        peer.step(now, [random_message(rng)])
         if at % 500 == 0:
-            peer.step(now, [RosterChange(chance.sample(seats(8)[1:], 5) + seats(1))])
+            peer.step(now, [RosterChange(rng.sample(roster_entries(8)[1:], 5) + roster_entries(1))])
         if at % 1000 == 0:
             bounds = {
                 "probes": 64,
--- a/tests/test_peers_processes.py
+++ b/tests/test_peers_processes.py
@@ -345,14 +345,13 @@
     await lease(rig)
     epoch = max(rig.epoch_holders)
     rig.kill("m3")
-    chance, site = random.Random(9), wire.site_hash("fleet")
+    rng, site = random.Random(9), wire.site_hash("fleet")
     for at in range(6_000):
         name = f"m{at % 5}"
         updates = [
-            MemberUpdate(f"m{n}", Status(2 + at % 3), chance.choice([0, 1, at, 2**50]), name)
-            for n in range(5)
+            MemberUpdate(f"m{n}", Status(2 + at % 3), rng.choice([0, 1, at, 2**50]), name) for n in range(5)
         ]
-        body = chance.choice(
+        body = rng.choice(
             [
                 wire.Ping(at, Status.ALIVE, at, Status.DEAD, at, 0),
                 wire.Ack(at, Status.ALIVE, at, Status.DEAD, 0, 0),
@@ -366,7 +365,7 @@
                 ),
             ]
         )
-        data = wire.encode(site, body, updates) if at % 7 else chance.randbytes(100)
+        data = wire.encode(site, body, updates) if at % 7 else rng.randbytes(100)
         for hearer in ("m0", "m1", "m2", "m4"):
             rig.links["m3", hearer].reverse.sock.sendto(data, rig.binds[hearer])
         if at % 20 == 0:
--- a/tests/test_peers_wire.py
+++ b/tests/test_peers_wire.py
@@ -14,9 +14,9 @@
 
 
 def test_what_is_encoded_is_read_back():
-    chance = random.Random(3)
+    rng = random.Random(3)
     for _ in range(3_000):
-        heard = random_message(chance)
+        heard = random_message(rng)
         decoded = wire.decode(SITE, wire.encode(SITE, heard.body, heard.updates))
         assert (decoded.body, decoded.updates) == (heard.body, heard.updates)
 
@@ -69,20 +69,20 @@
 def test_bytes_of_any_kind_raise_nothing_else():
     """Seeded fuzzing: valid datagrams with flipped bits, truncated or joined, and noise. FUZZ=1000000 runs
     a million of them."""
-    chance, count = random.Random(5), int(os.environ.get("FUZZ", "100000"))
-    good = [wire.encode(SITE, (heard := random_message(chance)).body, heard.updates) for _ in range(200)]
+    rng, count = random.Random(5), int(os.environ.get("FUZZ", "100000"))
+    good = [wire.encode(SITE, (heard := random_message(rng)).body, heard.updates) for _ in range(200)]
     read = 0
     for index in range(count):
         data = bytearray(good[index % 200])
         kind = index % 4
         if kind == 0:
-            data[chance.randrange(len(data))] ^= 1 << chance.randrange(8)
+            data[rng.randrange(len(data))] ^= 1 << rng.randrange(8)
         elif kind == 1:
-            del data[chance.randrange(len(data)) :]
+            del data[rng.randrange(len(data)) :]
         elif kind == 2:
-            data += good[chance.randrange(200)]
+            data += good[rng.randrange(200)]
         else:
-            data = bytearray(chance.randbytes(chance.randrange(60)))
+            data = bytearray(rng.randbytes(rng.randrange(60)))
         try:
             wire.decode(SITE, bytes(data))
             read += 1
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -225,9 +225,9 @@
     for at in range(300):
         bed.run(20 * MS)
         for name in [name for name in out if bed.out(name)]:
-            flight = bed.attempts[name][0]
-            bad = flight["endpoint"] == "e0"
-            if bad or bed.now - flight["sent"] >= 100 * MS:
+            attempt = bed.attempts[name][0]
+            bad = attempt["endpoint"] == "e0"
+            if bad or bed.now - attempt["sent"] >= 100 * MS:
                 fails = bad and rng.random() < (0.2 if at < 150 else 0.6)
                 bed.end(name, 0, t.Outcome.ERROR if fails else t.Outcome.HANDLED)
                 out.append(bed.arrive(ONCE))
--- a/tests/test_slow_start_fleet.py
+++ b/tests/test_slow_start_fleet.py
@@ -231,7 +231,7 @@
 
 
 def sent_to(bed: Bed, endpoint: str) -> int:
-    return sum(one["endpoint"] == endpoint for flights in bed.attempts.values() for one in flights)
+    return sum(attempt["endpoint"] == endpoint for attempts in bed.attempts.values() for attempt in attempts)
 
 
 def test_what_was_saved_in_quiet_hours_is_not_spent_at_once():
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -198,8 +198,8 @@
     ) -> None:
         self.map, self.capacity, self.traffic = map_, capacity, traffic
         self.true_capacity = dict(capacity)
-        self.chance = np.random.default_rng(seed)
-        self.member_shares = {z: self.chance.dirichlet([2.0] * members) for z in capacity}
+        self.rng = np.random.default_rng(seed)
+        self.member_shares = {z: self.rng.dirichlet([2.0] * members) for z in capacity}
         self.aggregator, self.planner = ReportAggregator(map_), Planner(map_)
         self.followers = {z: Follower(map_, z, Plan(), 0) for z in capacity}
         self.now, self.pending_plans = 0, []
@@ -246,7 +246,7 @@
             for n, member_share in enumerate(member_shares):
                 seen = {}
                 for to in self.true_capacity:
-                    attempts = self.chance.poisson(3 * flows.get((z, to), 0.0) * member_share)
+                    attempts = self.rng.poisson(3 * flows.get((z, to), 0.0) * member_share)
                     if not attempts:
                         attempts, share = 1.0, 0.0  # an occasional probe: it says nothing about capacity
                     else:
@@ -258,7 +258,7 @@
                         if (z, to) in self.blocked_links or not self.true_capacity[to]
                         else max(0.0, 1 - served_share[to]) * 0.5
                     )
-                    failed = self.chance.binomial(int(attempts), failure_share) if attempts >= 1 else 0.0
+                    failed = self.rng.binomial(int(attempts), failure_share) if attempts >= 1 else 0.0
                     reported_capacity = self.true_capacity[to] * share * self.with_noise(self.noise)
                     seen[to] = ZoneObservation(float(attempts), float(failed), 0.0, 1.0, reported_capacity)
                 workloads = {w.name: 0.0 for w in self.map.workloads}
@@ -285,7 +285,7 @@
             self.pending_plans.append((self.now + SECOND, plan))
 
     def with_noise(self, noise: float) -> float:
-        return float(self.chance.lognormal(0, noise)) if noise else 1.0
+        return float(self.rng.lognormal(0, noise)) if noise else 1.0
 
     def run(self, seconds: int) -> None:
         for _ in range(seconds):
@@ -386,17 +386,17 @@
 def test_no_cascade_over_drawn_days():
     """200 random simulations of three to five zones, in which a zone is lost or loses half of its capacity
     and recovers. No other zone is overloaded by spill while its own traffic alone fits."""
-    chance = np.random.default_rng(4)
+    rng = np.random.default_rng(4)
     for day in range(200):
-        count = int(chance.integers(3, 6))
+        count = int(rng.integers(3, 6))
         names = "abcde"[:count]
         map_ = ZoneMap(tuple(Zone(z, "we"[n % 2]) for n, z in enumerate(names)), (VIEW,))
-        capacity = {z: float(chance.uniform(60, 140)) for z in names}
-        traffic = {z: capacity[z] * float(chance.uniform(0.2, 0.85)) for z in names}
+        capacity = {z: float(rng.uniform(60, 140)) for z in names}
+        traffic = {z: capacity[z] * float(rng.uniform(0.2, 0.85)) for z in names}
         simulation = ZoneSimulation(map_, capacity, traffic, members=3, seed=day)
         simulation.run(6)
-        failing = names[int(chance.integers(count))]
-        simulation.true_capacity[failing] = capacity[failing] * float(chance.choice([0.0, 0.5]))
+        failing = names[int(rng.integers(count))]
+        simulation.true_capacity[failing] = capacity[failing] * float(rng.choice([0.0, 0.5]))
         simulation.run(14)
         simulation.true_capacity[failing] = capacity[failing]
         simulation.run(10)
--- a/tests/test_zones_member.py
+++ b/tests/test_zones_member.py
@@ -326,7 +326,7 @@
 
 def test_words_of_another_map_and_bytes_of_any_kind_are_counted_and_change_nothing():
     fleet = fleet_with_holder()
-    core, chance = fleet.cores["m0"], random.Random(5)
+    core, rng = fleet.cores["m0"], random.Random(5)
     other = ZoneMap((Zone("a"), Zone("b")), (Workload("view"),))
     message = messages.report_message(other, Report("m4", "a", {"view": 1.0}, {}), core.now + SECOND, 0)
     fleet.step("m0", member.MessageReceived("m4", messages.encode(message)))
@@ -337,11 +337,11 @@
     ]
     version = core.follower.plan.version
     for _ in range(20_000):
-        data = bytearray(chance.choice(valid) if chance.random() < 0.8 else chance.randbytes(60))
-        for _ in range(chance.randrange(4)):
-            data[chance.randrange(len(data))] = chance.randrange(256)
+        data = bytearray(rng.choice(valid) if rng.random() < 0.8 else rng.randbytes(60))
+        for _ in range(rng.randrange(4)):
+            data[rng.randrange(len(data))] = rng.randrange(256)
         fleet.step("m0", member.MessageReceived("m4", bytes(data)))
-        if chance.random() < 0.2:
+        if rng.random() < 0.2:
             fleet.step("m0", member.PlanDecided(0, bytes(data)))
     assert core.follower.plan.version == version
     assert len(core.aggregator.reports) <= 9 and len(core.serials) <= 9 and len(core.pending_requests) == 0
