--- a/lupinmill/limits/gate.py
+++ b/lupinmill/limits/gate.py
@@ -95,7 +95,7 @@
         self.queues_by_priority: list[AdmissionQueue] = []  # the highest first
         self.inside, self.held = 0, 0
         self.active, self.window = False, 0.0
-        self.lateness, self.smoothed_lateness, self.adjusted_at, self.pressed_at = 0, 0.0, 0, 0
+        self.lateness, self.smoothed_lateness, self.adjusted_at, self.last_pressure_at = 0, 0.0, 0, 0
         self.finished_requests = BucketedSum(BUCKETS, BUCKET_WIDTH)
         # The most requests finished per second recently; the part of the time that denials take.
         self.peak_rate, self.denying_share = 0.0, 0.0
@@ -128,7 +128,7 @@
         if self.inside < self.window and not self.count_ahead(queue, True):
             queue.admitted.add(now)
             return self.take(request)
-        self.pressed_at = now
+        self.last_pressure_at = now
         if not self.is_in_time(now, queue, request):
             self.verdict_counts[Verdict.DENIED] += 1
             return Verdict.DENIED
@@ -180,7 +180,7 @@
                 queue.departed.add(now)
                 if expired:
                     queue.expired.add(now)
-                    self.pressed_at = now
+                    self.last_pressure_at = now
                     self.verdict_counts[Verdict.DENIED] += 1
                 else:
                     self.take(request)
@@ -228,14 +228,18 @@
                 too_many_expired = queue.expired.total(now) > MAX_EXPIRED_SHARE * departed
                 changed = queue.max_wait_share * (0.8 if too_many_expired else 1.02)
                 queue.max_wait_share = min(MAX_WAIT_SHARE, max(MIN_WAIT_SHARE, changed))
-        if now - self.pressed_at > CALM_TIME and not self.held and self.smoothed_lateness < LEAVE_LATENESS:
+        if (
+            now - self.last_pressure_at > CALM_TIME
+            and not self.held
+            and self.smoothed_lateness < LEAVE_LATENESS
+        ):
             self.active = False
             self.log.append(
                 f"own core no longer short: late {self.smoothed_lateness / MS:.1f} ms, {self.inside} inside"
             )
 
     def activate(self, now: int) -> None:
-        self.active, self.adjusted_at, self.pressed_at = True, now, now
+        self.active, self.adjusted_at, self.last_pressure_at = True, now, now
         self.window = max(
             MIN_WINDOW, self.inside * min(1.0, 2 * TARGET_LATENESS / max(1.0, self.smoothed_lateness))
         )
--- a/lupinmill/zones/plan.py
+++ b/lupinmill/zones/plan.py
@@ -138,9 +138,9 @@
     spare = {}
     for zone in map_.zones:
         incoming = sum(
-            view.traffic.get(name, {}).get(w, 0.0) * shares.get(zone.name, 0.0)
+            view.traffic.get(name, {}).get(workload_name, 0.0) * shares.get(zone.name, 0.0)
             for name, by_workload in routes.items()
-            for w, shares in by_workload.items()
+            for workload_name, shares in by_workload.items()
         )
         spare[zone.name] = max(0.0, fill_limit(zone, MAX_FILL_LEVEL) * capacity[zone.name] - incoming) / max(
             1, len(map_.zones) - 1
@@ -371,10 +371,11 @@
     def completes_return(self, routes: Routes) -> bool:
         """The last step of a return may be smaller than the dead band."""
         return routes != {
-            z: {w: self.plan.shares(z, w) for w in by_workload} for z, by_workload in routes.items()
+            zone: {workload: self.plan.shares(zone, workload) for workload in by_workload}
+            for zone, by_workload in routes.items()
         } and all(
-            abs(shares.get(z, 0.0) - 1) < EPSILON
-            for z, by_workload in routes.items()
+            abs(shares.get(zone, 0.0) - 1) < EPSILON
+            for zone, by_workload in routes.items()
             for shares in by_workload.values()
         )
 
@@ -472,24 +473,29 @@
         traffic = view.traffic
         for zone in self.map.zones:
             to = zone.name
-            own = sum(rate * routes[to][w].get(to, 0.0) for w, rate in traffic.get(to, {}).items())
+            own = sum(
+                rate * routes[to][workload].get(to, 0.0) for workload, rate in traffic.get(to, {}).items()
+            )
             spare = max(0.0, fill_limit(zone, MAX_FILL_LEVEL) * capacity[to] - own)
             incoming = {
-                (z, w): traffic.get(z, {}).get(w, 0.0) * shares.get(to, 0.0)
-                for z, by_workload in routes.items()
-                if z != to
-                for w, shares in by_workload.items()
+                (source, workload): traffic.get(source, {}).get(workload, 0.0) * shares.get(to, 0.0)
+                for source, by_workload in routes.items()
+                if source != to
+                for workload, shares in by_workload.items()
             }
-            before = sum(traffic.get(z, {}).get(w, 0.0) * self.current_share(z, w, to) for z, w in incoming)
+            before = sum(
+                traffic.get(source, {}).get(workload, 0.0) * self.current_share(source, workload, to)
+                for source, workload in incoming
+            )
             total = sum(incoming.values())
             limit = min(spare, before + SHIFT_PER_S * capacity[to])
             if total <= limit + EPSILON:
                 continue
-            for (z, w), rate in incoming.items():
-                cut = routes[z][w].get(to, 0.0) * (1 - limit / total)
+            for (source, workload), rate in incoming.items():
+                cut = routes[source][workload].get(to, 0.0) * (1 - limit / total)
                 if rate > 0 and cut > EPSILON:
-                    routes[z][w][to] -= cut
-                    routes[z][w][z] = routes[z][w].get(z, 0.0) + cut
+                    routes[source][workload][to] -= cut
+                    routes[source][workload][source] = routes[source][workload].get(source, 0.0) + cut
 
     def current_share(self, zone: str, workload: str, to: str) -> float:
         """The share that goes there now; out of a lost zone by its failover routes, which apply without a new
--- a/tests/test_clients_drawn.py
+++ b/tests/test_clients_drawn.py
@@ -85,7 +85,7 @@
             time.sleep(0.03)  # the event loop lags
         elif draw < 0.5:
             gate.active, gate.window = True, random_source.choice([0.0, 4.0, 50.0])
-            gate.adjusted_at = gate.pressed_at = net.program.engine.clock.now()
+            gate.adjusted_at = gate.last_pressure_at = net.program.engine.clock.now()
         elif draw < 0.6:
             closing = random_source.random() < 0.5
             client_handler.closing = lambda closing=closing: closing
--- a/tests/test_config_terms.py
+++ b/tests/test_config_terms.py
@@ -149,14 +149,14 @@
     earn_retry_budget(bed)
     dispatcher = bed.sidecar.dispatcher
     held = [bed.arrive(one) for one in (IDEM, KEYED) for _ in range(6)]
-    cap, gauge, queues = dispatcher.cap, dispatcher.latency_estimates["view"], dict(dispatcher.queues)
-    usual = (gauge.current, gauge.uncrowded)
+    cap, estimate, queues = dispatcher.cap, dispatcher.latency_estimates["view"], dict(dispatcher.queues)
+    usual = (estimate.current, estimate.uncrowded)
     assert {key[0] for key, queue in queues.items() if queue.waiting} == {"view", "bid"}
     bed.deploy(workloads=[changed(IDEM, value=9.0), KEYED])
     assert (
         dispatcher.cap == cap
-        and dispatcher.latency_estimates["view"] is gauge
-        and (gauge.current, gauge.uncrowded) == usual
+        and dispatcher.latency_estimates["view"] is estimate
+        and (estimate.current, estimate.uncrowded) == usual
     )
     assert {key: queue.priority for key, queue in dispatcher.queues.items()} == {
         key: 9.0 if key[0] == "view" else KEYED.value for key in dispatcher.queues
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -195,10 +195,10 @@
         new.dispatcher.endpoints[ejected].mode == "aside"
         and not new.dispatcher.endpoint_states[ejected].report.open
     )
-    gauge = new.dispatcher.latency_estimates["view"]
+    estimate = new.dispatcher.latency_estimates["view"]
     assert (
-        gauge.current == old.dispatcher.latency_estimates["view"].current
-        and gauge.means == old.dispatcher.latency_estimates["view"].means
+        estimate.current == old.dispatcher.latency_estimates["view"].current
+        and estimate.means == old.dispatcher.latency_estimates["view"].means
     )
 
 
--- a/tests/test_peers_wire.py
+++ b/tests/test_peers_wire.py
@@ -16,9 +16,9 @@
 def test_what_is_encoded_is_read_back():
     rng = random.Random(3)
     for _ in range(3_000):
-        heard = random_message(rng)
-        decoded = wire.decode(SITE, wire.encode(SITE, heard.body, heard.updates))
-        assert (decoded.body, decoded.updates) == (heard.body, heard.updates)
+        received = random_message(rng)
+        decoded = wire.decode(SITE, wire.encode(SITE, received.body, received.updates))
+        assert (decoded.body, decoded.updates) == (received.body, received.updates)
 
 
 def test_a_datagram_is_never_larger_than_agreed():
@@ -70,7 +70,7 @@
     """Seeded fuzzing: valid datagrams with flipped bits, truncated or joined, and noise. FUZZ=1000000 runs
     a million of them."""
     rng, count = random.Random(5), int(os.environ.get("FUZZ", "100000"))
-    good = [wire.encode(SITE, (heard := random_message(rng)).body, heard.updates) for _ in range(200)]
+    good = [wire.encode(SITE, (received := random_message(rng)).body, received.updates) for _ in range(200)]
     read = 0
     for index in range(count):
         data = bytearray(good[index % 200])
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -683,13 +683,13 @@
 
 
 def test_a_jam_at_the_start_is_not_taken_for_the_uncrowded_state():
-    gauge = LatencyEstimate(200 * MS, 40)
+    estimate = LatencyEstimate(200 * MS, 40)
     for took in (150 * MS, 140 * MS, 130 * MS, 600 * MS, 700 * MS, 800 * MS):
-        gauge.add(SECOND, took)
-    assert gauge.uncrowded < 200 * MS < gauge.current
+        estimate.add(SECOND, took)
+    assert estimate.uncrowded < 200 * MS < estimate.current
     for _ in range(40):  # the first mean is taken in the jam, too
-        gauge.add(3 * SECOND, 800 * MS)
-    assert len(gauge.means) > 1 and gauge.uncrowded < 300 * MS
+        estimate.add(3 * SECOND, 800 * MS)
+    assert len(estimate.means) > 1 and estimate.uncrowded < 300 * MS
 
 
 def test_a_lasting_overload_keeps_to_the_room():
