--- a/lupinmill/limits/gate.py
+++ b/lupinmill/limits/gate.py
@@ -95,6 +95,7 @@
         self.queues_by_priority: list[AdmissionQueue] = []  # the highest first
         self.inside, self.held = 0, 0
         self.active, self.window = False, 0.0
+        # `last_pressure_at`: when a request last had to wait, was denied or expired.
         self.lateness, self.smoothed_lateness, self.adjusted_at, self.last_pressure_at = 0, 0.0, 0, 0
         self.finished_requests = BucketedSum(BUCKETS, BUCKET_WIDTH)
         # The most requests finished per second recently; the part of the time that denials take.
--- a/lupinmill/peers/partition_policy.py
+++ b/lupinmill/peers/partition_policy.py
@@ -1,7 +1,8 @@
 """What a sidecar may do while it can't reach the other members, as one table. No I/O.
 
 Each feature that depends on peers registers a row. `lupinmill check` and docs/peers.md print the table, and
-a test compares the page with it. The four rules have no row, as they never depend on a peer."""
+a test compares the page with it. The four rules (see `rules.py`) have no row, as they never
+depend on a peer."""
 
 from __future__ import annotations
 
--- a/lupinmill/rules.py
+++ b/lupinmill/rules.py
@@ -4,7 +4,13 @@
 Pure: no I/O, no clock, no state outside the instance. The types are in `terms.py`, the design rationale in
 `docs/design.md`. The actors, in the order in which a request meets them: `Dispatcher` (accepts, holds,
 routes, retries and rejects requests), `EndpointActor` (one per endpoint) and `EndpointRegistry` (the
-endpoint list). They exchange messages, which a single loop delivers (`MessageQueue.run`)."""
+endpoint list). They exchange messages, which a single loop delivers (`MessageQueue.run`).
+
+Comments refer to four rules, which `lab/rule_checker.py` verifies from outside:
+1. Each request gets exactly one answer, in time, and no attempt is sent after it.
+2. No attempt and no rejection may cause an effect twice.
+3. After a grace period no attempt goes to an endpoint that drains or is gone.
+4. No cold endpoint is overloaded by sidecars that know of its restart."""
 
 from __future__ import annotations
 
--- a/lupinmill/takeover/record.py
+++ b/lupinmill/takeover/record.py
@@ -104,7 +104,7 @@
 
 
 def next_step(record: Record, oldest: int, time_left: int, margin: int) -> NextStep:
-    """Rule 2 for the next owner. All times are in microseconds.
+    """Applies rule 2 (see `rules.py`) for the next owner. All times are in microseconds.
 
     `oldest`: since the first intent that may have run, at least; `time_left`: until the hard limit;
     `margin`: the part of both that an attempt needs."""
