--- a/lupinmill/admin/admin_handler.py
+++ b/lupinmill/admin/admin_handler.py
@@ -43,7 +43,7 @@
 
     async def handle(self, call: admin_calls.AdminCall) -> tuple[int, str]:
         if call.what == admin_calls.HEALTH:
-            return (200, "accepts clients") if self.accepting_clients() else (503, "does not accept clients")
+            return (200, "takes clients") if self.accepting_clients() else (503, "takes no clients")
         if call.what == admin_calls.PEERS:
             if self.peers is None:
                 return 404, "peers are off"
--- a/lupinmill/zones/member.py
+++ b/lupinmill/zones/member.py
@@ -372,7 +372,7 @@
             planner.pinned = request.what == "pin"
             if self.follower.plan.pinned is not planner.pinned:
                 return None
-            return True, "the plan stays as it is" if planner.pinned else "the plan follows the reports again"
+            return True, "the plan stays as it is" if planner.pinned else "the plan follows the evidence"
         if request.zone not in {zone.name for zone in self.map.zones}:
             return False, f"{request.zone}: no such zone"
         try:
